--- /dev/null
+++ b/crates/fleet/tests/golden.rs
@@ -0,0 +1,70 @@
+//! Golden examples of what the coordinator stores: its state and each record of its log, recorded. Every later version has
+//! to write and read them byte for byte.
+
+use umbertray_fleet::moves::{Move, Phase};
+use umbertray_fleet::{Record, State};
+use umbertray_store_wire::list::Place;
+use umbertray_store_wire::orders::Span;
+
+const RECORDED: &str = include_str!("golden/state.txt");
+const PHASES: [Phase; 6] =
+    [Phase::Copying, Phase::Raised, Phase::Committed, Phase::Back, Phase::GivenUp, Phase::Over];
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn span(volume: u64) -> Span {
+    Span { volume, from: 2, to: 900 }
+}
+
+/// Claims of extents, then a move of each volume's range, one in each phase.
+fn records() -> Vec<Record> {
+    let mut records = vec![Record::Term(3)];
+    for volume in 1..=6 {
+        let claimed = |extent| Record::Claimed { volume, extent, shard: 4 };
+        records.extend([claimed(2), claimed(3), claimed(899)]);
+        let planned = Move::new(span(volume), 4, 5, 1);
+        records.push(Record::Planned { number: volume, planned });
+    }
+    for (number, phase) in (1..).zip(PHASES) {
+        let earlier = match phase {
+            Phase::Committed | Phase::Back => Some(Phase::Raised),
+            Phase::Over => Some(Phase::Committed),
+            _ => None,
+        };
+        records.extend(earlier.map(|phase| Record::Entered { number, phase }));
+        records.push(Record::Entered { number, phase });
+    }
+    records
+}
+
+fn state() -> State {
+    let mut state = State::default();
+    records().iter().for_each(|record| state.apply(record));
+    state
+}
+
+#[test]
+fn state_and_records_match_recorded_bytes() {
+    let mut transcript = String::new();
+    for record in records() {
+        let bytes = postcard::to_stdvec(&record).expect("small");
+        assert_eq!(postcard::from_bytes::<Record>(&bytes).as_ref(), Ok(&record));
+        transcript.push_str(&format!("record: {}\n", hex(&bytes)));
+    }
+    transcript.push_str(&format!("state: {}\n", hex(&state().bytes())));
+    assert!(transcript == RECORDED, "differs from tests/golden/state.txt:\n{transcript}");
+}
+
+#[test]
+fn recorded_state_is_read() {
+    let recorded = RECORDED.lines().find_map(|line| line.strip_prefix("state: ")).expect("a state");
+    let byte = |at: usize| u8::from_str_radix(&recorded[at..at + 2], 16).expect("hex");
+    let bytes: Vec<u8> = (0..recorded.len()).step_by(2).map(byte).collect();
+    let read = State::read(&bytes).expect("a state");
+    assert_eq!(read, state());
+    assert_eq!(read.map.place(3, 2), Some(Place { shard: 5, epoch: 1 }), "committed");
+    assert_eq!(read.map.place(4, 2), Some(Place { shard: 4, epoch: 2 }), "taken back");
+    assert_eq!(read.ended.get(&6), Some(&Phase::Committed));
+}
--- a/crates/keeper/src/lease.rs
+++ b/crates/keeper/src/lease.rs
@@ -112,3 +112,6 @@
     tracing::warn!(folder = %folder.display(), "taken over from a keeper that stands still");
     Ok(disk)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/keeper/src/log.rs
+++ b/crates/keeper/src/log.rs
@@ -48,3 +48,6 @@
         self.chain.append(body, || (state.bytes(), VecDeque::new())).map(|_| ())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/keeper/src/log/tests.rs
@@ -0,0 +1,93 @@
+//! Golden example of the folder: a log with a move in each phase, recorded. Every later version has to write the same
+//! records to the same bytes, and read the recorded files.
+
+use umbertray_fleet::{Move, Phase};
+use umbertray_state::sim::SimDisk;
+use umbertray_store_wire::orders::Span;
+
+use super::*;
+
+const MOST_BYTES: usize = 1 << 20;
+/// A line a file: its name and its bytes in hex.
+const RECORDED: &str = include_str!("golden/folder.txt");
+
+fn open(disk: &SimDisk) -> (Log, Core) {
+    let (log, core, _) = Log::open(Box::new(disk.clone()), Path::new("folder")).expect("a whole log");
+    (log, core)
+}
+
+/// Claims and moves, one move left in each phase, as a run of the coordinator logs them.
+fn history() -> Vec<Vec<Record>> {
+    let mut batches = vec![vec![Record::Term(1)]];
+    for volume in 1..=6 {
+        let span = Span { volume, from: 2, to: 900 };
+        let claimed = |extent| Record::Claimed { volume, extent, shard: 4 };
+        batches.push(vec![claimed(2), claimed(899)]);
+        batches.push(vec![Record::Planned { number: volume, planned: Move::new(span, 4, 5, 1) }]);
+    }
+    let entered = |number, phase| vec![Record::Entered { number, phase }];
+    batches.extend([
+        entered(2, Phase::Raised),
+        entered(3, Phase::Raised),
+        entered(3, Phase::Committed),
+        entered(4, Phase::Raised),
+        entered(4, Phase::Back),
+        entered(5, Phase::GivenUp),
+        entered(6, Phase::Raised),
+        entered(6, Phase::Committed),
+        entered(6, Phase::Over),
+    ]);
+    batches
+}
+
+fn written() -> (SimDisk, State) {
+    let disk = SimDisk::default();
+    let (mut log, core) = open(&disk);
+    let mut state = core.state().clone();
+    // The run's own term stands in its state already.
+    for batch in &history()[1..] {
+        batch.iter().for_each(|record| state.apply(record));
+        log.append(batch, &state).expect("room");
+    }
+    (disk, state)
+}
+
+fn transcript(disk: &SimDisk) -> String {
+    let mut names = disk.names().expect("a folder");
+    names.sort();
+    let file = |name: String| {
+        let bytes = disk.read(&name, MOST_BYTES).expect("a file");
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        format!("{name}: {hex}\n")
+    };
+    names.into_iter().map(file).collect()
+}
+
+fn recorded_disk() -> SimDisk {
+    let mut disk = SimDisk::default();
+    for line in RECORDED.lines() {
+        let (name, hex) = line.split_once(": ").expect("a name and its bytes");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+        let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
+        disk.write(name, &bytes).expect("room");
+        disk.sync(name).expect("room");
+    }
+    disk.sync_folder().expect("room");
+    disk
+}
+
+#[test]
+fn log_is_written_to_recorded_bytes() {
+    let text = transcript(&written().0);
+    assert!(text == RECORDED, "differs from src/log/golden/folder.txt:\n{text}");
+}
+
+#[test]
+fn recorded_log_is_read() {
+    let (_, core) = open(&recorded_disk());
+    let mut wanted = written().1;
+    // The next run counts its own term in memory, to be logged first.
+    wanted.term = core.state().term;
+    assert_eq!(core.state(), &wanted);
+    assert_eq!(core.state().moves.len(), 5);
+}
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -26,3 +26,6 @@
 pub fn refusal(Refused { status, what }: &Refused) -> Bytes {
     server::answer(*status, &[("Content-Type", b"text/plain")], format!("{what}\n").as_bytes(), true)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/node/src/response/tests.rs
@@ -0,0 +1,58 @@
+//! Golden examples: each final answer and refusal as its client gets it, recorded.
+
+use std::time::Duration;
+
+use umbertray_http::{Limits, server::Requests};
+
+use super::*;
+
+const RECORDED: &str = include_str!("golden/responses.txt");
+
+fn line(transcript: &mut String, name: &str, bytes: &[u8]) {
+    transcript.push_str(&format!("{name}: {}\n", bytes.escape_ascii()));
+}
+
+#[test]
+fn responses_match_recorded_bytes() {
+    let mut transcript = String::new();
+    let replies = [
+        ("succeeded", Reply::Acked { kind: None, body: Bytes::from_static(b"body") }),
+        (
+            "succeeded, typed",
+            Reply::Acked { kind: Some(Bytes::from_static(b"own/kind")), body: Bytes::new() },
+        ),
+        ("rejected", Reply::Throttled { retry_after: Duration::from_millis(250) }),
+        ("failed", Reply::Aborted),
+    ];
+    for (name, reply) in &replies {
+        for close in [false, true] {
+            line(&mut transcript, &format!("{name}, close {close}"), &rendered(reply, close));
+        }
+    }
+    for status in [400, 404, 405, 408, 409] {
+        let refused = Refused { status, what: "the reason".into() };
+        line(&mut transcript, "refused", &refusal(&refused));
+    }
+    let long_target = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(400));
+    let malformed = [
+        "noise\r\n\r\n",
+        "GET / HTTP/2.0\r\n\r\n",
+        "GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+        "GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n",
+        "PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: other\r\n\r\n",
+        "PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
+        "GET / HTTP/1.1\r\nno colon\r\n\r\n",
+        long_target.as_str(),
+    ];
+    for text in malformed {
+        let mut requests = Requests::new(Limits { head: 256, body: 1024 });
+        requests.bytes.extend_from_slice(text.as_bytes());
+        let error = requests.request().expect_err(text);
+        line(&mut transcript, "malformed", &refusal(&refused(&error)));
+    }
+    for status in [200, 503] {
+        line(&mut transcript, "health", &server::answer(status, &[], b"", false));
+    }
+    line(&mut transcript, "continue", server::CONTINUE);
+    assert!(transcript == RECORDED, "differs from src/response/golden/responses.txt:\n{transcript}");
+}
--- /dev/null
+++ b/crates/platform/tests/golden.rs
@@ -0,0 +1,173 @@
+//! Golden examples of the platform's HTTP: what is sent to stores and discovery, which request is refused with which
+//! words, and how lists and load reports are read. Every later version has to write and read them byte for byte.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use umbertray::interface::StoreState;
+use umbertray_http::Limits;
+use umbertray_http::client;
+use umbertray_http::server::{Next, Request, Requests};
+use umbertray_platform::list::{Line, Lines, List};
+use umbertray_platform::{ClientId, Config, Core, Deed, Input, words};
+
+const RECORDED: &str = include_str!("golden/http.txt");
+const CONFIGURATION: &str = include_str!("golden/configuration.json");
+const LIMITS: Limits = Limits { head: 8192, body: 65536 };
+const START: Duration = Duration::from_secs(1_700_000_000);
+const READ: &str = "/look/00000000000000aa/00000000000000bb";
+const WRITE: &str = "/order/00000000000000aa/00000000000000bb?part=1";
+const ID: (&str, &str) = ("X-Correlation-Id", "00000000000000c1");
+const PLAN: (&str, &str) = ("X-Qos-Policy", "more");
+const TIME_LEFT: (&str, &str) = ("X-Time-Left-Ms", "800");
+const PLACEMENT: (&str, &str) = ("X-Placement", "units=2,shard=0,hosts=2");
+const KEY: (&str, &str) = ("Idempotency-Key", "own key");
+
+fn core() -> Core {
+    let configuration = Config::read(CONFIGURATION).expect("a whole configuration");
+    let mut core = Core::start(&configuration, START).expect("it starts");
+    core.handle(START, vec![]);
+    core
+}
+
+fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Request {
+    let fields: Vec<_> = fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect();
+    let mut requests = Requests::new(LIMITS);
+    requests.bytes.extend_from_slice(&client::request(method, target, "x", &fields, body.as_bytes()));
+    match requests.request() {
+        Ok(Next::Request(request)) => request,
+        other => panic!("{other:?}"),
+    }
+}
+
+fn line(transcript: &mut String, name: &str, bytes: &[u8]) {
+    transcript.push_str(&format!("{name}: {}\n", bytes.escape_ascii()));
+}
+
+/// The bytes of the first attempt of a request, as its store gets them.
+fn attempt(request: &Request) -> Bytes {
+    let mut core = core();
+    let now = START + Duration::from_secs(2);
+    core.handle(now, vec![]);
+    let ask = core.check(request).expect("an operation");
+    let deeds = core.handle(now, vec![Input::Ask { client: ClientId(1), ask, begun: now }]);
+    let sent = deeds.iter().find_map(|deed| match deed {
+        Deed::Send { call, .. } => Some(*call),
+        _ => None,
+    });
+    core.begin(sent.expect("an attempt"), now).expect("it may begin")
+}
+
+fn attempts(transcript: &mut String) {
+    let fields = [ID, PLAN, TIME_LEFT, PLACEMENT];
+    line(transcript, "attempt, read", &attempt(&request("GET", READ, &fields, "")));
+    let fields = [ID, PLAN, TIME_LEFT, PLACEMENT, KEY];
+    line(transcript, "attempt, write", &attempt(&request("PUT", WRITE, &fields, "data")));
+    let fields = [ID, PLAN, TIME_LEFT, ("X-Placement", "units=1.5,shard=-1,hosts=3")];
+    line(transcript, "attempt, new object", &attempt(&request("PUT", WRITE, &fields, "data")));
+}
+
+fn refusals(transcript: &mut String) {
+    let fields = [ID, PLAN, TIME_LEFT, PLACEMENT];
+    let placed = |placement| [ID, PLAN, TIME_LEFT, ("X-Placement", placement)];
+    let examples = [
+        request("GET", READ, &fields, "body"),
+        request("POST", READ, &fields, ""),
+        request("GET", "/look", &fields, ""),
+        request("GET", "/other/00000000000000aa/00000000000000bb", &fields, ""),
+        request("GET", "/look/aa/bb", &fields, ""),
+        request("GET", READ, &[ID, ("X-Qos-Policy", "other"), TIME_LEFT, PLACEMENT], ""),
+        request("GET", READ, &[ID, TIME_LEFT, PLACEMENT], ""),
+        request("GET", READ, &[ID, ID, PLAN, TIME_LEFT, PLACEMENT], ""),
+        request("GET", READ, &[("X-Correlation-Id", "c1"), PLAN, TIME_LEFT, PLACEMENT], ""),
+        request("GET", READ, &[ID, PLAN, TIME_LEFT, PLACEMENT, KEY, KEY], ""),
+        request("GET", READ, &[ID, PLAN, ("X-Time-Left-Ms", "0"), PLACEMENT], ""),
+        request("GET", READ, &[ID, PLAN, ("X-Time-Left-Ms", "+8"), PLACEMENT], ""),
+        request("GET", READ, &placed("units=9,shard=0,hosts=2"), ""),
+        request("GET", READ, &placed("units=2,shard=9,hosts=2"), ""),
+        request("GET", READ, &placed("units=2,shard=0,hosts=0"), ""),
+        request("GET", READ, &placed("units=2,hosts=2"), ""),
+    ];
+    for example in examples {
+        let refused = core().check(&example).expect_err("no operation");
+        transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.what));
+    }
+    let (mut core, example) = (core(), request("GET", READ, &fields, ""));
+    let ask = core.check(&example).expect("an operation");
+    core.handle(START, vec![Input::Ask { client: ClientId(1), ask, begun: START }]);
+    let refused = core.check(&example).expect_err("its id is taken");
+    transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.what));
+}
+
+fn discovery(transcript: &mut String) {
+    for (name, target) in [
+        ("discovery, list", words::STORES.to_string()),
+        ("discovery, watch", words::watch(7)),
+        ("store, load report", words::STATS.to_string()),
+        ("own, readiness", words::READY.to_string()),
+        ("own, liveness", words::LIVE.to_string()),
+    ] {
+        line(transcript, name, &client::request("GET", &target, "127.0.0.1:9", &[], b""));
+    }
+}
+
+fn list_text(list: &List) -> String {
+    let entries = list.stores.iter().map(|entry| {
+        let state = match entry.state {
+            StoreState::Ready => "ready",
+            StoreState::Draining => "draining",
+            StoreState::Gone => "gone",
+        };
+        let started = entry.started.is_some();
+        let (uid, address, zone, shard) = (&entry.uid, entry.address, &entry.zone, entry.shard);
+        format!("[{uid} {address} {zone} {shard} {state} started {started}]")
+    });
+    let entries: Vec<String> = entries.collect();
+    format!("{} whole {} {} unknown {:?}", list.version, list.whole, entries.join(" "), list.unknown)
+}
+
+fn lists(transcript: &mut String) {
+    let entry = |uid: &str, state: &str, boot: u64| {
+        format!(
+            r#"{{"uid":"{uid}","endpoint":"127.0.0.1:7001","az":"b","pod_group":3,"state":"{state}","boot_ms":{boot}}}"#
+        )
+    };
+    let entries = [
+        entry("s0", "ready", 0),
+        entry("s1", "draining", 1_700_000_000_000),
+        entry("s2", "gone", 0),
+        entry("s3", "odd", 0),
+    ];
+    let whole = format!("{{\"rev\":9,\"all\":true,\n \"targets\":[{}]}}\n\n", entries.join(","));
+    let mut lines = Lines::new(65536);
+    lines.bytes.extend_from_slice(whole.as_bytes());
+    lines.bytes.extend_from_slice(b"{\"rev\":10,\"all\":false,\"targets\":[]}\n{\"rev\":11}\n");
+    for _ in 0..4 {
+        let text = match lines.line() {
+            Ok(Some(Line::Alive)) => "heartbeat".to_string(),
+            Ok(Some(Line::List(list))) => list_text(&list),
+            Ok(None) => "nothing whole".to_string(),
+            Err(error) => format!("unreadable: {error}"),
+        };
+        transcript.push_str(&format!("watch event: {text}\n"));
+    }
+}
+
+#[test]
+fn requests_refusals_and_lists_match_recorded_text() {
+    let mut transcript = String::new();
+    attempts(&mut transcript);
+    refusals(&mut transcript);
+    discovery(&mut transcript);
+    lists(&mut transcript);
+    assert!(transcript == RECORDED, "differs from tests/golden/http.txt:\n{transcript}");
+}
+
+#[test]
+fn configuration_becomes_recorded_settings() {
+    let configuration = Config::read(CONFIGURATION).expect("a whole configuration");
+    let settings = &configuration.settings;
+    let text: String = settings.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
+    let recorded = include_str!("golden/settings.txt");
+    assert!(text == recorded, "differs from tests/golden/settings.txt:\n{text}");
+}
--- /dev/null
+++ b/crates/versions/tests/golden.rs
@@ -0,0 +1,158 @@
+//! Golden examples of stored logs: a folder of changes and a relay's copy of it, recorded. Every later version has to write
+//! the same history to the same bytes, and read the recorded files.
+
+use std::path::{Path, PathBuf};
+
+use serde_json::{Value, json};
+use umbertray_state::Layer;
+use umbertray_state::sim::SimDisk;
+use umbertray_versions::change::Change;
+use umbertray_versions::guard::Guard;
+use umbertray_versions::log::{self, Log};
+use umbertray_versions::model::{Configuration, Edit, Key, Kind};
+use umbertray_versions::{Mirror, Replica, Tail, Told, acted};
+
+/// Small, so that the history rolls over into a second segment.
+const SEGMENT_BYTES: usize = 2048;
+const MOST_BYTES: usize = 1 << 20;
+const SCRIPT: &str = r#"
+gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
+op_type("get", target_latency = 0.5, op_timeout = 3.0, utility = 2)
+op_type("put", target_latency = 0.3, op_timeout = 1.0, utility = 2)
+request(["read", "status"], op_type = "get")
+request(["write", "zero", "trim", "flush"], op_type = "put")
+plan("limited", rate = 100, limit = 50, limit_burst = 20)
+plan("free", rate = 100, reserve = 40)
+volume("vol", size = 1 * MiB, plan = "limited", gateways = 2)
+volume("other", size = 1 * MiB, plan = "free")
+rules(drain_grace = 0.5, cold_from = 0.5, cold_time = 1, cold_units = 60, fall_multiple = 2, fall_time = 0.2)
+"#;
+
+fn recorded(folder: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(folder)
+}
+
+fn files(layer: &dyn Layer) -> Vec<(String, Vec<u8>)> {
+    let mut names = layer.names().expect("a folder");
+    names.sort();
+    names.into_iter().map(|name| (name.clone(), layer.read(&name, MOST_BYTES).expect("a file"))).collect()
+}
+
+/// A disk in memory with the recorded files on it.
+fn recorded_disk(folder: &str) -> SimDisk {
+    let mut disk = SimDisk::default();
+    for entry in std::fs::read_dir(recorded(folder)).expect("recorded files") {
+        let path = entry.expect("a file").path();
+        let name = path.file_name().and_then(|name| name.to_str()).expect("UTF-8").to_string();
+        disk.write(&name, &std::fs::read(&path).expect("readable")).expect("room");
+        disk.sync(&name).expect("room");
+    }
+    disk.sync_folder().expect("room");
+    disk
+}
+
+/// Fails where the disk holds other names or bytes than are recorded; what it holds is left to look at.
+fn assert_recorded(disk: &SimDisk, folder: &str) {
+    let written = files(disk);
+    if written != files(&recorded_disk(folder)) {
+        let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden").join(folder);
+        std::fs::create_dir_all(&left).expect("a folder");
+        written.iter().for_each(|(name, bytes)| std::fs::write(left.join(name), bytes).expect("room"));
+        panic!("tests/golden/{folder} differs from what was written, see {}", left.display());
+    }
+}
+
+fn set(kind: Kind, name: &str, field: &str, value: Value) -> Edit {
+    Edit::Set { key: Key::new(kind, name), field: field.into(), value }
+}
+
+fn commit(log: &mut Log, edits: Vec<Edit>, allow: Vec<Guard>) {
+    let base = log.head().number;
+    let (id, actor, reason) = (format!("change-{base}"), "ann".to_string(), "to see".to_string());
+    let at = 1_700_000_000_000_000 + base;
+    log.commit(Change { id, base, actor, reason, at, edits, allow }).expect("a right change");
+}
+
+/// A history with each kind of edit, a version that undoes another, guarded changes, and a rolled segment.
+fn history() -> SimDisk {
+    let disk = SimDisk::default();
+    let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("an empty folder");
+    let document = umbertray_config::read("golden.star", SCRIPT.into()).expect("a right script");
+    let first = log.head().configuration.diff(&Configuration::of_calls(&document.calls()));
+    commit(&mut log, first, vec![]);
+    let limit = |value| vec![set(Kind::Plan, "limited", "limit", value)];
+    commit(&mut log, limit(json!(70.0)), vec![]);
+    commit(&mut log, limit(json!(50.0)), vec![Guard::Cut]);
+    let fields = serde_json::from_value(json!({ "rate": 30.0, "weight": 2.0 })).expect("an object");
+    commit(&mut log, vec![Edit::Put { key: Key::new(Kind::Plan, "more"), fields }], vec![]);
+    commit(&mut log, vec![set(Kind::Volume, "other", "plan", json!("more"))], vec![]);
+    commit(&mut log, vec![Edit::Remove { key: Key::new(Kind::Volume, "other") }], vec![Guard::Removal]);
+    commit(&mut log, vec![set(Kind::Rules, "", "cold_time", json!(3.0))], vec![]);
+    commit(&mut log, vec![set(Kind::OpType, "get", "utility", json!(3.0))], vec![]);
+    commit(&mut log, vec![set(Kind::Volume, "vol", "gateways", json!(3.0))], vec![Guard::Parts]);
+    for weight in 2..12 {
+        commit(&mut log, vec![set(Kind::Plan, "free", "weight", json!(f64::from(weight)))], vec![]);
+    }
+    disk
+}
+
+fn copy_of(source: &SimDisk) -> SimDisk {
+    let copy = SimDisk::default();
+    let (mut mirror, mut state) = Mirror::open(Box::new(copy.clone())).expect("an empty folder");
+    for told in Tail::open(source).expect("a whole log").1 {
+        mirror.keep(&told, state.as_ref()).expect("room");
+        match (&mut state, &told) {
+            (Some(state), told) => _ = state.take(told).expect("it follows"),
+            (None, Told::Whole(head)) => state = Some(Replica::read(head).expect("right")),
+            (None, Told::Entry(_)) => panic!("a state comes first"),
+        }
+    }
+    copy
+}
+
+#[test]
+fn changes_are_written_to_recorded_bytes() {
+    assert_recorded(&history(), "changes");
+}
+
+#[test]
+fn relay_copy_is_written_to_recorded_bytes() {
+    assert_recorded(&copy_of(&history()), "copy");
+}
+
+#[test]
+fn recorded_changes_are_read() {
+    let disk = recorded_disk("changes");
+    assert_eq!(log::segments(&disk).expect("a folder").len(), 4);
+    assert_eq!(log::verify(&disk).expect("a whole log"), 19);
+    let log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("a whole log");
+    let plain = Log::open(Box::new(history()), SEGMENT_BYTES).expect("a whole log");
+    assert_eq!(log.head().configuration, plain.head().configuration);
+    assert_eq!(log.hash(), plain.hash());
+    for number in 0..=19 {
+        let version = log::version(&disk, number).expect("each version can be rebuilt");
+        let wanted = log::version(plain.layer(), number).expect("each version can be rebuilt");
+        assert_eq!(version.configuration, wanted.configuration, "version {number}");
+    }
+    let reasons = log.history(0).expect("a whole log").into_iter().map(|past| past.change.reason);
+    assert!(reasons.eq(std::iter::repeat_n("to see".to_string(), 19)));
+}
+
+#[test]
+fn recorded_relay_copy_is_read() {
+    let (_, state) = Mirror::open(Box::new(recorded_disk("copy"))).expect("a whole copy");
+    let plain = Log::open(Box::new(history()), SEGMENT_BYTES).expect("a whole log");
+    let state = state.expect("a state");
+    assert_eq!(state.version.number, 19);
+    assert_eq!(state.version.configuration, plain.head().configuration);
+}
+
+#[test]
+fn acted_version_is_written_and_read_as_recorded() {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-acted");
+    _ = std::fs::remove_dir_all(&folder);
+    acted::write(&folder, 19, [7; 32]).expect("room");
+    let written = std::fs::read_to_string(folder.join("acted")).expect("a file");
+    assert_eq!(written, format!(r#"{{"version":19,"hash":[{}]}}"#, ["7"; 32].join(",")));
+    assert_eq!(acted::read(&folder).expect("readable"), Some((19, [7; 32])));
+}
