--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -6,12 +6,12 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use serde_json::json;
-use umbertray_state::Disk;
-use umbertray_versions::change::{Change, Refused};
-use umbertray_versions::guard::GUARDS;
-use umbertray_versions::log::{self, GROWN, Log, LogError, Past};
-use umbertray_versions::model::Fields;
-use umbertray_versions::{Configuration, Edit, Guard, Kind, Path, Step, Version};
+use umbertray_config_log::change::{Change, Refused};
+use umbertray_config_log::guard::GUARDS;
+use umbertray_config_log::log::{self, GROWN, Log, LogError, Past};
+use umbertray_config_log::model::Fields;
+use umbertray_config_log::{Configuration, Edit, Guard, Kind, Path, Step, Version};
+use umbertray_snapshot::Disk;
 
 use crate::{output, serve};
 
@@ -191,7 +191,7 @@
         let why = refused.to_string();
         match refused {
             Refused::Conflict(met) => {
-                let line = |c: &umbertray_versions::Conflict| {
+                let line = |c: &umbertray_config_log::Conflict| {
                     let (place, version, actor) = (&c.place, c.version, &c.actor);
                     format!(
                         "{place}: yours is {}, {actor} made it {} in version {version}",
@@ -316,7 +316,7 @@
             (_, false) => return Err(Failed::Wrong(format!("{name}: relays have its shared settings"))),
         }
     } else {
-        let checked = umbertray_versions::version::document(&calls, &[]);
+        let checked = umbertray_config_log::version::document(&calls, &[]);
         checked.map_err(|problems| Failed::Wrong(problems.join("\n")))?
     };
     Ok(Configuration::of_calls(&document.calls()))
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -30,13 +30,13 @@
     let fleet = Fleet::start(arguments.stores, power, 1).await.map_err(|error| format!("stores: {error}"))?;
     // The demo's map is not to outlive it; what it is for is seen with `umbertray keeper`.
     let folder = std::env::temp_dir().join(format!("umbertray-demo-{}", std::process::id()));
-    let options = umbertray_keeper::Options {
+    let options = umbertray_coordinator::Options {
         listen: umbertray_standin::fleet::any_port(),
         list: fleet.list.address,
         folder: folder.clone(),
-        takeover: umbertray_keeper::Takeover::No,
+        takeover: umbertray_coordinator::Takeover::No,
     };
-    let keeper = umbertray_keeper::start(options).await.map_err(|error| error.to_string())?;
+    let keeper = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
     let mut gateways = Vec::new();
     for seed in 0..arguments.gateways {
         let mut document = document.clone();
--- a/crates/cli/src/keeper.rs
+++ b/crates/cli/src/keeper.rs
@@ -4,9 +4,9 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use umbertray_keeper::{Options, Takeover, client};
-use umbertray_store_wire::orders::Span;
-use umbertray_store_wire::volume_id;
+use umbertray_coordinator::{Options, Takeover, client};
+use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::volume_id;
 
 use crate::{output, serve};
 
@@ -82,7 +82,7 @@
     let takeover = if arguments.take_over { Takeover::FromStill } else { Takeover::No };
     let options =
         Options { listen: keeper.listen, list: keeper.list, folder: keeper.folder.into(), takeover };
-    let mut running = umbertray_keeper::start(options).await.map_err(|error| error.to_string())?;
+    let mut running = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
     let said = serde_json::json!({ "keeper": running.address.to_string(), "term": running.term });
     output::print_line(&said.to_string());
     tokio::select! {
--- a/crates/cli/src/measure/changes.rs
+++ b/crates/cli/src/measure/changes.rs
@@ -7,15 +7,15 @@
 
 use hdrhistogram::Histogram;
 use serde_json::json;
+use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::model::Fields;
+use umbertray_config_log::{Change, Configuration, Edit, Follower, Guard, Key, Kind, Version};
 use umbertray_gateway::{Changes, Clock, Options};
 use umbertray_routing::Core;
+use umbertray_snapshot::{Disk, Layer};
 use umbertray_standin::client::Connection;
 use umbertray_standin::fleet::Fleet;
-use umbertray_state::{Disk, Layer};
-use umbertray_store_wire::store::Work;
-use umbertray_versions::log::{GROWN, Log};
-use umbertray_versions::model::Fields;
-use umbertray_versions::{Change, Configuration, Edit, Follower, Guard, Key, Kind, Version};
+use umbertray_store_protocol::store::Work;
 
 use super::{Arguments, Figures, Side, Timed, figures, fill, settings, turn};
 use crate::{demo, output};
@@ -205,7 +205,7 @@
 /// Bytes that one more version costs while all are held, by what the process holds; so many that what was freed before
 /// does not hide them.
 fn memory() -> Result<(), String> {
-    let layer = umbertray_state::sim::SimDisk::default();
+    let layer = umbertray_snapshot::sim::SimDisk::default();
     let first = begin(Box::new(layer), VOLUMES)?;
     let mut versions: Vec<Version> = vec![first.head().clone()];
     let before = super::resident(std::process::id())?;
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -18,12 +18,12 @@
 use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
 use umbertray_routing::settings::Volume;
 use umbertray_routing::{Core, Host as _, Input, Output, Saved};
+use umbertray_snapshot::Disk;
+use umbertray_snapshot::folder::{Folder, GROWN, stamp};
 use umbertray_standin::client::Connection;
 use umbertray_standin::fleet::Fleet;
 use umbertray_standin::model::Power;
-use umbertray_state::Disk;
-use umbertray_state::folder::{Folder, GROWN, stamp};
-use umbertray_store_wire::store::Work;
+use umbertray_store_protocol::store::Work;
 
 use crate::{demo, output};
 use pass::{PassThrough, Timed, WORKS};
@@ -271,7 +271,7 @@
     let volume = settings.volumes[0].clone();
     settings.volumes =
         (0..saved.volumes.len()).map(|n| Volume { name: format!("v{n}"), ..volume.clone() }).collect();
-    let ids = settings.volumes.iter().map(|volume| umbertray_store_wire::volume_id(&volume.name));
+    let ids = settings.volumes.iter().map(|volume| umbertray_store_protocol::volume_id(&volume.name));
     let mut saved = saved.clone();
     saved.volumes.iter_mut().zip(ids).for_each(|(volume, id)| volume.volume = id);
     let mut core = Core::new(Arc::new(settings), 1, Duration::ZERO);
--- a/crates/cli/src/measure/pass.rs
+++ b/crates/cli/src/measure/pass.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use umbertray_routing::{Hold, Host, Input, Output, Part, RequestId, Settings, StoreId, Verdict};
-use umbertray_store_wire::list::{FromList, State, ToList};
-use umbertray_store_wire::store::{Code, Dispatch, FromStore, ToStore, Work};
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::list::{FromList, State, ToList};
+use umbertray_store_protocol::store::{Code, Dispatch, FromStore, ToStore, Work};
+use umbertray_store_protocol::volume_id;
 
 pub struct PassThrough {
     extent_bytes: u64,
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -5,8 +5,8 @@
 
 use serde_json::json;
 use umbertray_relay::{Options, client};
-use umbertray_store_wire::changes::Status;
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::changes::Status;
+use umbertray_store_protocol::volume_id;
 
 use crate::{output, serve};
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,11 +5,11 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 use umbertray_config::{Call, Document};
+use umbertray_config_log::chain::Hash;
+use umbertray_config_log::{Follower, Replica};
 use umbertray_gateway::{Changes, Options, PATIENCE, Relayed, Relays};
 use umbertray_routing::Settings;
-use umbertray_state::Disk;
-use umbertray_versions::chain::Hash;
-use umbertray_versions::{Follower, Replica};
+use umbertray_snapshot::Disk;
 
 use crate::output;
 
@@ -53,7 +53,7 @@
     /// With what the log has.
     fn with(&self, at: &Replica) -> Result<Document, String> {
         let shared = at.version.configuration.calls();
-        umbertray_versions::version::document(&shared, &self.calls).map_err(|problems| problems.join("\n"))
+        umbertray_config_log::version::document(&shared, &self.calls).map_err(|problems| problems.join("\n"))
     }
 }
 
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -7,7 +7,7 @@
 use umbertray_standin::list::{self, Listed};
 use umbertray_standin::model::Power;
 use umbertray_standin::store::{self, Identity};
-use umbertray_store_wire::list::State;
+use umbertray_store_protocol::list::State;
 
 use crate::output;
 
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -2,10 +2,10 @@
 
 use std::path::{Path, PathBuf};
 
-use umbertray_state::decide::{self, Found};
-use umbertray_state::folder::{files, stamp};
-use umbertray_state::format::{self, MOST_FILE};
-use umbertray_state::{Age, Disk, Layer};
+use umbertray_snapshot::decide::{self, Found};
+use umbertray_snapshot::folder::{files, stamp};
+use umbertray_snapshot::format::{self, MOST_FILE};
+use umbertray_snapshot::{Age, Disk, Layer};
 
 use crate::output;
 
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -7,7 +7,7 @@
 
 /// A copy of the recorded log of changes, in a folder of this test's.
 fn changes() -> PathBuf {
-    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../versions/tests/golden/changes");
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config-log/tests/golden/changes");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-changes");
     _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -19,7 +19,7 @@
 }
 
 fn state() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../state/tests/version-2.umb")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../snapshot/tests/version-2.umb")
 }
 
 /// What a command prints and says, with this machine's folders left out.
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -11,7 +11,7 @@
 use umbertray_standin::client::Connection;
 use umbertray_standin::fleet::Fleet;
 use umbertray_standin::model::{Fault, Power};
-use umbertray_store_wire::list::State;
+use umbertray_store_protocol::list::State;
 
 fn received(work: &'static str) -> impl Fn(&umbertray_standin::Entry) -> bool {
     move |entry| matches!(&entry.seen, Seen::Received { work: w, .. } if w == work)
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -10,8 +10,8 @@
 use umbertray_standin::client::Connection;
 use umbertray_standin::fleet::Fleet;
 use umbertray_standin::model::Fault;
-use umbertray_store_wire::orders::Span;
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::volume_id;
 
 use crate::common::*;
 
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -9,10 +9,10 @@
 use tokio::process::Command;
 use umbertray_rehearsal::run::Gateway;
 use umbertray_routing::settings::Limit;
+use umbertray_snapshot::Disk;
+use umbertray_snapshot::folder::files;
 use umbertray_standin::client::Connection;
 use umbertray_standin::fleet::Fleet;
-use umbertray_state::Disk;
-use umbertray_state::folder::files;
 
 use crate::common::*;
 
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -7,8 +7,8 @@
 use umbertray_scale::hollow::Seen;
 use umbertray_scale::plan::{Limits, Plan};
 use umbertray_scale::point::{Line, Role, Setup, Stage, Start};
-use umbertray_store_wire::Message;
-use umbertray_store_wire::list::{Entry, FromList, State, ToList};
+use umbertray_store_protocol::Message;
+use umbertray_store_protocol::list::{Entry, FromList, State, ToList};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_umbertray");
 const PATIENCE: Duration = Duration::from_secs(30);
--- a/crates/versions/src/acted.rs
+++ b/crates/config-log/src/acted.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use umbertray_state::{Disk, Layer};
+use umbertray_snapshot::{Disk, Layer};
 
 use crate::chain::Hash;
 
--- a/crates/versions/src/chain.rs
+++ b/crates/config-log/src/chain.rs
@@ -1,6 +1,6 @@
 //! A hash-chained log of bodies that mean nothing to it: how its segments are read, begun and written.
 //!
-//! A segment is a magic and version, then records as state files have them (`umbertray_state::format`): a head with
+//! A segment is a magic and version, then records as state files have them (`umbertray_snapshot::format`): a head with
 //! all that is known at its start, then the bodies since. Each carries the hash of the one before it, its own bytes
 //! included, so that none can be left out, edited or moved unseen. A marker says up to which version the log is safe on
 //! the disk.
@@ -9,9 +9,9 @@
 use std::io;
 
 use serde::{Deserialize, Serialize};
-use umbertray_state::Layer;
-use umbertray_state::format::{MOST_FILE, next, record};
-pub use umbertray_store_wire::changes::{Hash, chained};
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::format::{MOST_FILE, next, record};
+pub use umbertray_store_protocol::changes::{Hash, chained};
 
 pub const VERSION: u16 = 1;
 
--- a/crates/versions/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 
-use umbertray_state::Layer;
-use umbertray_state::format::MOST_FILE;
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::format::MOST_FILE;
 
 use crate::chain::{self, Entry, Read, chained};
 use crate::log::{LogError, checkpoint, replay, segments};
--- a/crates/versions/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::io;
 
-use umbertray_state::Layer;
+use umbertray_snapshot::Layer;
 
 pub use crate::chain::ChainError as LogError;
 use crate::chain::{self, Chain, Checkpoint};
--- a/crates/versions/src/mirror.rs
+++ b/crates/config-log/src/mirror.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::io;
 
-use umbertray_state::Layer;
+use umbertray_snapshot::Layer;
 
 use crate::chain::{Chain, Entry, Opened};
 use crate::follow::{Replica, Told};
--- a/crates/versions/tests/chain.rs
+++ b/crates/config-log/tests/chain.rs
@@ -2,10 +2,10 @@
 
 use std::collections::VecDeque;
 
-use umbertray_state::Layer;
-use umbertray_state::sim::{SimDisk, Trouble};
-use umbertray_versions::chain::{self, Broken, Chain, ChainError, Checkpoint, Kind, Opened};
-use umbertray_versions::segment::CHANGES;
+use umbertray_config_log::chain::{self, Broken, Chain, ChainError, Checkpoint, Kind, Opened};
+use umbertray_config_log::segment::CHANGES;
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::sim::{SimDisk, Trouble};
 
 const KEPT: Kind = Kind { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", fresh: "kept.new" };
 
--- a/crates/versions/tests/golden.rs
+++ b/crates/config-log/tests/golden.rs
@@ -4,13 +4,13 @@
 use std::path::{Path, PathBuf};
 
 use serde_json::{Value, json};
-use umbertray_state::Layer;
-use umbertray_state::sim::SimDisk;
-use umbertray_versions::change::Change;
-use umbertray_versions::guard::Guard;
-use umbertray_versions::log::{self, Log};
-use umbertray_versions::model::{Configuration, Edit, Key, Kind};
-use umbertray_versions::{Mirror, Replica, Tail, Told, acted};
+use umbertray_config_log::change::Change;
+use umbertray_config_log::guard::Guard;
+use umbertray_config_log::log::{self, Log};
+use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
+use umbertray_config_log::{Mirror, Replica, Tail, Told, acted};
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::sim::SimDisk;
 
 /// Small, so that the history rolls over into a second segment.
 const SEGMENT_BYTES: usize = 2048;
--- a/crates/versions/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -6,15 +6,15 @@
 
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Value, json};
-use umbertray_state::sim::{SimDisk, Trouble};
-use umbertray_state::{Disk, Layer};
-use umbertray_versions::change::{Change, Refused};
-use umbertray_versions::follow::{Follower, NotFollowed};
-use umbertray_versions::guard::Guard;
-use umbertray_versions::log::{self, Log, LogError, Past};
-use umbertray_versions::model::{Configuration, Edit, Fields, Key, Kind};
-use umbertray_versions::segment::{self, Broken};
-use umbertray_versions::version::{Step, Version, document};
+use umbertray_config_log::change::{Change, Refused};
+use umbertray_config_log::follow::{Follower, NotFollowed};
+use umbertray_config_log::guard::Guard;
+use umbertray_config_log::log::{self, Log, LogError, Past};
+use umbertray_config_log::model::{Configuration, Edit, Fields, Key, Kind};
+use umbertray_config_log::segment::{self, Broken};
+use umbertray_config_log::version::{Step, Version, document};
+use umbertray_snapshot::sim::{SimDisk, Trouble};
+use umbertray_snapshot::{Disk, Layer};
 
 const ALL: [Guard; 4] = [Guard::Reserve, Guard::Cut, Guard::Removal, Guard::Parts];
 
--- a/crates/versions/tests/mirror.rs
+++ b/crates/config-log/tests/mirror.rs
@@ -1,13 +1,13 @@
 //! A copy of the log, on a disk that crashes or fails at every step; and what acts on what it is told.
 
 use serde_json::json;
-use umbertray_state::Layer;
-use umbertray_state::sim::{SimDisk, Trouble};
-use umbertray_versions::change::Change;
-use umbertray_versions::log::Log;
-use umbertray_versions::model::{Configuration, Edit, Key, Kind};
-use umbertray_versions::segment::Broken;
-use umbertray_versions::{Mirror, Replica, Tail, Told};
+use umbertray_config_log::change::Change;
+use umbertray_config_log::log::Log;
+use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
+use umbertray_config_log::segment::Broken;
+use umbertray_config_log::{Mirror, Replica, Tail, Told};
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::sim::{SimDisk, Trouble};
 
 const SHARED: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
@@ -93,7 +93,7 @@
     // A state further on than what is held takes the place of all of it.
     let (mut mirror, state) = Mirror::open(Box::new(disk.clone())).expect("whole");
     let state = state.expect("forty versions");
-    let head = umbertray_versions::segment::Head {
+    let head = umbertray_config_log::segment::Head {
         version: 50,
         hash: [7; 32],
         checkpoint: state.version.configuration.bytes(),
@@ -117,8 +117,8 @@
     for (place, told) in entries.iter().enumerate() {
         let Told::Entry(entry) = told else { panic!("entries follow") };
         let before = (state.version.number, state.hash);
-        let mut wrong = vec![umbertray_versions::chain::Entry { hash: [1; 32], ..entry.clone() }];
-        wrong.push(umbertray_versions::chain::Entry { body: b"{}".to_vec(), ..entry.clone() });
+        let mut wrong = vec![umbertray_config_log::chain::Entry { hash: [1; 32], ..entry.clone() }];
+        wrong.push(umbertray_config_log::chain::Entry { body: b"{}".to_vec(), ..entry.clone() });
         if let Some(Told::Entry(skipped)) = entries.get(place + 1) {
             wrong.push(skipped.clone());
         }
@@ -131,7 +131,7 @@
         assert_eq!((state.version.number, state.hash), (entry.version, entry.hash));
     }
     // Of the version that it has, another history is none; an older state is known.
-    let other = umbertray_versions::segment::Head { version: 5, hash: [9; 32], ..head.clone() };
+    let other = umbertray_config_log::segment::Head { version: 5, hash: [9; 32], ..head.clone() };
     assert!(matches!(state.take(&Told::Whole(other)), Err(Broken::Chain(5))));
     assert!(state.take(&all[0]).expect("older").is_none());
     assert_eq!(state.version.number, 5);
--- a/crates/versions/tests/sizes.rs
+++ b/crates/config-log/tests/sizes.rs
@@ -3,11 +3,11 @@
 use std::collections::VecDeque;
 
 use serde_json::json;
-use umbertray_state::Layer;
-use umbertray_state::sim::SimDisk;
-use umbertray_versions::change::Change;
-use umbertray_versions::log::{GROWN, Log};
-use umbertray_versions::model::{Configuration, Edit, Key, Kind};
+use umbertray_config_log::change::Change;
+use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
+use umbertray_snapshot::Layer;
+use umbertray_snapshot::sim::SimDisk;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use umbertray_routing::Settings;
 use umbertray_routing::settings::{Bounds, Further, Limit, OpType, Plan, Repeats, Rules, TypeRule, Volume};
-use umbertray_store_wire::store::Work;
+use umbertray_store_protocol::store::Work;
 
 use crate::calls::{Arguments, Call};
 use crate::{Changes, Document, Problem, Relay, Upstream};
@@ -315,7 +315,7 @@
 const VOUCH: u64 = 2;
 
 /// The longest name of a relay or gateway or zone, bytes.
-const MOST_NAME: usize = umbertray_store_wire::changes::MOST_NAME;
+const MOST_NAME: usize = umbertray_store_protocol::changes::MOST_NAME;
 
 /// The zone of whoever names none.
 const ZONE: &str = "default";
--- a/crates/fleet/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use umbertray_store_wire::list::{FromList, Place, ToList};
-use umbertray_store_wire::orders::{Order, Reply, Span};
+use umbertray_store_protocol::list::{FromList, Place, ToList};
+use umbertray_store_protocol::orders::{Order, Reply, Span};
 
 use crate::moves::Phase;
 use crate::state::{Record, Refused, State};
--- a/crates/fleet/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_wire::orders::{Order, Reply, Span};
+use umbertray_store_protocol::orders::{Order, Reply, Span};
 
 use crate::ranges::Ranges;
 
--- a/crates/fleet/src/map.rs
+++ b/crates/control-plane/src/map.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_wire::list::Place;
-use umbertray_store_wire::orders::Span;
+use umbertray_store_protocol::list::Place;
+use umbertray_store_protocol::orders::Span;
 
 use crate::ranges::Ranges;
 
--- a/crates/fleet/src/moves.rs
+++ b/crates/control-plane/src/moves.rs
@@ -14,7 +14,7 @@
 //! that it was opened at, an epoch is opened at one store, and the source is raised before the target is opened.
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_wire::orders::{Content, Mark, Order, Reply, Span};
+use umbertray_store_protocol::orders::{Content, Mark, Order, Reply, Span};
 
 /// What is written while it is copied is copied again, up to so many times the range; the rest within the pause.
 const PASSES: u64 = 3;
--- a/crates/fleet/src/relay/above.rs
+++ b/crates/control-plane/src/relay/above.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use umbertray_store_wire::changes::{
+use umbertray_store_protocol::changes::{
     Checkpoint, FromUpstream, MOST_PATH, PART, Position, Role, Sums, ToUpstream, Why, digest,
 };
 
--- a/crates/fleet/src/relay/below.rs
+++ b/crates/control-plane/src/relay/below.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use umbertray_store_wire::changes::{
+use umbertray_store_protocol::changes::{
     Behind, Checkpoint, FromUpstream, MOST_WAIT, PART, Position, Role, Sums, ToUpstream, Why,
 };
 
--- a/crates/fleet/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_store_wire::changes::{FromUpstream, Position, Role, Sums, ToUpstream, Why};
+use umbertray_store_protocol::changes::{FromUpstream, Position, Role, Sums, ToUpstream, Why};
 
 pub use node::Node;
 
--- a/crates/fleet/src/relay/node.rs
+++ b/crates/control-plane/src/relay/node.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_store_wire::changes::{
+use umbertray_store_protocol::changes::{
     Checkpoint, Level, MOST_CHECKPOINT, MOST_NAME, Position, Role, Sums, digest,
 };
 
--- a/crates/fleet/src/relay/sums.rs
+++ b/crates/control-plane/src/relay/sums.rs
@@ -1,6 +1,6 @@
 //! What members have acted on, added up on the way to the folder.
 
-use umbertray_store_wire::changes::{Behind, Level, MOST_BEHIND, MOST_LEVELS, MOST_MEMBERS, Role, Sums};
+use umbertray_store_protocol::changes::{Behind, Level, MOST_BEHIND, MOST_LEVELS, MOST_MEMBERS, Role, Sums};
 
 /// Why a sum is left out.
 pub fn nonsense(sums: &Sums, role: Role, head: u64) -> Option<&'static str> {
--- a/crates/fleet/src/relay/tail.rs
+++ b/crates/control-plane/src/relay/tail.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use umbertray_store_wire::changes::{Checkpoint, Hash, Position};
+use umbertray_store_protocol::changes::{Checkpoint, Hash, Position};
 
 use super::{Entry, TAIL_BYTES, TAIL_ENTRIES};
 
--- a/crates/fleet/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_wire::list::Place;
-use umbertray_store_wire::orders::Span;
+use umbertray_store_protocol::list::Place;
+use umbertray_store_protocol::orders::Span;
 
 use crate::map::Map;
 use crate::moves::{Move, Phase};
--- a/crates/fleet/tests/explore/main.rs
+++ b/crates/control-plane/tests/explore/main.rs
@@ -12,8 +12,8 @@
 
 use properties::Property;
 use search::{Found, explore};
-use umbertray_fleet::LinkId;
-use umbertray_store_wire::orders::Span;
+use umbertray_control_plane::LinkId;
+use umbertray_store_protocol::orders::Span;
 use world::{Faults, World};
 
 const VOLUME: u64 = 1;
--- a/crates/fleet/tests/explore/properties.rs
+++ b/crates/control-plane/tests/explore/properties.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeSet, HashSet};
 
-use umbertray_fleet::fence::Look;
-use umbertray_store_wire::list::Place;
+use umbertray_control_plane::fence::Look;
+use umbertray_store_protocol::list::Place;
 
 use crate::search::print;
 use crate::store::Store;
--- a/crates/fleet/tests/explore/store.rs
+++ b/crates/control-plane/tests/explore/store.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use umbertray_fleet::Fences;
-use umbertray_fleet::fence::{Fits, Look};
-use umbertray_store_wire::list::Place;
-use umbertray_store_wire::orders::{Content, Mark, Order, Reply};
+use umbertray_control_plane::Fences;
+use umbertray_control_plane::fence::{Fits, Look};
+use umbertray_store_protocol::list::Place;
+use umbertray_store_protocol::orders::{Content, Mark, Order, Reply};
 
 use crate::{EXTENT, Plant, SPAN, VOLUME};
 
--- a/crates/fleet/tests/explore/world.rs
+++ b/crates/control-plane/tests/explore/world.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use umbertray_fleet::fence::Look;
-use umbertray_fleet::{Core, Input, LinkId, Output, Record, State};
-use umbertray_store_wire::list::{FromList, Place, ToList};
-use umbertray_store_wire::orders::{Order, Reply};
+use umbertray_control_plane::fence::Look;
+use umbertray_control_plane::{Core, Input, LinkId, Output, Record, State};
+use umbertray_store_protocol::list::{FromList, Place, ToList};
+use umbertray_store_protocol::orders::{Order, Reply};
 
 use crate::properties::{
     Step, acked_stays, old_home_is_silent, old_order_changes_nothing, one_serves, takes_effect_once,
--- a/crates/fleet/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Golden examples of what the coordinator stores: its state and each record of its log, recorded. Every later version has
 //! to write and read them byte for byte.
 
-use umbertray_fleet::moves::{Move, Phase};
-use umbertray_fleet::{Record, State};
-use umbertray_store_wire::list::Place;
-use umbertray_store_wire::orders::Span;
+use umbertray_control_plane::moves::{Move, Phase};
+use umbertray_control_plane::{Record, State};
+use umbertray_store_protocol::list::Place;
+use umbertray_store_protocol::orders::Span;
 
 const RECORDED: &str = include_str!("golden/state.txt");
 const PHASES: [Phase; 6] =
--- a/crates/fleet/tests/relay/cases.rs
+++ b/crates/control-plane/tests/relay/cases.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{
     Action, Config, Entry, Event, FETCHES, Left, Node, Note, Origin, TAIL_BYTES, Unsound, Upstream,
 };
-use umbertray_store_wire::changes::{FromUpstream, Position, Role, ToUpstream, Why};
+use umbertray_store_protocol::changes::{FromUpstream, Position, Role, ToUpstream, Why};
 
 use crate::net::{Id, Net, Way};
 use crate::truth::Log;
--- a/crates/fleet/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{
     Action, Config, Entry, Event, Left, Node, Note, Origin, TAIL_BYTES, Upstream, WINDOW,
 };
-use umbertray_store_wire::changes::{Checkpoint, FromUpstream, PART, Position, Role, ToUpstream, digest};
+use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, PART, Position, Role, ToUpstream, digest};
 
 use crate::truth::Log;
 
--- a/crates/fleet/tests/relay/lies.rs
+++ b/crates/control-plane/tests/relay/lies.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use umbertray_store_wire::Message;
-use umbertray_store_wire::changes::{Checkpoint, FromUpstream, MOST_WAIT, Position};
+use umbertray_store_protocol::Message;
+use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, MOST_WAIT, Position};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lie {
--- a/crates/fleet/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -16,7 +16,7 @@
 use lies::Lie;
 use net::{Id, Net};
 use rand::Rng;
-use umbertray_store_wire::changes::Role;
+use umbertray_store_protocol::changes::Role;
 
 /// Everything written is in force at every live gateway so soon, with any one relay gone or lying.
 pub const WITHIN: Duration = Duration::from_secs(17);
--- a/crates/fleet/tests/relay/net.rs
+++ b/crates/control-plane/tests/relay/net.rs
@@ -8,12 +8,12 @@
 use bytes::{Bytes, BytesMut};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{
     Action, Config, Event, FETCHES, Left, MOST_UNSENT, Node, Note, Origin, TAIL_BYTES, TICK, Upstream, WINDOW,
 };
-use umbertray_store_wire::changes::{FromUpstream, Position, Role, ToUpstream};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::changes::{FromUpstream, Position, Role, ToUpstream};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::lies::Lie;
 use crate::truth::Log;
--- a/crates/fleet/tests/relay/sums.rs
+++ b/crates/control-plane/tests/relay/sums.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{Action, Config, Event, LEASE, Node, Note, Origin};
-use umbertray_store_wire::changes::{Behind, Level, MOST_BEHIND, MOST_LEVELS, Role, Sums, ToUpstream};
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{Action, Config, Event, LEASE, Node, Note, Origin};
+use umbertray_store_protocol::changes::{Behind, Level, MOST_BEHIND, MOST_LEVELS, Role, Sums, ToUpstream};
 
 use crate::net::Net;
 use crate::tree;
--- a/crates/fleet/tests/relay/truth.rs
+++ b/crates/control-plane/tests/relay/truth.rs
@@ -1,8 +1,8 @@
 //! The log as its writer wrote it, and other logs.
 
 use bytes::Bytes;
-use umbertray_fleet::relay::Entry;
-use umbertray_store_wire::changes::Position;
+use umbertray_control_plane::relay::Entry;
+use umbertray_store_protocol::changes::Position;
 
 /// A new segment is begun after so many changes.
 pub const SEGMENT: u64 = 16;
--- a/crates/fleet/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! The bytes of the keeper's map that docs/CAPACITY.md counts with are those that it writes.
 
-use umbertray_fleet::{Record, State};
-use umbertray_store_wire::volume_id;
+use umbertray_control_plane::{Record, State};
+use umbertray_store_protocol::volume_id;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
--- a/crates/keeper/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -7,9 +7,9 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use umbertray_socket::Socket;
-use umbertray_store_wire::list::{FromList, ToList};
-use umbertray_store_wire::orders::Span;
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::list::{FromList, ToList};
+use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::{Message, next_frame};
 
 /// An answer may take so long.
 const PATIENCE: Duration = Duration::from_secs(5);
--- a/crates/keeper/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::mpsc;
 use umbertray_clock::Clock;
-use umbertray_fleet::{Core, Input, LinkId, Output, Record};
-use umbertray_store_wire::list::{Entry, FromList};
+use umbertray_control_plane::{Core, Input, LinkId, Output, Record};
+use umbertray_store_protocol::list::{Entry, FromList};
 
 use crate::KeeperError;
 use crate::lease::Lease;
--- a/crates/keeper/src/lease.rs
+++ b/crates/coordinator/src/lease.rs
@@ -11,8 +11,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use umbertray_state::folder::{since_boot, stamp};
-use umbertray_state::{Disk, Layer};
+use umbertray_snapshot::folder::{since_boot, stamp};
+use umbertray_snapshot::{Disk, Layer};
 
 use crate::KeeperError;
 
--- a/crates/keeper/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::path::Path;
 
-use umbertray_fleet::{Core, Output, Record, State};
-use umbertray_state::Layer;
-use umbertray_versions::chain::{Chain, ChainError, Kind, Opened};
+use umbertray_config_log::chain::{Chain, ChainError, Kind, Opened};
+use umbertray_control_plane::{Core, Output, Record, State};
+use umbertray_snapshot::Layer;
 
 use crate::KeeperError;
 
--- a/crates/keeper/src/log/tests.rs
+++ b/crates/coordinator/src/log/tests.rs
@@ -1,9 +1,9 @@
 //! Golden example of the folder: a log with a move in each phase, recorded. Every later version has to write the same
 //! records to the same bytes, and read the recorded files.
 
-use umbertray_fleet::{Move, Phase};
-use umbertray_state::sim::SimDisk;
-use umbertray_store_wire::orders::Span;
+use umbertray_control_plane::{Move, Phase};
+use umbertray_snapshot::sim::SimDisk;
+use umbertray_store_protocol::orders::Span;
 
 use super::*;
 
--- a/crates/keeper/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -6,10 +6,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use umbertray_fleet::{Input, LinkId};
+use umbertray_control_plane::{Input, LinkId};
 use umbertray_socket::Socket;
-use umbertray_store_wire::list::{FromList, ToList};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::list::{FromList, ToList};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::hub::ToHub;
 
--- a/crates/keeper/src/stores.rs
+++ b/crates/coordinator/src/stores.rs
@@ -8,12 +8,12 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
-use umbertray_fleet::Input;
+use umbertray_control_plane::Input;
 use umbertray_socket::Socket;
-use umbertray_store_wire::list::{Entry, FromList, State, ToList};
-use umbertray_store_wire::orders::{Order, Reply};
-use umbertray_store_wire::store::{FromStore, ToStore};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::list::{Entry, FromList, State, ToList};
+use umbertray_store_protocol::orders::{Order, Reply};
+use umbertray_store_protocol::store::{FromStore, ToStore};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::hub::ToHub;
 
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -7,10 +7,10 @@
 
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, watch};
+use umbertray_config_log::follow::{NotFollowed, Taken};
+use umbertray_config_log::{Follower, Replica, acted};
 use umbertray_routing::{Input, Settings, Step};
-use umbertray_state::Disk;
-use umbertray_versions::follow::{NotFollowed, Taken};
-use umbertray_versions::{Follower, Replica, acted};
+use umbertray_snapshot::Disk;
 
 use crate::relayed::Relayed;
 
--- a/crates/gateway/src/hub.rs
+++ b/crates/gateway/src/hub.rs
@@ -7,16 +7,16 @@
 
 use tokio::sync::{mpsc, watch};
 use umbertray_routing::{Hold, Host, Input, Output, Part, RequestId, SessionId, Settings, StoreId};
-use umbertray_store_wire::list::ToList;
-use umbertray_store_wire::store::ToStore;
+use umbertray_store_protocol::list::ToList;
+use umbertray_store_protocol::store::ToStore;
 
 use crate::keeper::Keeper;
 use crate::list::Service;
 use crate::{link, list};
 use umbertray_clock::Clock;
-use umbertray_state::Stamp;
-use umbertray_state::decide::{EVERY, PROMISED};
-use umbertray_state::folder::{self, Recalled};
+use umbertray_snapshot::Stamp;
+use umbertray_snapshot::decide::{EVERY, PROMISED};
+use umbertray_snapshot::folder::{self, Recalled};
 
 /// A part of a reply on its way to its session.
 pub struct ReplyPart {
--- a/crates/gateway/src/keeper.rs
+++ b/crates/gateway/src/keeper.rs
@@ -7,8 +7,8 @@
 
 use tokio::sync::mpsc;
 use umbertray_routing::{Saved, Settings};
-use umbertray_state::folder::{self, Folder, GROWN, Recalled};
-use umbertray_state::{Disk, Note, Stamp, Unusable};
+use umbertray_snapshot::folder::{self, Folder, GROWN, Recalled};
+use umbertray_snapshot::{Disk, Note, Stamp, Unusable};
 
 use crate::hub::ToHub;
 
@@ -26,7 +26,7 @@
 fn digest(settings: &Settings) -> u64 {
     let mut text = format!("{:?}", settings.for_module());
     settings.volumes.iter().for_each(|volume| text.push_str(&format!("\n{} {}", volume.name, volume.plan)));
-    umbertray_store_wire::volume_id(&text)
+    umbertray_store_protocol::volume_id(&text)
 }
 
 /// Opens a folder for this gateway; without one that can be used the gateway runs as without.
@@ -109,7 +109,7 @@
     use std::io;
     use std::time::Instant;
 
-    use umbertray_state::Layer;
+    use umbertray_snapshot::Layer;
 
     use super::*;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -29,7 +29,7 @@
 pub use changes::Changes;
 pub use relayed::{PATIENCE, Relayed, RelayedError, Relays};
 pub use umbertray_clock::Clock;
-pub use umbertray_versions::acted::read as acted;
+pub use umbertray_config_log::acted::read as acted;
 
 /// Where a gateway listens and whom it asks.
 pub struct Options {
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use umbertray_routing::{Hold, Input, StoreId};
-use umbertray_store_wire::store::{FromStore, ToStore};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::store::{FromStore, ToStore};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::hub::ToHub;
 use umbertray_clock::Clock;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -9,8 +9,8 @@
 use tokio::sync::mpsc;
 use umbertray_routing::Input;
 use umbertray_socket::Socket;
-use umbertray_store_wire::list::{FromList, ToList};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::list::{FromList, ToList};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::hub::ToHub;
 
--- a/crates/gateway/src/relayed.rs
+++ b/crates/gateway/src/relayed.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use umbertray_config::Upstream;
-use umbertray_fleet::relay::Unsound;
+use umbertray_config_log::chain::Broken;
+use umbertray_config_log::follow::Taken;
+use umbertray_config_log::log::LogError;
+use umbertray_config_log::{Mirror, Replica, Told, acted};
+use umbertray_control_plane::relay::Unsound;
 use umbertray_relay::{Following, follow, position};
-use umbertray_state::Disk;
-use umbertray_store_wire::changes::Position;
-use umbertray_store_wire::volume_id;
-use umbertray_versions::chain::Broken;
-use umbertray_versions::follow::Taken;
-use umbertray_versions::log::LogError;
-use umbertray_versions::{Mirror, Replica, Told, acted};
+use umbertray_snapshot::Disk;
+use umbertray_store_protocol::changes::Position;
+use umbertray_store_protocol::volume_id;
 
 use crate::changes::{self, Seldom, note};
 
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -8,7 +8,7 @@
 };
 use umbertray_nbd::{Chunk, Command, Errno, Extent, Request, Session};
 use umbertray_routing::{Part, Verdict};
-use umbertray_store_wire::store::{Stretch, Work};
+use umbertray_store_protocol::store::{Stretch, Work};
 
 pub fn work(command: Command) -> Option<Work> {
     Some(match command {
--- a/crates/gateway/tests/relays/common.rs
+++ b/crates/gateway/tests/relays/common.rs
@@ -11,16 +11,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use umbertray_config::{Changes as Source, Upstream};
+use umbertray_config_log::change::Change;
+use umbertray_config_log::guard::GUARDS;
+use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
+use umbertray_config_log::{Tail, Told};
 use umbertray_gateway::{Changes, Options, Relayed, RelayedError, Relays, Running};
 use umbertray_relay::{RelayError, Running as Relay};
-use umbertray_state::Disk;
-use umbertray_store_wire::changes::{Checkpoint, FromUpstream, Position, ToUpstream, digest};
-use umbertray_store_wire::{Message, next_frame};
-use umbertray_versions::change::Change;
-use umbertray_versions::guard::GUARDS;
-use umbertray_versions::log::{GROWN, Log};
-use umbertray_versions::model::{Configuration, Edit, Key, Kind};
-use umbertray_versions::{Tail, Told};
+use umbertray_snapshot::Disk;
+use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, Position, ToUpstream, digest};
+use umbertray_store_protocol::{Message, next_frame};
 
 const SHARED: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
@@ -325,7 +325,7 @@
 
     pub async fn hello(address: SocketAddr, name: &str) -> Wire {
         let mut wire = Wire::to(address).await;
-        let role = umbertray_store_wire::changes::Role::Gateway;
+        let role = umbertray_store_protocol::changes::Role::Gateway;
         wire.send(ToUpstream::Hello { name: name.into(), zone: "z".into(), role }).await;
         wire
     }
--- a/crates/gateway/tests/relays/lies.rs
+++ b/crates/gateway/tests/relays/lies.rs
@@ -6,10 +6,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
-use umbertray_fleet::relay::LEASE;
-use umbertray_store_wire::Message;
-use umbertray_store_wire::changes::{FromUpstream, Position, ToUpstream};
-use umbertray_versions::segment;
+use umbertray_config_log::segment;
+use umbertray_control_plane::relay::LEASE;
+use umbertray_store_protocol::Message;
+use umbertray_store_protocol::changes::{FromUpstream, Position, ToUpstream};
 
 use crate::common::*;
 
--- a/crates/gateway/tests/relays/slow.rs
+++ b/crates/gateway/tests/relays/slow.rs
@@ -1,8 +1,8 @@
 //! Followers that do not read, and what a relay holds meanwhile.
 
-use umbertray_fleet::relay::TAIL_BYTES;
+use umbertray_control_plane::relay::TAIL_BYTES;
 use umbertray_relay::client;
-use umbertray_store_wire::changes::{FromUpstream, Position, ToUpstream};
+use umbertray_store_protocol::changes::{FromUpstream, Position, ToUpstream};
 
 use crate::common::*;
 
@@ -67,7 +67,7 @@
         // Until the relay has closed: what it was asked is lost then, and so is the connection.
         while asks.stream.writable().await.is_ok() {
             let frame = ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 };
-            match asks.stream.try_write(&umbertray_store_wire::Message::frame(&frame)) {
+            match asks.stream.try_write(&umbertray_store_protocol::Message::frame(&frame)) {
                 Err(error) if error.kind() != std::io::ErrorKind::WouldBlock => return,
                 _ => tokio::task::yield_now().await,
             }
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/rehearsal/src/judge/rules.rs
@@ -5,7 +5,7 @@
 use umbertray_routing::Settings;
 use umbertray_routing::settings::Repeats;
 use umbertray_standin::book;
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::volume_id;
 
 use super::Finding;
 use crate::day::Day;
--- a/crates/rehearsal/src/judge/tests.rs
+++ b/crates/rehearsal/src/judge/tests.rs
@@ -1,7 +1,7 @@
 //! A small right record, and one altered for each rule: the judge must tell them apart.
 
 use umbertray_standin::book::{Entry, Seen};
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::volume_id;
 
 use super::judge;
 use crate::day::Day;
--- a/crates/rehearsal/src/keeper.rs
+++ b/crates/rehearsal/src/keeper.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_keeper::client::{self, AskError};
-use umbertray_store_wire::orders::Span;
+use umbertray_coordinator::client::{self, AskError};
+use umbertray_store_protocol::orders::Span;
 
 use crate::run::Process;
 
--- a/crates/rehearsal/src/record.rs
+++ b/crates/rehearsal/src/record.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use umbertray_standin::book::Entry;
-use umbertray_store_wire::store::Work;
+use umbertray_store_protocol::store::Work;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
--- a/crates/relay/src/carry.rs
+++ b/crates/relay/src/carry.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use tokio::sync::{mpsc, watch};
-use umbertray_versions::{Told, acted};
+use umbertray_config_log::{Told, acted};
 
 /// Where a relay writes down what it has carried, if anywhere, and whom it tells.
 #[derive(Clone)]
--- a/crates/relay/src/client.rs
+++ b/crates/relay/src/client.rs
@@ -6,8 +6,8 @@
 
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use umbertray_store_wire::changes::{FromUpstream, Status, ToUpstream};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::changes::{FromUpstream, Status, ToUpstream};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::link::connect;
 
--- a/crates/relay/src/folder.rs
+++ b/crates/relay/src/folder.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc;
-use umbertray_state::Disk;
-use umbertray_versions::follow::NotFollowed;
-use umbertray_versions::{Tail, Told};
+use umbertray_config_log::follow::NotFollowed;
+use umbertray_config_log::{Tail, Told};
+use umbertray_snapshot::Disk;
 
 use crate::carry::Carried;
 use crate::hub::ToHub;
--- a/crates/relay/src/hub.rs
+++ b/crates/relay/src/hub.rs
@@ -10,12 +10,12 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use umbertray_clock::Clock;
 use umbertray_config::Upstream;
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{Action, Entry, Event, HEARTBEAT, Left, Node, Note, TICK};
+use umbertray_config_log::Told;
+use umbertray_config_log::chain::{self, Head};
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{Action, Entry, Event, HEARTBEAT, Left, Node, Note, TICK};
 use umbertray_socket::Socket;
-use umbertray_store_wire::changes::{FromUpstream, Position, Status, ToUpstream};
-use umbertray_versions::Told;
-use umbertray_versions::chain::{self, Head};
+use umbertray_store_protocol::changes::{FromUpstream, Position, Status, ToUpstream};
 
 use crate::MOST_FOLLOWERS;
 use crate::link::{self, Ear, Ended};
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,6 +1,6 @@
 //! Relays: processes that carry the log of changes from the writer's folder to gateways and other relays, and a gateway's end
 //! of it. They move bytes and keep time; whom to follow, when to leave and what to send is decided by
-//! [`umbertray_fleet::relay::Node`]. docs/relaying.md is the operators' page.
+//! [`umbertray_control_plane::relay::Node`]. docs/relaying.md is the operators' page.
 //!
 //! One task owns the node (`hub`), one each connection (`link`), one the folder (`folder`), one what is put in force
 //! (`carry`). They talk through bounded channels; what a peer does not read or say in time ends its connection.
@@ -19,9 +19,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 use umbertray_config::{Changes, Upstream};
-use umbertray_fleet::relay::{self, Config, Node, Origin, Unsound};
-use umbertray_store_wire::changes::{Position, Role};
-use umbertray_versions::{Replica, Told, acted};
+use umbertray_config_log::{Replica, Told, acted};
+use umbertray_control_plane::relay::{self, Config, Node, Origin, Unsound};
+use umbertray_store_protocol::changes::{Position, Role};
 
 /// Followers at once, at most; beyond it no connection is accepted until one ends.
 pub const MOST_FOLLOWERS: usize = 8192;
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -9,11 +9,11 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
-use umbertray_fleet::LinkId;
-use umbertray_fleet::relay::{CONNECT, Event, MOST_UNSENT, SILENCE};
+use umbertray_control_plane::LinkId;
+use umbertray_control_plane::relay::{CONNECT, Event, MOST_UNSENT, SILENCE};
 use umbertray_socket::Socket;
-use umbertray_store_wire::changes::PART;
-use umbertray_store_wire::{Malformed, Message, next_frame};
+use umbertray_store_protocol::changes::PART;
+use umbertray_store_protocol::{Malformed, Message, next_frame};
 
 use crate::hub::ToHub;
 
--- a/crates/routing/src/core.rs
+++ b/crates/routing/src/core.rs
@@ -9,9 +9,9 @@
 use umbertray::interface::{
     Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, StoreId, StoreState, VolumeId,
 };
-use umbertray_store_wire::list::{Entry, FromList, Place, ToList};
-use umbertray_store_wire::store::{self, Code, Dispatch, FromStore, Stretch, ToStore, Work};
-use umbertray_store_wire::volume_id;
+use umbertray_store_protocol::list::{Entry, FromList, Place, ToList};
+use umbertray_store_protocol::store::{self, Code, Dispatch, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::volume_id;
 
 use crate::fence::Reading;
 use crate::members::{Link, Members};
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -25,8 +25,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_store_wire::list::{FromList, ToList};
-use umbertray_store_wire::store::{FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::list::{FromList, ToList};
+use umbertray_store_protocol::store::{FromStore, Stretch, ToStore, Work};
 
 pub use self::core::Core;
 pub use saved::Saved;
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use umbertray::interface::{Listing, StoreId, StoreState};
-use umbertray_store_wire::list::{Entry, State};
+use umbertray_store_protocol::list::{Entry, State};
 
 use crate::fence::Reading;
 
--- a/crates/routing/src/piece.rs
+++ b/crates/routing/src/piece.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use umbertray::interface::StoreId;
-use umbertray_store_wire::list::Place;
-use umbertray_store_wire::store::{Stretch, Work};
+use umbertray_store_protocol::list::Place;
+use umbertray_store_protocol::store::{Stretch, Work};
 
 use crate::split::Cut;
 use crate::verdict::PieceEnd;
--- a/crates/routing/src/places.rs
+++ b/crates/routing/src/places.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use umbertray_store_wire::list::{Place, ToList};
+use umbertray_store_protocol::list::{Place, ToList};
 
 /// A volume's lasting id and the extent's index.
 pub(crate) type Extent = (u64, u64);
--- a/crates/routing/src/recall.rs
+++ b/crates/routing/src/recall.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use umbertray::interface::{Event, Listing, StoreId, StoreMemory, VolumeId, VolumeMemory};
-use umbertray_store_wire::list::{Entry, State};
+use umbertray_store_protocol::list::{Entry, State};
 
 use crate::saved::{Learned, Saved, SavedStore, SavedVolume};
 
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use imbl::{HashMap, Vector};
-use umbertray_store_wire::store::Work;
+use umbertray_store_protocol::store::Work;
 
 /// How often an effect may happen, as the module knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -11,8 +11,8 @@
 use umbertray_routing::{
     Core, Host, Input, Output, Part, Request, RequestId, Saved, SessionId, Settings, StoreId, Verdict,
 };
-use umbertray_store_wire::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_wire::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
+use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
 
 const EXTENT: u32 = 8192;
 const TIMEOUT: Duration = Duration::from_millis(1000);
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use umbertray_gateway::{Clock, Options, Running};
 use umbertray_routing::{Core, Host, Input, Output, Settings};
-use umbertray_store_wire::list::{FromList, State};
+use umbertray_store_protocol::list::{FromList, State};
 
 use crate::script;
 
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 
 use serde_json::json;
+use umbertray_config_log::guard::GUARDS;
+use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::{Change, Configuration, Edit, Key, Kind};
 use umbertray_routing::Settings;
-use umbertray_state::Disk;
-use umbertray_versions::guard::GUARDS;
-use umbertray_versions::log::{GROWN, Log};
-use umbertray_versions::{Change, Configuration, Edit, Key, Kind};
+use umbertray_snapshot::Disk;
 
 use crate::ScaleError;
 use crate::plan::Plan;
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -14,7 +14,7 @@
 use umbertray_standin::model::Power;
 use umbertray_standin::store::{self, Identity};
 use umbertray_standin::traffic::Crossed;
-use umbertray_store_wire::list::State;
+use umbertray_store_protocol::list::State;
 
 use crate::hollow::{Acted, Fleet, Prepare, Seen};
 
--- a/crates/state/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -5,13 +5,13 @@
 use quickcheck::{Gen, QuickCheck};
 use umbertray_routing::Saved;
 use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
-use umbertray_state::change::Picture;
-use umbertray_state::decide::{Age, Note, Stamp};
-use umbertray_state::folder::Folder;
-use umbertray_state::format::{self, Entry, Head, Item, Read};
-use umbertray_state::layer::Layer;
-use umbertray_state::sim::{SimDisk, Trouble};
-use umbertray_state::{Disk, Unusable};
+use umbertray_snapshot::change::Picture;
+use umbertray_snapshot::decide::{Age, Note, Stamp};
+use umbertray_snapshot::folder::Folder;
+use umbertray_snapshot::format::{self, Entry, Head, Item, Read};
+use umbertray_snapshot::layer::Layer;
+use umbertray_snapshot::sim::{SimDisk, Trouble};
+use umbertray_snapshot::{Disk, Unusable};
 
 /// Files grow to so little that a history has several generations.
 const GROWN: usize = 1024;
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 
-use umbertray_store_wire::list::State;
+use umbertray_store_protocol::list::State;
 
 use crate::book::Book;
 use crate::list::{self, Listed};
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -12,8 +12,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{broadcast, mpsc};
 use tokio::task::JoinHandle;
-use umbertray_store_wire::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::traffic::Traffic;
 
--- a/crates/standin/src/medium.rs
+++ b/crates/standin/src/medium.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use bytes::Bytes;
-use umbertray_fleet::fence::{Fences, Fits, Look};
-use umbertray_store_wire::orders::{Content, Mark, Order, PAGE, Reply, Span};
-use umbertray_store_wire::store::{Dispatch, Stretch, Work};
+use umbertray_control_plane::fence::{Fences, Fits, Look};
+use umbertray_store_protocol::orders::{Content, Mark, Order, PAGE, Reply, Span};
+use umbertray_store_protocol::store::{Dispatch, Stretch, Work};
 
 /// How long the marks of what ran and the voided numbers are kept after their fence in time, microseconds.
 const KEPT: u64 = 10_000_000;
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_wire::store::{Dispatch, Work};
+use umbertray_store_protocol::store::{Dispatch, Work};
 
 /// What a store can do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -13,9 +13,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use umbertray_store_wire::orders::Reply;
-use umbertray_store_wire::store::{Answer, Code, FromStore, Stretch, ToStore, Work};
-use umbertray_store_wire::{Message, next_frame};
+use umbertray_store_protocol::orders::Reply;
+use umbertray_store_protocol::store::{Answer, Code, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::{Message, next_frame};
 
 use crate::book::{Book, Seen};
 use crate::medium::{Applied, Medium};
@@ -415,7 +415,7 @@
     }
 }
 
-fn received(run: u64, dispatch: &umbertray_store_wire::store::Dispatch) -> Seen {
+fn received(run: u64, dispatch: &umbertray_store_protocol::store::Dispatch) -> Seen {
     let mark = dispatch.data.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
     debug_assert!(dispatch.work != Work::Write || dispatch.data.len() == dispatch.length as usize);
     Seen::Received {
--- a/crates/store-wire/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -2,14 +2,14 @@
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
-use umbertray_store_wire::changes::{
+use umbertray_store_protocol::changes::{
     Behind, Checkpoint, FromUpstream, Level, MOST_BEHIND, MOST_BODY, MOST_CHECKPOINT, MOST_FRAME,
     MOST_LEVELS, MOST_NAME, MOST_PATH, MOST_WAIT, PART, Position, Role, Status, Sums, ToUpstream, Why,
 };
-use umbertray_store_wire::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_wire::orders::{Content, Mark, Order, PAGE, Reply, Span};
-use umbertray_store_wire::store::{Answer, Code, Dispatch, FromStore, Stretch, ToStore, Work};
-use umbertray_store_wire::{MAX_FRAME, Malformed, Message, next_frame};
+use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::orders::{Content, Mark, Order, PAGE, Reply, Span};
+use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::{MAX_FRAME, Malformed, Message, next_frame};
 
 fn dispatch() -> Dispatch {
     Dispatch {
--- a/crates/store-wire/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -3,13 +3,13 @@
 use std::fmt::Debug;
 
 use bytes::{Bytes, BytesMut};
-use umbertray_store_wire::changes::{
+use umbertray_store_protocol::changes::{
     Behind, Checkpoint, FromUpstream, Level, Position, Role, Status, Sums, ToUpstream, Why,
 };
-use umbertray_store_wire::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_wire::orders::{Content, Mark, Order, PAGE, Reply, Span};
-use umbertray_store_wire::store::{Answer, Code, Dispatch, FromStore, Stretch, ToStore, Work};
-use umbertray_store_wire::{Message, next_frame, volume_id};
+use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::orders::{Content, Mark, Order, PAGE, Reply, Span};
+use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::{Message, next_frame, volume_id};
 
 const RECORDED: &str = include_str!("golden/frames.txt");
 const SPAN: Span = Span { volume: 1, from: 2, to: 9 };
--- a/crates/store-wire/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -1,9 +1,9 @@
 //! The bytes that docs/CAPACITY.md counts with are those of the codec: its table of sizes is read, not copied.
 
 use bytes::Bytes;
-use umbertray_store_wire::Message;
-use umbertray_store_wire::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_wire::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
+use umbertray_store_protocol::Message;
+use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
