--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -26,7 +26,7 @@
     /// The form of the log on standard error.
     #[arg(long, value_enum, default_value = "pretty", global = true)]
     log: LogForm,
-    /// What is logged, such as "info" or "umbertray_gateway=debug".
+    /// What is logged, such as "info" or "umbertray_nbd_gateway=debug".
     #[arg(long, default_value = "info", global = true)]
     log_level: String,
     #[command(subcommand)]
--- a/crates/cli/src/measure/changes.rs
+++ b/crates/cli/src/measure/changes.rs
@@ -10,7 +10,7 @@
 use umbertray_config_log::log::{GROWN, Log};
 use umbertray_config_log::model::Fields;
 use umbertray_config_log::{Change, Configuration, Edit, Follower, Guard, Key, Kind, Version};
-use umbertray_gateway::{Changes, Clock, Options};
+use umbertray_nbd_gateway::{Changes, Clock, Options};
 use umbertray_routing::Core;
 use umbertray_snapshot::{Disk, Layer};
 use umbertray_standin::client::Connection;
@@ -88,7 +88,7 @@
         state: None,
         changes,
     };
-    let gateway = umbertray_gateway::start_hosting(Box::new(host), clock, settings, options).await;
+    let gateway = umbertray_nbd_gateway::start_hosting(Box::new(host), clock, settings, options).await;
     Ok(Side { gateway: gateway.map_err(failed)?, spent })
 }
 
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -12,8 +12,8 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use umbertray_config::Document;
-use umbertray_gateway::{Clock, Options, Running};
 use umbertray_nbd::Command;
+use umbertray_nbd_gateway::{Clock, Options, Running};
 use umbertray_rehearsal::run::Gateway;
 use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
 use umbertray_routing::settings::Volume;
@@ -96,7 +96,7 @@
     } else {
         Box::new(Timed { host: PassThrough::new(&settings), spent: spending })
     };
-    let gateway = umbertray_gateway::start_hosting(host, clock, settings, options).await;
+    let gateway = umbertray_nbd_gateway::start_hosting(host, clock, settings, options).await;
     Ok(Side { gateway: gateway.map_err(|error| error.to_string())?, spent })
 }
 
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -24,5 +24,7 @@
     let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
     let told =
         |address: SocketAddr| output::print_line(&json!({ "http": [address.to_string()] }).to_string());
-    LocalSet::new().block_on(&runtime, umbertray_node::run(file, told)).map_err(|error| error.to_string())
+    LocalSet::new()
+        .block_on(&runtime, umbertray_http_gateway::run(file, told))
+        .map_err(|error| error.to_string())
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -7,7 +7,7 @@
 use umbertray_config::{Call, Document};
 use umbertray_config_log::chain::Hash;
 use umbertray_config_log::{Follower, Replica};
-use umbertray_gateway::{Changes, Options, PATIENCE, Relayed, Relays};
+use umbertray_nbd_gateway::{Changes, Options, PATIENCE, Relayed, Relays};
 use umbertray_routing::Settings;
 use umbertray_snapshot::Disk;
 
@@ -87,7 +87,7 @@
     let state: Option<PathBuf> = own.state.map(PathBuf::from);
     let changes = match own.changes {
         Some(umbertray_config::Changes::Folder(folder)) => {
-            let acted = state.as_deref().map(umbertray_gateway::acted).transpose();
+            let acted = state.as_deref().map(umbertray_nbd_gateway::acted).transpose();
             let acted = acted.map_err(|error| format!("the version acted on: {error}"))?.flatten();
             let follower = follower(Path::new(&folder), acted)?;
             Changes::Folder { folder: folder.into(), follower: Box::new(follower), acted: state }
@@ -127,9 +127,9 @@
 pub async fn start(
     document: Document,
     changes: Option<Changes>,
-) -> Result<umbertray_gateway::Running, String> {
+) -> Result<umbertray_nbd_gateway::Running, String> {
     let (settings, options) = options(document, changes);
-    umbertray_gateway::start(settings, options).await.map_err(|error| format!("listen: {error}"))
+    umbertray_nbd_gateway::start(settings, options).await.map_err(|error| format!("listen: {error}"))
 }
 
 /// What a script says to start a gateway with, and what its state folder has of earlier runs.
@@ -151,7 +151,7 @@
 
 pub async fn run(arguments: Arguments) -> Result<(), String> {
     let (settings, options) = prepare(&arguments.config).await?;
-    let gateway = umbertray_gateway::start(settings, options).await;
+    let gateway = umbertray_nbd_gateway::start(settings, options).await;
     let mut gateway = gateway.map_err(|error| format!("listen: {error}"))?;
     let addresses: Vec<String> = gateway.addresses.iter().map(ToString::to_string).collect();
     let exports: Vec<String> = gateway.exports();
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use umbertray_config::Document;
-use umbertray_gateway::{Options, Running};
 use umbertray_nbd::Errno;
+use umbertray_nbd_gateway::{Options, Running};
 use umbertray_rehearsal::load::{BLOCK, content, mark};
 use umbertray_rehearsal::{Day, Record, Verdict, judge, rehearse};
 use umbertray_standin::client::{Connection, Ended, Whole};
@@ -62,7 +62,9 @@
         state: None,
         changes: None,
     };
-    umbertray_gateway::start(Arc::new(document.settings.clone()), options).await.expect("a gateway starts")
+    umbertray_nbd_gateway::start(Arc::new(document.settings.clone()), options)
+        .await
+        .expect("a gateway starts")
 }
 
 pub async fn connect(gateway: &Running) -> Connection {
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_gateway::Running;
+use umbertray_nbd_gateway::Running;
 use umbertray_rehearsal::keeper::Keeper;
 use umbertray_rehearsal::run::Gateway;
 use umbertray_standin::book::Seen;
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -5,10 +5,10 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbertray_gateway::Running;
 use umbertray_nbd::client::Wish;
 use umbertray_nbd::proto::{CMD_FLAG_DF, CMD_FLAG_FUA, put_request};
 use umbertray_nbd::{Client, ClientStep, Command, Reply, Request};
+use umbertray_nbd_gateway::Running;
 use umbertray_standin::client::{Connection, Whole};
 use umbertray_standin::model::Fault;
 
--- a/crates/platform/src/config.rs
+++ b/crates/http-api/src/config.rs
@@ -70,7 +70,7 @@
             seed: u64::from_str_radix(&told.seed, 16).map_err(|error| field("seed", &error))?,
             limits: told.limits,
             known: List::read(told.known.to_string().as_bytes()).map_err(|error| field("known", &error))?,
-            settings: umbertray_names::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
+            settings: umbertray_setting_names::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
         })
     }
 }
--- a/crates/platform/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -7,9 +7,9 @@
 use umbertray_http::client::Answers;
 use umbertray_http::server::{Next, Request, Requests};
 use umbertray_http::{Limits, client};
+use umbertray_http_api::list::{Line, Lines, List};
+use umbertray_http_api::{Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
 use umbertray_lifecycle::reason::DenialReason;
-use umbertray_platform::list::{Line, Lines, List};
-use umbertray_platform::{Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
 
 const LIMITS: Limits = Limits { head: 8192, body: 65536 };
 const START: Duration = Duration::from_secs(1_700_000_000);
@@ -179,7 +179,7 @@
         profiles.0.promiseS=0.25\nprofiles.0.effect=guarded\nprofiles.0.stream=false\nfamilyInfo.writes=false,true\n\
         familyInfo.meanUnits=2.0\nrules.askWithinS=10.0";
     let config = Config::read(&config(nested, &list(0, true, &[]))).expect("a whole configuration");
-    assert_eq!(config.settings, umbertray_names::of_lines(lines));
+    assert_eq!(config.settings, umbertray_setting_names::of_lines(lines));
     assert_eq!(config.settings["op_types.0.repeats"], "deduplicated");
 }
 
--- a/crates/platform/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -8,8 +8,8 @@
 use umbertray_http::Limits;
 use umbertray_http::client;
 use umbertray_http::server::{Next, Request, Requests};
-use umbertray_platform::list::{Line, Lines, List};
-use umbertray_platform::{ClientId, Config, Core, Deed, Input, words};
+use umbertray_http_api::list::{Line, Lines, List};
+use umbertray_http_api::{ClientId, Config, Core, Deed, Input, words};
 
 const RECORDED: &str = include_str!("golden/http.txt");
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
--- a/crates/platform/tests/sizes.rs
+++ b/crates/http-api/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! The bytes of the platform's list and requests that docs/CAPACITY.md counts with.
 
-use umbertray_platform::list::List;
+use umbertray_http_api::list::List;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
--- a/crates/node/src/bounds.rs
+++ b/crates/http-gateway/src/bounds.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use umbertray_http::Limits;
+use umbertray_http_api::{Config, config, words};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
-use umbertray_platform::{Config, config, words};
 
 /// Parts of the descriptors for clients, for those that there is no room for until they have their answer, and for
 /// stores; the rest is for the listener, discovery and the system.
--- a/crates/node/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -13,12 +13,12 @@
 use umbertray_http::Malformed;
 use umbertray_http::connection::{CloseDemand, ConnectionState, Event, NextStep, Response, State};
 use umbertray_http::server::{self, Next, Request, Requests};
+use umbertray_http_api::{ClientId, Refused, Reply, words};
 use umbertray_lifecycle::check::{check, observe};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
 use umbertray_lifecycle::limits::HOLD_UP;
 use umbertray_lifecycle::reason::{CloseReason, RefusalReason, Violation};
 use umbertray_lifecycle::{Decision, Timeouts, request};
-use umbertray_platform::{ClientId, Refused, Reply, words};
 use umbertray_socket::Socket;
 
 use crate::hub::Hub;
--- a/crates/node/src/hub.rs
+++ b/crates/http-gateway/src/hub.rs
@@ -14,9 +14,9 @@
 use tokio::time::sleep_until;
 use umbertray_clock::Clock;
 use umbertray_http::server::Request;
+use umbertray_http_api::{Ask, Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
 use umbertray_lifecycle::Counters;
 use umbertray_lifecycle::reason::{DenialReason, RetryReason, StoreCloseReason};
-use umbertray_platform::{Ask, Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
 
 use crate::bounds::Bounds;
 use crate::client_connections::ClientConnections;
--- a/crates/node/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's front on sockets: clients, stores, discovery and signals around [`umbertray_platform::Core`]. It
+//! The platform's front on sockets: clients, stores, discovery and signals around [`umbertray_http_api::Core`]. It
 //! moves bytes and decides nothing. All of it runs on one thread, in one `LocalSet`.
 //!
 //! One task owns the core's turns (`hub`), one each client's connection (`client`), one each dispatch (`store`), one
@@ -25,9 +25,9 @@
 use tokio::sync::{Notify, watch as watched};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use umbertray_clock::Clock;
+use umbertray_http_api::config::ConfigError;
+use umbertray_http_api::{Config, Core, Input};
 use umbertray_lifecycle::{Timeouts, connection};
-use umbertray_platform::config::ConfigError;
-use umbertray_platform::{Config, Core, Input};
 use umbertray_socket::Socket;
 
 use crate::bounds::Bounds;
--- a/crates/node/src/response.rs
+++ b/crates/http-gateway/src/response.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use umbertray_http::Malformed;
 use umbertray_http::server;
-use umbertray_platform::{Refused, Reply, words};
+use umbertray_http_api::{Refused, Reply, words};
 
 pub fn refused(error: &Malformed) -> Refused {
     Refused { status: error.status(), what: error.to_string() }
--- a/crates/node/src/store.rs
+++ b/crates/http-gateway/src/store.rs
@@ -15,11 +15,11 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 use umbertray_http::client::{self, Answers};
+use umbertray_http_api::{Call, Returned, StoreId, words};
 use umbertray_lifecycle::attempt::told_time_holds;
 use umbertray_lifecycle::check::observe;
 use umbertray_lifecycle::reason::StoreCloseReason;
 use umbertray_lifecycle::{Counters, Decision, store_connection};
-use umbertray_platform::{Call, Returned, StoreId, words};
 use umbertray_socket::Socket;
 
 use crate::bounds::Bounds;
--- a/crates/node/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -14,9 +14,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use umbertray_http::client::{self, Answers};
 use umbertray_http::{Limits, Malformed};
-use umbertray_platform::list::{Line, Lines, List, Unreadable};
-use umbertray_platform::words;
-use umbertray_platform::{Config, Input};
+use umbertray_http_api::list::{Line, Lines, List, Unreadable};
+use umbertray_http_api::words;
+use umbertray_http_api::{Config, Input};
 
 use crate::hub::Hub;
 use crate::patience::{self, Failed, Failures};
--- a/crates/node/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -8,7 +8,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 use umbertray_clock::Clock;
-use umbertray_platform::{Config, Core};
+use umbertray_http_api::{Config, Core};
 
 use super::*;
 use crate::bounds::Bounds;
--- a/crates/gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -16,7 +16,7 @@
 use umbertray_config_log::log::{GROWN, Log};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
 use umbertray_config_log::{Tail, Told};
-use umbertray_gateway::{Changes, Options, Relayed, RelayedError, Relays, Running};
+use umbertray_nbd_gateway::{Changes, Options, Relayed, RelayedError, Relays, Running};
 use umbertray_relay::{RelayError, Running as Relay};
 use umbertray_snapshot::Disk;
 use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, Position, ToUpstream, digest};
@@ -169,7 +169,7 @@
         state,
         changes: Some(Changes::Relays(Box::new(relayed))),
     };
-    Ok(umbertray_gateway::start(Arc::new(settings), options).await.expect("it listens"))
+    Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("it listens"))
 }
 
 pub async fn gateway(relays: Relays) -> Running {
--- a/crates/gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -1,7 +1,7 @@
 //! Relays that do what they are to, die, come back, or follow each other.
 
 use umbertray_config::Changes as Source;
-use umbertray_gateway::RelayedError;
+use umbertray_nbd_gateway::RelayedError;
 use umbertray_relay::{RelayError, client};
 
 use crate::common::*;
@@ -80,8 +80,10 @@
     let old = writer.copy(&folder.join("old"));
     let tops = [top("s1", &writer.folder).await, top("s2", &writer.folder).await];
     let state = folder.join("state");
-    let mine =
-        |upstreams| umbertray_gateway::Relays { state: Some(state.clone()), ..relays("sg", upstreams, 2) };
+    let mine = |upstreams| umbertray_nbd_gateway::Relays {
+        state: Some(state.clone()),
+        ..relays("sg", upstreams, 2)
+    };
     let upstreams = vec![of("s1", &tops[0]), of("s2", &tops[1])];
     let first = gateway(mine(upstreams.clone())).await;
     let version = writer.adds("kept");
@@ -119,7 +121,7 @@
     let patience = std::time::Duration::from_secs(2);
     let tops = [top("s1", &old).await, top("s2", &old).await];
     let upstreams = vec![of("s1", &tops[0]), of("s2", &tops[1])];
-    let refused = try_gateway(umbertray_gateway::Relays { patience, ..mine(upstreams) }).await;
+    let refused = try_gateway(umbertray_nbd_gateway::Relays { patience, ..mine(upstreams) }).await;
     assert!(matches!(refused, Err(RelayedError::Unheard { vouch: 2, .. })));
 }
 
--- a/crates/gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/lies.rs
@@ -136,7 +136,7 @@
     assert!(has(&sure, "more") && !has(&sure, "forged"), "{:?}", sure.exports());
     // What a single voice could do: it goes on from what it holds, and the liar's history follows on that.
     let state = folder.join("trusting");
-    let trusting = |upstreams| umbertray_gateway::Relays {
+    let trusting = |upstreams| umbertray_nbd_gateway::Relays {
         state: Some(state.clone()),
         ..relays("trusting", upstreams, 1)
     };
--- a/crates/rehearsal/src/soak/process.rs
+++ b/crates/rehearsal/src/soak/process.rs
@@ -66,7 +66,7 @@
         std::fs::write(&config, configuration(name, discovery, number))?;
         let errors = std::fs::OpenOptions::new().create(true).append(true).open(&log)?;
         let mut child = Command::new(program)
-            .args(["--log", "json", "--log-level", "info,umbertray_node=debug", "node"])
+            .args(["--log", "json", "--log-level", "info,umbertray_http_gateway=debug", "node"])
             .env("ROUTER_CONFIG", &config)
             .envs(environment.iter().map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
-use umbertray_gateway::{Clock, Options, Running};
+use umbertray_nbd_gateway::{Clock, Options, Running};
 use umbertray_routing::{Core, Host, Input, Output, Settings};
 use umbertray_store_protocol::list::{FromList, State};
 
@@ -152,7 +152,7 @@
         let (acted, looked_on) = (self.acted.clone(), counts.clone());
         note(gateway, script::version(&settings), &counts, &acted);
         let host = Counted { core, gateway, counts: looked_on, acted };
-        let running = umbertray_gateway::start_hosting(Box::new(host), clock, settings, options).await;
+        let running = umbertray_nbd_gateway::start_hosting(Box::new(host), clock, settings, options).await;
         let running = running.map_err(|error| format!("gateway {gateway}: {error}"))?;
         self.members.insert(gateway, Member { file, running: Some(running), counts });
         Ok(())
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a fleet's size costs each of its members: hollow gateways beside real ones, measured, fitted and drawn.
 //!
-//! A hollow gateway is [`umbertray_gateway`] itself, many in a process, with list, changes, map, links, module, log and
+//! A hollow gateway is [`umbertray_nbd_gateway`] itself, many in a process, with list, changes, map, links, module, log and
 //! state, and without clients. Nothing here decides what a gateway does: [`hollow`] starts it on the settings that the
 //! program reads, and looks on where its loop hosts its core. [`worker`] is a process of them, or of stand-in stores, or
 //! the list; [`crew`] starts processes and ends them by id; [`plan`] refuses what there is no room for; [`point`] measures
