--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,8 +1,8 @@
 //! `umbertray demo`: everything in one process, no file needed.
 
 use umbertray_config::Document;
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::Power;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Power;
 
 use crate::{output, serve};
 
@@ -31,7 +31,7 @@
     // The demo's map is not to outlive it; what it is for is seen with `umbertray keeper`.
     let folder = std::env::temp_dir().join(format!("umbertray-demo-{}", std::process::id()));
     let options = umbertray_coordinator::Options {
-        listen: umbertray_standin::fleet::any_port(),
+        listen: umbertray_fakes::fleet::any_port(),
         list: fleet.list.address,
         folder: folder.clone(),
         takeover: umbertray_coordinator::Takeover::No,
--- a/crates/cli/src/measure/changes.rs
+++ b/crates/cli/src/measure/changes.rs
@@ -10,11 +10,11 @@
 use umbertray_config_log::log::{GROWN, Log};
 use umbertray_config_log::model::Fields;
 use umbertray_config_log::{Change, Configuration, Edit, Follower, Guard, Key, Kind, Version};
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
 use umbertray_nbd_gateway::{Changes, Clock, Options};
 use umbertray_routing::Core;
 use umbertray_snapshot::{Disk, Layer};
-use umbertray_standin::client::Connection;
-use umbertray_standin::fleet::Fleet;
 use umbertray_store_protocol::store::Work;
 
 use super::{Arguments, Figures, Side, Timed, figures, fill, settings, turn};
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -3,8 +3,8 @@
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
+use umbertray_fakes::client::{self, Connection, Ended};
 use umbertray_nbd::Command as Kind;
-use umbertray_standin::client::{self, Connection, Ended};
 
 use crate::output;
 
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 
 use serde::Serialize;
-use umbertray_rehearsal::judge::Count;
-use umbertray_rehearsal::{Day, Record, Verdict, judge, rehearse};
+use umbertray_fault_tests::judge::Count;
+use umbertray_fault_tests::{Day, Record, Verdict, judge, rehearse};
 
 use crate::output;
 
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use umbertray_rehearsal::soak::{self, Plan};
+use umbertray_fault_tests::soak::{self, Plan};
 
 use crate::output;
 
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/stand_in.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use umbertray_standin::book::Book;
-use umbertray_standin::list::{self, Listed};
-use umbertray_standin::model::Power;
-use umbertray_standin::store::{self, Identity};
+use umbertray_fakes::book::Book;
+use umbertray_fakes::list::{self, Listed};
+use umbertray_fakes::model::Power;
+use umbertray_fakes::store::{self, Identity};
 use umbertray_store_protocol::list::State;
 
 use crate::output;
--- a/crates/cli/tests/platform/bad_peers.rs
+++ b/crates/cli/tests/platform/bad_peers.rs
@@ -1,6 +1,6 @@
 use std::time::{Duration, Instant};
 
-use umbertray_standin::platform::{Act, Discovery, Seen, Store, ok};
+use umbertray_fakes::platform::{Act, Discovery, Seen, Store, ok};
 
 use crate::common::{Node, op, within};
 
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use umbertray_standin::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Act, Discovery, Store, ok};
 
 use crate::common::{Node, op, within};
 
--- a/crates/cli/tests/platform/common.rs
+++ b/crates/cli/tests/platform/common.rs
@@ -9,9 +9,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
+use umbertray_fakes::platform::{Act, Discovery, Store};
 use umbertray_http::Limits;
 use umbertray_http::client::{self, Answer, Answers};
-use umbertray_standin::platform::{Act, Discovery, Store};
 
 /// Fails where something that must happen does not, long after it should have.
 pub async fn within<T>(seconds: u64, what: &str, future: impl Future<Output = T>) -> T {
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbertray_standin::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Act, Discovery, Store, ok};
 
 use crate::common::{Caller, Node, config, op, patient, within};
 
--- a/crates/cli/tests/platform/failing_calls.rs
+++ b/crates/cli/tests/platform/failing_calls.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use tokio::task::JoinSet;
-use umbertray_standin::platform::{Act, Discovery, Store, ok};
-use umbertray_standin::shim::{self, CallFaults};
+use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::shim::{self, CallFaults};
 
 use crate::common::{Node, config, op, within};
 
--- a/crates/cli/tests/platform/reloads.rs
+++ b/crates/cli/tests/platform/reloads.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_standin::platform::{Act, Discovery, Seen, Store, ok};
+use umbertray_fakes::platform::{Act, Discovery, Seen, Store, ok};
 
 use crate::common::{Node, config, op, within};
 
--- a/crates/cli/tests/platform/signals.rs
+++ b/crates/cli/tests/platform/signals.rs
@@ -2,7 +2,7 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use umbertray_standin::platform::{Act, Discovery, ok};
+use umbertray_fakes::platform::{Act, Discovery, ok};
 
 use crate::common::{Node, asked_for, config, op, patient, within};
 
--- a/crates/cli/tests/platform/sizes.rs
+++ b/crates/cli/tests/platform/sizes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use umbertray_standin::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Act, Discovery, Store, ok};
 
 use crate::common::{Node, config, op, within};
 
--- a/crates/cli/tests/platform/soak.rs
+++ b/crates/cli/tests/platform/soak.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use umbertray_rehearsal::soak::{self, Plan};
+use umbertray_fault_tests::soak::{self, Plan};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_that_overlap_break_no_counted_rule() {
--- a/crates/cli/tests/platform/stopped_clients.rs
+++ b/crates/cli/tests/platform/stopped_clients.rs
@@ -6,7 +6,7 @@
 
 use nix::sys::signal::Signal;
 use tokio::task::JoinSet;
-use umbertray_standin::platform::{Act, ok};
+use umbertray_fakes::platform::{Act, ok};
 
 use crate::common::{Caller, Node, config, op, patient, within};
 
--- a/crates/cli/tests/platform/store_endings.rs
+++ b/crates/cli/tests/platform/store_endings.rs
@@ -6,9 +6,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
+use umbertray_fakes::platform::{Discovery, ok};
 use umbertray_http::Limits;
 use umbertray_http::server::{Next, Request, Requests};
-use umbertray_standin::platform::{Discovery, ok};
 
 use crate::common::{Node, config, op, within};
 
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -6,11 +6,11 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use umbertray_rehearsal::record::Deed;
-use umbertray_rehearsal::run::Gateway;
-use umbertray_standin::client::Connection;
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::Fault;
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Fault;
+use umbertray_fault_tests::record::Deed;
+use umbertray_fault_tests::run::Gateway;
 
 use crate::common::*;
 
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -6,13 +6,13 @@
 
 use bytes::Bytes;
 use umbertray_config::Document;
+use umbertray_fakes::client::{Connection, Ended, Whole};
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Power;
+use umbertray_fault_tests::load::{BLOCK, content, mark};
+use umbertray_fault_tests::{Day, Record, Verdict, judge, rehearse};
 use umbertray_nbd::Errno;
 use umbertray_nbd_gateway::{Options, Running};
-use umbertray_rehearsal::load::{BLOCK, content, mark};
-use umbertray_rehearsal::{Day, Record, Verdict, judge, rehearse};
-use umbertray_standin::client::{Connection, Ended, Whole};
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::Power;
 
 pub const KIB: u32 = 1 << 10;
 
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -1,8 +1,8 @@
 //! Whole days through gateways in processes of their own, judged by what crossed the sockets.
 
 use crate::common::{mostly_acked, played};
-use umbertray_rehearsal::record::Deed;
-use umbertray_standin::book::Seen;
+use umbertray_fakes::book::Seen;
+use umbertray_fault_tests::record::Deed;
 
 async fn plays(name: &str, text: &str, seed: u64) {
     let (_, verdict) = played(name, text, seed).await;
--- a/crates/cli/tests/sockets/failing_calls.rs
+++ b/crates/cli/tests/sockets/failing_calls.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use tokio::task::JoinSet;
-use umbertray_rehearsal::run::Gateway;
-use umbertray_standin::client::Connection;
-use umbertray_standin::shim::{self, CallFaults};
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::shim::{self, CallFaults};
+use umbertray_fault_tests::run::Gateway;
 
 use crate::common::*;
 
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -5,15 +5,15 @@
 use crate::common::*;
 use bytes::Bytes;
 use nix::sys::signal::Signal;
+use umbertray_fakes::book::Seen;
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::{Fault, Power};
+use umbertray_fault_tests::run::Gateway;
 use umbertray_nbd::Command;
-use umbertray_rehearsal::run::Gateway;
-use umbertray_standin::book::Seen;
-use umbertray_standin::client::Connection;
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::{Fault, Power};
 use umbertray_store_protocol::list::State;
 
-fn received(work: &'static str) -> impl Fn(&umbertray_standin::Entry) -> bool {
+fn received(work: &'static str) -> impl Fn(&umbertray_fakes::Entry) -> bool {
     move |entry| matches!(&entry.seen, Seen::Received { work: w, .. } if w == work)
 }
 
@@ -162,7 +162,7 @@
     fleet.fault(1, Fault::default());
     acked(&patiently(async || other.write(0, marked(3, 0, 1)).await).await);
     // The store comes to the late one now, and says what it made of it.
-    let fenced = |entry: &umbertray_standin::Entry| matches!(&entry.seen, Seen::Answered { code, .. } if code == "Fenced");
+    let fenced = |entry: &umbertray_fakes::Entry| matches!(&entry.seen, Seen::Answered { code, .. } if code == "Fenced");
     within(3, "the late one's end", fleet.book.until(1, fenced)).await;
     for client in [&one, &other] {
         assert_eq!(marks(&patiently(async || client.read(0, 4096).await).await, 0, 1), [Some(3)]);
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
+use umbertray_fakes::book::Seen;
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Fault;
+use umbertray_fault_tests::keeper::Keeper;
+use umbertray_fault_tests::run::Gateway;
 use umbertray_nbd_gateway::Running;
-use umbertray_rehearsal::keeper::Keeper;
-use umbertray_rehearsal::run::Gateway;
-use umbertray_standin::book::Seen;
-use umbertray_standin::client::Connection;
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::Fault;
 use umbertray_store_protocol::orders::Span;
 use umbertray_store_protocol::volume_id;
 
@@ -215,7 +215,7 @@
     let late: Vec<_> = (0..4)
         .map(|block| one.send(umbertray_nbd::Command::Write, 0, block * 4096, 4096, marked(2, block, 1)))
         .collect();
-    let lies = |entry: &umbertray_standin::Entry| matches!(entry.seen, Seen::Received { mark: 2, .. });
+    let lies = |entry: &umbertray_fakes::Entry| matches!(entry.seen, Seen::Received { mark: 2, .. });
     within(3, "all lie there", fleet.book.until(4, lies)).await;
     still.signal(Signal::SIGSTOP).expect("it is there");
     fleet.fault(store, Fault::default());
--- a/crates/cli/tests/sockets/relays.rs
+++ b/crates/cli/tests/sockets/relays.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
-use umbertray_rehearsal::run::Gateway;
-use umbertray_standin::client::Connection;
+use umbertray_fakes::client::Connection;
+use umbertray_fault_tests::run::Gateway;
 
 use crate::changes::{acts_on, apply, begun};
 use crate::common::*;
@@ -111,7 +111,7 @@
     assert_eq!(marks(&read, 0, 1), [Some(7)]);
 }
 
-const BLOCK_BYTES: u32 = umbertray_rehearsal::load::BLOCK;
+const BLOCK_BYTES: u32 = umbertray_fault_tests::load::BLOCK;
 
 #[test]
 fn a_relay_that_cannot_be_is_refused_with_the_reason() {
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -7,12 +7,12 @@
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::Command;
-use umbertray_rehearsal::run::Gateway;
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fault_tests::run::Gateway;
 use umbertray_routing::settings::Limit;
 use umbertray_snapshot::Disk;
 use umbertray_snapshot::folder::files;
-use umbertray_standin::client::Connection;
-use umbertray_standin::fleet::Fleet;
 
 use crate::common::*;
 
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -5,12 +5,12 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
+use umbertray_fakes::client::{Connection, Whole};
+use umbertray_fakes::model::Fault;
 use umbertray_nbd::client::Wish;
 use umbertray_nbd::proto::{CMD_FLAG_DF, CMD_FLAG_FUA, put_request};
 use umbertray_nbd::{Client, ClientStep, Command, Reply, Request};
 use umbertray_nbd_gateway::Running;
-use umbertray_standin::client::{Connection, Whole};
-use umbertray_standin::model::Fault;
 
 use crate::common::*;
 
--- a/crates/rehearsal/src/day.rs
+++ b/crates/fault-tests/src/day.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use umbertray_config::{Arguments, Document, Problem};
-use umbertray_standin::model::Power;
+use umbertray_fakes::model::Power;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
--- a/crates/rehearsal/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
+use umbertray_fakes::book;
 use umbertray_routing::Settings;
 use umbertray_routing::settings::Repeats;
-use umbertray_standin::book;
 use umbertray_store_protocol::volume_id;
 
 use super::Finding;
--- a/crates/rehearsal/src/judge/tests.rs
+++ b/crates/fault-tests/src/judge/tests.rs
@@ -1,6 +1,6 @@
 //! A small right record, and one altered for each rule: the judge must tell them apart.
 
-use umbertray_standin::book::{Entry, Seen};
+use umbertray_fakes::book::{Entry, Seen};
 use umbertray_store_protocol::volume_id;
 
 use super::judge;
--- a/crates/rehearsal/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use tokio::sync::watch;
+use umbertray_fakes::book::Book;
+use umbertray_fakes::client::{Connection, Ended, Whole};
 use umbertray_nbd::{Command, Errno};
-use umbertray_standin::book::Book;
-use umbertray_standin::client::{Connection, Ended, Whole};
 
 use crate::day::Load;
 use crate::record::{Asked, Kind, Outcome, Record};
--- a/crates/rehearsal/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -1,7 +1,7 @@
 //! What a rehearsal leaves for the judge.
 
 use serde::{Deserialize, Serialize};
-use umbertray_standin::book::Entry;
+use umbertray_fakes::book::Entry;
 use umbertray_store_protocol::store::Work;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/rehearsal/src/run.rs
+++ b/crates/fault-tests/src/run.rs
@@ -19,9 +19,9 @@
 use umbertray_config_log::guard::GUARDS;
 use umbertray_config_log::log::GROWN;
 use umbertray_config_log::{Change, Configuration, Edit, Log, Version};
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Fault;
 use umbertray_snapshot::Disk;
-use umbertray_standin::fleet::Fleet;
-use umbertray_standin::model::Fault;
 use umbertray_store_protocol::list::State;
 use umbertray_store_protocol::orders::Span;
 use umbertray_store_protocol::volume_id;
@@ -171,7 +171,7 @@
     weather: watch::Sender<Weather>,
     draw: StdRng,
     /// Stores killed, to be started again.
-    down: Vec<umbertray_standin::store::Identity>,
+    down: Vec<umbertray_fakes::store::Identity>,
     keeper: Option<Keeper>,
     /// Keepers that were taken over from, standing still.
     still: Vec<Process>,
--- a/crates/rehearsal/src/soak/plan.rs
+++ b/crates/fault-tests/src/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
-use umbertray_standin::proxy::LinkFault;
+use umbertray_fakes::proxy::LinkFault;
 
 /// Shards, each with so many stores.
 pub const SHARDS: u32 = 4;
--- a/crates/rehearsal/src/soak/stage.rs
+++ b/crates/fault-tests/src/soak/stage.rs
@@ -12,10 +12,10 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
+use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::proxy::{LinkFault, Proxy, Tap};
+use umbertray_fakes::shim::{self, CallFaults};
 use umbertray_http::server::Request as StoreRequest;
-use umbertray_standin::platform::{Act, Discovery, Store, ok};
-use umbertray_standin::proxy::{LinkFault, Proxy, Tap};
-use umbertray_standin::shim::{self, CallFaults};
 
 use crate::soak::client::{Client, LEFT, request};
 use crate::soak::oracle::KILLED_AFTER;
--- a/crates/rehearsal/tests/soak_oracle.rs
+++ b/crates/fault-tests/tests/soak_oracle.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use umbertray_rehearsal::soak::oracle::{Rule, judge};
-use umbertray_rehearsal::soak::plan::Plan;
-use umbertray_rehearsal::soak::record::{
+use umbertray_fault_tests::soak::oracle::{Rule, judge};
+use umbertray_fault_tests::soak::plan::Plan;
+use umbertray_fault_tests::soak::record::{
     Arrival, Attempt, Disturbance, Drained, Effect, End, Exit, Record, Request, Stopped, Window,
 };
 
--- a/crates/scale/src/point.rs
+++ b/crates/scale/src/point.rs
@@ -10,9 +10,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
-use umbertray_rehearsal::run::Process;
-use umbertray_standin::fleet::any_port;
-use umbertray_standin::traffic::Crossed;
+use umbertray_fakes::fleet::any_port;
+use umbertray_fakes::traffic::Crossed;
+use umbertray_fault_tests::run::Process;
 
 use crate::ScaleError;
 use crate::crew::Worker;
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -8,12 +8,12 @@
 
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use umbertray_standin::book::Book;
-use umbertray_standin::fleet::any_port;
-use umbertray_standin::list::{self, Listed};
-use umbertray_standin::model::Power;
-use umbertray_standin::store::{self, Identity};
-use umbertray_standin::traffic::Crossed;
+use umbertray_fakes::book::Book;
+use umbertray_fakes::fleet::any_port;
+use umbertray_fakes::list::{self, Listed};
+use umbertray_fakes::model::Power;
+use umbertray_fakes::store::{self, Identity};
+use umbertray_fakes::traffic::Crossed;
 use umbertray_store_protocol::list::State;
 
 use crate::hollow::{Acted, Fleet, Prepare, Seen};
