--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -4,7 +4,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::{
     Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, StoreId, StoreState, VolumeId,
 };
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::{
     Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, Settings, StoreId, StoreState,
     VolumeId,
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 
 const ANSWER: Duration = Duration::from_millis(1);
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 
 const START: Duration = Duration::from_secs(1000);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 
 /// The clock at which the store starts, and how long before that the day begins.
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen};
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 
 const STEP: Duration = ms(2);
--- a/tests/choice.rs
+++ b/tests/scheduler.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use quickcheck::{Gen, QuickCheck};
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 use world::{World, listing, ms, op, settings};
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use umbertray::choice::Gateway;
+use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
 
 pub const GATEWAYS: usize = 2;
