--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -4,10 +4,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-use umbertray::scheduler::Gateway;
 use umbertray::interface::{
-    Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, StoreId, StoreState, VolumeId,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Report, StoreId,
+    StoreState, VolumeId,
 };
+use umbertray::scheduler::Scheduler;
 
 use crate::codec::{Address, Batch, Demand, Entry, Item, Load, Malformed, Record, Reply};
 
@@ -23,7 +24,7 @@
 
 #[derive(Default)]
 struct Instance {
-    gateway: Gateway,
+    gateway: Scheduler,
     fields: Vec<String>,
     ops: HashMap<OpId, Door>,
     op_ids: HashMap<u64, OpId>,
@@ -46,14 +47,14 @@
 
 fn outcome(how: u16) -> Outcome {
     match how {
-        100 => Outcome::Acked,
-        301 => Outcome::Error,
-        302 => Outcome::Full,
+        100 => Outcome::Succeeded,
+        301 => Outcome::Failed,
+        302 => Outcome::Rejected,
         303 => Outcome::TimedOut,
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         _ => Outcome::Unknown,
     }
 }
@@ -70,12 +71,12 @@
         self.fields.iter().cloned().zip(load.0.iter().map(|&value| f64::from(value))).collect()
     }
 
-    fn listings(&mut self, entries: &[Entry]) -> Vec<Listing> {
-        let listing = |entry: &Entry| Listing {
+    fn listings(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
+        let listing = |entry: &Entry| Endpoint {
             store: self.store(entry.address),
             shard: entry.shard.into(),
             zone: entry.zone.into(),
-            started: (entry.started > 0.0).then(|| span(entry.started)),
+            started_at: (entry.started > 0.0).then(|| span(entry.started)),
             state: match entry.state {
                 1 => StoreState::Ready,
                 2 => StoreState::Draining,
@@ -91,14 +92,14 @@
         self.op_ids.insert(demand.tid, id);
         self.ops.insert(id, Door { tid: demand.tid, out: 0, ended: false });
         let next_volume = VolumeId(self.volume_ids.len() as u32);
-        Event::Arrived(Op {
+        Event::OpArrived(Op {
             id,
             units: demand.price_units.into(),
             volume: *self.volume_ids.entry(demand.owner).or_insert(next_volume),
             volume_name: demand.owner,
             key: (demand.chunk != 0).then_some(demand.chunk),
             shard: (demand.home_cell >= 0.0).then_some(demand.home_cell as u32),
-            left: span(demand.budget),
+            time_left: span(demand.budget),
             plan: demand.policy as usize,
             op_type: demand.qos.into(),
             gateways: f64::from(demand.writers),
@@ -129,21 +130,21 @@
                 self.fields = fields.split(',').filter(|name| !name.is_empty()).map(String::from).collect();
                 Event::Start { seed: *seed, settings }
             }
-            Record::Registry { scope: 1, .. } => Event::List(ListNews::Failed),
+            Record::Registry { scope: 1, .. } => Event::EndpointList(EndpointListUpdate::Failed),
             Record::Registry { scope, page } => {
                 let entries =
                     sheets.get(page).ok_or_else(|| Malformed(format!("no sheet numbered {page}")))?;
                 let listings = self.listings(entries);
-                Event::List(match scope {
-                    0 => ListNews::Changes(listings),
-                    2 => ListNews::Full(listings),
-                    3 => ListNews::Cached(listings),
+                Event::EndpointList(match scope {
+                    0 => EndpointListUpdate::Changes(listings),
+                    2 => EndpointListUpdate::Whole(listings),
+                    3 => EndpointListUpdate::Cached(listings),
                     other => return Err(Malformed(format!("unknown scope {other}"))),
                 })
             }
             Record::Demand(demand) => self.arrived(demand),
             Record::Accepted { tid } => match self.op_ids.get(tid) {
-                Some(&op) => Event::StreamBegan { op },
+                Some(&op) => Event::StreamStarted { op },
                 None => return Ok(None),
             },
             Record::ReportBack(back) => {
@@ -151,15 +152,15 @@
                     return Ok(None);
                 };
                 self.part(op, 1, back.complete);
-                Event::Answered(Answer {
+                Event::AttemptFinished(AttemptResult {
                     op,
-                    dispatch: back.n.into(),
+                    attempt: back.n.into(),
                     store: self.store(back.address),
                     outcome: outcome(back.how),
                     latency: span(back.time_taken),
-                    ended: back.complete,
-                    used: (back.volume_use > 0).then(|| (f64::from(back.volume_use) - 1.0) / 100.0),
-                    elsewhere: back.delta.into(),
+                    op_ended: back.complete,
+                    plan_rate_used: (back.volume_use > 0).then(|| (f64::from(back.volume_use) - 1.0) / 100.0),
+                    units_elsewhere: back.delta.into(),
                     report: self.report(&back.load),
                 })
             }
@@ -168,12 +169,12 @@
                     return Ok(None);
                 };
                 self.part(op, 0, true);
-                Event::ClientLeft { op }
+                Event::ClientDisconnected { op }
             }
             Record::Bell { label } => Event::Timer { token: *label },
             Record::Pong { address, how, load } => {
                 let (store, report) = (self.store(*address), self.report(load));
-                Event::Probed { store, outcome: outcome(*how), report }
+                Event::HealthChecked { store, outcome: outcome(*how), report }
             }
             Record::Datagram | Record::Stop => return Ok(None),
         }))
@@ -182,35 +183,35 @@
     fn act(&mut self, instance: u16, action: Action, reply: &mut Reply) {
         let tid = |op: &OpId| self.ops.get(op).map(|door| door.tid);
         match action {
-            Action::Dispatch { op, store, timeout } => {
+            Action::StartAttempt { op, store, timeout } => {
                 if let Some(door) = self.ops.get_mut(&op) {
                     door.out += 1;
                     reply.place(instance, door.tid, self.stores[store.0 as usize], timeout);
                 }
             }
-            Action::Throttle { op, retry_after } => {
+            Action::Reject { op, retry_after } => {
                 if let Some(tid) = tid(&op) {
                     reply.bounce(instance, tid, retry_after);
                     self.part(op, 0, true);
                 }
             }
-            Action::Abort { op } => {
+            Action::Fail { op } => {
                 if let Some(tid) = tid(&op) {
                     reply.fail(instance, tid);
                     self.part(op, 0, true);
                 }
             }
-            Action::Cancel { op, dispatch } => {
+            Action::Cancel { op, attempt: dispatch } => {
                 if let Some(tid) = tid(&op) {
                     reply.undo_send(instance, tid, dispatch as u8);
                 }
             }
-            Action::Timer { token, at } => reply.after(instance, token, at),
-            Action::Subscribe => reply.observe(instance),
-            Action::FetchList => reply.get_list(instance),
-            Action::Probe { store } => reply.ping(instance, self.stores[store.0 as usize]),
+            Action::SetTimer { token, at } => reply.after(instance, token, at),
+            Action::WatchEndpoints => reply.observe(instance),
+            Action::FetchEndpoints => reply.get_list(instance),
+            Action::CheckHealth { store } => reply.ping(instance, self.stores[store.0 as usize]),
             // Instances here keep nothing: each is killed outright.
-            Action::Known { .. } => {}
+            Action::Snapshot { .. } => {}
             Action::Log(text) => reply.emit(instance, &text),
             Action::Fatal(text) => reply.fatal(instance, &text),
         }
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray::scheduler::Gateway;
 use umbertray::interface::{
-    Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, Settings, StoreId, StoreState,
-    VolumeId,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Report, Settings, StoreId,
+    StoreState, VolumeId,
 };
+use umbertray::scheduler::Scheduler;
 use umbertray_http::Headers;
 use umbertray_http::{client, server};
 use umbertray_lifecycle::attempt::{self, AttemptStart, Repeats, RequestStatus, StoreStatus};
@@ -190,7 +190,7 @@
 
 /// Hosts one module behind the platform's protocol.
 pub struct Core {
-    module: Gateway,
+    module: Scheduler,
     now: Duration,
     names: Names,
     settings: Settings,
@@ -227,7 +227,7 @@
 fn names(settings: &Settings) -> Result<Names, String> {
     let names = Names::of(settings).map_err(|name| format!("{name} is missing or unreadable"))?;
     let start = Event::Start { seed: 0, settings: settings.clone() };
-    let said = Gateway::default().handle(Duration::ZERO, vec![start]);
+    let said = Scheduler::default().handle(Duration::ZERO, vec![start]);
     let refused = said.into_iter().find_map(|action| match action {
         Action::Fatal(text) => Some(text),
         _ => None,
@@ -272,7 +272,7 @@
         let settings = &config.settings;
         let names = names(settings).map_err(|why| format!("settings: {why}"))?;
         let mut core = Core {
-            module: Gateway::default(),
+            module: Scheduler::default(),
             now,
             names,
             settings: settings.clone(),
@@ -297,7 +297,7 @@
         };
         let cached = core.listings(&config.known);
         core.listed = config.known.stores.iter().any(|entry| entry.state == StoreState::Ready);
-        core.events.push(Event::List(ListNews::Cached(cached)));
+        core.events.push(Event::EndpointList(EndpointListUpdate::Cached(cached)));
         Ok(core)
     }
 
@@ -386,7 +386,7 @@
             Input::Ask { client, ask, begun } => self.asked(client, ask, begun),
             Input::Left(client) => {
                 if let Some(op) = self.clients.get(&client).copied() {
-                    self.events.push(Event::ClientLeft { op });
+                    self.events.push(Event::ClientDisconnected { op });
                     self.ended(op);
                 }
             }
@@ -394,29 +394,33 @@
             Input::Probed { store, returned } => {
                 let (outcome, report) = match &returned {
                     Returned::Answer(answer) if answer.head.status == 200 => {
-                        (Outcome::Acked, self.probe_report(answer))
+                        (Outcome::Succeeded, self.probe_report(answer))
                     }
                     other => (outcome(other), Report::new()),
                 };
-                self.events.push(Event::Probed { store, outcome, report });
+                self.events.push(Event::HealthChecked { store, outcome, report });
             }
             Input::List(list) => {
                 let listings = self.listings(&list);
                 self.unheard = false;
                 self.listed |= !list.stores.is_empty();
-                let news = if list.whole { ListNews::Full(listings) } else { ListNews::Changes(listings) };
-                self.events.push(Event::List(news));
+                let news = if list.whole {
+                    EndpointListUpdate::Whole(listings)
+                } else {
+                    EndpointListUpdate::Changes(listings)
+                };
+                self.events.push(Event::EndpointList(news));
             }
             Input::ListFailed => {
                 self.unheard = true;
-                self.events.push(Event::List(ListNews::Failed));
+                self.events.push(Event::EndpointList(EndpointListUpdate::Failed));
             }
             Input::Changed(settings) => {
                 if let Err(why) = self.reconfigure(settings) {
                     self.deeds.push(Deed::Log(format!("settings not taken: {why}")));
                 }
             }
-            Input::Ends(at) => self.events.push(Event::Ends { at }),
+            Input::Ends(at) => self.events.push(Event::ShuttingDown { at }),
             Input::Woken => {}
         }
     }
@@ -434,7 +438,7 @@
         self.settings = settings.clone();
         self.grace = drain_grace(&settings);
         self.fields = words_of(settings.get("telemetry.fields"));
-        self.events.push(Event::Changed { settings: for_module(&settings) });
+        self.events.push(Event::SettingsChanged { settings: for_module(&settings) });
         Ok(())
     }
 
@@ -446,14 +450,14 @@
         if volume == next_volume {
             self.next_volume += 1;
         }
-        self.events.push(Event::Arrived(Op {
+        self.events.push(Event::OpArrived(Op {
             id,
             units: ask.units,
             volume,
             volume_name: ask.volume,
             key: (ask.key != 0).then_some(ask.key),
             shard: ask.shard,
-            left: ask.left.saturating_sub(self.now.saturating_sub(begun)),
+            time_left: ask.left.saturating_sub(self.now.saturating_sub(begun)),
             plan: ask.plan,
             op_type: ask.op_type,
             gateways: ask.gateways,
@@ -491,34 +495,34 @@
         let Some(door) = self.ops.get_mut(&call.op) else { return };
         let Some(place) = door.out.iter().position(|out| out.dispatch == call.dispatch) else { return };
         let out = door.out.swap_remove(place);
-        if !matches!(outcome(&returned), Outcome::ConnectFailed | Outcome::Full | Outcome::Moot) {
+        if !matches!(outcome(&returned), Outcome::ConnectFailed | Outcome::Rejected | Outcome::NotSent) {
             door.ran_at = door.ran_at.or(out.begun_at);
         }
         door.previous = retry_reason(&returned);
         let was_ended = door.ended;
-        let mut answer = Answer {
+        let mut answer = AttemptResult {
             op: call.op,
-            dispatch: call.dispatch,
+            attempt: call.dispatch,
             store: out.store,
             outcome: outcome(&returned),
             latency: at.saturating_sub(out.at),
-            ended: was_ended,
-            used: None,
-            elsewhere: 0.0,
+            op_ended: was_ended,
+            plan_rate_used: None,
+            units_elsewhere: 0.0,
             report: Report::new(),
         };
         if let Returned::Answer(from) = returned {
             let headers = &from.head.headers;
-            answer.used = number(headers, words::USED).map(|percent| percent / 100.0);
-            answer.elsewhere = number(headers, words::ELSEWHERE).unwrap_or_default();
+            answer.plan_rate_used = number(headers, words::USED).map(|percent| percent / 100.0);
+            answer.units_elsewhere = number(headers, words::ELSEWHERE).unwrap_or_default();
             answer.report = self.report(headers.one(words::LOAD).ok().flatten().unwrap_or_default());
-            if answer.outcome == Outcome::Acked {
+            if answer.outcome == Outcome::Succeeded {
                 let kind = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
                 self.answer(call.op, Reply::Acked { kind, body: from.body });
-                answer.ended = true;
+                answer.op_ended = true;
             }
         }
-        self.events.push(Event::Answered(answer));
+        self.events.push(Event::AttemptFinished(answer));
         if was_ended {
             self.ended(call.op);
         }
@@ -540,7 +544,7 @@
         self.report(told.unwrap_or(&answer.body))
     }
 
-    fn listings(&mut self, list: &List) -> Vec<Listing> {
+    fn listings(&mut self, list: &List) -> Vec<Endpoint> {
         let told = self.told_at();
         let newest = list.stores.iter().filter_map(|entry| entry.started).max();
         _ = newest.map(|stamp| self.stamps.see(stamp, self.now));
@@ -570,7 +574,7 @@
         if self.unheard { self.now.saturating_sub(self.grace) } else { self.now }
     }
 
-    fn listing(&mut self, entry: &Entry) -> Listing {
+    fn listing(&mut self, entry: &Entry) -> Endpoint {
         let next = StoreId(self.next_store);
         let store = *self.store_ids.entry(entry.uid.clone()).or_insert(next);
         if store == next {
@@ -592,18 +596,18 @@
             self.zones.push(entry.zone.clone());
             self.zones.len() - 1
         });
-        Listing {
+        Endpoint {
             store,
             shard: entry.shard,
             zone: zone as u32,
-            started: start.map(|(_, at)| at),
+            started_at: start.map(|(_, at)| at),
             state: to_module,
         }
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Dispatch { op, store, timeout } => {
+            Action::StartAttempt { op, store, timeout } => {
                 let (at, until) = (self.now, self.now + timeout);
                 let Some((door, address)) =
                     self.ops.get_mut(&op).zip(self.stores.get(&store).map(|store| store.address))
@@ -615,19 +619,21 @@
                 door.sent += 1;
                 self.deeds.push(Deed::Send { call, store, address, until });
             }
-            Action::Throttle { op, retry_after } => self.answer(op, Reply::Throttled { retry_after }),
-            Action::Abort { op } => self.answer(op, Reply::Aborted),
-            Action::Cancel { op, dispatch } => self.deeds.push(Deed::Cancel { call: Call { op, dispatch } }),
-            Action::Timer { token, at } => _ = self.timers.insert((at, token)),
-            Action::Subscribe => self.deeds.push(Deed::Subscribe),
-            Action::FetchList => self.deeds.push(Deed::FetchList),
-            Action::Probe { store } => {
+            Action::Reject { op, retry_after } => self.answer(op, Reply::Throttled { retry_after }),
+            Action::Fail { op } => self.answer(op, Reply::Aborted),
+            Action::Cancel { op, attempt: dispatch } => {
+                self.deeds.push(Deed::Cancel { call: Call { op, dispatch } })
+            }
+            Action::SetTimer { token, at } => _ = self.timers.insert((at, token)),
+            Action::WatchEndpoints => self.deeds.push(Deed::Subscribe),
+            Action::FetchEndpoints => self.deeds.push(Deed::FetchList),
+            Action::CheckHealth { store } => {
                 if let Some(address) = self.stores.get(&store).map(|store| store.address) {
                     self.deeds.push(Deed::Probe { store, address });
                 }
             }
             // Nothing here survives the process.
-            Action::Known { .. } => {}
+            Action::Snapshot { .. } => {}
             Action::Log(text) => self.deeds.push(Deed::Log(text)),
             Action::Fatal(text) => self.deeds.push(Deed::Fatal(text)),
         }
@@ -644,8 +650,8 @@
 fn retry_reason(returned: &Returned) -> Option<RetryReason> {
     match returned {
         Returned::Answer(_) => match outcome(returned) {
-            Outcome::Acked => None,
-            Outcome::Full => Some(RetryReason::TurnedAway),
+            Outcome::Succeeded => None,
+            Outcome::Rejected => Some(RetryReason::TurnedAway),
             _ => Some(RetryReason::StoreError),
         },
         Returned::NeverWritten => Some(RetryReason::NotSent),
@@ -662,15 +668,15 @@
             let unrun = answer.head.headers.one(words::NEVER_RAN);
             let unrun = unrun.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
             match answer.head.status {
-                200 => Outcome::Acked,
-                503 | 504 if unrun => Outcome::Full,
-                _ => Outcome::Error,
+                200 => Outcome::Succeeded,
+                503 | 504 if unrun => Outcome::Rejected,
+                _ => Outcome::Failed,
             }
         }
         Returned::NeverWritten => Outcome::ConnectFailed,
         Returned::Broken => Outcome::Reset,
         Returned::TimedOut => Outcome::TimedOut,
         Returned::Cancelled => Outcome::Cancelled,
-        Returned::Withheld => Outcome::Moot,
+        Returned::Withheld => Outcome::NotSent,
     }
 }
--- a/crates/routing/src/core.rs
+++ b/crates/routing/src/core.rs
@@ -5,10 +5,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray::scheduler::Gateway;
 use umbertray::interface::{
-    Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Report, StoreId, StoreState, VolumeId,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Report, StoreId,
+    StoreState, VolumeId,
 };
+use umbertray::scheduler::Scheduler;
 use umbertray_store_protocol::list::{Entry, FromList, Place, ToList};
 use umbertray_store_protocol::store::{self, Code, Dispatch, FromStore, Stretch, ToStore, Work};
 use umbertray_store_protocol::volume_id;
@@ -33,7 +34,7 @@
     settings: Arc<Settings>,
     /// Lasting ids of the volumes, by index.
     volumes: Vec<u64>,
-    module: Gateway,
+    module: Scheduler,
     now: Duration,
     members: Members,
     places: Places,
@@ -91,7 +92,7 @@
         let start = Event::Start { seed, settings: settings.for_module() };
         Core {
             volumes: settings.volumes.iter().map(|volume| volume_id(&volume.name)).collect(),
-            module: Gateway::default(),
+            module: Scheduler::default(),
             now,
             members: Members::default(),
             places: Places::new(settings.bounds.places),
@@ -125,7 +126,7 @@
             Input::Changed { settings, steps } => self.changed(settings, &steps),
             Input::Remember { promised } => {
                 self.promised = promised;
-                self.events.push(Event::Remember { promised });
+                self.events.push(Event::TakeSnapshot { promise_duration: promised });
             }
             Input::Recalled { saved, age } => {
                 let (event, recall) = Recall::new(self.now, saved, age, &self.volumes);
@@ -142,13 +143,13 @@
         let new = settings.volumes.iter().skip(self.volumes.len());
         self.volumes.extend(new.map(|volume| volume_id(&volume.name)));
         if steps.iter().any(|step| matches!(step, Step::Figures | Step::Plan(_))) {
-            self.events.push(Event::Changed { settings: settings.for_module() });
+            self.events.push(Event::SettingsChanged { settings: settings.for_module() });
         }
         for step in steps {
             let Step::Volume(place) = step else { continue };
             let Some(volume) = settings.volumes.get(*place) else { continue };
             let (plan, gateways) = (volume.plan, f64::from(volume.gateways));
-            self.events.push(Event::Moved { volume: VolumeId(*place as u32), plan, gateways });
+            self.events.push(Event::VolumeMoved { volume: VolumeId(*place as u32), plan, gateways });
         }
         self.settings = settings;
     }
@@ -277,14 +278,14 @@
         let (work, op_type, ends) = (piece.work, piece.op_type, piece.ends);
         self.timers.unset(self.placed_by(ends), Timer::Piece(op));
         let (volume, name) = (&self.settings.volumes[index], self.volumes[index]);
-        self.events.push(Event::Arrived(Op {
+        self.events.push(Event::OpArrived(Op {
             id: OpId(op),
             units: self.settings.units(length),
             volume: VolumeId(index as u32),
             volume_name: name,
             key: (work != Work::Flush).then(|| key(name, extent)),
             shard: place.map(|place| place.shard),
-            left: ends.min(until).saturating_sub(self.now),
+            time_left: ends.min(until).saturating_sub(self.now),
             plan: volume.plan,
             op_type,
             gateways: f64::from(volume.gateways),
@@ -299,7 +300,7 @@
             for op in request.ops {
                 let Some(piece) = self.pieces.get_mut(&op) else { continue };
                 if piece.stage == Stage::Deciding {
-                    self.events.push(Event::ClientLeft { op: OpId(op) });
+                    self.events.push(Event::ClientDisconnected { op: OpId(op) });
                 }
                 piece.data = Bytes::new();
                 piece.stage = Stage::Over;
@@ -379,19 +380,19 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Dispatch { op, store, timeout } => self.dispatch(op.0, store, timeout),
-            Action::Throttle { op, retry_after } => self.settle(op.0, Verdict::Throttled { retry_after }),
-            Action::Abort { op } => self.settle(op.0, Verdict::Aborted),
-            Action::Cancel { op, dispatch } => self.cancel(op.0, dispatch),
-            Action::Timer { token, at } => self.timers.set(at, Timer::Module(token)),
-            Action::Subscribe => self.ask(ToList::Subscribe),
-            Action::FetchList => self.ask(ToList::Fetch),
-            Action::Known { stores, volumes } => {
+            Action::StartAttempt { op, store, timeout } => self.dispatch(op.0, store, timeout),
+            Action::Reject { op, retry_after } => self.settle(op.0, Verdict::Throttled { retry_after }),
+            Action::Fail { op } => self.settle(op.0, Verdict::Aborted),
+            Action::Cancel { op, attempt: dispatch } => self.cancel(op.0, dispatch),
+            Action::SetTimer { token, at } => self.timers.set(at, Timer::Module(token)),
+            Action::WatchEndpoints => self.ask(ToList::Subscribe),
+            Action::FetchEndpoints => self.ask(ToList::Fetch),
+            Action::Snapshot { stores, volumes } => {
                 let entries = self.members.entries(self.now);
                 let saved = recall::saved(entries, stores, volumes, &self.volumes, self.promised);
                 self.out.push(Output::Save(saved));
             }
-            Action::Probe { store } => {
+            Action::CheckHealth { store } => {
                 let message = ToStore::Probe { token: self.now.as_micros() as u64 };
                 self.out.push(Output::Store { store, message, hold: None });
             }
@@ -524,7 +525,7 @@
             FromStore::Probed { token: 0, clock, .. } => self.read_clock(store, clock),
             FromStore::Probed { clock, report, .. } => {
                 self.read_clock(store, clock);
-                self.events.push(Event::Probed { store, outcome: Outcome::Acked, report });
+                self.events.push(Event::HealthChecked { store, outcome: Outcome::Succeeded, report });
             }
         }
     }
@@ -579,18 +580,18 @@
             _ => true,
         };
         let outcome = match answer.code {
-            Ok(Code::Acked) if whole => Outcome::Acked,
-            Ok(Code::Acked | Code::Error) => Outcome::Error,
-            Ok(Code::Full) => Outcome::Full,
-            Ok(Code::Fenced | Code::Stale) => Outcome::Moot,
+            Ok(Code::Acked) if whole => Outcome::Succeeded,
+            Ok(Code::Acked | Code::Error) => Outcome::Failed,
+            Ok(Code::Full) => Outcome::Rejected,
+            Ok(Code::Fenced | Code::Stale) => Outcome::NotSent,
             Ok(Code::Cancelled) => Outcome::Cancelled,
             Ok(Code::Elsewhere) => {
                 self.places.doubt((self.volumes[piece.volume], piece.cut.extent));
-                Outcome::Moot
+                Outcome::NotSent
             }
             Err(_) => Outcome::Unknown,
         };
-        if outcome == Outcome::Acked && work == Work::Status {
+        if outcome == Outcome::Succeeded && work == Work::Status {
             self.stretches(id, place, answer.stretches);
         }
         let said =
@@ -616,24 +617,24 @@
         self.timers.unset(sent.ends, Timer::Dispatch(number));
         let Some(piece) = self.pieces.get_mut(&sent.op) else { return };
         piece.out -= 1;
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         piece.ran_at = piece.ran_at.or((!never_ran).then_some(sent.at));
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Unknown) {
             piece.unsettled.push((number, sent.ends));
         }
-        if outcome == Outcome::Acked {
+        if outcome == Outcome::Succeeded {
             self.settle(sent.op, Verdict::Acked);
         }
         let ended = self.pieces.get(&sent.op).is_none_or(|piece| piece.stage != Stage::Deciding);
-        self.events.push(Event::Answered(Answer {
+        self.events.push(Event::AttemptFinished(AttemptResult {
             op: OpId(sent.op),
-            dispatch: sent.index,
+            attempt: sent.index,
             store: sent.store,
             outcome,
             latency: said.at.unwrap_or(self.now).saturating_sub(sent.at),
-            ended,
-            used: said.used,
-            elsewhere: said.elsewhere,
+            op_ended: ended,
+            plan_rate_used: said.used,
+            units_elsewhere: said.elsewhere,
             report: said.report,
         }));
         self.drop_if_over(sent.op);
@@ -651,7 +652,7 @@
             // Told as ended, the module forgets the op without an answer; it comes to it anew once it has a place.
             piece.stage = Stage::Placing;
         }
-        self.ended(number, Outcome::Moot, Said::default());
+        self.ended(number, Outcome::NotSent, Said::default());
         let alike = |piece: &Piece| (piece.volume, piece.cut.extent) == (volume, extent) && piece.out == 0;
         let moves = |(other, piece): (&u32, &Piece)| {
             let held = *other == op && piece.stage == Stage::Placing || piece.stage == Stage::Deciding;
@@ -677,7 +678,7 @@
         // The module counts the dispatches of an op that comes to it anew from the first again.
         piece.dispatches.clear();
         if held {
-            self.events.push(Event::ClientLeft { op: OpId(op) });
+            self.events.push(Event::ClientDisconnected { op: OpId(op) });
         }
         if until.is_none_or(|until| until <= self.now) {
             return self.settle(op, Verdict::Aborted);
@@ -747,10 +748,10 @@
     /// Without the list, the one that an earlier run saved must do until it can be had.
     fn list_failed(&mut self) {
         if let Some(entries) = self.recall.as_mut().and_then(|recall| recall.list(self.now)) {
-            let news = ListNews::Cached(self.named(&entries));
-            self.events.push(Event::List(news));
+            let news = EndpointListUpdate::Cached(self.named(&entries));
+            self.events.push(Event::EndpointList(news));
         }
-        self.events.push(Event::List(ListNews::Failed));
+        self.events.push(Event::EndpointList(EndpointListUpdate::Failed));
         self.ask_later();
     }
 
@@ -761,13 +762,14 @@
         }
         self.timers.set(self.now + self.memory_of_gone() + self.settings.tick, Timer::Forget);
         let learned = self.recall.as_mut().and_then(|recall| recall.learned(self.now, entries, &listings));
-        let news = if whole { ListNews::Full(listings) } else { ListNews::Changes(listings) };
-        self.events.push(Event::List(news));
+        let news =
+            if whole { EndpointListUpdate::Whole(listings) } else { EndpointListUpdate::Changes(listings) };
+        self.events.push(Event::EndpointList(news));
         self.events.extend(learned);
     }
 
     /// Small ids for the stores that a list names, and links to them.
-    fn named(&mut self, entries: &[Entry]) -> Vec<Listing> {
+    fn named(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
         let listings: Vec<_> = entries.iter().map(|entry| self.members.listed(self.now, entry)).collect();
         for listing in &listings {
             let member = self.members.get_mut(listing.store).expect("a listed store is known");
@@ -824,11 +826,11 @@
         if let Some(piece) = self.pieces.get_mut(&op) {
             piece.place = Some(place);
         }
-        self.events.push(Event::Placed { op: OpId(op), shard });
+        self.events.push(Event::OpPlaced { op: OpId(op), shard });
         if shard == wanted {
             self.send(number);
         } else {
-            self.ended(number, Outcome::Moot, Said::default());
+            self.ended(number, Outcome::NotSent, Said::default());
         }
     }
 
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/members.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use umbertray::interface::{Listing, StoreId, StoreState};
+use umbertray::interface::{Endpoint, StoreId, StoreState};
 use umbertray_store_protocol::list::{Entry, State};
 
 use crate::fence::Reading;
@@ -46,7 +46,7 @@
 
     /// Takes one entry of a list and gives what the module is told. Its start is worked out once from its age: worked
     /// out at each list, it would differ by the delay, and each list would look like a restart.
-    pub fn listed(&mut self, now: Duration, entry: &Entry) -> Listing {
+    pub fn listed(&mut self, now: Duration, entry: &Entry) -> Endpoint {
         let id = *self.ids.entry(entry.store).or_insert_with(|| {
             self.next += 1;
             StoreId(self.next - 1)
@@ -73,7 +73,7 @@
         }
         (member.address, member.shard, member.state) = (entry.address, entry.shard, state);
         member.gone_at = (state == StoreState::Gone).then(|| member.gone_at.unwrap_or(now));
-        Listing { store: id, shard: entry.shard, zone: entry.zone, started: member.started, state }
+        Endpoint { store: id, shard: entry.shard, zone: entry.zone, started_at: member.started, state }
     }
 
     /// The list as it stands, each store's age as of now.
@@ -96,7 +96,7 @@
     }
 
     /// Those that a whole list no longer names are gone.
-    pub fn unnamed(&mut self, now: Duration, named: &[Listing]) {
+    pub fn unnamed(&mut self, now: Duration, named: &[Endpoint]) {
         let named: BTreeSet<StoreId> = named.iter().map(|listing| listing.store).collect();
         for (id, member) in &mut self.all {
             if !named.contains(id) {
--- a/crates/routing/src/recall.rs
+++ b/crates/routing/src/recall.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use umbertray::interface::{Event, Listing, StoreId, StoreMemory, VolumeId, VolumeMemory};
+use umbertray::interface::{Endpoint, Event, StoreId, StoreSnapshot, VolumeId, VolumeSnapshot};
 use umbertray_store_protocol::list::{Entry, State};
 
 use crate::saved::{Learned, Saved, SavedStore, SavedVolume};
@@ -28,11 +28,16 @@
             volumes.iter().zip(0..).map(|(lasting, id)| (*lasting, VolumeId(id))).collect();
         let memory = |saved: SavedVolume| {
             let SavedVolume { volume, rate, told, floor } = saved;
-            Some(VolumeMemory { volume: *ids.get(&volume)?, rate, told, floor })
+            Some(VolumeSnapshot {
+                volume: *ids.get(&volume)?,
+                rate,
+                reported_rate: told,
+                reserved_tokens: floor,
+            })
         };
         let memories = saved.volumes.into_iter().filter_map(memory).collect();
         let promised = saved.promised;
-        let event = Event::Recalled { age, promised, stores: Vec::new(), volumes: memories };
+        let event = Event::Restore { age, promise_duration: promised, stores: Vec::new(), volumes: memories };
         let list = Some(saved.stores.clone()).filter(|list| !list.is_empty());
         let stores = saved.stores.into_iter().map(|store| (store.store, store)).collect();
         (event, Recall { stores, list, volumes: ids, age, at: now })
@@ -43,7 +48,7 @@
     }
 
     /// What was learned of stores that a list names, in the life that they were known in.
-    pub fn learned(&mut self, now: Duration, entries: &[Entry], listings: &[Listing]) -> Option<Event> {
+    pub fn learned(&mut self, now: Duration, entries: &[Entry], listings: &[Endpoint]) -> Option<Event> {
         let age = self.age(now);
         // The list is there: the saved one has no use any more.
         self.list = None;
@@ -55,10 +60,20 @@
             };
             let Some(Learned { latency, cap, tags }) = saved.learned else { continue };
             let tags = tags.into_iter().filter_map(|(volume, tag)| Some((*self.volumes.get(&volume)?, tag)));
-            stores.push(StoreMemory { store: listing.store, latency, cap, tags: tags.collect() });
+            stores.push(StoreSnapshot {
+                store: listing.store,
+                latency,
+                concurrency_limit: cap,
+                virtual_times: tags.collect(),
+            });
         }
         let promised = Duration::ZERO;
-        (!stores.is_empty()).then_some(Event::Recalled { age, promised, stores, volumes: Vec::new() })
+        (!stores.is_empty()).then_some(Event::Restore {
+            age,
+            promise_duration: promised,
+            stores,
+            volumes: Vec::new(),
+        })
     }
 
     /// The saved list, once. Danger: a store may have started anew since it was saved, and is cold. What is not known
@@ -82,14 +97,14 @@
 /// All that is known, with lasting ids.
 pub(crate) fn saved(
     entries: impl Iterator<Item = (StoreId, Entry)>,
-    stores: Vec<StoreMemory>,
-    volumes: Vec<VolumeMemory>,
+    stores: Vec<StoreSnapshot>,
+    volumes: Vec<VolumeSnapshot>,
     names: &[u64],
     promised: Duration,
 ) -> Saved {
     let name = |volume: VolumeId| names.get(volume.0 as usize).copied();
     let learned = stores.into_iter().map(|memory| {
-        let StoreMemory { store, latency, cap, tags } = memory;
+        let StoreSnapshot { store, latency, concurrency_limit: cap, virtual_times: tags } = memory;
         let tags = tags.into_iter().filter_map(|(volume, tag)| Some((name(volume)?, tag))).collect();
         (store, Learned { latency, cap, tags })
     });
@@ -98,8 +113,8 @@
         let Entry { store, address, shard, zone, state, start, .. } = entry;
         SavedStore { store, address, shard, zone, state: state as u8, start, learned: learned.remove(&id) }
     };
-    let volume = |memory: VolumeMemory| {
-        let VolumeMemory { volume, rate, told, floor } = memory;
+    let volume = |memory: VolumeSnapshot| {
+        let VolumeSnapshot { volume, rate, reported_rate: told, reserved_tokens: floor } = memory;
         Some(SavedVolume { volume: name(volume)?, rate, told, floor })
     };
     Saved {
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -6,8 +6,8 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 
 const ANSWER: Duration = Duration::from_millis(1);
 
@@ -32,7 +32,7 @@
         volume_name: volume.into(),
         key: None,
         shard: Some(volume % stores),
-        left: Duration::from_secs(60),
+        time_left: Duration::from_secs(60),
         plan: 0,
         op_type: 0,
         gateways: 1.0,
@@ -41,12 +41,12 @@
 
 /// Microseconds in the module an op done, over so many done.
 fn cost(stores: u32, volumes: u32, open: u32, wanted: u32) -> f64 {
-    let (mut gateway, mut now) = (Gateway::default(), Duration::from_secs(1000));
+    let (mut gateway, mut now) = (Scheduler::default(), Duration::from_secs(1000));
     let listing =
-        |n| Listing { store: StoreId(n), shard: n, zone: 0, started: None, state: StoreState::Ready };
-    let list = Event::List(ListNews::Full((0..stores).map(listing).collect()));
+        |n| Endpoint { store: StoreId(n), shard: n, zone: 0, started_at: None, state: StoreState::Ready };
+    let list = Event::EndpointList(EndpointListUpdate::Whole((0..stores).map(listing).collect()));
     let mut events = vec![Event::Start { seed: 1, settings: settings() }, list];
-    events.extend((0..open).map(|id| Event::Arrived(op(id, volumes, stores))));
+    events.extend((0..open).map(|id| Event::OpArrived(op(id, volumes, stores))));
     let (mut next, mut done, mut counted) = (open, 0u32, 0u32);
     let (mut out, mut timer) = (VecDeque::new(), Duration::MAX);
     let mut spent = Duration::ZERO;
@@ -59,9 +59,9 @@
         }
         for action in actions {
             match action {
-                Action::Dispatch { op, store, .. } => out.push_back((now + ANSWER, op, store)),
-                Action::Timer { at, .. } => timer = at,
-                Action::Throttle { op: ended, .. } | Action::Abort { op: ended } => {
+                Action::StartAttempt { op, store, .. } => out.push_back((now + ANSWER, op, store)),
+                Action::SetTimer { at, .. } => timer = at,
+                Action::Reject { op: ended, .. } | Action::Fail { op: ended } => {
                     panic!("{ended:?} was turned away: the load is not what is to be measured")
                 }
                 _ => {}
@@ -80,18 +80,18 @@
             .flatten()
         {
             let (latency, report) = (ANSWER, Vec::new());
-            events.push(Event::Answered(Answer {
+            events.push(Event::AttemptFinished(AttemptResult {
                 op: op_id,
-                dispatch: 0,
+                attempt: 0,
                 store,
-                outcome: Outcome::Acked,
+                outcome: Outcome::Succeeded,
                 latency,
-                ended: true,
-                used: None,
-                elsewhere: 0.0,
+                op_ended: true,
+                plan_rate_used: None,
+                units_elsewhere: 0.0,
                 report,
             }));
-            events.push(Event::Arrived(op(next, volumes, stores)));
+            events.push(Event::OpArrived(op(next, volumes, stores)));
             counted += u32::from(done > open);
             (next, done) = (next + 1, done + 1);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,21 +27,21 @@
 
 /// One store as the list tells it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
+pub struct Endpoint {
     pub store: StoreId,
     pub shard: u32,
     pub zone: u32,
     /// When it last started; absent: long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     pub state: StoreState,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListNews {
-    Changes(Vec<Listing>),
-    Full(Vec<Listing>),
+pub enum EndpointListUpdate {
+    Changes(Vec<Endpoint>),
+    Whole(Vec<Endpoint>),
     /// The whole list as this gateway last held it, possibly old.
-    Cached(Vec<Listing>),
+    Cached(Vec<Endpoint>),
     /// A call failed or a subscription broke; the list held before remains.
     Failed,
 }
@@ -59,7 +59,7 @@
     /// The shard that holds the data; absent: a new object.
     pub shard: Option<u32>,
     /// How long the client still waits.
-    pub left: Duration,
+    pub time_left: Duration,
     pub plan: usize,
     pub op_type: usize,
     /// Through how many gateways the volume's ops come.
@@ -68,14 +68,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Acked,
-    Error,
-    Full,
+    Succeeded,
+    Failed,
+    Rejected,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
+    NotSent,
     /// A code that this version does not know.
     Unknown,
 }
@@ -84,42 +84,42 @@
 pub type Report = Vec<(String, f64)>;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     pub op: OpId,
     /// Which of the op's dispatches, from 0.
-    pub dispatch: u32,
+    pub attempt: u32,
     pub store: StoreId,
     pub outcome: Outcome,
     pub latency: Duration,
     /// The op has ended, by this answer or before.
-    pub ended: bool,
+    pub op_ended: bool,
     /// The volume's service everywhere in a finished period, as a ratio to its plan's rate.
-    pub used: Option<f64>,
+    pub plan_rate_used: Option<f64>,
     /// Units that the store's shard served for the volume through other gateways since its last answer here.
-    pub elsewhere: f64,
+    pub units_elsewhere: f64,
     pub report: Report,
 }
 
 /// What a gateway has learned of a store, as far as it may outlive the gateway.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StoreMemory {
+pub struct StoreSnapshot {
     pub store: StoreId,
     /// Seconds of an average answer, and units out at most.
     pub latency: f64,
-    pub cap: f64,
+    pub concurrency_limit: f64,
     /// Volumes' tags there.
-    pub tags: Vec<(VolumeId, f64)>,
+    pub virtual_times: Vec<(VolumeId, f64)>,
 }
 
 /// What a gateway has learned of a volume over all stores.
 #[derive(Clone, Debug, PartialEq)]
-pub struct VolumeMemory {
+pub struct VolumeSnapshot {
     pub volume: VolumeId,
     /// Units a second, lately sent from here, and told as the whole.
     pub rate: f64,
-    pub told: f64,
+    pub reported_rate: f64,
     /// Units of its part of the plan's limit that stay undrawn for as long as was promised.
-    pub floor: f64,
+    pub reserved_tokens: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -128,52 +128,52 @@
         seed: u64,
         settings: Settings,
     },
-    List(ListNews),
-    Arrived(Op),
+    EndpointList(EndpointListUpdate),
+    OpArrived(Op),
     /// The answer of a streamed op type has begun: the dispatch now belongs to the client.
-    StreamBegan {
+    StreamStarted {
         op: OpId,
     },
-    Answered(Answer),
-    ClientLeft {
+    AttemptFinished(AttemptResult),
+    ClientDisconnected {
         op: OpId,
     },
     /// An op that came as a new object lies at this shard: this gateway's claim was first there, or another's was.
-    Placed {
+    OpPlaced {
         op: OpId,
         shard: u32,
     },
     /// The figures of plans, op types and rules from now on. Those in force stay in their places, new ones follow; a plan
     /// that is no more has no weight.
-    Changed {
+    SettingsChanged {
         settings: Settings,
     },
     /// The volume is of this plan, through so many gateways, from now on, its held ops too.
-    Moved {
+    VolumeMoved {
         volume: VolumeId,
         plan: usize,
         gateways: f64,
     },
     /// This gateway ends: ops without their final answer by then, those that still come among them, are given up.
-    Ends {
+    ShuttingDown {
         at: Duration,
     },
     /// What is known now is to be told for keeping; its floors hold for so long.
-    Remember {
-        promised: Duration,
+    TakeSnapshot {
+        promise_duration: Duration,
     },
     /// What an earlier run of this gateway knew, and how long ago; absent: nobody can tell. A store is named only
     /// after the list has, in the same life that it was known in.
-    Recalled {
+    Restore {
         age: Option<Duration>,
-        promised: Duration,
-        stores: Vec<StoreMemory>,
-        volumes: Vec<VolumeMemory>,
+        promise_duration: Duration,
+        stores: Vec<StoreSnapshot>,
+        volumes: Vec<VolumeSnapshot>,
     },
     Timer {
         token: u64,
     },
-    Probed {
+    HealthChecked {
         store: StoreId,
         outcome: Outcome,
         report: Report,
@@ -182,36 +182,36 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Dispatch {
+    StartAttempt {
         op: OpId,
         store: StoreId,
         timeout: Duration,
     },
     /// Final: trying again does no harm; the client is told how long to keep away.
-    Throttle {
+    Reject {
         op: OpId,
         retry_after: Duration,
     },
     /// Final: promises nothing.
-    Abort {
+    Fail {
         op: OpId,
     },
     Cancel {
         op: OpId,
-        dispatch: u32,
+        attempt: u32,
     },
-    Timer {
+    SetTimer {
         token: u64,
         at: Duration,
     },
     /// The answer to `Remember`.
-    Known {
-        stores: Vec<StoreMemory>,
-        volumes: Vec<VolumeMemory>,
+    Snapshot {
+        stores: Vec<StoreSnapshot>,
+        volumes: Vec<VolumeSnapshot>,
     },
-    Subscribe,
-    FetchList,
-    Probe {
+    WatchEndpoints,
+    FetchEndpoints,
+    CheckHealth {
         store: StoreId,
     },
     Log(String),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,5 +2,5 @@
 //!
 //! [`scheduler`] decides; [`interface`] holds the events it is told, the actions it asks for and their plain types.
 
-pub mod scheduler;
 pub mod interface;
+pub mod scheduler;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,5 +1,5 @@
 //! Every decision of a gateway: which held op goes to which store, when, and which is turned away.
-//! [`Gateway::handle`] takes what happened at one moment, a `Start` first, and returns what is to be done.
+//! [`Scheduler::handle`] takes what happened at one moment, a `Start` first, and returns what is to be done.
 //!
 //! The ordinary path is Argon's: at each store one volume at a time holds a turn of a count and a quantum,
 //! the next goes to the smallest tag, a cap bounds the units out. Departures are explained in docs/design.md.
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use crate::interface::{
-    Action, Answer, Event, ListNews, Listing, Op, OpId, Outcome, Settings, StoreId, StoreMemory, StoreState,
-    VolumeId, VolumeMemory,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Settings, StoreId,
+    StoreSnapshot, StoreState, VolumeId, VolumeSnapshot,
 };
 
 /// The quantum, against the shortest target latency sent to the store.
@@ -133,7 +133,7 @@
 
 #[derive(Default)]
 struct Store {
-    listing: Listing,
+    listing: Endpoint,
     /// Units sent, with their times, within the last span of the rule on cold stores.
     spent: Vec<(Duration, f64)>,
     out: BTreeMap<(OpId, u32), (Duration, f64)>,
@@ -238,16 +238,16 @@
 }
 
 #[derive(Default)]
-pub struct Gateway {
-    running: Option<Running>,
+pub struct Scheduler {
+    running: Option<State>,
 }
 
-impl Gateway {
+impl Scheduler {
     /// Takes what happened at `now` and returns what is to be done.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         for event in events {
             if let Event::Start { seed, settings } = event {
-                match Running::start(now, seed, &settings) {
+                match State::start(now, seed, &settings) {
                     Ok(running) => self.running = Some(running),
                     Err(name) => return vec![Action::Fatal(format!("{name} is missing or unreadable"))],
                 }
@@ -267,7 +267,7 @@
 }
 
 #[derive(Default)]
-struct Running {
+struct State {
     now: Duration,
     started: Duration,
     seed: u64,
@@ -393,11 +393,11 @@
     Ok((op_types, plans, rules))
 }
 
-impl Running {
-    fn start(now: Duration, seed: u64, s: &Settings) -> Result<Running, String> {
+impl State {
+    fn start(now: Duration, seed: u64, s: &Settings) -> Result<State, String> {
         let (op_types, plans, rules) = figures(s)?;
         let shortest = op_types.iter().map(|t| t.target).min().ok_or("op_types.count")?;
-        let mut running = Running {
+        let mut running = State {
             now,
             started: now,
             seed,
@@ -408,7 +408,7 @@
             shortest,
             subscribe_at: s.get("discovery").is_some_and(|word| word == "asked").then_some(now),
             rules,
-            ..Running::default()
+            ..State::default()
         };
         running.sweep();
         Ok(running)
@@ -436,42 +436,45 @@
         if now > self.now {
             (self.stalled, self.now) = (now > self.sweep_at + self.shortest.mul_f64(SWEEP), now);
         }
-        if matches!(event, Event::Changed { .. } | Event::Remember { .. } | Event::Recalled { .. }) {
+        if matches!(event, Event::SettingsChanged { .. } | Event::TakeSnapshot { .. } | Event::Restore { .. })
+        {
             self.stores.values_mut().for_each(|store| store.catch_up(self.swept, &self.rules));
         }
         match event {
-            Event::List(news) => self.listed(news),
-            Event::Arrived(op) => self.arrived(op),
-            Event::StreamBegan { op } => _ = self.ops.get_mut(&op).map(|taken| taken.end_at = Duration::MAX),
-            Event::Answered(answer) => self.answered(&answer),
-            Event::ClientLeft { op } => self.part(op),
-            Event::Placed { op, shard } => _ = self.ops.get_mut(&op).map(|t| t.op.shard = Some(shard)),
-            Event::Changed { settings } => self.changed(settings),
-            Event::Moved { volume, plan, gateways } => self.moved(volume, plan, gateways),
-            Event::Ends { at } => {
+            Event::EndpointList(news) => self.listed(news),
+            Event::OpArrived(op) => self.arrived(op),
+            Event::StreamStarted { op } => {
+                _ = self.ops.get_mut(&op).map(|taken| taken.end_at = Duration::MAX)
+            }
+            Event::AttemptFinished(answer) => self.answered(&answer),
+            Event::ClientDisconnected { op } => self.part(op),
+            Event::OpPlaced { op, shard } => _ = self.ops.get_mut(&op).map(|t| t.op.shard = Some(shard)),
+            Event::SettingsChanged { settings } => self.changed(settings),
+            Event::VolumeMoved { volume, plan, gateways } => self.moved(volume, plan, gateways),
+            Event::ShuttingDown { at } => {
                 // Danger: what is open when the gateway ends is lost, however long its client would wait.
                 self.ops.values_mut().for_each(|taken| taken.end_at = taken.end_at.min(at));
                 self.ends = Some(at);
             }
-            Event::Remember { promised } => self.remember(promised),
-            Event::Recalled { age, promised, stores, volumes } => {
+            Event::TakeSnapshot { promise_duration: promised } => self.remember(promised),
+            Event::Restore { age, promise_duration: promised, stores, volumes } => {
                 self.recall(age, promised, (stores, volumes))
             }
             Event::Timer { .. } if now >= self.sweep_at => self.sweep(),
-            Event::Timer { .. } | Event::Probed { .. } | Event::Start { .. } => {}
+            Event::Timer { .. } | Event::HealthChecked { .. } | Event::Start { .. } => {}
         }
     }
 
-    fn listed(&mut self, news: ListNews) {
+    fn listed(&mut self, news: EndpointListUpdate) {
         let (whole, listings) = match news {
-            ListNews::Failed => {
+            EndpointListUpdate::Failed => {
                 // Ask again, later each time and not in step with others: the list serves few calls at once.
                 self.list_failures += 1;
                 let wait = self.setting_span("rules.ask_within") / 2u32.pow(5 - self.list_failures.min(4));
                 return self.subscribe_at = Some(self.now + wait.mul_f64(1.0 + self.chance()));
             }
-            ListNews::Changes(listings) => (false, listings),
-            ListNews::Full(listings) | ListNews::Cached(listings) => (true, listings),
+            EndpointListUpdate::Changes(listings) => (false, listings),
+            EndpointListUpdate::Whole(listings) | EndpointListUpdate::Cached(listings) => (true, listings),
         };
         self.list_failures = 0;
         if whole {
@@ -492,10 +495,10 @@
         store
     }
 
-    fn listed_one(&mut self, listing: Listing) {
+    fn listed_one(&mut self, listing: Endpoint) {
         let known = self.stores.get(&listing.store);
-        let news = known.is_none_or(|known| known.listing.started != listing.started || !known.ready());
-        let back = news && listing.state == StoreState::Ready && listing.started.is_some();
+        let news = known.is_none_or(|known| known.listing.started_at != listing.started_at || !known.ready());
+        let back = news && listing.state == StoreState::Ready && listing.started_at.is_some();
         let drains = known.is_some_and(Store::ready) && listing.state == StoreState::Draining;
         let cold = self.warmth(&listing).map_or(SWEEP, |warmth| (1.0 - warmth).max(SWEEP));
         let open_at = self.now + self.setting_span("rules.fall_time").mul_f64(cold * self.chance());
@@ -517,28 +520,44 @@
         let until = self.now + promised.mul_f64(LONGER);
         let known = |(id, store): (&StoreId, &Store)| {
             let tags = store.volumes.iter().map(|(volume, share)| (*volume, share.tag)).collect();
-            StoreMemory { store: *id, latency: store.latency, cap: store.cap, tags }
+            StoreSnapshot {
+                store: *id,
+                latency: store.latency,
+                concurrency_limit: store.cap,
+                virtual_times: tags,
+            }
         };
         let stores = self.stores.iter().filter(|(_, store)| store.ready()).map(known).collect();
         let mut volumes = Vec::new();
         for (id, volume) in &mut self.volumes {
             let floor = volume.allowance.max(0.0) * KEPT;
             volume.floors = [volume.floors[1], (floor, until)];
-            volumes.push(VolumeMemory { volume: *id, rate: volume.rate, told: volume.told, floor });
+            volumes.push(VolumeSnapshot {
+                volume: *id,
+                rate: volume.rate,
+                reported_rate: volume.told,
+                reserved_tokens: floor,
+            });
         }
-        self.actions.push(Action::Known { stores, volumes });
+        self.actions.push(Action::Snapshot { stores, volumes });
     }
 
     /// Believes an earlier run the less the older it is. Rule 7: of a limit only what it promised to keep.
-    fn recall(&mut self, age: Option<Duration>, kept: Duration, of: (Vec<StoreMemory>, Vec<VolumeMemory>)) {
+    fn recall(
+        &mut self,
+        age: Option<Duration>,
+        kept: Duration,
+        of: (Vec<StoreSnapshot>, Vec<VolumeSnapshot>),
+    ) {
         let Some(age) = age else { return };
         let (trust, past) = ((-age.as_secs_f64() / IDLE.as_secs_f64()).exp(), age.as_secs_f64());
         let (mean, now, shortest) = (self.mean_units, self.now, self.shortest.as_secs_f64());
         for memory in of.0 {
             let Some(store) = self.stores.get_mut(&memory.store) else { continue };
             store.latency += trust * (memory.latency - store.latency);
-            store.cap += trust * (memory.cap.clamp(mean * LEAST_CAP, mean * MOST_CAP) - store.cap);
-            for (volume, tag) in memory.tags {
+            store.cap +=
+                trust * (memory.concurrency_limit.clamp(mean * LEAST_CAP, mean * MOST_CAP) - store.cap);
+            for (volume, tag) in memory.virtual_times {
                 let share = || Share { latency: shortest * SEED, seen: now, ..Share::default() };
                 store.volumes.entry(volume).or_insert_with(share).tag += trust * tag;
                 self.volumes.entry(volume).or_default();
@@ -546,8 +565,8 @@
         }
         for memory in of.1 {
             let volume = self.volumes.entry(memory.volume).or_default();
-            (volume.rate, volume.told) = (memory.rate * (-past).exp(), memory.told * (-past).exp());
-            volume.allowance += if age <= kept { memory.floor } else { 0.0 };
+            (volume.rate, volume.told) = (memory.rate * (-past).exp(), memory.reported_rate * (-past).exp());
+            volume.allowance += if age <= kept { memory.reserved_tokens } else { 0.0 };
             volume.at = now;
         }
     }
@@ -600,18 +619,18 @@
         // The final answer must be in before the client's own time is up; a sweep may come this much late.
         let margin = self.shortest.mul_f64(SWEEP) + 3 * self.setting_span("tick");
         let (Some(op_type), Some(_)) = (self.op_types.get_mut(op.op_type), self.plans.get(op.plan)) else {
-            return self.actions.push(Action::Abort { op: op.id });
+            return self.actions.push(Action::Fail { op: op.id });
         };
         self.taken.push_back(self.now);
         self.least_units = self.least_units.min(op.units);
         // Earlier tries show against the longest left. Danger: kept, one patient client made all others late.
         let old = op_type.longest_left;
-        let renews = op.left >= old.0 || old.1 + IDLE < self.now;
-        op_type.longest_left = if renews { (op.left, self.now) } else { old };
-        let waited = op_type.longest_left.0.min(op_type.op_timeout).saturating_sub(op.left);
+        let renews = op.time_left >= old.0 || old.1 + IDLE < self.now;
+        op_type.longest_left = if renews { (op.time_left, self.now) } else { old };
+        let waited = op_type.longest_left.0.min(op_type.op_timeout).saturating_sub(op.time_left);
         let taken = Taken {
             target_at: self.now + op_type.target.saturating_sub(waited),
-            end_at: (self.now + op.left.saturating_sub(margin)).min(self.ends.unwrap_or(Duration::MAX)),
+            end_at: (self.now + op.time_left.saturating_sub(margin)).min(self.ends.unwrap_or(Duration::MAX)),
             held_at: None,
             dispatches: Vec::new(),
             ended: false,
@@ -666,7 +685,7 @@
         let shard = taken.op.shard;
         let of_shard = shard.map(|shard| (shard, StoreId(0))..=(shard, StoreId(u32::MAX)));
         let of_volume = |store: &Store| hashed((taken.op.volume_name, store.listing.shard));
-        let rank = |s: &Store| shard.map_or((None, of_volume(s)), |_| (s.listing.started, 0));
+        let rank = |s: &Store| shard.map_or((None, of_volume(s)), |_| (s.listing.started_at, 0));
         let rounds = |store: &Store| {
             if store.doubt.is_some() || self.warmth(&store.listing).is_some() {
                 return u64::MAX;
@@ -679,7 +698,7 @@
         let stores = || ids().map(|(_, id)| (id, &self.stores[id])).chain(all());
         let ready = stores().filter(|(id, store)| store.ready() && self.may_resend(taken, **id));
         let best = ready.min_by_key(|(_, store)| (rounds(store), rank(store)));
-        let newest = || stores().max_by_key(|(_, store)| store.listing.started);
+        let newest = || stores().max_by_key(|(_, store)| store.listing.started_at);
         best.or_else(|| newest().filter(|_| shard.is_some())).map(|(id, _)| *id)
     }
 
@@ -721,8 +740,8 @@
     }
 
     /// The least part of its full work that a store can carry at its age; absent: it is warm.
-    fn warmth(&self, listing: &Listing) -> Option<f64> {
-        let age = self.now.saturating_sub(listing.started?).as_secs_f64();
+    fn warmth(&self, listing: &Endpoint) -> Option<f64> {
+        let age = self.now.saturating_sub(listing.started_at?).as_secs_f64();
         let (from, whole) = (self.setting("rules.cold_from", 1.0), self.setting("rules.cold_time", 0.0));
         (age < whole).then(|| from + (1.0 - from) * age / whole)
     }
@@ -859,17 +878,17 @@
         (share.seen, share.paced_to) = (self.now, self.now + pace.unwrap_or_default());
         (share.out, share.tag) = (share.out + 1, share.tag + op.units / self.plans[op.plan].weight);
         _ = store.turn.as_mut().map(|turn| turn.count -= 1.0);
-        self.actions.push(Action::Dispatch { op: id, store: to, timeout });
+        self.actions.push(Action::StartAttempt { op: id, store: to, timeout });
     }
 
-    fn answered(&mut self, answer: &Answer) {
+    fn answered(&mut self, answer: &AttemptResult) {
         let (now, mean, shortest) = (self.now, self.mean_units, self.shortest);
         let pause = self.setting_span("rules.order_pause");
         let Some(taken) = self.ops.get_mut(&answer.op) else { return };
-        let dispatch = taken.dispatches.get_mut(answer.dispatch as usize);
+        let dispatch = taken.dispatches.get_mut(answer.attempt as usize);
         let Some(dispatch) = dispatch.filter(|d| d.fate == Fate::Out) else { return };
         dispatch.fate = match answer.outcome {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => Fate::NeverRan,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => Fate::NeverRan,
             _ => Fate::MayHaveRan,
         };
         let (place, at) = (dispatch.store, dispatch.at);
@@ -880,16 +899,17 @@
         let line = key.filter(|_| unsure).and_then(|key| self.lines.get_mut(&key));
         _ = line.map(|line| line.rest_until = now + pause);
         if let Some(known) = self.volumes.get_mut(&volume) {
-            known.rate += answer.elsewhere;
-            known.told = answer.used.map_or(known.told, |used| known.told.max(used * self.plans[plan].rate));
+            known.rate += answer.units_elsewhere;
+            known.told =
+                answer.plan_rate_used.map_or(known.told, |used| known.told.max(used * self.plans[plan].rate));
         }
         if let Some(store) = self.stores.get_mut(&place) {
-            store.out.remove(&(answer.op, answer.dispatch));
+            store.out.remove(&(answer.op, answer.attempt));
             store.count_out(now);
             if let Some(share) = store.volumes.get_mut(&volume) {
                 (share.out, share.seen) = (share.out.saturating_sub(1), now);
-                share.tag += answer.elsewhere / self.plans[plan].weight;
-                if answer.outcome == Outcome::Acked && !self.stalled {
+                share.tag += answer.units_elsewhere / self.plans[plan].weight;
+                if answer.outcome == Outcome::Succeeded && !self.stalled {
                     share.latency += SMOOTHING * (latency - share.latency);
                 }
             }
@@ -898,14 +918,14 @@
             let gap = at.saturating_sub(store.overtaken_to).as_secs_f64() / shortest.as_secs_f64();
             let smoothing = SMOOTHING * gap.clamp(1.0, 2.0);
             match answer.outcome {
-                Outcome::Acked | Outcome::Error => {
+                Outcome::Succeeded | Outcome::Failed => {
                     store.doubt = None;
                     store.overtaken_to = store.overtaken_to.max(at);
                 }
-                Outcome::Moot | Outcome::Cancelled | Outcome::Unknown => {}
+                Outcome::NotSent | Outcome::Cancelled | Outcome::Unknown => {}
                 _ => store.doubt = store.doubt.or(Some(now + shortest.mul_f64(SILENCE.0))),
             }
-            if answer.outcome == Outcome::Acked && !self.stalled {
+            if answer.outcome == Outcome::Succeeded && !self.stalled {
                 store.latency += smoothing * (latency - store.latency);
                 let (goal, full) = (store.goal(), store.units_out + 2.0 * mean > store.cap);
                 let step = if full { mean * self.plans[plan].weight } else { 0.0 };
@@ -917,12 +937,12 @@
                 }
             }
             let late = store.latency > LATE * shortest.as_secs_f64();
-            if answer.outcome == Outcome::Full || late && store.overtaken_to <= at && !self.stalled {
+            if answer.outcome == Outcome::Rejected || late && store.overtaken_to <= at && !self.stalled {
                 store.cap = (store.cap / 2.0).max(mean * LEAST_CAP);
             }
         }
         let taken = &self.ops[&answer.op];
-        if answer.ended || taken.ended {
+        if answer.op_ended || taken.ended {
             return self.part(answer.op);
         }
         let again = answer.outcome != Outcome::TimedOut && self.dispatches_left(taken) && now < taken.end_at;
@@ -948,16 +968,16 @@
         let never_ran = taken.dispatches.iter().all(|d| d.fate == Fate::NeverRan);
         let throttled = never_ran || matches!(op_type.repeats, Repeats::Replayable | Repeats::Deduplicated);
         let retry_after = op_type.target.min(self.setting_span("limits.max_retry_after"));
-        let throttle = Action::Throttle { op: id, retry_after };
-        self.actions.push(if throttled { throttle } else { Action::Abort { op: id } });
+        let throttle = Action::Reject { op: id, retry_after };
+        self.actions.push(if throttled { throttle } else { Action::Fail { op: id } });
         self.part(id);
     }
 
     fn sweep(&mut self) {
         let now = self.now;
         self.sweep_at = now + self.shortest.mul_f64(SWEEP);
-        self.actions.push(Action::Timer { token: 0, at: self.sweep_at });
-        self.actions.extend(self.subscribe_at.take_if(|at| now >= *at).map(|_| Action::Subscribe));
+        self.actions.push(Action::SetTimer { token: 0, at: self.sweep_at });
+        self.actions.extend(self.subscribe_at.take_if(|at| now >= *at).map(|_| Action::WatchEndpoints));
         let due = |taken: &Taken| !taken.ended && now >= taken.end_at;
         let over: Vec<OpId> = self.ops.iter().filter(|(_, t)| due(t)).map(|(id, _)| *id).collect();
         over.into_iter().for_each(|id| self.settle(id));
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 
 const START: Duration = Duration::from_secs(1000);
 const STORES: u32 = 4000;
@@ -17,8 +17,8 @@
     pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
-fn listing(id: u32, state: StoreState) -> Listing {
-    Listing { store: StoreId(id), shard: id, zone: 0, started: None, state }
+fn listing(id: u32, state: StoreState) -> Endpoint {
+    Endpoint { store: StoreId(id), shard: id, zone: 0, started_at: None, state }
 }
 
 fn op(id: u32, shard: u32) -> Op {
@@ -29,7 +29,7 @@
         volume_name: shard.into(),
         key: None,
         shard: Some(shard),
-        left: Duration::from_secs(1),
+        time_left: Duration::from_secs(1),
         plan: 0,
         op_type: 0,
         gateways: 1.0,
@@ -38,7 +38,7 @@
 
 /// One gateway with warm stores listed, a shard each, and two sweeps made since.
 struct Idle {
-    gateway: Gateway,
+    gateway: Scheduler,
     now: Duration,
     sweep_at: Duration,
 }
@@ -46,8 +46,11 @@
 impl Idle {
     fn new() -> Idle {
         let list = (0..STORES).map(|id| listing(id, StoreState::Ready)).collect();
-        let mut idle = Idle { gateway: Gateway::default(), now: START, sweep_at: START };
-        idle.tell(vec![Event::Start { seed: 1, settings: settings() }, Event::List(ListNews::Full(list))]);
+        let mut idle = Idle { gateway: Scheduler::default(), now: START, sweep_at: START };
+        idle.tell(vec![
+            Event::Start { seed: 1, settings: settings() },
+            Event::EndpointList(EndpointListUpdate::Whole(list)),
+        ]);
         idle.sweep(2);
         idle
     }
@@ -57,8 +60,8 @@
         let mut sent = Vec::new();
         for action in self.gateway.handle(self.now, events) {
             match action {
-                Action::Timer { at, .. } => self.sweep_at = at,
-                Action::Dispatch { store, .. } => sent.push(store),
+                Action::SetTimer { at, .. } => self.sweep_at = at,
+                Action::StartAttempt { store, .. } => sent.push(store),
                 _ => {}
             }
         }
@@ -74,10 +77,19 @@
 
     fn acked(&mut self, op: u32, store: u32) {
         let (op, store, report) = (OpId(op), StoreId(store), Report::new());
-        let (outcome, latency, ended) = (Outcome::Acked, ANSWER, true);
-        let answer =
-            Answer { op, dispatch: 0, store, outcome, latency, ended, used: None, elsewhere: 0.0, report };
-        self.tell(vec![Event::Answered(answer)]);
+        let (outcome, latency, ended) = (Outcome::Succeeded, ANSWER, true);
+        let answer = AttemptResult {
+            op,
+            attempt: 0,
+            store,
+            outcome,
+            latency,
+            op_ended: ended,
+            plan_rate_used: None,
+            units_elsewhere: 0.0,
+            report,
+        };
+        self.tell(vec![Event::AttemptFinished(answer)]);
     }
 }
 
@@ -87,7 +99,7 @@
     assert_eq!(idle.gateway.at_work(), 0);
     idle.sweep(100);
     assert_eq!(idle.gateway.at_work(), 0);
-    idle.tell(vec![Event::List(ListNews::Changes(vec![listing(7, StoreState::Draining)]))]);
+    idle.tell(vec![Event::EndpointList(EndpointListUpdate::Changes(vec![listing(7, StoreState::Draining)]))]);
     assert_eq!(idle.gateway.at_work(), 1, "what is told of one store costs one");
 }
 
@@ -95,7 +107,7 @@
 fn stores_with_ops_are_looked_at_until_they_have_none() {
     let mut idle = Idle::new();
     for id in 0..30 {
-        assert_eq!(idle.tell(vec![Event::Arrived(op(id, id * 100))]), [StoreId(id * 100)]);
+        assert_eq!(idle.tell(vec![Event::OpArrived(op(id, id * 100))]), [StoreId(id * 100)]);
     }
     idle.sweep(1);
     assert_eq!(idle.gateway.at_work(), 30, "all are out");
@@ -111,16 +123,18 @@
 #[test]
 fn a_store_that_is_gone_is_looked_at_until_it_is_dropped() {
     let mut idle = Idle::new();
-    idle.tell(vec![Event::Arrived(op(1, 5))]);
+    idle.tell(vec![Event::OpArrived(op(1, 5))]);
     idle.acked(1, 5);
-    idle.tell(vec![Event::List(ListNews::Changes(vec![listing(5, StoreState::Gone)]))]);
+    idle.tell(vec![Event::EndpointList(EndpointListUpdate::Changes(vec![listing(5, StoreState::Gone)]))]);
     let gone = idle.now;
     while idle.gateway.at_work() > 0 {
         assert!(idle.now < gone + Duration::from_millis(2100));
         idle.sweep(1);
     }
     assert!(idle.now > gone + Duration::from_secs(2));
-    idle.tell(vec![Event::List(ListNews::Full((0..100).map(|id| listing(id, StoreState::Ready)).collect()))]);
+    idle.tell(vec![Event::EndpointList(EndpointListUpdate::Whole(
+        (0..100).map(|id| listing(id, StoreState::Ready)).collect(),
+    ))]);
     assert_eq!(idle.gateway.at_work(), STORES as usize, "a whole list: those it names, those it leaves out");
     idle.sweep(2);
     assert_eq!(idle.gateway.at_work(), 0);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 
 /// The clock at which the store starts, and how long before that the day begins.
 const START: f64 = 1000.0;
@@ -134,7 +134,7 @@
 /// One life of a gateway.
 #[derive(Default)]
 struct Life {
-    gateway: Gateway,
+    gateway: Scheduler,
     number: u64,
     told_at: Duration,
 }
@@ -205,20 +205,23 @@
     }
 
     fn start(&mut self, side: usize) {
-        self.lives[side].gateway = Gateway::default();
+        self.lives[side].gateway = Scheduler::default();
         let seed = self.day.seed << 32 | self.lives[side].number << 16 | side as u64;
-        let list = ListNews::Cached(vec![self.listing(side)]);
-        self.tell(side, vec![Event::Start { seed, settings: self.day.settings() }, Event::List(list)]);
+        let list = EndpointListUpdate::Cached(vec![self.listing(side)]);
+        self.tell(
+            side,
+            vec![Event::Start { seed, settings: self.day.settings() }, Event::EndpointList(list)],
+        );
         if self.day.restarts > 0.0 {
             let wait = self.chance.wait(self.day.restarts);
             self.later(wait, side, Due::Restart);
         }
     }
 
-    fn listing(&self, side: usize) -> Listing {
+    fn listing(&self, side: usize) -> Endpoint {
         let told = self.now >= self.lives[side].told_at;
         let state = if told { StoreState::Ready } else { StoreState::Gone };
-        Listing { store: StoreId(0), shard: 0, zone: 0, started: told.then(|| secs(START)), state }
+        Endpoint { store: StoreId(0), shard: 0, zone: 0, started_at: told.then(|| secs(START)), state }
     }
 
     fn later(&mut self, wait: f64, side: usize, due: Due) {
@@ -234,7 +237,8 @@
 
     fn happens(&mut self, side: usize, due: Due) {
         match due {
-            Due::Told => self.tell(side, vec![Event::List(ListNews::Full(vec![self.listing(side)]))]),
+            Due::Told => self
+                .tell(side, vec![Event::EndpointList(EndpointListUpdate::Whole(vec![self.listing(side)]))]),
             Due::Restart => {
                 self.lives[side].number += 1;
                 self.start(side);
@@ -243,14 +247,24 @@
             Due::Arrival { volume } => {
                 self.next_arrival(side, volume);
                 let op = self.op(volume);
-                self.tell(side, vec![Event::Arrived(op)]);
+                self.tell(side, vec![Event::OpArrived(op)]);
             }
             Due::Answer { op, sent } => {
                 let (op, store, latency) = (OpId(op), StoreId(0), self.now - sent);
-                let (outcome, report) = (Outcome::Acked, vec![]);
+                let (outcome, report) = (Outcome::Succeeded, vec![]);
                 let (dispatch, ended, used, elsewhere) = (0, true, None, 0.0);
-                let answer = Answer { op, dispatch, store, outcome, latency, ended, used, elsewhere, report };
-                self.tell(side, vec![Event::Answered(answer)]);
+                let answer = AttemptResult {
+                    op,
+                    attempt: dispatch,
+                    store,
+                    outcome,
+                    latency,
+                    op_ended: ended,
+                    plan_rate_used: used,
+                    units_elsewhere: elsewhere,
+                    report,
+                };
+                self.tell(side, vec![Event::AttemptFinished(answer)]);
             }
         }
     }
@@ -266,7 +280,7 @@
             volume_name: volume as u64,
             key: None,
             shard: Some(0),
-            left: secs(1.5),
+            time_left: secs(1.5),
             plan: self.volumes[volume].plan,
             op_type: 0,
             gateways: self.volumes[volume].gateways.len() as f64,
@@ -276,11 +290,11 @@
     fn tell(&mut self, side: usize, events: Vec<Event>) {
         for action in self.lives[side].gateway.handle(self.now, events) {
             match action {
-                Action::Timer { token, at } => {
+                Action::SetTimer { token, at } => {
                     let number = self.lives[side].number;
                     self.due.push(Reverse((at, side, number, Due::Timer { token })));
                 }
-                Action::Dispatch { op, .. } => self.sent(side, op.0),
+                Action::StartAttempt { op, .. } => self.sent(side, op.0),
                 _ => {}
             }
         }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen};
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 
 const STEP: Duration = ms(2);
 const STORES: u32 = 2;
@@ -119,7 +119,7 @@
 }
 
 struct Day {
-    gateway: Gateway,
+    gateway: Scheduler,
     now: Duration,
     timers: Vec<(Duration, u64)>,
     out: Vec<Out>,
@@ -135,7 +135,7 @@
 impl Day {
     fn new() -> Day {
         let mut day = Day {
-            gateway: Gateway::default(),
+            gateway: Scheduler::default(),
             now: Duration::from_secs(1000),
             timers: vec![],
             out: vec![],
@@ -148,22 +148,22 @@
         };
         let list = (0..STORES).map(|i| Day::listing(i, None, StoreState::Ready)).collect();
         let start = Event::Start { seed: 1, settings: settings() };
-        day.tell(Cause::None, vec![start, Event::List(ListNews::Full(list))]);
+        day.tell(Cause::None, vec![start, Event::EndpointList(EndpointListUpdate::Whole(list))]);
         day
     }
 
-    fn listing(store: u32, started: Option<Duration>, state: StoreState) -> Listing {
-        Listing { store: StoreId(store), shard: store, zone: 0, started, state }
+    fn listing(store: u32, started: Option<Duration>, state: StoreState) -> Endpoint {
+        Endpoint { store: StoreId(store), shard: store, zone: 0, started_at: started, state }
     }
 
     fn tell(&mut self, cause: Cause, events: Vec<Event>) {
         for action in self.gateway.handle(self.now, events) {
             match action {
-                Action::Timer { token, at } => self.timers.push((at, token)),
-                Action::Throttle { op, .. } | Action::Abort { op } => {
+                Action::SetTimer { token, at } => self.timers.push((at, token)),
+                Action::Reject { op, .. } | Action::Fail { op } => {
                     self.free.extend(self.open.remove(&op).map(|(client, ..)| client));
                 }
-                Action::Dispatch { op, store, timeout } => self.sent(cause, op, store, timeout),
+                Action::StartAttempt { op, store, timeout } => self.sent(cause, op, store, timeout),
                 Action::Fatal(text) => panic!("{text}"),
                 _ => {}
             }
@@ -183,11 +183,11 @@
         let due = match cause {
             Cause::Silent => None,
             Cause::Loses(one_in) if self.lost.is_multiple_of(one_in) => None,
-            Cause::Errors => Some((soon, Outcome::Error)),
-            Cause::Full => Some((soon, Outcome::Full)),
+            Cause::Errors => Some((soon, Outcome::Failed)),
+            Cause::Full => Some((soon, Outcome::Rejected)),
             Cause::Refused => Some((soon, Outcome::ConnectFailed)),
             Cause::Reset => Some((soon, Outcome::Reset)),
-            _ => Some((*free + ms(1), Outcome::Acked)),
+            _ => Some((*free + ms(1), Outcome::Succeeded)),
         };
         self.out.push(Out { op, dispatch, store, sent: self.now, ends: self.now + timeout, due });
     }
@@ -204,13 +204,13 @@
             volume_name: volume.into(),
             key: None,
             shard: Some(client % STORES),
-            left: if patient { 20 * TIMEOUT } else { TIMEOUT },
+            time_left: if patient { 20 * TIMEOUT } else { TIMEOUT },
             plan: spell.plan,
             op_type: spell.op_type.unwrap_or(id.0 as usize % TYPES),
             gateways: 1.0,
         };
         self.open.insert(id, (client, spell.units, 0));
-        self.tell(spell.cause, vec![Event::Arrived(op)]);
+        self.tell(spell.cause, vec![Event::OpArrived(op)]);
         id
     }
 
@@ -223,8 +223,8 @@
         for out in done {
             let due = out.due.filter(|(due, _)| *due <= out.ends.min(now));
             let outcome = due.map_or(Outcome::TimedOut, |(_, outcome)| outcome);
-            let ended = outcome == Outcome::Acked || !self.open.contains_key(&out.op);
-            if outcome == Outcome::Acked
+            let ended = outcome == Outcome::Succeeded || !self.open.contains_key(&out.op);
+            if outcome == Outcome::Succeeded
                 && let Some((client, ..)) = self.open.remove(&out.op)
             {
                 self.free.push_back(client);
@@ -233,9 +233,18 @@
             let elsewhere = if matches!(cause, Cause::Elsewhere) { 5000.0 } else { 0.0 };
             let (op, dispatch, store, latency) = (out.op, out.dispatch, out.store, now - out.sent);
             let used = (elsewhere > 0.0).then_some(40.0);
-            let answer =
-                Answer { op, dispatch, store, outcome, latency, ended, used, elsewhere, report: vec![] };
-            self.tell(cause, vec![Event::Answered(answer)]);
+            let answer = AttemptResult {
+                op,
+                attempt: dispatch,
+                store,
+                outcome,
+                latency,
+                op_ended: ended,
+                plan_rate_used: used,
+                units_elsewhere: elsewhere,
+                report: vec![],
+            };
+            self.tell(cause, vec![Event::AttemptFinished(answer)]);
         }
         let late = if matches!(cause, Cause::Stalls) { ms(60) } else { ms(0) };
         let (due, later) = self.timers.drain(..).partition(|(at, _)| *at + late <= now);
@@ -249,7 +258,7 @@
         let until = self.now + spell.length;
         if matches!(spell.cause, Cause::Restart) {
             let gone = vec![Day::listing(0, None, StoreState::Draining)];
-            self.tell(spell.cause, vec![Event::List(ListNews::Changes(gone))]);
+            self.tell(spell.cause, vec![Event::EndpointList(EndpointListUpdate::Changes(gone))]);
         }
         self.free = (0..spell.clients).collect();
         while self.now < until {
@@ -266,7 +275,7 @@
         self.free_at.clear();
         if matches!(spell.cause, Cause::Restart) {
             let back = vec![Day::listing(0, Some(self.now), StoreState::Ready)];
-            self.tell(spell.cause, vec![Event::List(ListNews::Changes(back))]);
+            self.tell(spell.cause, vec![Event::EndpointList(EndpointListUpdate::Changes(back))]);
         }
     }
 
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use quickcheck::{Gen, QuickCheck};
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 use world::{World, listing, ms, op, settings};
 
 const START: u64 = 1_000_000;
@@ -19,19 +19,19 @@
 
 /// Plays a day drawn by the bytes; the world panics where an action breaks a rule.
 fn day(steps: &[u16]) -> World {
-    let mut list: Vec<Listing> = (0..3).map(|i| listing(i, i, None, StoreState::Ready)).collect();
+    let mut list: Vec<Endpoint> = (0..3).map(|i| listing(i, i, None, StoreState::Ready)).collect();
     let mut world = World::new(at(0), list.clone());
     let outcomes = [
-        Outcome::Acked,
-        Outcome::Acked,
-        Outcome::Acked,
-        Outcome::Error,
-        Outcome::Full,
+        Outcome::Succeeded,
+        Outcome::Succeeded,
+        Outcome::Succeeded,
+        Outcome::Failed,
+        Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::ConnectFailed,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::NotSent,
         Outcome::Unknown,
     ];
     for (i, step) in steps.iter().enumerate() {
@@ -45,7 +45,7 @@
                 op.units = (1 + bits / 2048 % 6) as f64;
                 op.shard = (bits / 8192 > 1).then_some(which as u32);
                 op.key = Some(1 + (bits / 4096 % 2) as u64);
-                op.left = ms([1000, 400, 30, 1000][bits / 16384]);
+                op.time_left = ms([1000, 400, 30, 1000][bits / 16384]);
                 world.arrive(side, op);
             }
             7..13 => {
@@ -57,8 +57,8 @@
             13 => {
                 let state = [StoreState::Draining, StoreState::Gone, StoreState::Ready, StoreState::Ready]
                     [bits / 128 % 4];
-                list[which].started =
-                    if state == StoreState::Ready { Some(world.now) } else { list[which].started };
+                list[which].started_at =
+                    if state == StoreState::Ready { Some(world.now) } else { list[which].started_at };
                 list[which].state = state;
                 world.relist(list.clone());
             }
@@ -69,8 +69,13 @@
                 world.pass(world::PROMISED / 2);
                 world.remember(side);
             }
-            14 => world
-                .tell(side, vec![Event::List(ListNews::Failed), Event::ClientLeft { op: OpId(u32::MAX) }]),
+            14 => world.tell(
+                side,
+                vec![
+                    Event::EndpointList(EndpointListUpdate::Failed),
+                    Event::ClientDisconnected { op: OpId(u32::MAX) },
+                ],
+            ),
             // Each side learns of another limit at its own time; one may never.
             _ if bits / 128 % 4 == 0 => {
                 let (limit, burst) = [(20.0, 24.0), (5.0, 6.0), (40.0, 40.0), (0.0, 0.0)][bits / 512 % 4];
@@ -100,14 +105,14 @@
 fn a_missing_setting_is_named() {
     let mut lacking = settings();
     lacking.remove("rules.fall_time");
-    let actions = Gateway::default().handle(at(0), vec![Event::Start { seed: 1, settings: lacking }]);
+    let actions = Scheduler::default().handle(at(0), vec![Event::Start { seed: 1, settings: lacking }]);
     assert!(matches!(&actions[..], [Action::Fatal(text)] if text.contains("rules.fall_time")));
 }
 
 #[test]
 fn an_op_with_no_time_left_is_answered_on_arrival() {
     let mut world = one_store();
-    world.arrive(0, Op { left: ms(5), ..op(1, 1, 0) });
+    world.arrive(0, Op { time_left: ms(5), ..op(1, 1, 0) });
     assert!(world.sides[0].ops[&OpId(1)].ended);
 }
 
@@ -135,7 +140,7 @@
         world.pass(ms(50));
         for side in 0..350 {
             let out = world.out(side);
-            out.into_iter().for_each(|(id, n, _)| world.answer(side, id, n, Outcome::Acked));
+            out.into_iter().for_each(|(id, n, _)| world.answer(side, id, n, Outcome::Succeeded));
         }
     }
     let sent = |store| (0..350).map(|side| world.sent_to(side, store).len()).sum::<usize>();
@@ -152,14 +157,14 @@
         patient.insert(format!("op_types.{i}.op_timeout"), "40".into());
     }
     let mut world = World::with(at(0), vec![listing(0, 0, None, StoreState::Ready)], patient);
-    (0..30).for_each(|id| world.arrive(0, Op { left: ms(40_000), ..op(id, 1, id as usize % 3) }));
+    (0..30).for_each(|id| world.arrive(0, Op { time_left: ms(40_000), ..op(id, 1, id as usize % 3) }));
     let end = world.now + ms(3000);
-    world.tell(0, vec![Event::Ends { at: end }]);
+    world.tell(0, vec![Event::ShuttingDown { at: end }]);
     assert!(world.sides[0].ops.values().any(|seen| !seen.sent.is_empty()));
     assert!(world.sides[0].ops.values().all(|seen| !seen.ended), "nothing is given up before");
     // What still comes goes on to a store, its time being that of its client, and is answered with the rest.
     world.pass(ms(1500));
-    world.arrive(0, Op { left: ms(40_000), shard: None, ..op(50, 2, 0) });
+    world.arrive(0, Op { time_left: ms(40_000), shard: None, ..op(50, 2, 0) });
     world.pass(ms(1500));
     let out = |seen: &world::Seen| seen.sent.iter().all(|sent| sent.ends <= end);
     assert!(
@@ -169,7 +174,7 @@
     // Looks are a sixteenth of the target latency apart.
     world.pass(ms(250));
     assert!(world.sides[0].ops.values().all(|seen| seen.ended));
-    world.arrive(0, Op { left: ms(40_000), ..op(60, 3, 0) });
+    world.arrive(0, Op { time_left: ms(40_000), ..op(60, 3, 0) });
     assert!(world.sides[0].ops[&OpId(60)].ended, "nothing is held that nobody will answer");
 }
 
@@ -186,9 +191,9 @@
 #[test]
 fn a_clients_earlier_wait_counts_against_the_longest_seen() {
     let mut world = one_store();
-    (0..4).for_each(|id| world.arrive(0, Op { left: ms(500), ..op(id, 1, 0) }));
-    world.arrive(0, Op { left: ms(500), ..op(9, 2, 0) });
-    world.arrive(0, Op { left: ms(250), ..op(10, 2, 0) });
+    (0..4).for_each(|id| world.arrive(0, Op { time_left: ms(500), ..op(id, 1, 0) }));
+    world.arrive(0, Op { time_left: ms(500), ..op(9, 2, 0) });
+    world.arrive(0, Op { time_left: ms(250), ..op(10, 2, 0) });
     world.pass(ms(40));
     assert!(!world.sides[0].ops[&OpId(9)].ended, "a try with a part of the op timeout is not late");
     assert!(world.sides[0].ops[&OpId(10)].ended, "a repeat past its target latency is");
@@ -203,7 +208,7 @@
     for n in 0..full {
         world.pass(ms(5));
         let id = world.sent_to(0, 0)[n];
-        world.answer(0, id, 0, Outcome::Acked);
+        world.answer(0, id, 0, Outcome::Succeeded);
     }
     let next = world.sent_to(0, 0)[full..].first().copied();
     assert!(next.is_some_and(|id| id.0 >= 40), "the volume served least goes next, not {next:?}");
@@ -232,7 +237,7 @@
     let mut world = one_store();
     for id in 0..20 {
         world.arrive(0, op(id, 1, 0));
-        world.answer(0, OpId(id), 0, Outcome::Acked);
+        world.answer(0, OpId(id), 0, Outcome::Succeeded);
     }
     (20..24).for_each(|id| world.arrive(0, op(id, 1, 0)));
     (24..26).for_each(|id| world.arrive(0, op(id, 2, 0)));
@@ -263,7 +268,7 @@
     for id in 0..20 {
         world.arrive(0, op(id, 1, 0));
         world.pass(grace / 10);
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     }
     let sent = world.sent_to(0, 0).len();
     assert!((8..=10).contains(&sent), "for most of the grace and not beyond it: {sent}");
@@ -295,7 +300,7 @@
         world.pass(ms(10));
         for (id, n, ends) in world.out(0) {
             if !lost(id) {
-                world.answer(0, id, n, Outcome::Acked);
+                world.answer(0, id, n, Outcome::Succeeded);
             } else if world.now >= ends {
                 world.answer(0, id, n, Outcome::TimedOut);
             }
@@ -312,11 +317,11 @@
     world.arrive(0, op(0, 1, 0));
     world.pass(ms(10));
     world.arrive(0, op(1, 1, 0));
-    world.answer(0, OpId(1), 0, Outcome::Acked);
+    world.answer(0, OpId(1), 0, Outcome::Succeeded);
     world.pass(ms(1000));
     let silent = |world: &mut World, from: u32| {
         for id in from..from + 20 {
-            world.arrive(0, Op { left: ms(20_000), ..op(id, 1, 0) });
+            world.arrive(0, Op { time_left: ms(20_000), ..op(id, 1, 0) });
             world.pass(ms(120));
         }
         world.out(0).len()
@@ -333,14 +338,14 @@
     let mut world = one_store();
     for id in 0..100 {
         world.arrive(0, op(id, 1, 0));
-        world.answer(0, OpId(id), 0, Outcome::Acked);
+        world.answer(0, OpId(id), 0, Outcome::Succeeded);
     }
     (100..140).for_each(|id| world.arrive(0, op(id, 2, 0)));
     world.arrive(0, op(200, 1, 0));
     for _ in 0..12 {
         world.pass(ms(5));
         let out = world.out(0);
-        out.into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        out.into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     }
     assert!(world.sent_to(0, 0).contains(&OpId(200)), "it waits behind the flood of a newcomer");
 }
@@ -351,7 +356,7 @@
     let mut world = one_store();
     for id in 0..40 {
         world.arrive(0, op(id, 1, 0));
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Full));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Rejected));
         world.pass(ms(100));
     }
     for id in 100..160 {
@@ -360,7 +365,7 @@
             world.pass(ms(20));
             for (id, n, _) in world.out(0) {
                 if world.sides[0].ops[&id].sent[n].at + ms(220) <= world.now {
-                    world.answer(0, id, n, Outcome::Acked);
+                    world.answer(0, id, n, Outcome::Succeeded);
                 }
             }
         }
@@ -374,7 +379,7 @@
     let mut world = one_store();
     (0..4).for_each(|id| world.arrive(0, op(id, 1, 0)));
     world.pass(ms(400));
-    world.answer(0, OpId(0), 0, Outcome::Acked);
+    world.answer(0, OpId(0), 0, Outcome::Succeeded);
     world.arrive(0, op(9, 2, 0));
     assert!(world.sent_to(0, 0).contains(&OpId(9)));
 }
@@ -387,7 +392,7 @@
         world.arrive(0, op(id, id, 0));
     }
     world.now += ms(700);
-    (0..4).for_each(|id| world.answer(0, OpId(id), 0, Outcome::Acked));
+    (0..4).for_each(|id| world.answer(0, OpId(id), 0, Outcome::Succeeded));
     (4..8).for_each(|id| world.arrive(0, op(id, id, 0)));
     assert_eq!(world.sent_to(0, 0).len(), 8, "the cap and the average stand as before the stall");
 }
@@ -408,7 +413,7 @@
         world.arrive(id % 2, Op { units, plan, gateways: 2.0, ..op(id as u32, (id % 4) as u32, 0) });
         world.pass(ms(10));
         (0..2).for_each(|side| {
-            world.out(side).into_iter().for_each(|(id, n, _)| world.answer(side, id, n, Outcome::Acked));
+            world.out(side).into_iter().for_each(|(id, n, _)| world.answer(side, id, n, Outcome::Succeeded));
         });
     }
     (0..2).map(|side| world.sent_to(side, 0).len()).collect()
@@ -435,7 +440,7 @@
     for id in 0..400 {
         world.arrive(0, Op { gateways: gateways / 100.0, units: 1.0, ..op(id, id % 4, 0) });
         world.pass(ms(10));
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     }
     world.sent_to(0, 0).len()
 }
@@ -455,14 +460,14 @@
         world.pass(ms(50));
         let due: Vec<_> =
             world.out(0).into_iter().filter(|(_, _, ends)| *ends < world.now + ms(400)).collect();
-        due.into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        due.into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
         sent.push(world.sent_to(0, 0).len());
     }
     assert!(sent[119] - sent[79] < 10, "forty ops in two seconds, each answered late: {sent:?}");
     for id in 120..320 {
         world.arrive(0, op(id, 1, 0));
         world.pass(ms(50));
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     }
     assert!(world.sent_to(0, 0).len() > sent[119] + 20, "quick answers bring it back");
 }
@@ -504,10 +509,17 @@
 fn what_is_recalled_of_a_store_counts_the_less_the_older_it_is() {
     let cap = |age: u64| {
         let mut world = one_store();
-        let memory =
-            StoreMemory { store: StoreId(0), latency: 0.01, cap: 24.0, tags: vec![(VolumeId(1), 50.0)] };
+        let memory = StoreSnapshot {
+            store: StoreId(0),
+            latency: 0.01,
+            concurrency_limit: 24.0,
+            virtual_times: vec![(VolumeId(1), 50.0)],
+        };
         let (age, promised) = (Some(ms(age)), ms(0));
-        world.tell(0, vec![Event::Recalled { age, promised, stores: vec![memory], volumes: vec![] }]);
+        world.tell(
+            0,
+            vec![Event::Restore { age, promise_duration: promised, stores: vec![memory], volumes: vec![] }],
+        );
         (0..40).for_each(|id| world.arrive(0, op(id, id, 0)));
         world.sent_to(0, 0).len()
     };
@@ -530,7 +542,7 @@
     (0..20).for_each(|id| world.arrive(0, limited(id)));
     // The cap on units out is no part of this.
     (0..12).for_each(|_| {
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     });
     world.sent_to(0, 0).iter().filter(|id| id.0 != 100).count()
 }
@@ -561,7 +573,7 @@
         world.limit(0, 0.0, 0.0);
         for id in 200..230 {
             world.arrive(0, Op { plan: 1, gateways: 2.0, ..op(id, 1, 0) });
-            world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+            world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
         }
         world.limit(0, 20.0, 24.0);
         world.pass(ms(450));
@@ -575,7 +587,7 @@
 #[test]
 fn a_volume_that_moves_takes_no_more_along_than_either_plan_gives() {
     let moved = |world: &mut World, plan| {
-        world.tell(0, vec![Event::Moved { volume: VolumeId(1), plan, gateways: 2.0 }]);
+        world.tell(0, vec![Event::VolumeMoved { volume: VolumeId(1), plan, gateways: 2.0 }]);
     };
     let away = |world: &mut World| {
         moved(world, 0);
@@ -589,7 +601,7 @@
     let before = world.sent_to(0, 0).len();
     moved(&mut world, 1);
     (0..12).for_each(|_| {
-        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+        world.out(0).into_iter().for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
     });
     assert_eq!(world.sent_to(0, 0).len(), before, "those held go by the new plan");
 }
@@ -606,12 +618,12 @@
             settings.insert("plans.0.weight".into(), "2".into());
             settings.insert("plans.1.weight".into(), "1".into());
         }
-        world.tell(0, vec![Event::Changed { settings }]);
+        world.tell(0, vec![Event::SettingsChanged { settings }]);
         let held = |id: u32| Op { units: 1.0, plan: (id % 2) as usize, ..op(id, 1 + id % 2, 0) };
         (100..180).for_each(|id| world.arrive(0, held(id)));
         for _ in 0..40 {
             let out = world.out(0);
-            out.into_iter().take(1).for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Acked));
+            out.into_iter().take(1).for_each(|(id, n, _)| world.answer(0, id, n, Outcome::Succeeded));
             world.pass(ms(4));
         }
         let sent = world.sent_to(0, 0);
@@ -629,14 +641,14 @@
     for lacking in ["plans.count", "op_types.count"] {
         let mut fewer = settings();
         fewer.insert(lacking.into(), "1".into());
-        world.tell(0, vec![Event::Changed { settings: fewer }]);
+        world.tell(0, vec![Event::SettingsChanged { settings: fewer }]);
     }
     world.arrive(0, Op { plan: 1, ..op(1, 1, 3) });
     assert!(!world.sides[0].ops[&OpId(1)].ended);
     let mut gone = settings();
     gone.insert("plans.1.gone".into(), "true".into());
     ["weight", "rate"].iter().for_each(|field| _ = gone.remove(&format!("plans.1.{field}")));
-    world.tell(0, vec![Event::Changed { settings: gone }]);
+    world.tell(0, vec![Event::SettingsChanged { settings: gone }]);
     world.arrive(0, op(2, 2, 0));
     assert_eq!(world.sent_to(0, 0).last(), Some(&OpId(2)));
 }
@@ -669,10 +681,10 @@
         let mut wrong = settings();
         wrong.insert(name.into(), value.into());
         let start = Event::Start { seed: 1, settings: wrong.clone() };
-        let said = Gateway::default().handle(at(0), vec![start]);
+        let said = Scheduler::default().handle(at(0), vec![start]);
         assert!(matches!(&said[..], [Action::Fatal(text)] if text.contains(name)), "{name}: {said:?}");
         let mut world = one_store();
-        world.tell(0, vec![Event::Changed { settings: wrong }]);
+        world.tell(0, vec![Event::SettingsChanged { settings: wrong }]);
         let said = world.sides[0].actions.last();
         assert!(matches!(said, Some(Action::Log(text)) if text.contains(name)), "{name}: {said:?}");
         world.arrive(0, Op { plan: 1, ..op(1, 1, 3) });
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use umbertray::scheduler::Gateway;
 use umbertray::interface::*;
+use umbertray::scheduler::Scheduler;
 
 pub const GATEWAYS: usize = 2;
 pub const COLD_UNITS: f64 = 12.0;
@@ -12,7 +12,7 @@
 const COLD: (f64, f64, f64) = (0.25, 8.0, 1.0);
 const FURTHER: (f64, f64, f64) = (1.0, 0.2, 2.0);
 const PAUSE: Duration = Duration::from_millis(300);
-type Memory = (Duration, Duration, Vec<StoreMemory>, Vec<VolumeMemory>);
+type Memory = (Duration, Duration, Vec<StoreSnapshot>, Vec<VolumeSnapshot>);
 
 /// Twice the least time between two saves.
 pub const PROMISED: Duration = Duration::from_millis(400);
@@ -48,8 +48,8 @@
     pairs.filter_map(|pair| pair.split_once('=').map(|(k, v)| (k.to_string(), v.to_string()))).collect()
 }
 
-pub fn listing(store: u32, shard: u32, started: Option<Duration>, state: StoreState) -> Listing {
-    Listing { store: StoreId(store), shard, zone: 0, started, state }
+pub fn listing(store: u32, shard: u32, started: Option<Duration>, state: StoreState) -> Endpoint {
+    Endpoint { store: StoreId(store), shard, zone: 0, started_at: started, state }
 }
 
 pub fn op(id: u32, volume: u32, op_type: usize) -> Op {
@@ -62,7 +62,7 @@
         volume_name: name,
         key: None,
         shard: Some(0),
-        left,
+        time_left: left,
         plan: 0,
         op_type,
         gateways: 1.0,
@@ -87,7 +87,7 @@
 
 #[derive(Default)]
 pub struct Side {
-    gateway: Gateway,
+    gateway: Scheduler,
     pub ops: BTreeMap<OpId, Seen>,
     timers: Vec<(Duration, u64)>,
     taken: Vec<Duration>,
@@ -99,7 +99,7 @@
 pub struct World {
     pub now: Duration,
     pub sides: Vec<Side>,
-    pub list: Vec<Listing>,
+    pub list: Vec<Endpoint>,
     /// What each side acts on.
     settings: Vec<Settings>,
     barred: BTreeMap<StoreId, Duration>,
@@ -109,16 +109,16 @@
 }
 
 impl World {
-    pub fn new(now: Duration, list: Vec<Listing>) -> World {
+    pub fn new(now: Duration, list: Vec<Endpoint>) -> World {
         World::with(now, list, settings())
     }
 
-    pub fn with(now: Duration, list: Vec<Listing>, settings: Settings) -> World {
+    pub fn with(now: Duration, list: Vec<Endpoint>, settings: Settings) -> World {
         World::wide(now, list, settings, GATEWAYS)
     }
 
     /// The same with so many gateways.
-    pub fn wide(now: Duration, list: Vec<Listing>, settings: Settings, gateways: usize) -> World {
+    pub fn wide(now: Duration, list: Vec<Endpoint>, settings: Settings, gateways: usize) -> World {
         let mut world = World { now, list, settings: vec![settings; gateways], ..World::default() };
         for side in 0..gateways {
             world.sides.push(Side::default());
@@ -130,7 +130,7 @@
     pub fn restart(&mut self, side: usize) {
         self.sides[side] = Side::default();
         let start = Event::Start { seed: side as u64, settings: self.settings[side].clone() };
-        self.tell(side, vec![start, Event::List(ListNews::Cached(self.list.clone()))]);
+        self.tell(side, vec![start, Event::EndpointList(EndpointListUpdate::Cached(self.list.clone()))]);
     }
 
     /// A side acts on another limit and burst of plan 1 from now on; 0: none.
@@ -141,7 +141,7 @@
         settings.insert("plans.1.limit".into(), limit.to_string());
         settings.insert("plans.1.limit_burst".into(), burst.to_string());
         let settings = settings.clone();
-        self.tell(side, vec![Event::Changed { settings }]);
+        self.tell(side, vec![Event::SettingsChanged { settings }]);
     }
 
     /// Rule 7: what is left of a volume's limit. It fills as fast, and holds as much, as the parts do that the sides act on.
@@ -159,9 +159,9 @@
 
     /// What a side would keep now, at its moment.
     pub fn remember(&mut self, side: usize) {
-        self.tell(side, vec![Event::Remember { promised: PROMISED }]);
+        self.tell(side, vec![Event::TakeSnapshot { promise_duration: PROMISED }]);
         let known = self.sides[side].actions.pop();
-        let Some(Action::Known { stores, volumes }) = known else { panic!("not told: {known:?}") };
+        let Some(Action::Snapshot { stores, volumes }) = known else { panic!("not told: {known:?}") };
         self.memories.insert(side, (self.now, PROMISED, stores, volumes));
     }
 
@@ -175,12 +175,12 @@
         self.restart(side);
         if let Some((at, promised, stores, volumes)) = self.memories.get(&side).cloned() {
             let age = sure.then_some(self.now - at);
-            self.tell(side, vec![Event::Recalled { age, promised, stores, volumes }]);
+            self.tell(side, vec![Event::Restore { age, promise_duration: promised, stores, volumes }]);
             self.claimed(side);
         }
     }
 
-    pub fn relist(&mut self, list: Vec<Listing>) {
+    pub fn relist(&mut self, list: Vec<Endpoint>) {
         for known in &self.list {
             let now = list.iter().find(|l| l.store == known.store);
             if now.is_none_or(|l| l.state != StoreState::Ready) {
@@ -190,7 +190,7 @@
         self.barred.retain(|id, _| !list.iter().any(|l| l.store == *id && l.state == StoreState::Ready));
         self.list = list;
         for side in 0..self.sides.len() {
-            self.tell(side, vec![Event::List(ListNews::Full(self.list.clone()))]);
+            self.tell(side, vec![Event::EndpointList(EndpointListUpdate::Whole(self.list.clone()))]);
         }
     }
 
@@ -199,7 +199,7 @@
         self.sides[side].taken.push(self.now);
         let seen = Seen { op: op.clone(), at: self.now, sent: vec![], ended: false, order };
         self.sides[side].ops.insert(op.id, seen);
-        self.tell(side, vec![Event::Arrived(op)]);
+        self.tell(side, vec![Event::OpArrived(op)]);
     }
 
     pub fn answer(&mut self, side: usize, id: OpId, dispatch: usize, outcome: Outcome) {
@@ -207,12 +207,21 @@
         let seen = self.sides[side].ops.get_mut(&id).expect("an op that was sent");
         let sent = &mut seen.sent[dispatch];
         sent.outcome = Some((outcome, now));
-        seen.ended |= outcome == Outcome::Acked;
+        seen.ended |= outcome == Outcome::Succeeded;
         let (store, latency, ended) = (sent.store, now - sent.at, seen.ended);
         let (dispatch, report) = (dispatch as u32, vec![]);
-        let answer =
-            Answer { op: id, dispatch, store, outcome, latency, ended, used: None, elsewhere: 0.0, report };
-        self.tell(side, vec![Event::Answered(answer)]);
+        let answer = AttemptResult {
+            op: id,
+            attempt: dispatch,
+            store,
+            outcome,
+            latency,
+            op_ended: ended,
+            plan_rate_used: None,
+            units_elsewhere: 0.0,
+            report,
+        };
+        self.tell(side, vec![Event::AttemptFinished(answer)]);
     }
 
     /// Lets time pass: timers ring, dispatches time out, and every final answer must be in.
@@ -230,7 +239,7 @@
                 out.into_iter().for_each(|(id, n, _)| self.answer(side, id, n, Outcome::TimedOut));
                 for seen in self.sides[side].ops.values().filter(|seen| !seen.ended) {
                     assert!(
-                        now <= seen.at + seen.op.left + ms(8),
+                        now <= seen.at + seen.op.time_left + ms(8),
                         "rule 1: {:?} without its final answer",
                         seen.op.id
                     );
@@ -249,7 +258,7 @@
 
     pub fn sent_to(&self, side: usize, store: u32) -> Vec<OpId> {
         let to = |a: &Action| match a {
-            Action::Dispatch { op, store: s, .. } if s.0 == store => Some(*op),
+            Action::StartAttempt { op, store: s, .. } if s.0 == store => Some(*op),
             _ => None,
         };
         self.sides[side].actions.iter().filter_map(to).collect()
@@ -266,19 +275,21 @@
     fn judge(&mut self, side: usize, action: &Action) {
         let (now, host) = (self.now, &mut self.sides[side]);
         match action {
-            Action::Timer { token, at } => host.timers.push((*at, *token)),
-            Action::Throttle { op, .. } | Action::Abort { op } => {
+            Action::SetTimer { token, at } => host.timers.push((*at, *token)),
+            Action::Reject { op, .. } | Action::Fail { op } => {
                 let seen = host.ops.get_mut(op).expect("rule 1: a final answer to an op never taken");
                 assert!(!seen.ended, "rule 1: a second final answer to {op:?}");
                 let ran = seen.sent.iter().any(|s| !never_ran(s));
-                let throttled = matches!(action, Action::Throttle { .. });
+                let throttled = matches!(action, Action::Reject { .. });
                 assert!(
                     !(throttled && ran && [1, 2].contains(&seen.op.op_type)),
                     "rule 2: {op:?} throttled after it may have run"
                 );
                 seen.ended = true;
             }
-            Action::Dispatch { op, store, timeout } => self.judge_dispatch(side, *op, *store, now + *timeout),
+            Action::StartAttempt { op, store, timeout } => {
+                self.judge_dispatch(side, *op, *store, now + *timeout)
+            }
             Action::Fatal(text) => panic!("fatal: {text}"),
             _ => {}
         }
@@ -327,7 +338,9 @@
             assert!(left >= -LIMIT.2, "rule 7: a volume past its limit by {left}");
             self.limits.insert(volume, (left, now));
         }
-        if let Some(started) = place.and_then(|p| p.started).filter(|at| (now - *at).as_secs_f64() < COLD.1) {
+        if let Some(started) =
+            place.and_then(|p| p.started_at).filter(|at| (now - *at).as_secs_f64() < COLD.1)
+        {
             // What went to an earlier process of the store died with it.
             self.cold_sent.push((store, now, units));
             let recent = |(to, at, _): &&(StoreId, Duration, f64)| {
@@ -351,5 +364,5 @@
 }
 
 fn never_ran(sent: &Sent) -> bool {
-    matches!(sent.outcome, Some((Outcome::Full | Outcome::ConnectFailed | Outcome::Moot, _)))
+    matches!(sent.outcome, Some((Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent, _)))
 }
