--- a/crates/control-plane/tests/relay/net.rs
+++ b/crates/control-plane/tests/relay/net.rs
@@ -8,9 +8,10 @@
 use bytes::{Bytes, BytesMut};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use umbertray_control_plane::LinkId;
+use umbertray_control_plane::ConnectionId;
 use umbertray_control_plane::relay::{
-    Action, Config, Event, FETCHES, Left, MOST_UNSENT, Node, Note, Origin, TAIL_BYTES, TICK, Upstream, WINDOW,
+    Action, Config, DisconnectReason, Event, MAX_CHECKPOINT_TRANSFERS, MAX_SUFFIX_BYTES, MAX_UNSENT, Origin,
+    RelayEvent, RelayNode, TICK, Upstream, WINDOW,
 };
 use umbertray_store_protocol::changes::{FromUpstream, Position, Role, ToUpstream};
 use umbertray_store_protocol::{Message, next_frame};
@@ -33,7 +34,7 @@
     pub role: Role,
     pub upstreams: Vec<Id>,
     pub lie: Option<Lie>,
-    pub node: Option<Node>,
+    pub node: Option<RelayNode>,
     /// Counts its starts: what was on its way to an earlier one is lost.
     start: u32,
     pub frozen: bool,
@@ -50,7 +51,7 @@
     /// The log that it reads, and how far it has: a true one, or a liar's.
     reads: Option<Reads>,
     said: u64,
-    pub notes: Vec<Note>,
+    pub notes: Vec<RelayEvent>,
     pub adopted: usize,
 }
 
@@ -62,9 +63,9 @@
 
 struct Conn {
     follower: Id,
-    up_link: LinkId,
+    up_link: ConnectionId,
     upstream: Id,
-    down_link: LinkId,
+    down_link: ConnectionId,
     /// When the last of each direction arrives, and the bytes on their way down.
     last: [Duration; 2],
     unsent: usize,
@@ -98,7 +99,7 @@
     queued: HashMap<u64, Thing>,
     conns: BTreeMap<u64, Conn>,
     /// Which connection, and which end of it, a member's link is.
-    ends: HashMap<(Id, LinkId), (u64, Way)>,
+    ends: HashMap<(Id, ConnectionId), (u64, Way)>,
     next: u64,
     pub rng: SmallRng,
     pub cut: bool,
@@ -205,7 +206,7 @@
         let origin = if member.reads.is_some() {
             Origin::Folder
         } else {
-            Origin::Upstreams { upstreams: member.upstreams.iter().map(of).collect(), vouch: self.vouch }
+            Origin::Upstreams { upstreams: member.upstreams.iter().map(of).collect(), quorum: self.vouch }
         };
         let config = Config {
             name: member.name.clone(),
@@ -213,7 +214,7 @@
             role: member.role,
             origin,
             seed,
-            most_followers: 1000,
+            max_followers: 1000,
         };
         let member = &mut self.members[id];
         if !member.keeps {
@@ -221,8 +222,8 @@
         }
         let held = member.in_force.filter(|_| member.role == Role::Gateway && resumes);
         let node = match held {
-            Some(at) => Node::resume(config, at),
-            None => Node::new(config, member.in_force),
+            Some(at) => RelayNode::resume(config, at),
+            None => RelayNode::new(config, member.in_force),
         };
         member.node = Some(node.expect("a sound configuration"));
         member.start += 1;
@@ -344,7 +345,7 @@
             Thing::Wake(id, start) => {
                 if self.members[id].start == start {
                     if !self.members[id].frozen {
-                        self.give(id, Event::Woken);
+                        self.give(id, Event::Tick);
                         self.bounds(id);
                     }
                     self.push(self.now + TICK, Thing::Wake(id, start));
@@ -360,11 +361,11 @@
         let Some(conn) = self.conns.get(&id) else { return };
         let (follower, up, upstream, down) = (conn.follower, conn.up_link, conn.upstream, conn.down_link);
         if ok && self.members[upstream].node.is_some() && !self.apart(follower, upstream) {
-            self.give(upstream, Event::Accepted(down));
-            self.give(follower, Event::Opened(up));
+            self.give(upstream, Event::FollowerConnected(down));
+            self.give(follower, Event::Connected(up));
         } else {
             self.conns.remove(&id);
-            self.give(follower, Event::Closed(up));
+            self.give(follower, Event::Disconnected(up));
         }
     }
 
@@ -386,11 +387,11 @@
         let mut input = BytesMut::from(&bytes[..]);
         match way {
             Way::Up => match next_frame::<ToUpstream>(&mut input) {
-                Ok(Some(frame)) => self.give(upstream, Event::Asked { link: down, frame }),
+                Ok(Some(frame)) => self.give(upstream, Event::FromFollower { link: down, frame }),
                 _ => self.give(upstream, Event::Malformed(down)),
             },
             Way::Down => match next_frame::<FromUpstream>(&mut input) {
-                Ok(Some(frame)) => self.give(follower, Event::Heard { link: up, frame }),
+                Ok(Some(frame)) => self.give(follower, Event::FromUpstream { link: up, frame }),
                 _ => self.give(follower, Event::Malformed(up)),
             },
         }
@@ -400,16 +401,16 @@
     fn end(&mut self, id: u64, unheard: Option<()>) {
         let Some(conn) = self.conns.remove(&id) else { return };
         if unheard.is_none() {
-            self.give(conn.follower, Event::Closed(conn.up_link));
-            self.give(conn.upstream, Event::Left(conn.down_link));
+            self.give(conn.follower, Event::Disconnected(conn.up_link));
+            self.give(conn.upstream, Event::FollowerDisconnected(conn.down_link));
         }
     }
 
     fn ended(&mut self, id: u64, way: Way) {
         let Some(conn) = self.conns.remove(&id) else { return };
         match way {
-            Way::Up => self.give(conn.upstream, Event::Left(conn.down_link)),
-            Way::Down => self.give(conn.follower, Event::Closed(conn.up_link)),
+            Way::Up => self.give(conn.upstream, Event::FollowerDisconnected(conn.down_link)),
+            Way::Down => self.give(conn.follower, Event::Disconnected(conn.up_link)),
         }
     }
 
@@ -424,32 +425,32 @@
         actions.into_iter().for_each(|action| self.act(id, action));
     }
 
-    fn conn_of(&self, id: Id, link: LinkId) -> Option<(u64, Way)> {
+    fn conn_of(&self, id: Id, link: ConnectionId) -> Option<(u64, Way)> {
         self.ends.get(&(id, link)).copied().filter(|(conn, _)| self.conns.contains_key(conn))
     }
 
     fn act(&mut self, id: Id, action: Action) {
         match action {
             Action::Connect { upstream, link } => self.connect(id, upstream, link),
-            Action::Close { link, why } => self.close(id, link, why),
-            Action::Tell { link, frame } => self.send(id, link, frame.frame()),
-            Action::Say { link, frame } => {
+            Action::Close { link, reason: why } => self.close(id, link, why),
+            Action::SendUpstream { link, frame } => self.send(id, link, frame.frame()),
+            Action::SendFollower { link, frame } => {
                 self.members[id].said += 1;
                 let said = self.members[id].said;
                 let Some(lie) = self.members[id].lie else { return self.send(id, link, frame.frame()) };
                 let names: Vec<String> = self.members.iter().map(|member| member.name.clone()).collect();
                 lie.told(frame, said, &names).into_iter().for_each(|frame| self.send(id, link, frame));
             }
-            Action::Adopt { at, checkpoint } => self.adopt(id, at, &checkpoint),
-            Action::Act(entry) => {
+            Action::LoadCheckpoint { at, checkpoint } => self.adopt(id, at, &checkpoint),
+            Action::AppendEntry(entry) => {
                 let truth = self.log.entries.get(entry.at.version as usize - 1).cloned();
                 let next = self.members[id].built.map(|built| built.version + 1);
                 self.demand(id, next == Some(entry.at.version), "acts in order");
                 self.demand(id, truth.as_ref() == Some(&entry), "acts on what was written");
                 self.members[id].built = Some(entry.at);
             }
-            Action::Enforce(at) => self.enforce(id, at),
-            Action::Note(note) => self.members[id].notes.push(note),
+            Action::Commit(at) => self.enforce(id, at),
+            Action::Log(note) => self.members[id].notes.push(note),
         }
     }
 
@@ -472,7 +473,7 @@
             self.longest = self.longest.max(self.now - *written);
         }
         if !self.members[id].deaf {
-            self.give(id, Event::InForce(at.version));
+            self.give(id, Event::Applied(at.version));
         }
     }
 
@@ -486,21 +487,21 @@
 
     fn bounds(&mut self, id: Id) {
         let Some(node) = &self.members[id].node else { return };
-        let standing = node.standing(self.now);
+        let standing = node.status(self.now);
         let longest = self.log.longest;
         let state = self.log.state.max(1 << 10);
-        let waiting = TAIL_BYTES + WINDOW as usize * 2 + longest.max(state);
+        let waiting = MAX_SUFFIX_BYTES + WINDOW as usize * 2 + longest.max(state);
         self.most_fetches = self.most_fetches.max(standing.fetches);
-        self.demand(id, standing.fetches <= FETCHES, "sends few checkpoints at once");
+        self.demand(id, standing.fetches <= MAX_CHECKPOINT_TRANSFERS, "sends few checkpoints at once");
         self.demand(id, standing.waiting_bytes <= waiting, "holds little that is not vouched for");
         self.demand(id, standing.held_bytes <= (9 << 20) + state + longest, "holds a bounded tail");
     }
 
-    fn connect(&mut self, id: Id, upstream: usize, link: LinkId) {
+    fn connect(&mut self, id: Id, upstream: usize, link: ConnectionId) {
         let to = self.members[id].upstreams[upstream];
         self.next += 1;
         let conn = self.next;
-        let down_link = LinkId(conn);
+        let down_link = ConnectionId(conn);
         let at =
             Conn { follower: id, up_link: link, upstream: to, down_link, last: [self.now; 2], unsent: 0 };
         self.ends.extend([((id, link), (conn, Way::Up)), ((to, down_link), (conn, Way::Down))]);
@@ -517,7 +518,7 @@
         Duration::from_millis(if far { 70 } else { 1 }) + self.members[from].slow
     }
 
-    fn send(&mut self, id: Id, link: LinkId, bytes: Bytes) {
+    fn send(&mut self, id: Id, link: ConnectionId, bytes: Bytes) {
         let Some((conn, way)) = self.conn_of(id, link) else { return };
         let counted = self.counted.entry((id, way)).or_default();
         *counted.frames.entry(bytes[4]).or_default() += 1;
@@ -527,7 +528,7 @@
         if way == Way::Down {
             at.unsent += bytes.len();
             let unsent = at.unsent;
-            self.demand(id, unsent <= MOST_UNSENT, "queues little for a follower");
+            self.demand(id, unsent <= MAX_UNSENT, "queues little for a follower");
         }
         let delay = self.delay(id, to);
         let Some(at) = self.conns.get_mut(&conn) else { return };
@@ -536,7 +537,7 @@
         self.push(arrives, Thing::Frame { conn, way, bytes });
     }
 
-    fn close(&mut self, id: Id, link: LinkId, _: Left) {
+    fn close(&mut self, id: Id, link: ConnectionId, _: DisconnectReason) {
         let Some((conn, way)) = self.conn_of(id, link) else { return };
         let Some(at) = self.conns.get(&conn) else { return };
         let to = if way == Way::Up { at.upstream } else { at.follower };
@@ -547,9 +548,16 @@
     /// How the relays and some gateways stand, and what they noted last.
     pub fn told(&self, gateways: usize) -> Vec<String> {
         let told = |member: &Member| {
-            let standing = member.node.as_ref().map(|node| node.standing(self.now));
+            let standing = member.node.as_ref().map(|node| node.status(self.now));
             let standing = standing.map(|at| {
-                (at.head.version, at.from, at.checkpoint, at.followed, at.linked, at.waiting_bytes)
+                (
+                    at.head.version,
+                    at.oldest_version,
+                    at.checkpoint,
+                    at.followed,
+                    at.connected,
+                    at.waiting_bytes,
+                )
             });
             let notes: Vec<String> =
                 member.notes.iter().rev().take(8).map(|note| format!("{note:?}")).collect();
--- a/crates/control-plane/tests/relay/sums.rs
+++ b/crates/control-plane/tests/relay/sums.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use umbertray_control_plane::LinkId;
-use umbertray_control_plane::relay::{Action, Config, Event, LEASE, Node, Note, Origin};
-use umbertray_store_protocol::changes::{Behind, Level, MOST_BEHIND, MOST_LEVELS, Role, Sums, ToUpstream};
+use umbertray_control_plane::ConnectionId;
+use umbertray_control_plane::relay::{Action, Config, Event, LEASE, Origin, RelayEvent, RelayNode};
+use umbertray_store_protocol::changes::{
+    LaggingMember, MAX_LAGGING, MAX_VERSION_COUNTS, ProgressSummary, Role, ToUpstream, VersionCount,
+};
 
 use crate::net::Net;
 use crate::tree;
@@ -16,7 +18,7 @@
 fn levels(net: &Net) -> Vec<(u64, u32)> {
     let mut all = std::collections::BTreeMap::new();
     for member in net.members.iter().take(3) {
-        let sums = member.node.as_ref().map(|node| node.standing(net.now).sums).unwrap_or_default();
+        let sums = member.node.as_ref().map(|node| node.status(net.now).progress).unwrap_or_default();
         for level in sums.levels {
             *all.entry(level.version).or_insert(0) += level.members;
         }
@@ -24,9 +26,9 @@
     all.into_iter().rev().collect()
 }
 
-fn behind(net: &Net) -> Vec<Behind> {
+fn behind(net: &Net) -> Vec<LaggingMember> {
     let nodes = net.members.iter().take(3).filter_map(|member| member.node.as_ref());
-    nodes.flat_map(|node| node.standing(net.now).sums.behind).collect()
+    nodes.flat_map(|node| node.status(net.now).progress.lagging).collect()
 }
 
 #[test]
@@ -45,7 +47,7 @@
     assert_eq!(levels(&net), [(6, 29), (5, 1)]);
     let named = behind(&net);
     assert_eq!((named.len(), named[0].name.as_str(), named[0].version), (1, "gateway-4", 5));
-    assert!((20..=26).contains(&named[0].since), "{} s", named[0].since);
+    assert!((20..=26).contains(&named[0].lag_seconds), "{} s", named[0].lag_seconds);
     net.members[dead].frozen = true;
     net.run_for(LEASE / 2);
     assert_eq!(levels(&net), [(6, 29), (5, 1)], "its lease is not over");
@@ -53,16 +55,16 @@
     assert_eq!(levels(&net), [(6, 28), (5, 1)]);
 }
 
-fn node() -> (Node, LinkId) {
+fn node() -> (RelayNode, ConnectionId) {
     let config = Config {
         name: "relay".into(),
         zone: "a".into(),
         role: Role::Relay,
         origin: Origin::Folder,
         seed: 1,
-        most_followers: 1000,
+        max_followers: 1000,
     };
-    let mut node = Node::new(config, None).expect("sound");
+    let mut node = RelayNode::new(config, None).expect("sound");
     let mut log = Log::new(9);
     (0..100).for_each(|_| _ = log.write("change", 9));
     let (at, bytes) = log.checkpoint(0);
@@ -72,28 +74,29 @@
     (node, link)
 }
 
-fn join(node: &mut Node, nth: u64, role: Role) -> LinkId {
-    let link = LinkId(nth);
-    node.handle(Duration::ZERO, Event::Accepted(link));
+fn join(node: &mut RelayNode, nth: u64, role: Role) -> ConnectionId {
+    let link = ConnectionId(nth);
+    node.handle(Duration::ZERO, Event::FollowerConnected(link));
     let frame = ToUpstream::Hello { name: format!("member-{nth:03}"), zone: "a".into(), role };
-    node.handle(Duration::ZERO, Event::Asked { link, frame });
+    node.handle(Duration::ZERO, Event::FromFollower { link, frame });
     link
 }
 
-fn acted(node: &mut Node, link: LinkId, sums: Sums) -> Vec<Note> {
-    let actions = node.handle(Duration::ZERO, Event::Asked { link, frame: ToUpstream::Acted(sums) });
-    let note = |action| if let Action::Note(note) = action { Some(note) } else { None };
+fn acted(node: &mut RelayNode, link: ConnectionId, sums: ProgressSummary) -> Vec<RelayEvent> {
+    let actions =
+        node.handle(Duration::ZERO, Event::FromFollower { link, frame: ToUpstream::Progress(sums) });
+    let note = |action| if let Action::Log(note) = action { Some(note) } else { None };
     actions.into_iter().filter_map(note).collect()
 }
 
-fn level(version: u64, members: u32) -> Level {
-    Level { version, members }
+fn level(version: u64, members: u32) -> VersionCount {
+    VersionCount { version, members }
 }
 
 #[test]
 fn sums_that_make_no_sense_are_left_out_and_told_once() {
-    let one = |name: &str, version| Behind { name: name.into(), version, since: 1 };
-    let bad = |levels: Vec<Level>, behind| Sums { levels, behind };
+    let one = |name: &str, version| LaggingMember { name: name.into(), version, lag_seconds: 1 };
+    let bad = |levels: Vec<VersionCount>, behind| ProgressSummary { levels, lagging: behind };
     for (sums, role) in [
         (bad(vec![level(101, 1)], vec![]), Role::Relay),
         (bad(vec![level(100, 1_000_000)], vec![]), Role::Relay),
@@ -111,11 +114,11 @@
         assert_eq!(acted(&mut node, link, bad(vec![level(100, 1)], vec![])), []);
         let notes = acted(&mut node, link, sums.clone());
         assert!(
-            matches!(&notes[..], [Note::Nonsense { follower, .. }] if follower == "member-002"),
+            matches!(&notes[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
             "{sums:?}"
         );
         assert_eq!(acted(&mut node, link, sums), [], "told once");
-        assert_eq!(node.standing(Duration::ZERO).sums, Sums::default());
+        assert_eq!(node.status(Duration::ZERO).progress, ProgressSummary::default());
     }
 }
 
@@ -124,13 +127,13 @@
     let (mut node, _) = node();
     for nth in 10..60 {
         let link = join(&mut node, nth, Role::Gateway);
-        acted(&mut node, link, Sums { levels: vec![level(nth, 1)], behind: vec![] });
+        acted(&mut node, link, ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] });
     }
-    let sums = node.standing(Duration::ZERO).sums;
-    assert_eq!(sums.levels.len(), MOST_LEVELS);
+    let sums = node.status(Duration::ZERO).progress;
+    assert_eq!(sums.levels.len(), MAX_VERSION_COUNTS);
     assert_eq!(sums.levels.iter().map(|level| level.members).sum::<u32>(), 50);
     assert_eq!(sums.levels[0], level(59, 1));
-    assert_eq!(sums.levels[MOST_LEVELS - 1], level(10, 35), "the lowest stand for all below");
-    assert_eq!(sums.behind.len(), MOST_BEHIND);
-    assert_eq!((sums.behind[0].name.as_str(), sums.behind[0].version), ("member-010", 10));
+    assert_eq!(sums.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest stand for all below");
+    assert_eq!(sums.lagging.len(), MAX_LAGGING);
+    assert_eq!((sums.lagging[0].name.as_str(), sums.lagging[0].version), ("member-010", 10));
 }
--- a/crates/control-plane/tests/relay/truth.rs
+++ b/crates/control-plane/tests/relay/truth.rs
@@ -38,7 +38,7 @@
         let mut body = format!("{words} {}", self.entries.len() + 1).into_bytes();
         body.resize(body.len().max(length), b'.');
         self.longest = self.longest.max(body.len());
-        let at = self.head().then(&body);
+        let at = self.head().after_change(&body);
         let entry = Entry { at, body: body.into() };
         self.entries.push(entry.clone());
         entry
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! The bytes of the keeper's map that docs/CAPACITY.md counts with are those that it writes.
 
-use umbertray_control_plane::{Record, State};
+use umbertray_control_plane::{CoordinatorState, Record};
 use umbertray_store_protocol::volume_id;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
@@ -22,7 +22,7 @@
 }
 
 fn bytes_a_range(extents: u64) -> f64 {
-    let mut state = State::default();
+    let mut state = CoordinatorState::default();
     claims(extents).iter().for_each(|record| state.apply(record));
     assert_eq!(state.map.ranges() as u64, extents);
     state.bytes().len() as f64 / extents as f64
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::list::{FromList, ToList};
-use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::{Message, next_frame};
 
 /// An answer may take so long.
@@ -25,7 +25,7 @@
 }
 
 /// Wishes for a move of a range to a shard; its number.
-pub async fn wish(address: SocketAddr, span: Span, shard: u32) -> Result<u64, AskError> {
+pub async fn wish(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, AskError> {
     match ask(address, ToList::Move { token: 1, span, shard }).await? {
         FromList::Move { number, .. } => number.map_err(AskError::Refused),
         _ => Err(AskError::Strange { address }),
@@ -34,8 +34,8 @@
 
 /// How far a move is, in words, and whether it is over; it may be given up at that.
 pub async fn how_far(address: SocketAddr, number: u64, give_up: bool) -> Result<(String, bool), AskError> {
-    match ask(address, ToList::Moving { token: 1, number, give_up }).await? {
-        FromList::Moving { state, over, .. } => Ok((state, over)),
+    match ask(address, ToList::MoveStatus { token: 1, number, abandon: give_up }).await? {
+        FromList::MoveStatus { state, over, .. } => Ok((state, over)),
         _ => Err(AskError::Strange { address }),
     }
 }
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/hub.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::mpsc;
 use umbertray_clock::Clock;
-use umbertray_control_plane::{Core, Input, LinkId, Output, Record};
-use umbertray_store_protocol::list::{Entry, FromList};
+use umbertray_control_plane::{ConnectionId, Coordinator, Input, Output, Record};
+use umbertray_store_protocol::list::{FromList, ListedStore};
 
 use crate::KeeperError;
 use crate::lease::Lease;
@@ -15,10 +15,10 @@
 use crate::stores::{self, Sent, Stores};
 
 pub enum ToHub {
-    Opened(LinkId, mpsc::Sender<FromList>),
-    Closed(LinkId),
+    Opened(ConnectionId, mpsc::Sender<FromList>),
+    Closed(ConnectionId),
     Input(Input),
-    Listed { entries: Vec<Entry>, whole: bool },
+    Listed { entries: Vec<ListedStore>, whole: bool },
 }
 
 /// So many messages are taken at a time: what they log is synced once.
@@ -30,20 +30,20 @@
 }
 
 pub struct Hub {
-    core: Core,
+    core: Coordinator,
     log: Log,
     lease: Lease,
     clock: Clock,
     run: u64,
     to_hub: mpsc::UnboundedSender<ToHub>,
-    peers: HashMap<LinkId, mpsc::Sender<FromList>>,
+    peers: HashMap<ConnectionId, mpsc::Sender<FromList>>,
     stores: Stores,
     links: HashMap<u64, Link>,
     wake: Option<Duration>,
 }
 
 impl Hub {
-    pub fn new(core: Core, log: Log, lease: Lease, to_hub: mpsc::UnboundedSender<ToHub>) -> Hub {
+    pub fn new(core: Coordinator, log: Log, lease: Lease, to_hub: mpsc::UnboundedSender<ToHub>) -> Hub {
         let clock = Clock::start();
         let run = clock.now().as_nanos() as u64;
         let (peers, links, stores) = (HashMap::new(), HashMap::new(), Stores::default());
@@ -70,7 +70,7 @@
                     let inputs = messages.drain(..).filter_map(|message| self.heard(message)).collect();
                     self.turn(inputs)?;
                 }
-                () = tokio::time::sleep(wake), if self.wake.is_some() => self.turn(vec![Input::Woken])?,
+                () = tokio::time::sleep(wake), if self.wake.is_some() => self.turn(vec![Input::TimerExpired])?,
             }
         }
     }
@@ -118,11 +118,11 @@
         for output in outputs {
             match output {
                 Output::Log(records) => self.log(&records)?,
-                Output::Wake(at) => self.wake = Some(at),
-                Output::Over { term } => {
+                Output::SetTimer(at) => self.wake = Some(at),
+                Output::Superseded { term } => {
                     return Err(KeeperError::Over { ours: self.core.state().term, theirs: term });
                 }
-                Output::Say { link, message } => {
+                Output::Send { link, message } => {
                     self.sure()?;
                     // A peer that reads nothing loses its connection, and asks again on the next.
                     if self.peers.get(&link).is_some_and(|peer| peer.try_send(message).is_err()) {
@@ -155,7 +155,7 @@
         let token = sent.token;
         let given = self.link(shard).is_some_and(|orders| orders.send(sent).is_ok());
         if !given {
-            _ = self.to_hub.send(ToHub::Input(Input::Ordered { token, reply: None }));
+            _ = self.to_hub.send(ToHub::Input(Input::OrderFinished { token, reply: None }));
         }
     }
 
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use umbertray_config_log::chain::{Chain, ChainError, Kind, Opened};
-use umbertray_control_plane::{Core, Output, Record, State};
+use umbertray_control_plane::{Coordinator, CoordinatorState, Output, Record};
 use umbertray_snapshot::Layer;
 
 use crate::KeeperError;
@@ -21,12 +21,15 @@
 
 impl Log {
     /// Opens or begins a folder's log; a core on what it says, and what that core does first.
-    pub fn open(layer: Box<dyn Layer>, folder: &Path) -> Result<(Log, Core, Vec<Output>), KeeperError> {
+    pub fn open(
+        layer: Box<dyn Layer>,
+        folder: &Path,
+    ) -> Result<(Log, Coordinator, Vec<Output>), KeeperError> {
         let broken = |error| KeeperError::Log { folder: folder.into(), error };
-        let opened = Chain::open(layer, &KEPT, GROWN, || State::default().bytes());
+        let opened = Chain::open(layer, &KEPT, GROWN, || CoordinatorState::default().bytes());
         let (mut chain, Opened { head, entries }): (Chain, Opened) = opened.map_err(broken)?;
         let unknown = |version| KeeperError::Unknown { folder: folder.into(), version };
-        let mut state = State::read(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
+        let mut state = CoordinatorState::read(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
         for entry in entries {
             let records: Vec<Record> =
                 postcard::from_bytes(&entry.body).map_err(|_| unknown(entry.version))?;
@@ -37,13 +40,13 @@
         // A run of its own segment: what a keeper that was taken over from still writes, it writes to the one before.
         let rolled = chain.roll(state.bytes(), VecDeque::new());
         rolled.map_err(|error| broken(ChainError::Disk(error)))?;
-        let (core, first) = Core::start(state);
+        let (core, first) = Coordinator::start(state);
         Ok((Log { chain }, core, first))
     }
 
     /// Safe when this returns. A new segment begins with `state`, which has these records already: they are told once more
     /// there, and change nothing then.
-    pub fn append(&mut self, records: &[Record], state: &State) -> io::Result<()> {
+    pub fn append(&mut self, records: &[Record], state: &CoordinatorState) -> io::Result<()> {
         let body = postcard::to_stdvec(records).map_err(io::Error::other)?;
         self.chain.append(body, || (state.bytes(), VecDeque::new())).map(|_| ())
     }
--- a/crates/coordinator/src/log/tests.rs
+++ b/crates/coordinator/src/log/tests.rs
@@ -3,7 +3,7 @@
 
 use umbertray_control_plane::{Move, Phase};
 use umbertray_snapshot::sim::SimDisk;
-use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::orders::ExtentRange;
 
 use super::*;
 
@@ -11,7 +11,7 @@
 /// A line a file: its name and its bytes in hex.
 const RECORDED: &str = include_str!("golden/folder.txt");
 
-fn open(disk: &SimDisk) -> (Log, Core) {
+fn open(disk: &SimDisk) -> (Log, Coordinator) {
     let (log, core, _) = Log::open(Box::new(disk.clone()), Path::new("folder")).expect("a whole log");
     (log, core)
 }
@@ -20,27 +20,27 @@
 fn history() -> Vec<Vec<Record>> {
     let mut batches = vec![vec![Record::Term(1)]];
     for volume in 1..=6 {
-        let span = Span { volume, from: 2, to: 900 };
+        let span = ExtentRange { volume, start: 2, end: 900 };
         let claimed = |extent| Record::Claimed { volume, extent, shard: 4 };
         batches.push(vec![claimed(2), claimed(899)]);
         batches.push(vec![Record::Planned { number: volume, planned: Move::new(span, 4, 5, 1) }]);
     }
     let entered = |number, phase| vec![Record::Entered { number, phase }];
     batches.extend([
-        entered(2, Phase::Raised),
-        entered(3, Phase::Raised),
+        entered(2, Phase::Fenced),
+        entered(3, Phase::Fenced),
         entered(3, Phase::Committed),
-        entered(4, Phase::Raised),
-        entered(4, Phase::Back),
-        entered(5, Phase::GivenUp),
-        entered(6, Phase::Raised),
+        entered(4, Phase::Fenced),
+        entered(4, Phase::RolledBack),
+        entered(5, Phase::Abandoned),
+        entered(6, Phase::Fenced),
         entered(6, Phase::Committed),
-        entered(6, Phase::Over),
+        entered(6, Phase::Finished),
     ]);
     batches
 }
 
-fn written() -> (SimDisk, State) {
+fn written() -> (SimDisk, CoordinatorState) {
     let disk = SimDisk::default();
     let (mut log, core) = open(&disk);
     let mut state = core.state().clone();
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use umbertray_control_plane::{Input, LinkId};
+use umbertray_control_plane::{ConnectionId, Input};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::{Message, next_frame};
@@ -28,7 +28,7 @@
         }
         while links.try_join_next().is_some() {}
         match umbertray_socket::accept(&listener).await {
-            Ok((stream, _)) => _ = links.spawn(serve(LinkId(number), stream, to_hub.clone())),
+            Ok((stream, _)) => _ = links.spawn(serve(ConnectionId(number), stream, to_hub.clone())),
             // Out of descriptors, most likely: trying at once would spin.
             Err(error) => {
                 tracing::warn!(%error, "no peer accepted");
@@ -38,7 +38,7 @@
     }
 }
 
-async fn serve(link: LinkId, stream: Socket, to_hub: mpsc::UnboundedSender<ToHub>) {
+async fn serve(link: ConnectionId, stream: Socket, to_hub: mpsc::UnboundedSender<ToHub>) {
     _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = stream.into_split();
     let (to_peer, mut from_hub) = mpsc::channel::<FromList>(UNREAD);
@@ -72,7 +72,7 @@
                     if let Some(to_peer) = unknown.take() {
                         _ = to_core.send(ToHub::Opened(link, to_peer));
                     }
-                    _ = to_core.send(ToHub::Input(Input::Asked { link, message }));
+                    _ = to_core.send(ToHub::Input(Input::Request { link, message }));
                 }
                 Ok(None) => {
                     let read = reader.read_buf(&mut input);
--- a/crates/coordinator/src/stores.rs
+++ b/crates/coordinator/src/stores.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use umbertray_control_plane::Input;
 use umbertray_socket::Socket;
-use umbertray_store_protocol::list::{Entry, FromList, State, ToList};
-use umbertray_store_protocol::orders::{Order, Reply};
+use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, ToList};
+use umbertray_store_protocol::orders::{Order, OrderReply};
 use umbertray_store_protocol::store::{FromStore, ToStore};
 use umbertray_store_protocol::{Message, next_frame};
 
@@ -26,16 +26,16 @@
 /// Who serves which shard.
 #[derive(Default)]
 pub struct Stores {
-    entries: BTreeMap<u64, Entry>,
+    entries: BTreeMap<u64, ListedStore>,
 }
 
 impl Stores {
-    pub fn listed(&mut self, entries: Vec<Entry>, whole: bool) {
+    pub fn listed(&mut self, entries: Vec<ListedStore>, whole: bool) {
         if whole {
             self.entries.clear();
         }
         self.entries.extend(entries.into_iter().map(|entry| (entry.store, entry)));
-        self.entries.retain(|_, entry| entry.state != State::Gone);
+        self.entries.retain(|_, entry| entry.state != EndpointState::Gone);
     }
 
     pub fn has(&self, store: u64) -> bool {
@@ -47,10 +47,10 @@
     }
 
     /// The store that has served a shard longest, of those that do not drain if there are any.
-    pub fn of_shard(&self, shard: u32) -> Option<&Entry> {
+    pub fn of_shard(&self, shard: u32) -> Option<&ListedStore> {
         let there = self.entries.values().filter(|entry| entry.shard == shard);
         there.min_by_key(|entry| {
-            (entry.state == State::Draining, std::cmp::Reverse(entry.age.unwrap_or(u64::MAX)))
+            (entry.state == EndpointState::Draining, std::cmp::Reverse(entry.age.unwrap_or(u64::MAX)))
         })
     }
 }
@@ -67,7 +67,7 @@
 
 async fn watch(list: SocketAddr, to_hub: &mpsc::UnboundedSender<ToHub>) -> io::Result<()> {
     let mut stream = connect(list, &ToList::Hello { run: 0 }).await?;
-    stream.write_all(&ToList::Subscribe.frame()).await?;
+    stream.write_all(&ToList::Watch.frame()).await?;
     let mut input = BytesMut::new();
     loop {
         while let Some(message) = next_frame::<FromList>(&mut input).map_err(io::Error::other)? {
@@ -121,7 +121,7 @@
                 None
             }
         };
-        if to_hub.send(ToHub::Input(Input::Ordered { token, reply })).is_err() {
+        if to_hub.send(ToHub::Input(Input::OrderFinished { token, reply })).is_err() {
             return;
         }
     }
@@ -135,10 +135,10 @@
     Ok(stream)
 }
 
-async fn answer(stream: &mut Socket, input: &mut BytesMut, token: u64) -> io::Result<Reply> {
+async fn answer(stream: &mut Socket, input: &mut BytesMut, token: u64) -> io::Result<OrderReply> {
     loop {
         while let Some(message) = next_frame::<FromStore>(input).map_err(io::Error::other)? {
-            if let FromStore::Ordered { token: answered, reply } = message
+            if let FromStore::OrderReply { token: answered, reply } = message
                 && answered == token
             {
                 return Ok(reply);
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -11,8 +11,8 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use umbertray_nbd::client::Wish;
-use umbertray_nbd::{Chunk, Client, ClientStep, Command, Errno, Export, Extent, Reply, Request};
+use umbertray_nbd::client::Negotiation;
+use umbertray_nbd::{Chunk, Client, ClientEvent, Command, Errno, Export, Extent, Reply, Request};
 
 /// A whole reply, put together.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -90,7 +90,10 @@
     }
 }
 
-async fn negotiate(address: SocketAddr, wish: Wish) -> io::Result<(TcpStream, Client, BytesMut, ClientStep)> {
+async fn negotiate(
+    address: SocketAddr,
+    wish: Negotiation,
+) -> io::Result<(TcpStream, Client, BytesMut, ClientEvent)> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut client, mut input) = (Client::new(wish), BytesMut::new());
@@ -98,10 +101,10 @@
         let step = client.receive(&mut input).map_err(io::Error::other)?;
         stream.write_all(&client.output().split()).await?;
         match step {
-            ClientStep::More if stream.read_buf(&mut input).await? == 0 => {
+            ClientEvent::More if stream.read_buf(&mut input).await? == 0 => {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            ClientStep::More => {}
+            ClientEvent::More => {}
             step => return Ok((stream, client, input, step)),
         }
     }
@@ -109,17 +112,17 @@
 
 /// The names of a server's exports.
 pub async fn names(address: SocketAddr) -> io::Result<Vec<String>> {
-    match negotiate(address, Wish::List).await?.3 {
-        ClientStep::Names(names) => Ok(names),
+    match negotiate(address, Negotiation::List).await?.3 {
+        ClientEvent::Names(names) => Ok(names),
         _ => Err(io::Error::other("the server did not list its exports")),
     }
 }
 
 impl Connection {
     pub async fn open(address: SocketAddr, name: &str, structured: bool) -> io::Result<Connection> {
-        let wish = Wish::Export { name: name.into(), structured };
+        let wish = Negotiation::Export { name: name.into(), structured };
         let (stream, mut client, input, step) = negotiate(address, wish).await?;
-        let ClientStep::Ready(export) = step else { return Err(io::Error::other("no export")) };
+        let ClientEvent::Ready(export) = step else { return Err(io::Error::other("no export")) };
         let (reader, mut writer) = stream.into_split();
         let (to_writer, mut requests) = mpsc::unbounded_channel::<Request>();
         let waiting = Waiting::default();
@@ -212,7 +215,7 @@
             client.output().clear();
         }
         match client.receive(&mut input) {
-            Ok(ClientStep::Reply(reply)) => take(reply, waiting),
+            Ok(ClientEvent::Reply(reply)) => take(reply, waiting),
             Ok(_) => {
                 input.reserve(64 * 1024);
                 if !reader.read_buf(&mut input).await.is_ok_and(|count| count > 0) {
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 
-use umbertray_store_protocol::list::State;
+use umbertray_store_protocol::list::EndpointState;
 
 use crate::book::Book;
 use crate::list::{self, Listed};
@@ -63,8 +63,14 @@
         };
         let running = store::start(identity, any_port(), cold).await?;
         let started = cold.then(std::time::Instant::now);
-        let listed =
-            Listed { address: running.address, shard, zone: 0, state: State::Ready, start: 1, started };
+        let listed = Listed {
+            address: running.address,
+            shard,
+            zone: 0,
+            state: EndpointState::Ready,
+            start: 1,
+            started,
+        };
         self.addresses.insert(id, running.address);
         self.stores.insert(id, running);
         self.list.list(id, listed);
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{broadcast, mpsc};
 use tokio::task::JoinHandle;
-use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
+use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
 use umbertray_store_protocol::{Message, next_frame};
 
 use crate::traffic::Traffic;
@@ -23,7 +23,7 @@
     pub address: SocketAddr,
     pub shard: u32,
     pub zone: u32,
-    pub state: State,
+    pub state: EndpointState,
     pub start: u64,
     /// Absent: long ago.
     pub started: Option<Instant>,
@@ -84,7 +84,7 @@
         _ = self.changes.send(store);
     }
 
-    pub fn state(&self, store: u64, state: State) {
+    pub fn state(&self, store: u64, state: EndpointState) {
         self.with(|known| known.stores.get_mut(&store).map(|listed| listed.state = state));
         _ = self.changes.send(store);
     }
@@ -95,7 +95,7 @@
             known.stores.get_mut(&store).map(|listed| {
                 listed.start += 1;
                 (listed.started, listed.address) = (Some(Instant::now()), address);
-                listed.state = State::Ready;
+                listed.state = EndpointState::Ready;
             })
         });
         _ = self.changes.send(store);
@@ -120,20 +120,20 @@
     }
 }
 
-fn entry(store: u64, listed: &Listed) -> Entry {
-    Entry {
+fn entry(store: u64, listed: &Listed) -> ListedStore {
+    ListedStore {
         store,
         address: listed.address,
         shard: listed.shard,
         zone: listed.zone,
         state: listed.state,
-        start: listed.start,
+        incarnation: listed.start,
         age: listed.started.map(|at| at.elapsed().as_micros() as u64),
     }
 }
 
-fn at(shard: u32) -> Place {
-    Place { shard, epoch: 0 }
+fn at(shard: u32) -> Location {
+    Location { shard, epoch: 0 }
 }
 
 impl Known {
@@ -145,22 +145,23 @@
         Some(match message {
             ToList::Hello { .. } => FromList::Welcome { term: 0 },
             _ if self.failing => FromList::Failed,
-            ToList::Subscribe | ToList::Fetch => self.full(),
-            ToList::Lookup { token, volume, extent, .. } => {
-                FromList::Place { token, place: self.places.get(&(volume, extent)).map(|shard| at(*shard)) }
-            }
+            ToList::Watch | ToList::Fetch => self.full(),
+            ToList::Lookup { token, volume, extent, .. } => FromList::Location {
+                token,
+                place: self.places.get(&(volume, extent)).map(|shard| at(*shard)),
+            },
             ToList::Claim { token, volume, extent, shard } => {
                 // The first claim wins, for ever.
                 let shard = *self.places.entry((volume, extent)).or_insert(shard);
                 self.shards.entry(volume).or_default().insert(shard);
-                FromList::Place { token, place: Some(at(shard)) }
+                FromList::Location { token, place: Some(at(shard)) }
             }
             ToList::Shards { token, volume } => {
                 let shards = self.shards.get(&volume).into_iter().flatten().copied().collect();
                 FromList::Shards { token, shards }
             }
             // It has no map that could change.
-            ToList::Move { .. } | ToList::Moving { .. } => FromList::Failed,
+            ToList::Move { .. } | ToList::MoveStatus { .. } => FromList::Failed,
         })
     }
 }
@@ -208,7 +209,7 @@
                 let Some(count) = read.ok().filter(|count| *count > 0) else { return };
                 traffic.read(count);
                 while let Ok(Some(message)) = next_frame::<ToList>(&mut input) {
-                    watching |= message == ToList::Subscribe;
+                    watching |= message == ToList::Watch;
                     let mut known = lock();
                     let due = Instant::now() + known.delay;
                     known.answer(message).into_iter().for_each(|answer| _ = to_client.send((due, answer)));
--- a/crates/fakes/src/medium.rs
+++ b/crates/fakes/src/medium.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use bytes::Bytes;
-use umbertray_control_plane::fence::{Fences, Fits, Look};
-use umbertray_store_protocol::orders::{Content, Mark, Order, PAGE, Reply, Span};
-use umbertray_store_protocol::store::{Dispatch, Stretch, Work};
+use umbertray_control_plane::fence::{EpochCheck, Fences, OrderCheck};
+use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use umbertray_store_protocol::store::{Attempt, DataRange, OperationKind};
 
 /// How long the marks of what ran and the voided numbers are kept after their fence in time, microseconds.
 const KEPT: u64 = 10_000_000;
@@ -37,7 +37,7 @@
 }
 
 struct Following {
-    span: Span,
+    span: ExtentRange,
     dirty: BTreeSet<u64>,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
     Read(Vec<(u32, Result<Bytes, u32>)>),
-    Status(Vec<Stretch>),
+    Status(Vec<DataRange>),
     Done,
     /// The op ran before, by another dispatch: a repeat changes nothing.
     Repeat,
@@ -58,19 +58,19 @@
 
 impl Medium {
     /// Marks what a dispatch voids, on its arrival.
-    pub fn void(&mut self, run: u64, dispatch: &Dispatch) {
-        for number in &dispatch.voids {
+    pub fn void(&mut self, run: u64, dispatch: &Attempt) {
+        for number in &dispatch.supersedes {
             self.voided.insert((run, *number));
             self.forget.entry(dispatch.not_after + KEPT).or_default().push((run, *number, true));
         }
     }
 
-    pub fn fenced(&self, clock: u64, run: u64, dispatch: &Dispatch) -> bool {
+    pub fn fenced(&self, clock: u64, run: u64, dispatch: &Attempt) -> bool {
         clock > dispatch.not_after || self.voided.contains(&(run, dispatch.number))
     }
 
     /// Applies a dispatch at the store's time `clock`, unless it is fenced off.
-    pub fn apply(&mut self, clock: u64, run: u64, dispatch: &Dispatch) -> Applied {
+    pub fn apply(&mut self, clock: u64, run: u64, dispatch: &Attempt) -> Applied {
         while let Some(first) = self.forget.first_entry().filter(|first| *first.key() < clock) {
             for (run, number, void) in first.remove() {
                 if void {
@@ -84,18 +84,18 @@
             return Applied::Fenced;
         }
         let (volume, extent) = (dispatch.volume, dispatch.extent);
-        if dispatch.work != Work::Flush {
-            match self.fences.look(volume, extent, dispatch.epoch) {
-                Look::Serve => {}
-                Look::Stale(epoch) => return Applied::Stale(epoch),
-                Look::Early => return Applied::Early,
+        if dispatch.kind != OperationKind::Flush {
+            match self.fences.check(volume, extent, dispatch.epoch) {
+                EpochCheck::Current => {}
+                EpochCheck::Stale(epoch) => return Applied::Stale(epoch),
+                EpochCheck::NotActiveYet => return Applied::Early,
             }
         }
-        match dispatch.work {
-            Work::Read => return Applied::Read(self.read(dispatch)),
-            Work::Status => return Applied::Status(self.status(dispatch)),
-            Work::Flush => return Applied::Done,
-            Work::Write | Work::Zero | Work::Trim => {}
+        match dispatch.kind {
+            OperationKind::Read => return Applied::Read(self.read(dispatch)),
+            OperationKind::Status => return Applied::Status(self.status(dispatch)),
+            OperationKind::Flush => return Applied::Done,
+            OperationKind::Write | OperationKind::Zero | OperationKind::Trim => {}
         }
         if self.ran.contains_key(&(run, dispatch.op)) {
             return Applied::Repeat;
@@ -115,30 +115,31 @@
     fn changed(&mut self, volume: u64, extent: u64) {
         self.changes += 1;
         self.stamps.insert((volume, extent), self.changes);
-        let followers = self.following.values_mut().filter(|following| following.span.holds(volume, extent));
+        let followers =
+            self.following.values_mut().filter(|following| following.span.contains(volume, extent));
         followers.for_each(|following| _ = following.dirty.insert(extent));
     }
 
     /// Takes a keeper's order for the move of this number.
-    pub fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> Reply {
+    pub fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
         let fits = match self.fences.take(term, number, order) {
             Ok(fits) => fits,
             Err(reply) => return reply,
         };
         let span = *order.span();
         match order {
-            Order::Prepare { .. } if fits == Fits::Now => self.empty(&span),
-            Order::Prepare { .. } | Order::Seal { .. } | Order::Open { .. } => {}
-            Order::Follow { .. } => return Reply::Left(self.follow(number, span)),
-            Order::Fetch { copied, .. } => return self.fetch(number, &span, *copied),
+            Order::Prepare { .. } if fits == OrderCheck::Apply => self.empty(&span),
+            Order::Prepare { .. } | Order::Sync { .. } | Order::Activate { .. } => {}
+            Order::TrackChanges { .. } => return OrderReply::ExtentsLeft(self.follow(number, span)),
+            Order::FetchNext { copied, .. } => return self.fetch(number, &span, *copied),
             Order::Put { content, .. } => self.put(&span, content),
-            Order::Raise { .. } => {
+            Order::Fence { .. } => {
                 let left = self.following.get(&number).map_or(0, |following| following.dirty.len());
-                return Reply::Left(left as u64);
+                return OrderReply::ExtentsLeft(left as u64);
             }
-            Order::Marks { .. } => return Reply::Marks(self.marks(clock, &span)),
-            Order::Mark { marks, .. } => {
-                for Mark { run, op, extent, kept } in marks {
+            Order::FetchExecuted { .. } => return OrderReply::ExecutedOps(self.marks(clock, &span)),
+            Order::RecordExecuted { marks, .. } => {
+                for ExecutedOp { gateway_run: run, op, extent, remembered_for: kept } in marks {
                     let ran = Ran { volume: span.volume, extent: *extent, until: clock + kept };
                     self.mark((*run, *op), ran);
                 }
@@ -149,28 +150,28 @@
                 }
                 self.following.remove(&number);
             }
-            Order::Reopen { .. } | Order::Leave { .. } => _ = self.following.remove(&number),
+            Order::Reactivate { .. } | Order::StopTracking { .. } => _ = self.following.remove(&number),
         }
-        Reply::Done
+        OrderReply::Done
     }
 
-    fn empty(&mut self, span: &Span) {
-        self.pages.retain(|(volume, extent), _| !span.holds(*volume, *extent));
-        self.stamps.retain(|(volume, extent), _| !span.holds(*volume, *extent));
+    fn empty(&mut self, span: &ExtentRange) {
+        self.pages.retain(|(volume, extent), _| !span.contains(*volume, *extent));
+        self.stamps.retain(|(volume, extent), _| !span.contains(*volume, *extent));
     }
 
     /// Danger: a move begun anew copies again what it copied before; what was emptied since the first copy must not be
     /// left out, or the target would keep it. So nothing is struck off that is still to be copied.
-    fn follow(&mut self, number: u64, span: Span) -> u64 {
-        let held = self.pages.keys().filter(|(volume, extent)| span.holds(*volume, *extent));
+    fn follow(&mut self, number: u64, span: ExtentRange) -> u64 {
+        let held = self.pages.keys().filter(|(volume, extent)| span.contains(*volume, *extent));
         let held: Vec<u64> = held.map(|(_, extent)| *extent).collect();
         let following = self.following.entry(number).or_insert(Following { span, dirty: BTreeSet::new() });
         following.dirty.extend(held);
         following.dirty.len() as u64
     }
 
-    fn fetch(&mut self, number: u64, span: &Span, copied: Option<(u64, u64)>) -> Reply {
-        let Some(following) = self.following.get_mut(&number) else { return Reply::Unfit };
+    fn fetch(&mut self, number: u64, span: &ExtentRange, copied: Option<(u64, u64)>) -> OrderReply {
+        let Some(following) = self.following.get_mut(&number) else { return OrderReply::WrongState };
         let stamp = |extent: u64| self.stamps.get(&(span.volume, extent)).copied().unwrap_or_default();
         if let Some((extent, _)) = copied.filter(|(extent, copied)| stamp(*extent) == *copied) {
             following.dirty.remove(&extent);
@@ -178,17 +179,17 @@
         // The one after what was copied last, so that a hot extent does not keep the others waiting.
         let after = copied.map_or(0, |(extent, _)| extent + 1);
         let next = following.dirty.range(after..).next().or(following.dirty.first()).copied();
-        Reply::Next(next.map(|extent| {
+        OrderReply::NextExtent(next.map(|extent| {
             let pages = self.pages.get(&(span.volume, extent)).into_iter().flatten();
             let pages = pages.map(|(page, bytes)| (*page, Bytes::copy_from_slice(&bytes[..]))).collect();
-            Content { extent, stamp: stamp(extent), pages }
+            ExtentContent { extent, change_count: stamp(extent), pages }
         }))
     }
 
     /// Danger: an older copy that lay about must not undo a newer one.
-    fn put(&mut self, span: &Span, content: &Content) {
+    fn put(&mut self, span: &ExtentRange, content: &ExtentContent) {
         let at = (span.volume, content.extent);
-        if self.stamps.get(&at).is_some_and(|held| *held > content.stamp) {
+        if self.stamps.get(&at).is_some_and(|held| *held > content.change_count) {
             return;
         }
         let page = |(number, bytes): &(u32, Bytes)| {
@@ -197,33 +198,33 @@
             (*number, page)
         };
         self.pages.insert(at, content.pages.iter().map(page).collect());
-        self.stamps.insert(at, content.stamp);
+        self.stamps.insert(at, content.change_count);
         // Its own changes are counted on from there, so that no stamp comes twice.
-        self.changes = self.changes.max(content.stamp);
+        self.changes = self.changes.max(content.change_count);
     }
 
-    fn marks(&self, clock: u64, span: &Span) -> Vec<Mark> {
-        let here = self.ran.iter().filter(|(_, ran)| span.holds(ran.volume, ran.extent));
-        let mark = |((run, op), ran): (&(u64, u64), &Ran)| Mark {
-            run: *run,
+    fn marks(&self, clock: u64, span: &ExtentRange) -> Vec<ExecutedOp> {
+        let here = self.ran.iter().filter(|(_, ran)| span.contains(ran.volume, ran.extent));
+        let mark = |((run, op), ran): (&(u64, u64), &Ran)| ExecutedOp {
+            gateway_run: *run,
             op: *op,
             extent: ran.extent,
-            kept: ran.until.saturating_sub(clock),
+            remembered_for: ran.until.saturating_sub(clock),
         };
         here.map(mark).collect()
     }
 
     /// Bytes of a span that lie here, in whole pages.
-    pub fn holds(&self, span: &Span) -> usize {
-        let here = self.pages.iter().filter(|((volume, extent), _)| span.holds(*volume, *extent));
+    pub fn holds(&self, span: &ExtentRange) -> usize {
+        let here = self.pages.iter().filter(|((volume, extent), _)| span.contains(*volume, *extent));
         here.map(|(_, pages)| pages.len() * PAGE).sum()
     }
 
-    fn change(&mut self, dispatch: &Dispatch) {
+    fn change(&mut self, dispatch: &Attempt) {
         let pages = self.pages.entry((dispatch.volume, dispatch.extent)).or_default();
         let data = dispatch.data.as_ref();
         for (page, within, range) in spans(dispatch.offset, dispatch.length) {
-            if dispatch.work == Work::Write {
+            if dispatch.kind == OperationKind::Write {
                 let page = pages.entry(page).or_insert_with(|| Box::new([0; PAGE]));
                 page[within..within + range.len()].copy_from_slice(&data[range]);
             } else if range.len() == PAGE {
@@ -235,7 +236,7 @@
     }
 
     /// The range in stretches: data, or the length of a hole.
-    fn read(&self, dispatch: &Dispatch) -> Vec<(u32, Result<Bytes, u32>)> {
+    fn read(&self, dispatch: &Attempt) -> Vec<(u32, Result<Bytes, u32>)> {
         let pages = self.pages.get(&(dispatch.volume, dispatch.extent));
         let mut parts: Vec<(u32, Result<Vec<u8>, u32>)> = Vec::new();
         for (page, within, range) in spans(dispatch.offset, dispatch.length) {
@@ -252,11 +253,11 @@
         parts.into_iter().map(|(at, part)| (at, part.map(Bytes::from))).collect()
     }
 
-    fn status(&self, dispatch: &Dispatch) -> Vec<Stretch> {
+    fn status(&self, dispatch: &Attempt) -> Vec<DataRange> {
         let parts = self.read(dispatch).into_iter();
         let stretch = |part: Result<Bytes, u32>| match part {
-            Ok(data) => Stretch { length: data.len() as u32, data: true },
-            Err(length) => Stretch { length, data: false },
+            Ok(data) => DataRange { length: data.len() as u32, has_data: true },
+            Err(length) => DataRange { length, has_data: false },
         };
         parts.map(|(_, part)| stretch(part)).collect()
     }
--- a/crates/fakes/src/model.rs
+++ b/crates/fakes/src/model.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use umbertray_store_protocol::store::{Dispatch, Work};
+use umbertray_store_protocol::store::{Attempt, OperationKind};
 
 /// What a store can do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
 pub struct Job {
     pub link: u64,
     pub run: u64,
-    pub dispatch: Dispatch,
+    pub dispatch: Attempt,
     pub arrived: Duration,
 }
 
@@ -157,7 +157,7 @@
         if self.fault.full || self.queue.len() >= self.power.queue {
             return Met::Full(job);
         }
-        if job.dispatch.work.writes() && !self.fault.sits.is_zero() {
+        if job.dispatch.kind.writes() && !self.fault.sits.is_zero() {
             self.aside.push((now + self.fault.sits, job));
         } else {
             self.queue.push_back(job);
@@ -230,11 +230,11 @@
         if self.recent.len() > self.power.remembers {
             self.recent.pop_front();
         }
-        if job.dispatch.work == Work::Write && !job.dispatch.durable {
+        if job.dispatch.kind == OperationKind::Write && !job.dispatch.durable {
             self.put_off += ms * self.power.put_off;
             ms *= 1.0 - self.power.put_off;
         }
-        if now >= self.put_off_at || job.dispatch.work == Work::Flush {
+        if now >= self.put_off_at || job.dispatch.kind == OperationKind::Flush {
             ms += std::mem::take(&mut self.put_off);
             self.put_off_at = now + Duration::from_secs_f64(self.power.put_off_s);
         }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{broadcast, watch};
 use tokio::task::JoinHandle;
-use umbertray_http::server::{Next, Request, Requests, answer};
+use umbertray_http::server::{Request, RequestEvent, RequestReader, response};
 use umbertray_http::{Limits, Malformed};
 
 const LIMITS: Limits = Limits { head: 16 * 1024, body: 64 * 1024 };
@@ -34,7 +34,7 @@
 
 /// A whole answer with this body.
 pub fn ok(body: &str) -> Vec<u8> {
-    answer(200, &[("Content-Type", b"text/plain")], body.as_bytes(), false).to_vec()
+    response(200, &[("Content-Type", b"text/plain")], body.as_bytes(), false).to_vec()
 }
 
 /// What a store has seen: a request that came whole, on which connection; and connections that ended.
@@ -96,10 +96,10 @@
 }
 
 async fn attend(mut stream: TcpStream, connection: u64, book: Arc<watch::Sender<Vec<Seen>>>, script: Script) {
-    let mut requests = Requests::new(LIMITS);
+    let mut requests = RequestReader::new(LIMITS);
     loop {
         let request = match requests.request() {
-            Ok(Next::Request(request)) => request,
+            Ok(RequestEvent::Request(request)) => request,
             Ok(_) => {
                 if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) {
                     continue;
@@ -209,10 +209,10 @@
     lines: broadcast::Sender<String>,
     book: Arc<watch::Sender<Vec<String>>>,
 ) {
-    let mut requests = Requests::new(LIMITS);
+    let mut requests = RequestReader::new(LIMITS);
     loop {
         let request = match requests.request() {
-            Ok(Next::Request(request)) => request,
+            Ok(RequestEvent::Request(request)) => request,
             Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
             _ => return,
         };
@@ -225,7 +225,7 @@
         let watched = request.target.contains("watch=1");
         book.send_modify(|asked| asked.push(request.target.into()));
         if !watched {
-            if stream.write_all(&answer(200, &[], whole.as_bytes(), false)).await.is_err() {
+            if stream.write_all(&response(200, &[], whole.as_bytes(), false)).await.is_err() {
                 return;
             }
             continue;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -13,8 +13,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use umbertray_store_protocol::orders::Reply;
-use umbertray_store_protocol::store::{Answer, Code, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::orders::OrderReply;
+use umbertray_store_protocol::store::{
+    AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
+};
 use umbertray_store_protocol::{Message, next_frame};
 
 use crate::book::{Book, Seen};
@@ -297,7 +299,7 @@
         let (run, now, clock) = (*run, self.now(), self.clock());
         match message {
             ToStore::Hello { .. } => {}
-            ToStore::Dispatch(dispatch) => {
+            ToStore::Attempt(dispatch) => {
                 self.identity.book.write(self.identity.store, received(run, &dispatch));
                 if let Ok(mut medium) = self.identity.medium.lock() {
                     medium.void(run, &dispatch);
@@ -305,11 +307,11 @@
                 let number = dispatch.number;
                 let job = Job { link, run, dispatch, arrived: now };
                 if self.chance.random_bool(self.model.fault.errors) {
-                    return self.answer(&job, Code::Error, Vec::new());
+                    return self.answer(&job, ResultCode::Failed, Vec::new());
                 }
                 match self.model.arrive(now, job) {
                     Met::Queued => {}
-                    Met::Full(job) => self.answer(&job, Code::Full, Vec::new()),
+                    Met::Full(job) => self.answer(&job, ResultCode::Rejected, Vec::new()),
                     Met::Fell => {
                         tracing::warn!(store = self.identity.store, number, "store pushed over");
                         self.identity.book.write(self.identity.store, Seen::Fell);
@@ -319,20 +321,23 @@
             }
             ToStore::Cancel { number } => {
                 if let Some(job) = self.model.cancel(run, number) {
-                    self.answer(&job, Code::Cancelled, Vec::new());
+                    self.answer(&job, ResultCode::Cancelled, Vec::new());
                 }
             }
             ToStore::Order { token, term, number, order } => {
                 let taken =
                     self.identity.medium.lock().map(|mut medium| medium.order(clock, term, number, &order));
                 let Ok(reply) = taken else { return };
-                let (order, done) = (order.name().into(), !matches!(reply, Reply::Unfit | Reply::OldTerm(_)));
+                let (order, done) = (
+                    order.name().into(),
+                    !matches!(reply, OrderReply::WrongState | OrderReply::StaleTerm(_)),
+                );
                 self.identity.book.write(self.identity.store, Seen::Ordered { term, number, order, done });
-                self.say(link, FromStore::Ordered { token, reply });
+                self.say(link, FromStore::OrderReply { token, reply });
             }
-            ToStore::Probe { token } => {
+            ToStore::HealthCheck { token } => {
                 let report = self.model.report();
-                self.say(link, FromStore::Probed { token, clock, report });
+                self.say(link, FromStore::Healthy { token, clock, load_report: report });
             }
         }
     }
@@ -343,24 +348,32 @@
         }
     }
 
-    fn answer(&mut self, job: &Job, code: Code, stretches: Vec<Stretch>) {
+    fn answer(&mut self, job: &Job, code: ResultCode, stretches: Vec<DataRange>) {
         self.answer_of(job, code, 0, stretches);
     }
 
-    fn answer_of(&mut self, job: &Job, code: Code, epoch: u64, stretches: Vec<Stretch>) {
+    fn answer_of(&mut self, job: &Job, code: ResultCode, epoch: u64, stretches: Vec<DataRange>) {
         let (run, number) = (job.run, job.dispatch.number);
         self.identity
             .book
-            .write(self.identity.store, Seen::Answered { run, number, code: format!("{code:?}") });
+            .write(self.identity.store, Seen::Answered { run, number, code: recorded_code(code).into() });
         if self.chance.random_bool(self.model.fault.lost) {
             return;
         }
         let now = self.now();
-        let elsewhere = if code == Code::Acked { self.model.served(now, job) } else { 0.0 };
+        let elsewhere = if code == ResultCode::Succeeded { self.model.served(now, job) } else { 0.0 };
         let (clock, report) = (self.clock(), self.model.report());
-        let answer =
-            Answer { number, code: Ok(code), clock, epoch, used: None, elsewhere, report, stretches };
-        self.say(job.link, FromStore::Answer(answer));
+        let answer = AttemptResult {
+            number,
+            code: Ok(code),
+            clock,
+            epoch,
+            plan_rate_used: None,
+            units_elsewhere: elsewhere,
+            load_report: report,
+            data_ranges: stretches,
+        };
+        self.say(job.link, FromStore::AttemptResult(answer));
     }
 
     fn advance(&mut self) {
@@ -383,12 +396,12 @@
                     if self.down {
                         return;
                     }
-                    self.answer(&job, Code::Acked, Vec::new());
+                    self.answer(&job, ResultCode::Succeeded, Vec::new());
                 }
-                Applied::Status(stretches) => self.answer(&job, Code::Acked, stretches),
-                Applied::Done | Applied::Repeat => self.answer(&job, Code::Acked, Vec::new()),
-                Applied::Fenced => self.answer(&job, Code::Fenced, Vec::new()),
-                Applied::Stale(epoch) => self.answer_of(&job, Code::Stale, epoch, Vec::new()),
+                Applied::Status(stretches) => self.answer(&job, ResultCode::Succeeded, stretches),
+                Applied::Done | Applied::Repeat => self.answer(&job, ResultCode::Succeeded, Vec::new()),
+                Applied::Fenced => self.answer(&job, ResultCode::Fenced, Vec::new()),
+                Applied::Stale(epoch) => self.answer_of(&job, ResultCode::StaleEpoch, epoch, Vec::new()),
                 // It waits for the keeper's word for as long as it has time.
                 Applied::Early => self.model.put_aside(now + EARLY, job),
             }
@@ -415,16 +428,41 @@
     }
 }
 
-fn received(run: u64, dispatch: &umbertray_store_protocol::store::Dispatch) -> Seen {
+/// The code's name in records, which judges and their readers know; it stays when the type's own names change.
+fn recorded_code(code: ResultCode) -> &'static str {
+    match code {
+        ResultCode::Succeeded => "Acked",
+        ResultCode::Failed => "Error",
+        ResultCode::Rejected => "Full",
+        ResultCode::Fenced => "Fenced",
+        ResultCode::Cancelled => "Cancelled",
+        ResultCode::NotHere => "Elsewhere",
+        ResultCode::StaleEpoch => "Stale",
+    }
+}
+
+/// The operation's name in records; it stays when the type's own names change.
+fn recorded_kind(kind: OperationKind) -> &'static str {
+    match kind {
+        OperationKind::Read => "Read",
+        OperationKind::Write => "Write",
+        OperationKind::Zero => "Zero",
+        OperationKind::Trim => "Trim",
+        OperationKind::Flush => "Flush",
+        OperationKind::Status => "Status",
+    }
+}
+
+fn received(run: u64, dispatch: &umbertray_store_protocol::store::Attempt) -> Seen {
     let mark = dispatch.data.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
-    debug_assert!(dispatch.work != Work::Write || dispatch.data.len() == dispatch.length as usize);
+    debug_assert!(dispatch.kind != OperationKind::Write || dispatch.data.len() == dispatch.length as usize);
     Seen::Received {
         run,
         number: dispatch.number,
         op: dispatch.op,
         volume: dispatch.volume,
         extent: dispatch.extent,
-        work: format!("{:?}", dispatch.work),
+        work: recorded_kind(dispatch.kind).into(),
         offset: dispatch.offset,
         length: dispatch.length,
         units: dispatch.units,
--- a/crates/fault-tests/src/day.rs
+++ b/crates/fault-tests/src/day.rs
@@ -153,10 +153,10 @@
             return Err(problems);
         };
         let rules = &document.settings.rules;
-        power.cold_from = rules.cold_from;
-        power.cold_s = rules.cold_time.as_secs_f64();
-        power.fall_multiple = rules.fall_multiple;
-        power.fall_s = rules.fall_time.as_secs_f64();
+        power.cold_from = rules.slow_start_from;
+        power.cold_s = rules.slow_start_duration.as_secs_f64();
+        power.fall_multiple = rules.slow_start_multiple;
+        power.fall_s = rules.slow_start_window.as_secs_f64();
         document.settings.gateways = gateways;
         document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
         #[rustfmt::skip]
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -4,7 +4,7 @@
 
 use umbertray_fakes::book;
 use umbertray_routing::Settings;
-use umbertray_routing::settings::Repeats;
+use umbertray_routing::settings::Idempotency;
 use umbertray_store_protocol::volume_id;
 
 use super::Finding;
@@ -158,7 +158,7 @@
             finding.breach(|| format!("write {mark} ran {ran} times in extent {extent}"));
         }
         let asked = seen.writes[&mark];
-        if seen.settings.op_types[seen.op_type(asked)].repeats != Repeats::OnceOnly {
+        if seen.settings.op_types[seen.op_type(asked)].idempotency != Idempotency::NotIdempotent {
             continue;
         }
         let proven = |arrived: &&&Arrived| {
@@ -259,7 +259,7 @@
     let mut shortest = f64::INFINITY;
     for arrived in &seen.arrived {
         let Some(asked) = seen.writes.get(&arrived.mark) else { continue };
-        if !seen.settings.op_types[seen.op_type(asked)].in_order {
+        if !seen.settings.op_types[seen.op_type(asked)].ordered_by_key {
             continue;
         }
         let earlier = open.entry((arrived.run, arrived.volume, arrived.extent)).or_default();
@@ -287,8 +287,8 @@
 /// Rule 6: a run's further dispatches stay within the budget in any span.
 pub(crate) fn budget(seen: &Seen) -> Finding {
     let mut finding = Finding::new("6 budget of further dispatches", "largest part of the budget used");
-    let Some(rule) = &seen.settings.rules.further else { return finding };
-    let span = micros(rule.span);
+    let Some(rule) = &seen.settings.rules.retry_budget else { return finding };
+    let span = micros(rule.window);
     let mut firsts: HashSet<(u64, u64)> = HashSet::new();
     let mut further: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     // What was turned away since its range had moved never ran and is no dispatch in vain.
@@ -309,7 +309,7 @@
                 asked.gateway == *gateway && (from.saturating_sub(seen.slack)..=*at).contains(&asked.sent)
             });
             let taken: u64 = taken.map(|asked| pieces(seen, asked)).sum();
-            let allowed = rule.free + rule.share * taken as f64;
+            let allowed = rule.reserve + rule.ratio * taken as f64;
             finding.at_most(made / allowed.max(f64::MIN_POSITIVE));
             if made > allowed {
                 finding.breach(|| {
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -118,10 +118,10 @@
         for (i, r) in returns.iter().enumerate() {
             if (r.from..r.until).contains(&asked.sent) && (asked.gateway == r.gateway || !returned) {
                 let step = steps[i].entry((asked.sent - r.from) / STEP).or_default();
-                step[usize::from(asked.gateway != r.gateway)].add(asked, op_type.utility, in_time);
+                step[usize::from(asked.gateway != r.gateway)].add(asked, op_type.priority_weight, in_time);
             }
             if asked.gateway == r.gateway && (r.died.saturating_sub(4 * STEP)..r.died).contains(&asked.sent) {
-                before[i].add(asked, op_type.utility, in_time);
+                before[i].add(asked, op_type.priority_weight, in_time);
             }
         }
         let then = returns.iter().any(|r| (r.from..r.until).contains(&asked.sent));
@@ -137,7 +137,7 @@
             service.by_plan.entry(plan.clone()).or_default(),
             service.by_second.entry(asked.sent / 1_000_000).or_default(),
         ];
-        counts.into_iter().for_each(|count| count.add(asked, op_type.utility, in_time));
+        counts.into_iter().for_each(|count| count.add(asked, op_type.priority_weight, in_time));
     }
     service.recovered = steps.iter().zip(&before).map(|(steps, before)| recovered(steps, before)).collect();
     service
--- a/crates/fault-tests/src/keeper.rs
+++ b/crates/fault-tests/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use nix::sys::signal::Signal;
 use umbertray_coordinator::client::{self, AskError};
-use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::orders::ExtentRange;
 
 use crate::run::Process;
 
@@ -66,7 +66,7 @@
     }
 
     /// Wishes for a move; its number, or why it cannot be.
-    pub async fn wish(&self, span: Span, shard: u32) -> io::Result<Result<u64, String>> {
+    pub async fn wish(&self, span: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
         match client::wish(self.address, span, shard).await {
             Ok(number) => Ok(Ok(number)),
             Err(AskError::Refused(why)) => Ok(Err(why)),
--- a/crates/fault-tests/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use umbertray_fakes::book::Entry;
-use umbertray_store_protocol::store::Work;
+use umbertray_store_protocol::store::OperationKind;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
@@ -12,11 +12,11 @@
 }
 
 impl Kind {
-    pub fn work(self) -> Work {
+    pub fn work(self) -> OperationKind {
         match self {
-            Kind::Read => Work::Read,
-            Kind::Write => Work::Write,
-            Kind::Flush => Work::Flush,
+            Kind::Read => OperationKind::Read,
+            Kind::Write => OperationKind::Write,
+            Kind::Flush => OperationKind::Flush,
         }
     }
 }
--- a/crates/fault-tests/src/run.rs
+++ b/crates/fault-tests/src/run.rs
@@ -22,8 +22,8 @@
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Fault;
 use umbertray_snapshot::Disk;
-use umbertray_store_protocol::list::State;
-use umbertray_store_protocol::orders::Span;
+use umbertray_store_protocol::list::EndpointState;
+use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
 use crate::day::{Day, Kind, Trouble};
@@ -357,7 +357,7 @@
                 }
                 Step::Restart(id) => self.restart(id).await?,
                 Step::Gone(id) => {
-                    self.fleet.list.state(id, State::Gone);
+                    self.fleet.list.state(id, EndpointState::Gone);
                     self.fleet.kill(id).await;
                 }
                 Step::Replace(id) => self.replace(id, at, &mut steps).await?,
@@ -562,7 +562,7 @@
             let from = self.draw.random_range(0..extents);
             let to = (from + size.max(1.0) as u64).min(extents);
             let shard = self.draw.random_range(0..self.day.stores);
-            let span = Span { volume: volume_id(&volume.name), from, to };
+            let span = ExtentRange { volume: volume_id(&volume.name), start: from, end: to };
             let Some(keeper) = &self.keeper else { return Ok(()) };
             // It may be down, or refuse: whoever wishes asks again.
             if let Ok(Ok(number)) = keeper.wish(span, shard).await {
@@ -617,7 +617,7 @@
     async fn replace(&mut self, id: u64, at: Duration, steps: &mut Vec<(Duration, Step)>) -> io::Result<()> {
         let Some(shard) = self.fleet.shard(id) else { return Ok(()) };
         self.fleet.add(shard, true).await?;
-        self.fleet.list.state(id, State::Draining);
+        self.fleet.list.state(id, EndpointState::Draining);
         self.note(Deed::Barred { store: id });
         let grace = self.day.document.settings.rules.drain_grace;
         // It could serve on for long: nothing but the gateways' own doing keeps new work from it.
--- a/crates/fault-tests/src/soak/client.rs
+++ b/crates/fault-tests/src/soak/client.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 use umbertray_http::Limits;
-use umbertray_http::client::{self, Answer, Answers};
+use umbertray_http::client::{self, Response, ResponseReader};
 
 use crate::soak::plan::SHARDS;
 use crate::soak::record::{Book, Effect, End, Request, Stopped};
@@ -48,7 +48,7 @@
 /// A connection that is kept, and how many requests went over it.
 struct Kept {
     stream: TcpStream,
-    answers: Answers,
+    answers: ResponseReader,
     requests: u32,
 }
 
@@ -103,7 +103,7 @@
     async fn connect(&self) -> io::Result<Kept> {
         let stream = timeout(Duration::from_secs(1), TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
-        Ok(Kept { stream, answers: Answers::new(LIMITS), requests: 0 })
+        Ok(Kept { stream, answers: ResponseReader::new(LIMITS), requests: 0 })
     }
 
     fn draw(&self, draw: &mut StdRng) -> Drawn {
@@ -172,7 +172,7 @@
 }
 
 /// The next whole answer; nothing once the connection has ended.
-async fn answer(kept: &mut Kept) -> Option<Answer> {
+async fn answer(kept: &mut Kept) -> Option<Response> {
     loop {
         if let Some(answer) = kept.answers.answer().ok()? {
             return Some(answer);
--- a/crates/http-api/src/ask.rs
+++ b/crates/http-api/src/ask.rs
@@ -6,16 +6,16 @@
 use umbertray::interface::Settings;
 use umbertray_http::server::Request;
 
-use crate::config::span;
+use crate::config::duration_setting;
 use crate::places;
 use crate::words;
 
 /// An op as its client asked for it. What goes to a store is written anew from these parts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     pub id: Box<str>,
     /// As its client wrote it.
-    pub mark: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     pub method: &'static str,
     /// Path and query.
     pub target: Box<str>,
@@ -26,7 +26,7 @@
     /// 0: none.
     pub key: u64,
     /// How long the client waits, counted from the request's first byte.
-    pub left: Duration,
+    pub time_left: Duration,
     pub units: f64,
     /// Absent: a new object.
     pub shard: Option<u32>,
@@ -35,14 +35,14 @@
 
 /// A request that is no op, and the status that its client gets.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{what}")]
-pub struct Refused {
+#[error("{message}")]
+pub struct RequestError {
     pub status: u16,
-    pub what: String,
+    pub message: String,
 }
 
-fn refused<T>(status: u16, what: impl Into<String>) -> Result<T, Refused> {
-    Err(Refused { status, what: what.into() })
+fn refused<T>(status: u16, what: impl Into<String>) -> Result<T, RequestError> {
+    Err(RequestError { status, message: what.into() })
 }
 
 /// What requests may name, by the settings.
@@ -65,7 +65,7 @@
         };
         let op_type = |i: usize| {
             let timeout = format!("op_types.{i}.op_timeout");
-            let patience = span(settings, &timeout);
+            let patience = duration_setting(settings, &timeout);
             Ok((named("op_types", i)?, patience.ok_or(timeout)?))
         };
         let plan = |i: usize| named("plans", i);
@@ -77,7 +77,7 @@
         })
     }
 
-    pub fn ask(&self, request: &Request) -> Result<Ask, Refused> {
+    pub fn ask(&self, request: &Request) -> Result<ClientRequest, RequestError> {
         let method = match &*request.method {
             "PUT" => "PUT",
             "GET" if request.body.is_empty() => "GET",
@@ -89,12 +89,12 @@
         let Some(plan) = self.plans.iter().position(|own| own.as_deref() == Some(plan)) else {
             return refused(400, format!("{}: no plan of this name", words::PLAN));
         };
-        let id = text(request, words::ID)?;
+        let id = text(request, words::REQUEST_ID)?;
         if hex(id).is_none() {
-            return refused(400, format!("{}: not {} hex digits", words::ID, words::HEX_DIGITS));
+            return refused(400, format!("{}: not {} hex digits", words::REQUEST_ID, words::HEX_DIGITS));
         }
-        let Ok(mark) = request.headers.one(words::MARK) else {
-            return refused(400, format!("{} stands more than once", words::MARK));
+        let Ok(mark) = request.headers.one(words::IDEMPOTENCY_KEY) else {
+            return refused(400, format!("{} stands more than once", words::IDEMPOTENCY_KEY));
         };
         let left = text(request, words::TIME_LEFT)?;
         let digits = !left.is_empty() && left.bytes().all(|byte| byte.is_ascii_digit());
@@ -102,9 +102,9 @@
             return refused(400, format!("{}: not a whole number of milliseconds", words::TIME_LEFT));
         };
         let (units, shard, gateways) = self.placement(text(request, words::PLACEMENT)?)?;
-        Ok(Ask {
+        Ok(ClientRequest {
             id: id.into(),
-            mark: mark.map(Bytes::copy_from_slice),
+            idempotency_key: mark.map(Bytes::copy_from_slice),
             method,
             target: request.target.clone(),
             body: request.body.clone(),
@@ -112,7 +112,7 @@
             plan,
             volume,
             key,
-            left: Duration::from_millis(left).min(self.op_types[op_type].1),
+            time_left: Duration::from_millis(left).min(self.op_types[op_type].1),
             units,
             shard,
             gateways,
@@ -120,7 +120,7 @@
     }
 
     /// Strictly `/op-type/volume/key`, with a query or without.
-    fn path(&self, target: &str) -> Result<(usize, u64, u64), Refused> {
+    fn path(&self, target: &str) -> Result<(usize, u64, u64), RequestError> {
         let path = target.split_once('?').map_or(target, |(path, _)| path);
         let mut steps = path.split('/');
         let steps = [steps.next(), steps.next(), steps.next(), steps.next(), steps.next()];
@@ -137,7 +137,7 @@
         Ok((op_type, volume, key))
     }
 
-    fn placement(&self, text: &str) -> Result<(f64, Option<u32>, f64), Refused> {
+    fn placement(&self, text: &str) -> Result<(f64, Option<u32>, f64), RequestError> {
         let part = |name: &str| {
             let mut own = text.split(',').filter_map(|part| part.trim().split_once('='));
             own.find(|(own, _)| *own == name).map(|(_, value)| value)
@@ -165,7 +165,7 @@
     }
 }
 
-fn text<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, Refused> {
+fn text<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
     match request.headers.one(name) {
         Ok(Some(value)) => match std::str::from_utf8(value) {
             Ok(value) => Ok(value.trim()),
--- a/crates/http-api/src/config.rs
+++ b/crates/http-api/src/config.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use umbertray::interface::Settings;
 
-use crate::list::List;
+use crate::list::EndpointList;
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -25,7 +25,7 @@
     pub seed: u64,
     pub limits: Limits,
     /// The list as this gateway last held it; it may be old.
-    pub known: List,
+    pub known: EndpointList,
     /// In our words, as the module takes them.
     pub settings: Settings,
 }
@@ -69,14 +69,15 @@
             discovery: address("discovery", &told.discovery)?,
             seed: u64::from_str_radix(&told.seed, 16).map_err(|error| field("seed", &error))?,
             limits: told.limits,
-            known: List::read(told.known.to_string().as_bytes()).map_err(|error| field("known", &error))?,
+            known: EndpointList::read(told.known.to_string().as_bytes())
+                .map_err(|error| field("known", &error))?,
             settings: umbertray_setting_names::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
         })
     }
 }
 
 /// A span among the settings; nothing where it is missing or unreadable.
-pub fn span(settings: &Settings, name: &str) -> Option<Duration> {
+pub fn duration_setting(settings: &Settings, name: &str) -> Option<Duration> {
     let seconds = settings.get(name)?.parse::<f64>().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -15,9 +15,9 @@
 use umbertray_lifecycle::attempt::{self, AttemptStart, Repeats, RequestStatus, StoreStatus};
 use umbertray_lifecycle::reason::{DenialReason, RetryReason};
 
-use crate::ask::{Ask, Names, Refused};
-use crate::config::{Config, span};
-use crate::list::{Entry, List};
+use crate::ask::{ClientRequest, Names, RequestError};
+use crate::config::{Config, duration_setting};
+use crate::list::{DiscoveredEndpoint, EndpointList};
 use crate::places;
 use crate::starts::{BootTimestamp, StampClock};
 use crate::words;
@@ -28,16 +28,16 @@
 
 /// One dispatch of an op: how many of it went before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call {
+pub struct AttemptId {
     pub op: OpId,
-    pub dispatch: u32,
+    pub attempt: u32,
 }
 
 /// What became of a dispatch or probe.
 #[derive(Debug)]
-pub enum Returned {
+pub enum AttemptOutcome {
     /// A whole answer.
-    Answer(client::Answer),
+    Response(client::Response),
     /// Not all of the request was written: it never ran.
     NeverWritten,
     /// Written whole, then the connection broke, ended, or carried what cannot be read: it may have run.
@@ -50,17 +50,17 @@
     Withheld,
 }
 
-impl std::fmt::Display for Returned {
+impl std::fmt::Display for AttemptOutcome {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Returned::Answer(client::Answer { head, body }) => {
+            AttemptOutcome::Response(client::Response { head, body }) => {
                 write!(f, "answered {} with {} bytes", head.status, body.len())
             }
-            Returned::NeverWritten => write!(f, "never written"),
-            Returned::Broken => write!(f, "broken"),
-            Returned::TimedOut => write!(f, "timed out"),
-            Returned::Cancelled => write!(f, "cancelled"),
-            Returned::Withheld => write!(f, "withheld"),
+            AttemptOutcome::NeverWritten => write!(f, "never written"),
+            AttemptOutcome::Broken => write!(f, "broken"),
+            AttemptOutcome::TimedOut => write!(f, "timed out"),
+            AttemptOutcome::Cancelled => write!(f, "cancelled"),
+            AttemptOutcome::Withheld => write!(f, "withheld"),
         }
     }
 }
@@ -69,82 +69,82 @@
 #[derive(Debug)]
 pub enum Input {
     /// An op whose request's first byte came at that time.
-    Ask {
+    Request {
         client: ClientId,
-        ask: Ask,
+        ask: ClientRequest,
         begun: Duration,
     },
     /// Nobody waits for the answer any more.
-    Left(ClientId),
-    Returned {
-        call: Call,
-        returned: Returned,
+    ClientDisconnected(ClientId),
+    AttemptFinished {
+        call: AttemptId,
+        returned: AttemptOutcome,
         at: Duration,
     },
-    Probed {
+    HealthChecked {
         store: StoreId,
-        returned: Returned,
+        returned: AttemptOutcome,
     },
-    List(List),
+    EndpointList(EndpointList),
     /// A call for the list failed, or the watch broke.
-    ListFailed,
+    EndpointListFailed,
     /// The settings from now on.
-    Changed(Settings),
+    SettingsChanged(Settings),
     /// This gateway ends: each op is to have its final answer by then.
-    Ends(Duration),
+    ShuttingDown(Duration),
     /// Time has passed up to what [`Core::wake`] told.
-    Woken,
+    TimerExpired,
 }
 
 /// The final answer to an op.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    Acked { kind: Option<Bytes>, body: Bytes },
-    Throttled { retry_after: Duration },
-    Aborted,
+pub enum FinalResponse {
+    Succeeded { kind: Option<Bytes>, body: Bytes },
+    Rejected { retry_after: Duration },
+    Failed,
 }
 
-impl std::fmt::Display for Reply {
+impl std::fmt::Display for FinalResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Reply::Acked { body, .. } => write!(f, "acked with {} bytes", body.len()),
-            Reply::Throttled { retry_after } => write!(f, "throttled for {retry_after:?}"),
-            Reply::Aborted => write!(f, "aborted"),
+            FinalResponse::Succeeded { body, .. } => write!(f, "acked with {} bytes", body.len()),
+            FinalResponse::Rejected { retry_after } => write!(f, "throttled for {retry_after:?}"),
+            FinalResponse::Failed => write!(f, "aborted"),
         }
     }
 }
 
 /// What is to be done.
 #[derive(Debug, PartialEq)]
-pub enum Deed {
-    Answer {
+pub enum Effect {
+    Respond {
         client: ClientId,
-        reply: Reply,
+        reply: FinalResponse,
     },
     /// To be sent to the store now; [`Core::begin`] gives the bytes once a connection stands.
-    Send {
-        call: Call,
+    StartAttempt {
+        call: AttemptId,
         store: StoreId,
         address: SocketAddr,
         until: Duration,
     },
     Cancel {
-        call: Call,
+        call: AttemptId,
     },
     /// To be called off, unless it has been written whole.
-    Withhold {
-        call: Call,
+    CancelUnlessWritten {
+        call: AttemptId,
     },
-    Probe {
+    CheckHealth {
         store: StoreId,
         address: SocketAddr,
     },
     /// No store that is of use listens there any more: connections to it can go.
-    Drop {
+    CloseIdleConnections {
         address: SocketAddr,
     },
-    Subscribe,
-    FetchList,
+    WatchEndpoints,
+    FetchEndpoints,
     Log(String),
     /// The module cannot run.
     Fatal(String),
@@ -152,7 +152,7 @@
 
 struct Door {
     client: ClientId,
-    ask: Ask,
+    ask: ClientRequest,
     /// Dispatches without an outcome: their number, store, when they were sent and until when they may take.
     out: Vec<Out>,
     sent: u32,
@@ -215,7 +215,7 @@
     stamps: StampClock,
     timers: BTreeSet<(Duration, u64)>,
     events: Vec<Event>,
-    deeds: Vec<Deed>,
+    deeds: Vec<Effect>,
 }
 
 fn words_of(list: Option<&String>) -> Vec<String> {
@@ -241,8 +241,9 @@
     match settings.get(&format!("op_types.{op_type}.repeats")).map(String::as_str) {
         Some("replayable") => Repeats::Always,
         Some("deduplicated") => {
-            let remembered = span(settings, &format!("op_types.{op_type}.dedup_span")).unwrap_or_default();
-            Repeats::Within(remembered.saturating_sub(span(settings, "tick").unwrap_or_default()))
+            let remembered =
+                duration_setting(settings, &format!("op_types.{op_type}.dedup_span")).unwrap_or_default();
+            Repeats::Within(remembered.saturating_sub(duration_setting(settings, "tick").unwrap_or_default()))
         }
         _ => Repeats::Never,
     }
@@ -252,14 +253,14 @@
 
 /// How long a store may be sent to after this gateway was notified that it drains, by the settings.
 fn drain_grace(settings: &Settings) -> Duration {
-    span(settings, DRAIN_GRACE).unwrap_or_default()
+    duration_setting(settings, DRAIN_GRACE).unwrap_or_default()
 }
 
 /// The settings as the module decides by them: a grace that it may use whole. Hazard: what it decides on beyond that is
 /// denied at the first byte, again and again.
 fn for_module(settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    if let Some(grace) = span(&settings, DRAIN_GRACE) {
+    if let Some(grace) = duration_setting(&settings, DRAIN_GRACE) {
         let usable = attempt::usable_drain_grace(grace).as_secs_f64().to_string();
         settings.insert(DRAIN_GRACE.into(), usable);
     }
@@ -302,36 +303,39 @@
     }
 
     /// Reads a request as an op; its id must not be that of an open one.
-    pub fn check(&self, request: &server::Request) -> Result<Ask, Refused> {
+    pub fn check(&self, request: &server::Request) -> Result<ClientRequest, RequestError> {
         let ask = self.names.ask(request)?;
         if self.open.contains(&ask.id) {
-            return Err(Refused { status: 409, what: format!("{}: an open request has this id", words::ID) });
+            return Err(RequestError {
+                status: 409,
+                message: format!("{}: an open request has this id", words::REQUEST_ID),
+            });
         }
         Ok(ask)
     }
 
     /// The module knows stores to decide on.
-    pub fn ready(&self) -> bool {
+    pub fn endpoints_known(&self) -> bool {
         self.listed
     }
 
     /// The id that its client gave the op, for as long as the op is known here.
-    pub fn id(&self, call: Call) -> Option<&str> {
+    pub fn request_id(&self, call: AttemptId) -> Option<&str> {
         self.ops.get(&call.op).map(|door| &*door.ask.id)
     }
 
     /// Ops without their final answer.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.clients.len()
     }
 
     /// When to come back with [`Input::Woken`] at the latest.
-    pub fn wake(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.first().map(|(at, _)| *at)
     }
 
     /// Takes all that happened up to now, at one moment.
-    pub fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Deed> {
+    pub fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Effect> {
         self.now = now.max(self.now);
         inputs.into_iter().for_each(|input| self.take(input));
         while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
@@ -347,14 +351,14 @@
     }
 
     /// Who waits for the answer to this op.
-    pub fn client(&self, call: Call) -> Option<ClientId> {
+    pub fn client(&self, call: AttemptId) -> Option<ClientId> {
         self.ops.get(&call.op).filter(|door| !door.ended).map(|door| door.client)
     }
 
     /// The bytes of an attempt, once a connection for it stands; or why it must not begin any more ([`attempt`]).
-    pub fn begin(&mut self, call: Call, now: Duration) -> Result<Bytes, DenialReason> {
+    pub fn start_attempt(&mut self, call: AttemptId, now: Duration) -> Result<Bytes, DenialReason> {
         let door = self.ops.get_mut(&call.op).ok_or(DenialReason::RequestEnded)?;
-        let out = door.out.iter_mut().find(|out| out.dispatch == call.dispatch);
+        let out = door.out.iter_mut().find(|out| out.dispatch == call.attempt);
         let out = out.ok_or(DenialReason::RequestEnded)?;
         let store = self.stores.get(&out.store).ok_or(DenialReason::StoreGone)?;
         attempt::may_begin(&AttemptStart {
@@ -368,60 +372,60 @@
         out.begun_at = Some(now);
         let left = (out.until - now).as_millis().to_string();
         let (host, ask) = (store.address.to_string(), &door.ask);
-        let mut told = vec![(words::ID, ask.id.as_bytes()), (words::TIME_LEFT, left.as_bytes())];
+        let mut told = vec![(words::REQUEST_ID, ask.id.as_bytes()), (words::TIME_LEFT, left.as_bytes())];
         // Danger: without its mark a repeat is a second effect (rule 2), and to the store not what its client sent.
-        told.extend(ask.mark.as_ref().map(|mark| (words::MARK, &mark[..])));
+        told.extend(ask.idempotency_key.as_ref().map(|mark| (words::IDEMPOTENCY_KEY, &mark[..])));
         Ok(client::request(ask.method, &ask.target, &host, &told, &ask.body))
     }
 
     /// Why this attempt is not the first of its request; nothing for the first.
-    pub fn retry_reason(&self, call: Call) -> Option<RetryReason> {
-        let door = self.ops.get(&call.op).filter(|_| call.dispatch > 0)?;
-        let another_out = door.out.iter().any(|out| out.dispatch != call.dispatch);
+    pub fn retry_reason(&self, call: AttemptId) -> Option<RetryReason> {
+        let door = self.ops.get(&call.op).filter(|_| call.attempt > 0)?;
+        let another_out = door.out.iter().any(|out| out.dispatch != call.attempt);
         if another_out { Some(RetryReason::Hedged) } else { door.previous }
     }
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Ask { client, ask, begun } => self.asked(client, ask, begun),
-            Input::Left(client) => {
+            Input::Request { client, ask, begun } => self.asked(client, ask, begun),
+            Input::ClientDisconnected(client) => {
                 if let Some(op) = self.clients.get(&client).copied() {
                     self.events.push(Event::ClientDisconnected { op });
                     self.ended(op);
                 }
             }
-            Input::Returned { call, returned, at } => self.returned(call, returned, at),
-            Input::Probed { store, returned } => {
+            Input::AttemptFinished { call, returned, at } => self.returned(call, returned, at),
+            Input::HealthChecked { store, returned } => {
                 let (outcome, report) = match &returned {
-                    Returned::Answer(answer) if answer.head.status == 200 => {
+                    AttemptOutcome::Response(answer) if answer.head.status == 200 => {
                         (Outcome::Succeeded, self.probe_report(answer))
                     }
                     other => (outcome(other), Report::new()),
                 };
                 self.events.push(Event::HealthChecked { store, outcome, report });
             }
-            Input::List(list) => {
+            Input::EndpointList(list) => {
                 let listings = self.listings(&list);
                 self.unheard = false;
                 self.listed |= !list.stores.is_empty();
-                let news = if list.whole {
+                let news = if list.is_whole {
                     EndpointListUpdate::Whole(listings)
                 } else {
                     EndpointListUpdate::Changes(listings)
                 };
                 self.events.push(Event::EndpointList(news));
             }
-            Input::ListFailed => {
+            Input::EndpointListFailed => {
                 self.unheard = true;
                 self.events.push(Event::EndpointList(EndpointListUpdate::Failed));
             }
-            Input::Changed(settings) => {
+            Input::SettingsChanged(settings) => {
                 if let Err(why) = self.reconfigure(settings) {
-                    self.deeds.push(Deed::Log(format!("settings not taken: {why}")));
+                    self.deeds.push(Effect::Log(format!("settings not taken: {why}")));
                 }
             }
-            Input::Ends(at) => self.events.push(Event::ShuttingDown { at }),
-            Input::Woken => {}
+            Input::ShuttingDown(at) => self.events.push(Event::ShuttingDown { at }),
+            Input::TimerExpired => {}
         }
     }
 
@@ -442,7 +446,7 @@
         Ok(())
     }
 
-    fn asked(&mut self, client: ClientId, ask: Ask, begun: Duration) {
+    fn asked(&mut self, client: ClientId, ask: ClientRequest, begun: Duration) {
         let id = OpId(self.next_op);
         self.next_op = self.next_op.wrapping_add(1);
         let next_volume = VolumeId(self.next_volume);
@@ -457,7 +461,7 @@
             volume_name: ask.volume,
             key: (ask.key != 0).then_some(ask.key),
             shard: ask.shard,
-            time_left: ask.left.saturating_sub(self.now.saturating_sub(begun)),
+            time_left: ask.time_left.saturating_sub(self.now.saturating_sub(begun)),
             plan: ask.plan,
             op_type: ask.op_type,
             gateways: ask.gateways,
@@ -477,23 +481,23 @@
             self.open.remove(&door.ask.id);
             self.clients.remove(&door.client);
         }
-        let unwritten = door.out.iter().map(|out| Call { op, dispatch: out.dispatch });
-        self.deeds.extend(unwritten.map(|call| Deed::Withhold { call }));
+        let unwritten = door.out.iter().map(|out| AttemptId { op, attempt: out.dispatch });
+        self.deeds.extend(unwritten.map(|call| Effect::CancelUnlessWritten { call }));
         if door.out.is_empty() {
             self.ops.remove(&op);
         }
     }
 
-    fn answer(&mut self, op: OpId, reply: Reply) {
+    fn answer(&mut self, op: OpId, reply: FinalResponse) {
         if let Some(door) = self.ops.get(&op).filter(|door| !door.ended) {
-            self.deeds.push(Deed::Answer { client: door.client, reply });
+            self.deeds.push(Effect::Respond { client: door.client, reply });
             self.ended(op);
         }
     }
 
-    fn returned(&mut self, call: Call, returned: Returned, at: Duration) {
+    fn returned(&mut self, call: AttemptId, returned: AttemptOutcome, at: Duration) {
         let Some(door) = self.ops.get_mut(&call.op) else { return };
-        let Some(place) = door.out.iter().position(|out| out.dispatch == call.dispatch) else { return };
+        let Some(place) = door.out.iter().position(|out| out.dispatch == call.attempt) else { return };
         let out = door.out.swap_remove(place);
         if !matches!(outcome(&returned), Outcome::ConnectFailed | Outcome::Rejected | Outcome::NotSent) {
             door.ran_at = door.ran_at.or(out.begun_at);
@@ -502,7 +506,7 @@
         let was_ended = door.ended;
         let mut answer = AttemptResult {
             op: call.op,
-            attempt: call.dispatch,
+            attempt: call.attempt,
             store: out.store,
             outcome: outcome(&returned),
             latency: at.saturating_sub(out.at),
@@ -511,14 +515,14 @@
             units_elsewhere: 0.0,
             report: Report::new(),
         };
-        if let Returned::Answer(from) = returned {
+        if let AttemptOutcome::Response(from) = returned {
             let headers = &from.head.headers;
-            answer.plan_rate_used = number(headers, words::USED).map(|percent| percent / 100.0);
-            answer.units_elsewhere = number(headers, words::ELSEWHERE).unwrap_or_default();
-            answer.report = self.report(headers.one(words::LOAD).ok().flatten().unwrap_or_default());
+            answer.plan_rate_used = number(headers, words::PLAN_RATE_USED).map(|percent| percent / 100.0);
+            answer.units_elsewhere = number(headers, words::UNITS_ELSEWHERE).unwrap_or_default();
+            answer.report = self.report(headers.one(words::LOAD_REPORT).ok().flatten().unwrap_or_default());
             if answer.outcome == Outcome::Succeeded {
                 let kind = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
-                self.answer(call.op, Reply::Acked { kind, body: from.body });
+                self.answer(call.op, FinalResponse::Succeeded { kind, body: from.body });
                 answer.op_ended = true;
             }
         }
@@ -539,25 +543,25 @@
         pairs.filter_map(read).collect()
     }
 
-    fn probe_report(&self, answer: &client::Answer) -> Report {
-        let told = answer.head.headers.one(words::LOAD).ok().flatten();
+    fn probe_report(&self, answer: &client::Response) -> Report {
+        let told = answer.head.headers.one(words::LOAD_REPORT).ok().flatten();
         self.report(told.unwrap_or(&answer.body))
     }
 
-    fn listings(&mut self, list: &List) -> Vec<Endpoint> {
+    fn listings(&mut self, list: &EndpointList) -> Vec<Endpoint> {
         let told = self.told_at();
         let newest = list.stores.iter().filter_map(|entry| entry.started).max();
         _ = newest.map(|stamp| self.stamps.see(stamp, self.now));
-        if list.whole {
+        if list.is_whole {
             let named: HashSet<&str> = list.stores.iter().map(|entry| &*entry.uid).collect();
             for store in self.stores.values_mut().filter(|store| !named.contains(&*store.uid)) {
                 if store.state != StoreState::Gone {
-                    self.deeds.push(Deed::Drop { address: store.address });
+                    self.deeds.push(Effect::CloseIdleConnections { address: store.address });
                 }
                 (store.state, store.left_at) = (StoreState::Gone, store.left_at.or(Some(told)));
             }
         }
-        self.deeds.extend(list.unknown.iter().cloned().map(Deed::Log));
+        self.deeds.extend(list.unknown.iter().cloned().map(Effect::Log));
         list.stores.iter().map(|entry| self.listing(entry)).collect()
     }
 
@@ -574,7 +578,7 @@
         if self.unheard { self.now.saturating_sub(self.grace) } else { self.now }
     }
 
-    fn listing(&mut self, entry: &Entry) -> Endpoint {
+    fn listing(&mut self, entry: &DiscoveredEndpoint) -> Endpoint {
         let next = StoreId(self.next_store);
         let store = *self.store_ids.entry(entry.uid.clone()).or_insert(next);
         if store == next {
@@ -590,7 +594,7 @@
         let before = self.stores.insert(store, Store { uid, start, address, state, left_at });
         let left = before.map(|before| before.address).filter(|before| *before != address);
         let left = left.or((state == StoreState::Gone).then_some(address));
-        self.deeds.extend(left.map(|address| Deed::Drop { address }));
+        self.deeds.extend(left.map(|address| Effect::CloseIdleConnections { address }));
         // Danger: taken for one zone, two that settings do not name would get an op twice.
         let zone = self.zones.iter().position(|zone| *zone == entry.zone).unwrap_or_else(|| {
             self.zones.push(entry.zone.clone());
@@ -614,28 +618,28 @@
                 else {
                     return;
                 };
-                let call = Call { op, dispatch: door.sent };
+                let call = AttemptId { op, attempt: door.sent };
                 door.out.push(Out { dispatch: door.sent, store, at, until, begun_at: None });
                 door.sent += 1;
-                self.deeds.push(Deed::Send { call, store, address, until });
+                self.deeds.push(Effect::StartAttempt { call, store, address, until });
             }
-            Action::Reject { op, retry_after } => self.answer(op, Reply::Throttled { retry_after }),
-            Action::Fail { op } => self.answer(op, Reply::Aborted),
+            Action::Reject { op, retry_after } => self.answer(op, FinalResponse::Rejected { retry_after }),
+            Action::Fail { op } => self.answer(op, FinalResponse::Failed),
             Action::Cancel { op, attempt: dispatch } => {
-                self.deeds.push(Deed::Cancel { call: Call { op, dispatch } })
+                self.deeds.push(Effect::Cancel { call: AttemptId { op, attempt: dispatch } })
             }
             Action::SetTimer { token, at } => _ = self.timers.insert((at, token)),
-            Action::WatchEndpoints => self.deeds.push(Deed::Subscribe),
-            Action::FetchEndpoints => self.deeds.push(Deed::FetchList),
+            Action::WatchEndpoints => self.deeds.push(Effect::WatchEndpoints),
+            Action::FetchEndpoints => self.deeds.push(Effect::FetchEndpoints),
             Action::CheckHealth { store } => {
                 if let Some(address) = self.stores.get(&store).map(|store| store.address) {
-                    self.deeds.push(Deed::Probe { store, address });
+                    self.deeds.push(Effect::CheckHealth { store, address });
                 }
             }
             // Nothing here survives the process.
             Action::Snapshot { .. } => {}
-            Action::Log(text) => self.deeds.push(Deed::Log(text)),
-            Action::Fatal(text) => self.deeds.push(Deed::Fatal(text)),
+            Action::Log(text) => self.deeds.push(Effect::Log(text)),
+            Action::Fatal(text) => self.deeds.push(Effect::Fatal(text)),
         }
     }
 }
@@ -647,25 +651,25 @@
 }
 
 /// How an attempt ended, as the reason of the next one; nothing where it was served.
-fn retry_reason(returned: &Returned) -> Option<RetryReason> {
+fn retry_reason(returned: &AttemptOutcome) -> Option<RetryReason> {
     match returned {
-        Returned::Answer(_) => match outcome(returned) {
+        AttemptOutcome::Response(_) => match outcome(returned) {
             Outcome::Succeeded => None,
             Outcome::Rejected => Some(RetryReason::TurnedAway),
             _ => Some(RetryReason::StoreError),
         },
-        Returned::NeverWritten => Some(RetryReason::NotSent),
-        Returned::Broken => Some(RetryReason::ConnectionLost),
-        Returned::TimedOut => Some(RetryReason::TimedOut),
-        Returned::Cancelled => Some(RetryReason::Cancelled),
-        Returned::Withheld => Some(RetryReason::Denied),
+        AttemptOutcome::NeverWritten => Some(RetryReason::NotSent),
+        AttemptOutcome::Broken => Some(RetryReason::ConnectionLost),
+        AttemptOutcome::TimedOut => Some(RetryReason::TimedOut),
+        AttemptOutcome::Cancelled => Some(RetryReason::Cancelled),
+        AttemptOutcome::Withheld => Some(RetryReason::Denied),
     }
 }
 
-fn outcome(returned: &Returned) -> Outcome {
+fn outcome(returned: &AttemptOutcome) -> Outcome {
     match returned {
-        Returned::Answer(answer) => {
-            let unrun = answer.head.headers.one(words::NEVER_RAN);
+        AttemptOutcome::Response(answer) => {
+            let unrun = answer.head.headers.one(words::NOT_EXECUTED);
             let unrun = unrun.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
             match answer.head.status {
                 200 => Outcome::Succeeded,
@@ -673,10 +677,10 @@
                 _ => Outcome::Failed,
             }
         }
-        Returned::NeverWritten => Outcome::ConnectFailed,
-        Returned::Broken => Outcome::Reset,
-        Returned::TimedOut => Outcome::TimedOut,
-        Returned::Cancelled => Outcome::Cancelled,
-        Returned::Withheld => Outcome::NotSent,
+        AttemptOutcome::NeverWritten => Outcome::ConnectFailed,
+        AttemptOutcome::Broken => Outcome::Reset,
+        AttemptOutcome::TimedOut => Outcome::TimedOut,
+        AttemptOutcome::Cancelled => Outcome::Cancelled,
+        AttemptOutcome::Withheld => Outcome::NotSent,
     }
 }
--- a/crates/http-api/src/lib.rs
+++ b/crates/http-api/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod starts;
 pub mod words;
 
-pub use ask::{Ask, Refused};
+pub use ask::{ClientRequest, RequestError};
 pub use config::Config;
-pub use core::{Call, ClientId, Core, Deed, Input, Reply, Returned};
+pub use core::{AttemptId, AttemptOutcome, ClientId, Core, Effect, FinalResponse, Input};
 pub use umbertray::interface::{OpId, StoreId};
--- a/crates/http-api/src/list.rs
+++ b/crates/http-api/src/list.rs
@@ -9,16 +9,16 @@
 use crate::starts::BootTimestamp;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct EndpointList {
     pub version: u64,
-    pub whole: bool,
-    pub stores: Vec<Entry>,
+    pub is_whole: bool,
+    pub stores: Vec<DiscoveredEndpoint>,
     /// What of it this version does not know, and where it stands.
     pub unknown: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct DiscoveredEndpoint {
     pub uid: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -30,7 +30,7 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("the list, version {version}, entry {entry}: {what}")]
-pub struct Unreadable {
+pub struct EndpointListError {
     /// 0 where not even that could be read.
     version: u64,
     entry: String,
@@ -57,17 +57,18 @@
     boot_ms: u64,
 }
 
-impl List {
-    pub fn read(bytes: &[u8]) -> Result<List, Unreadable> {
-        let told: Told = serde_json::from_slice(bytes).map_err(|error| Unreadable {
+impl EndpointList {
+    pub fn read(bytes: &[u8]) -> Result<EndpointList, EndpointListError> {
+        let told: Told = serde_json::from_slice(bytes).map_err(|error| EndpointListError {
             version: 0,
             entry: "unknown".into(),
             what: error.to_string(),
         })?;
         let mut unknown = Vec::new();
         let entry = |entry: ToldEntry| {
-            let wrong = |what: String| Unreadable { version: told.rev, entry: entry.uid.clone(), what };
-            Ok(Entry {
+            let wrong =
+                |what: String| EndpointListError { version: told.rev, entry: entry.uid.clone(), what };
+            Ok(DiscoveredEndpoint {
                 address: entry.endpoint.parse().map_err(|e| wrong(format!("endpoint: {e}")))?,
                 zone: entry.az,
                 shard: entry.pod_group,
@@ -87,12 +88,12 @@
             })
         };
         let stores = told.targets.into_iter().map(entry).collect::<Result<_, _>>()?;
-        Ok(List { version: told.rev, whole: told.all, stores, unknown })
+        Ok(EndpointList { version: told.rev, is_whole: told.all, stores, unknown })
     }
 }
 
 /// What a watch tells, an object a line or indented over several; both may be split over reads.
-pub struct Lines {
+pub struct WatchReader {
     pub bytes: BytesMut,
     searched: usize,
     within: Within,
@@ -143,24 +144,24 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Line {
-    Alive,
-    List(List),
+pub enum WatchEvent {
+    Heartbeat,
+    List(EndpointList),
 }
 
-impl Lines {
-    pub fn new(longest: usize) -> Lines {
-        Lines { bytes: BytesMut::new(), searched: 0, within: Within::default(), longest }
+impl WatchReader {
+    pub fn new(longest: usize) -> WatchReader {
+        WatchReader { bytes: BytesMut::new(), searched: 0, within: Within::default(), longest }
     }
 
     /// The next whole line. After an error the list has to be asked for anew.
-    pub fn line(&mut self) -> Result<Option<Line>, Unreadable> {
+    pub fn line(&mut self) -> Result<Option<WatchEvent>, EndpointListError> {
         let within = &mut self.within;
         let Some(end) = self.bytes[self.searched..].iter().position(|byte| within.ends(*byte)) else {
             self.searched = self.bytes.len();
             if self.searched > self.longest {
                 let what = format!("longer than {} bytes", self.longest);
-                return Err(Unreadable { version: 0, entry: "unknown".into(), what });
+                return Err(EndpointListError { version: 0, entry: "unknown".into(), what });
             }
             return Ok(None);
         };
@@ -169,9 +170,9 @@
         (self.searched, self.within) = (0, Within::default());
         let line = line.trim_ascii();
         if line.is_empty() {
-            Ok(Some(Line::Alive))
+            Ok(Some(WatchEvent::Heartbeat))
         } else {
-            List::read(line).map(|list| Some(Line::List(list)))
+            EndpointList::read(line).map(|list| Some(WatchEvent::List(list)))
         }
     }
 }
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -4,11 +4,13 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_http::client::Answers;
-use umbertray_http::server::{Next, Request, Requests};
+use umbertray_http::client::ResponseReader;
+use umbertray_http::server::{Request, RequestEvent, RequestReader};
 use umbertray_http::{Limits, client};
-use umbertray_http_api::list::{Line, Lines, List};
-use umbertray_http_api::{Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
+use umbertray_http_api::list::{EndpointList, WatchEvent, WatchReader};
+use umbertray_http_api::{
+    AttemptId, AttemptOutcome, ClientId, Config, Core, Effect, FinalResponse, Input, RequestError,
+};
 use umbertray_lifecycle::reason::DenialReason;
 
 const LIMITS: Limits = Limits { head: 8192, body: 65536 };
@@ -60,7 +62,9 @@
     /// A process that has heard that its earlier list holds.
     fn with(settings: &str, entries: &[String]) -> World {
         let mut world = World::unheard(settings, entries);
-        world.tell(vec![Input::List(List::read(list(1, false, &[]).as_bytes()).expect("a list"))]);
+        world.tell(vec![Input::EndpointList(
+            EndpointList::read(list(1, false, &[]).as_bytes()).expect("a list"),
+        )]);
         world
     }
 
@@ -74,42 +78,42 @@
         world
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) -> Vec<Deed> {
+    fn tell(&mut self, inputs: Vec<Input>) -> Vec<Effect> {
         let deeds = self.core.handle(self.now, inputs);
-        assert!(!deeds.iter().any(|deed| matches!(deed, Deed::Fatal(_))), "{deeds:?}");
+        assert!(!deeds.iter().any(|deed| matches!(deed, Effect::Fatal(_))), "{deeds:?}");
         deeds
     }
 
     /// Time passes as on a clock that wakes the core when it asked for it.
-    fn pass(&mut self, span: Duration) -> Vec<Deed> {
+    fn pass(&mut self, span: Duration) -> Vec<Effect> {
         let (end, mut deeds) = (self.now + span, Vec::new());
-        while let Some(at) = self.core.wake().filter(|at| *at <= end) {
+        while let Some(at) = self.core.next_deadline().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            deeds.extend(self.tell(vec![Input::Woken]));
+            deeds.extend(self.tell(vec![Input::TimerExpired]));
         }
         self.now = end;
         deeds
     }
 
-    fn ask(&mut self, request: &Request) -> (ClientId, Vec<Deed>) {
+    fn ask(&mut self, request: &Request) -> (ClientId, Vec<Effect>) {
         let ask = self.core.check(request).expect("a request that is an op");
         self.clients += 1;
         let client = ClientId(self.clients);
-        let deeds = self.tell(vec![Input::Ask { client, ask, begun: self.now }]);
+        let deeds = self.tell(vec![Input::Request { client, ask, begun: self.now }]);
         (client, deeds)
     }
 
-    fn returned(&mut self, call: Call, returned: Returned) -> Vec<Deed> {
-        self.tell(vec![Input::Returned { call, returned, at: self.now }])
+    fn returned(&mut self, call: AttemptId, returned: AttemptOutcome) -> Vec<Effect> {
+        self.tell(vec![Input::AttemptFinished { call, returned, at: self.now }])
     }
 }
 
 fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Request {
-    let mut reader = Requests::new(LIMITS);
+    let mut reader = RequestReader::new(LIMITS);
     let fields: Vec<_> = fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect();
     reader.bytes.extend_from_slice(&client::request(method, target, "x", &fields, body.as_bytes()));
     match reader.request() {
-        Ok(Next::Request(request)) => request,
+        Ok(RequestEvent::Request(request)) => request,
         other => panic!("{other:?}"),
     }
 }
@@ -134,39 +138,39 @@
     request("PUT", target, &fields(&format!("{n:016x}"), "units=2,shard=0,hosts=2"), "data")
 }
 
-fn answer(text: &str) -> Returned {
-    let mut reader = Answers::new(LIMITS);
+fn answer(text: &str) -> AttemptOutcome {
+    let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(text.as_bytes());
-    Returned::Answer(reader.answer().expect("well formed").expect("whole"))
+    AttemptOutcome::Response(reader.answer().expect("well formed").expect("whole"))
 }
 
-fn ok() -> Returned {
+fn ok() -> AttemptOutcome {
     answer(
         "HTTP/1.1 200 OK\r\nContent-Type: own/kind\r\nX-Rho: noise\r\nX-Backend-Load: queue=x,util=0.5,\r\nContent-Length: 4\r\n\r\nbody",
     )
 }
 
-fn failed() -> Returned {
+fn failed() -> AttemptOutcome {
     answer("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 }
 
-fn sent(deeds: &[Deed]) -> Vec<(Call, SocketAddr)> {
-    let send = |deed: &Deed| match deed {
-        Deed::Send { call, address, .. } => Some((*call, *address)),
+fn sent(deeds: &[Effect]) -> Vec<(AttemptId, SocketAddr)> {
+    let send = |deed: &Effect| match deed {
+        Effect::StartAttempt { call, address, .. } => Some((*call, *address)),
         _ => None,
     };
     deeds.iter().filter_map(send).collect()
 }
 
-fn answers(deeds: &[Deed]) -> Vec<(ClientId, Reply)> {
-    let answer = |deed: &Deed| match deed {
-        Deed::Answer { client, reply } => Some((*client, reply.clone())),
+fn answers(deeds: &[Effect]) -> Vec<(ClientId, FinalResponse)> {
+    let answer = |deed: &Effect| match deed {
+        Effect::Respond { client, reply } => Some((*client, reply.clone())),
         _ => None,
     };
     deeds.iter().filter_map(answer).collect()
 }
 
-fn refusal(request: &Request) -> Refused {
+fn refusal(request: &Request) -> RequestError {
     World::new().core.check(request).expect_err("no op")
 }
 
@@ -277,10 +281,10 @@
     let (client, deeds) = world.ask(&request("PUT", target, &told, "data"));
     let [(call, address)] = sent(&deeds)[..] else { panic!("{deeds:?}") };
     assert_eq!(address.port(), 7000 + u16::from(b's') + u16::from(b'1'));
-    let bytes = world.core.begin(call, world.now + ms(100)).expect("still wanted");
-    let mut reader = Requests::new(LIMITS);
+    let bytes = world.core.start_attempt(call, world.now + ms(100)).expect("still wanted");
+    let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(&bytes);
-    let Ok(Next::Request(seen)) = reader.request() else { panic!("our own request is read") };
+    let Ok(RequestEvent::Request(seen)) = reader.request() else { panic!("our own request is read") };
     assert_eq!((&*seen.method, &*seen.target, &seen.body[..]), ("PUT", target, &b"data"[..]));
     assert_eq!(seen.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
     let left =
@@ -288,10 +292,12 @@
     assert!((500..=700).contains(&left.parse::<u64>().expect("a number")), "what is left: {left}");
     assert!(seen.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
     let deeds = world.returned(call, ok());
-    let acked =
-        Reply::Acked { kind: Some(Bytes::from_static(b"own/kind")), body: Bytes::from_static(b"body") };
+    let acked = FinalResponse::Succeeded {
+        kind: Some(Bytes::from_static(b"own/kind")),
+        body: Bytes::from_static(b"body"),
+    };
     assert_eq!(answers(&deeds), [(client, acked)]);
-    assert_eq!(world.core.open(), 0);
+    assert_eq!(world.core.open_requests(), 0);
 }
 
 /// For each way a dispatch can come back: whether an op that may run again is sent again, and what a once-only gets.
@@ -301,16 +307,16 @@
     let over = || answer("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     let busy = || answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     let failed = || answer("HTTP/1.1 500 Oh\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    type Make<'a> = &'a dyn Fn() -> Returned;
+    type Make<'a> = &'a dyn Fn() -> AttemptOutcome;
     let cases: [(&str, Make, bool); 8] = [
         ("full", &full, false),
         ("over", &over, false),
-        ("never written", &|| Returned::NeverWritten, false),
+        ("never written", &|| AttemptOutcome::NeverWritten, false),
         ("busy, but not told unrun", &busy, true),
         ("failed", &failed, true),
-        ("broken", &|| Returned::Broken, true),
-        ("timed out", &|| Returned::TimedOut, true),
-        ("cancelled", &|| Returned::Cancelled, true),
+        ("broken", &|| AttemptOutcome::Broken, true),
+        ("timed out", &|| AttemptOutcome::TimedOut, true),
+        ("cancelled", &|| AttemptOutcome::Cancelled, true),
     ];
     for (name, returned, may_have_run) in cases {
         let mut world = World::new();
@@ -330,13 +336,13 @@
         if may_have_run {
             assert_eq!(
                 (again, &ends[0].1),
-                (0, &Reply::Aborted),
+                (0, &FinalResponse::Failed),
                 "{name}: not again, and no word that it is harmless"
             );
         } else {
-            assert!(matches!(ends[0].1, Reply::Throttled { .. }), "{name}: {:?}", ends[0].1);
+            assert!(matches!(ends[0].1, FinalResponse::Rejected { .. }), "{name}: {:?}", ends[0].1);
         }
-        assert_eq!(world.core.open(), 0, "{name}");
+        assert_eq!(world.core.open_requests(), 0, "{name}");
     }
 }
 
@@ -347,7 +353,7 @@
     let early = world.pass(ms(700));
     assert!(answers(&early).is_empty());
     let ends = answers(&world.pass(ms(100)));
-    assert!(matches!(&ends[..], [(own, Reply::Throttled { .. })] if *own == client), "{ends:?}");
+    assert!(matches!(&ends[..], [(own, FinalResponse::Rejected { .. })] if *own == client), "{ends:?}");
 }
 
 #[test]
@@ -355,7 +361,7 @@
     let mut world = World::new();
     let (first, _) = world.ask(&order(1));
     let end = world.now + ms(300);
-    let mut deeds = world.tell(vec![Input::Ends(end)]);
+    let mut deeds = world.tell(vec![Input::ShuttingDown(end)]);
     deeds.extend(world.pass(ms(100)));
     assert_eq!(answers(&deeds), []);
     let (second, sent_on) = world.ask(&look(2));
@@ -365,7 +371,7 @@
     let mut answered: Vec<ClientId> = answers(&deeds).into_iter().map(|(client, _)| client).collect();
     answered.sort();
     assert_eq!(answered, [first, second]);
-    assert_eq!(world.core.open(), 0);
+    assert_eq!(world.core.open_requests(), 0);
 }
 
 #[test]
@@ -375,7 +381,7 @@
     world.pass(ms(900));
     let call = sent(&deeds)[0].0;
     assert_eq!(
-        world.core.begin(call, world.now),
+        world.core.start_attempt(call, world.now),
         Err(DenialReason::RequestEnded),
         "rule 1: nothing after the final answer"
     );
@@ -388,32 +394,35 @@
 fn a_client_that_left_gets_nothing_and_its_dispatch_does_not_begin() {
     let mut world = World::new();
     let (client, deeds) = world.ask(&look(1));
-    world.tell(vec![Input::Left(client)]);
+    world.tell(vec![Input::ClientDisconnected(client)]);
     let call = sent(&deeds)[0].0;
-    assert_eq!(world.core.begin(call, world.now), Err(DenialReason::RequestEnded));
-    assert!(answers(&world.returned(call, Returned::NeverWritten)).is_empty());
+    assert_eq!(world.core.start_attempt(call, world.now), Err(DenialReason::RequestEnded));
+    assert!(answers(&world.returned(call, AttemptOutcome::NeverWritten)).is_empty());
     assert!(world.core.check(&look(1)).is_ok(), "its id is free");
 }
 
 #[test]
 fn a_dispatch_that_waited_does_not_begin_at_a_store_that_is_left() {
     let mut world = World::new();
-    let read = |text: String| List::read(text.as_bytes()).expect("a list");
+    let read = |text: String| EndpointList::read(text.as_bytes()).expect("a list");
     let (_, first) = world.ask(&look(1));
     let first = sent(&first)[0].0;
-    world.tell(vec![Input::List(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
-    assert!(world.core.begin(first, world.now + ms(500)).is_ok(), "rule 3: within the grace");
+    world.tell(vec![Input::EndpointList(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
+    assert!(world.core.start_attempt(first, world.now + ms(500)).is_ok(), "rule 3: within the grace");
     assert_eq!(
-        world.core.begin(first, world.now + ms(1000)),
+        world.core.start_attempt(first, world.now + ms(1000)),
         Err(DenialReason::DrainGraceOver),
         "rule 3: beyond the grace"
     );
     for dropped in [1, 0] {
-        let deeds = world.tell(vec![Input::List(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
-        assert_eq!(deeds.iter().filter(|deed| matches!(deed, Deed::Drop { .. })).count(), dropped);
+        let deeds = world.tell(vec![Input::EndpointList(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
+        assert_eq!(
+            deeds.iter().filter(|deed| matches!(deed, Effect::CloseIdleConnections { .. })).count(),
+            dropped
+        );
     }
     assert_eq!(
-        world.core.begin(first, world.now),
+        world.core.start_attempt(first, world.now),
         Err(DenialReason::StoreGone),
         "rule 3: gone from the whole list"
     );
@@ -425,7 +434,9 @@
     world.pass(ms(2000));
     let started = (world.now - ms(500)).as_millis() as u64;
     let entries = [entry("s0", 0, "gone", 0), entry("s2", 0, "ready", started)];
-    world.tell(vec![Input::List(List::read(list(2, false, &entries).as_bytes()).expect("a list"))]);
+    world.tell(vec![Input::EndpointList(
+        EndpointList::read(list(2, false, &entries).as_bytes()).expect("a list"),
+    )]);
     // Cold: it takes an even part of what it always bears, not all at once.
     let mut deeds = Vec::new();
     for n in 0..12 {
@@ -441,18 +452,20 @@
     let mut world = World::new();
     let read =
         |text: &str| Config::read(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
-    world.tell(vec![Input::Changed(read(&SETTINGS.replace(r#""name":"more""#, r#""name":"other""#)))]);
+    world
+        .tell(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""name":"more""#, r#""name":"other""#)))]);
     assert_eq!(world.core.check(&look(1)).expect_err("the plan has another name").status, 400);
-    let deeds = world.tell(vec![Input::Changed(read(&SETTINGS.replace("profiles", "nothing")))]);
-    assert!(matches!(&deeds[..], [Deed::Log(text)] if text.contains("op_types.count")), "{deeds:?}");
+    let deeds = world.tell(vec![Input::SettingsChanged(read(&SETTINGS.replace("profiles", "nothing")))]);
+    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("op_types.count")), "{deeds:?}");
     assert_eq!(world.core.check(&look(1)).expect_err("the former hold").status, 400);
     let endless = SETTINGS.replace(r#""contracts":["#, r#""contracts":{"count":900000000000},"others":["#);
-    let deeds = world.tell(vec![Input::Changed(read(&endless))]);
-    assert!(matches!(&deeds[..], [Deed::Log(text)] if text.contains("plans.0.name")), "{deeds:?}");
+    let deeds = world.tell(vec![Input::SettingsChanged(read(&endless))]);
+    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("plans.0.name")), "{deeds:?}");
     // What the module cannot act on must not be asked for either.
     let unreadable = r#""contracts":[{"name":"new","rate":5.0,"weight":"heavy"},"#;
-    let deeds = world.tell(vec![Input::Changed(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
-    assert!(matches!(&deeds[..], [Deed::Log(text)] if text.contains("weight")), "{deeds:?}");
+    let deeds =
+        world.tell(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
+    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("weight")), "{deeds:?}");
     let new = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "new" } else { value }));
     assert_eq!(world.core.check(&request("GET", TARGET, &new, "")).expect_err("as it was").status, 400);
@@ -472,24 +485,24 @@
     for told in [swapped, SETTINGS.replace(&both, look_type)] {
         let mut world = World::new();
         let (client, deeds) = world.ask(&order(1));
-        world.tell(vec![Input::Changed(read(&told))]);
+        world.tell(vec![Input::SettingsChanged(read(&told))]);
         let call = sent(&deeds)[0].0;
         let mut back = world.returned(call, failed());
         back.extend(world.pass(ms(100)));
-        assert_eq!(answers(&back), [(client, Reply::Aborted)], "rule 2: it may have run");
+        assert_eq!(answers(&back), [(client, FinalResponse::Failed)], "rule 2: it may have run");
         assert!(sent(&back).is_empty(), "rule 2: it may have run");
         assert_eq!(world.core.check(&order(2)).is_ok(), told.contains(order_type));
         assert!(world.core.check(&look(3)).is_ok());
         // And back again.
-        world.tell(vec![Input::Changed(read(SETTINGS))]);
+        world.tell(vec![Input::SettingsChanged(read(SETTINGS))]);
         let (client, deeds) = world.ask(&order(4));
         let mut back = world.returned(sent(&deeds)[0].0, failed());
         back.extend(world.pass(ms(100)));
-        assert_eq!((answers(&back), sent(&back)), (vec![(client, Reply::Aborted)], vec![]));
+        assert_eq!((answers(&back), sent(&back)), (vec![(client, FinalResponse::Failed)], vec![]));
     }
     let mut world = World::new();
     let without = SETTINGS.replace(r#"{"name":"basic","rate":5.0,"weight":1.0},"#, "");
-    world.tell(vec![Input::Changed(read(&without))]);
+    world.tell(vec![Input::SettingsChanged(read(&without))]);
     assert!(world.core.check(&look(1)).is_ok(), "of the plan that stays");
     let basic = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "basic" } else { value }));
@@ -504,7 +517,7 @@
         .replace(r#""effect":"single_shot""#, r#""effect":"guarded","dedupScope":"all","windowS":5.0"#);
     let mut world = World::with(&marked, &[entry("s0", 0, "ready", 0)]);
     let bytes = |world: &mut World, call| {
-        let bytes = world.core.begin(call, world.now).expect("it may begin");
+        let bytes = world.core.start_attempt(call, world.now).expect("it may begin");
         String::from_utf8(bytes.to_vec()).expect("text")
     };
     let mut asked = fields("00000000000000ab", "units=2,shard=0,hosts=2").to_vec();
@@ -512,7 +525,7 @@
     let (_, deeds) = world.ask(&request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data"));
     let (first, _) = sent(&deeds)[0];
     assert!(bytes(&mut world, first).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
-    let mut again = world.returned(first, Returned::Broken);
+    let mut again = world.returned(first, AttemptOutcome::Broken);
     again.extend(world.pass(ms(150)));
     let (second, _) = sent(&again)[0];
     assert!(bytes(&mut world, second).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
@@ -525,14 +538,14 @@
 
 /// A deduplicated op whose first dispatch may have run, and a further one that is decided on within the span in which
 /// stores remember its mark, here 600 ms. Its connection comes up late.
-fn decided_again(repeats: &str) -> (World, Call) {
+fn decided_again(repeats: &str) -> (World, AttemptId) {
     let marked = SETTINGS.replace(r#""effect":"single_shot""#, repeats);
     let mut world = World::with(&marked, &[entry("s0", 0, "ready", 0)]);
     let (_, deeds) = world.ask(&order(1));
     let (first, _) = sent(&deeds)[0];
-    assert!(world.core.begin(first, world.now).is_ok());
+    assert!(world.core.start_attempt(first, world.now).is_ok());
     world.pass(ms(20));
-    let mut again = world.returned(first, Returned::Broken);
+    let mut again = world.returned(first, AttemptOutcome::Broken);
     again.extend(world.pass(ms(130)));
     let (second, _) = sent(&again)[0];
     (world, second)
@@ -547,11 +560,11 @@
         let (mut world, second) = decided_again(MARKED);
         world.now += ms(wait);
         assert_eq!(
-            world.core.begin(second, world.now).map(drop),
+            world.core.start_attempt(second, world.now).map(drop),
             expected,
             "{wait} ms after it was decided on"
         );
-        world.returned(second, Returned::Withheld);
+        world.returned(second, AttemptOutcome::Withheld);
     }
 }
 
@@ -559,11 +572,11 @@
 #[test]
 fn a_further_dispatch_does_not_begin_once_its_op_type_may_run_once_only() {
     let (mut world, second) = decided_again(MARKED);
-    assert!(world.core.begin(second, world.now).is_ok());
+    assert!(world.core.start_attempt(second, world.now).is_ok());
     let (mut world, second) = decided_again(MARKED);
     let once_only = Config::read(&config(SETTINGS, &list(1, true, &[]))).expect("a configuration").settings;
-    world.tell(vec![Input::Changed(once_only)]);
-    assert_eq!(world.core.begin(second, world.now), Err(DenialReason::MayHaveRun));
+    world.tell(vec![Input::SettingsChanged(once_only)]);
+    assert_eq!(world.core.start_attempt(second, world.now), Err(DenialReason::MayHaveRun));
 }
 
 /// What a client that has left asked for is called off, wherever it is; what was written whole stays out.
@@ -573,12 +586,12 @@
     let (client, deeds) = world.ask(&order(1));
     let (call, _) = sent(&deeds)[0];
     assert_eq!(world.core.client(call), Some(client));
-    let deeds = world.tell(vec![Input::Left(client)]);
-    assert!(deeds.contains(&Deed::Withhold { call }), "{deeds:?}");
+    let deeds = world.tell(vec![Input::ClientDisconnected(client)]);
+    assert!(deeds.contains(&Effect::CancelUnlessWritten { call }), "{deeds:?}");
     assert_eq!(world.core.client(call), None);
-    assert_eq!(world.core.begin(call, world.now), Err(DenialReason::RequestEnded));
+    assert_eq!(world.core.start_attempt(call, world.now), Err(DenialReason::RequestEnded));
     // That this gateway called it off tells nothing of its store: the next goes there at once.
-    world.returned(call, Returned::Withheld);
+    world.returned(call, AttemptOutcome::Withheld);
     let (_, deeds) = world.ask(&look(2));
     assert_eq!(sent(&deeds).len(), 1);
 }
@@ -600,10 +613,10 @@
     let first = usize::from(address.port() - 7000 - u16::from(b's') - u16::from(b'0'));
     let named = in_zone.replace(r#"["a","b"]"#, settings_name);
     let settings = Config::read(&config(&named, &list(1, true, &[]))).expect("a configuration").settings;
-    world.tell(vec![Input::Changed(settings)]);
+    world.tell(vec![Input::SettingsChanged(settings)]);
     let gone = list(2, false, &[zoned(first, "gone")]);
-    world.tell(vec![Input::List(List::read(gone.as_bytes()).expect("a list"))]);
-    let mut back = world.returned(call, Returned::Broken);
+    world.tell(vec![Input::EndpointList(EndpointList::read(gone.as_bytes()).expect("a list"))]);
+    let mut back = world.returned(call, AttemptOutcome::Broken);
     back.extend(world.pass(ms(300)));
     sent(&back).len()
 }
@@ -620,9 +633,9 @@
 fn a_state_that_is_not_known_is_told_and_its_store_left() {
     let mut world = World::new();
     let entries = [entry("s0", 0, "asleep", 0), entry("s1", 1, "ready", 0), entry("s2", 0, "ready", 0)];
-    let told = List::read(list(2, true, &entries).as_bytes()).expect("the rest is a list");
-    let deeds = world.tell(vec![Input::List(told)]);
-    let said = |deed: &Deed| matches!(deed, Deed::Log(text) if text.contains("version 2, entry s0: state \"asleep\""));
+    let told = EndpointList::read(list(2, true, &entries).as_bytes()).expect("the rest is a list");
+    let deeds = world.tell(vec![Input::EndpointList(told)]);
+    let said = |deed: &Effect| matches!(deed, Effect::Log(text) if text.contains("version 2, entry s0: state \"asleep\""));
     assert!(deeds.iter().any(said), "{deeds:?}");
     let (_, deeds) = world.ask(&look(1));
     let port = 7000 + u16::from(b's') + u16::from(b'2');
@@ -637,7 +650,7 @@
         list(5, false, &[entry("s0", 0, "gone", 5)])
     );
     for step in [1, 7, 1000] {
-        let (mut lines, mut read) = (Lines::new(1 << 20), Vec::new());
+        let (mut lines, mut read) = (WatchReader::new(1 << 20), Vec::new());
         for part in text.as_bytes().chunks(step) {
             lines.bytes.extend_from_slice(part);
             while let Some(line) = lines.line().expect("well formed") {
@@ -645,18 +658,18 @@
             }
         }
         let versions = read.iter().map(|line| match line {
-            Line::Alive => 0,
-            Line::List(list) => list.version,
+            WatchEvent::Heartbeat => 0,
+            WatchEvent::List(list) => list.version,
         });
         assert_eq!(versions.collect::<Vec<_>>(), [4, 0, 5]);
     }
-    let wrong = |text: &str| List::read(text.as_bytes()).expect_err("not a list").to_string();
+    let wrong = |text: &str| EndpointList::read(text.as_bytes()).expect_err("not a list").to_string();
     assert!(
         wrong(&list(9, true, &[entry("s7", 0, "ready", 0).replace("127.0.0.1", "x")]))
             .contains("entry s7: endpoint")
     );
     assert!(wrong("{\"rev\":1").contains("line 1"));
-    let mut endless = Lines::new(1 << 20);
+    let mut endless = WatchReader::new(1 << 20);
     endless.bytes.extend_from_slice(&vec![b'a'; (1 << 20) + 1]);
     assert!(endless.line().is_err());
 }
@@ -666,17 +679,19 @@
 fn an_object_of_a_watch_may_stand_on_several_lines() {
     let text = "{\n  \"rev\": 7, \"all\": false,\n  \"targets\": [\n    {\"uid\": \"a}\\\"\", \"endpoint\": \"127.0.0.1:1\",\n     \"state\": \"gone\"}\n  ]\n}\n\n{\"rev\":8,\"all\":true,\"targets\":[]}\n";
     for piece in [1, 3, text.len()] {
-        let (mut lines, mut read) = (Lines::new(1 << 20), Vec::new());
+        let (mut lines, mut read) = (WatchReader::new(1 << 20), Vec::new());
         for bytes in text.as_bytes().chunks(piece) {
             lines.bytes.extend_from_slice(bytes);
             while let Some(line) = lines.line().expect("it can be read") {
                 read.push(line);
             }
         }
-        let [Line::List(first), Line::Alive, Line::List(second)] = &read[..] else { panic!("{read:?}") };
+        let [WatchEvent::List(first), WatchEvent::Heartbeat, WatchEvent::List(second)] = &read[..] else {
+            panic!("{read:?}")
+        };
         assert_eq!((first.version, &*first.stores[0].uid, second.version), (7, "a}\"", 8));
     }
-    let mut broken = Lines::new(1 << 20);
+    let mut broken = WatchReader::new(1 << 20);
     broken.bytes.extend_from_slice(b"{\"rev\": \"never closed\n{}\n");
     assert!(broken.line().is_err(), "a text that is not closed on its line ends the search");
 }
@@ -686,7 +701,9 @@
 fn a_drain_that_the_first_list_of_a_process_tells_has_no_grace_left() {
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
     let told = |version, state| {
-        Input::List(List::read(list(version, true, &stores(state)).as_bytes()).expect("a list"))
+        Input::EndpointList(
+            EndpointList::read(list(version, true, &stores(state)).as_bytes()).expect("a list"),
+        )
     };
     for known in ["ready", "draining"] {
         let mut world = World::unheard(SETTINGS, &stores(known));
@@ -695,7 +712,7 @@
         world.tell(vec![told(2, "draining")]);
         if let Some((call, _)) = sent(&early).first() {
             assert_eq!(
-                world.core.begin(*call, world.now),
+                world.core.start_attempt(*call, world.now),
                 Err(DenialReason::DrainGraceOver),
                 "rule 3: decided on the earlier list"
             );
@@ -712,10 +729,10 @@
 fn a_drain_that_is_heard_of_after_a_silence_has_no_grace_left() {
     for silent in [false, true] {
         let mut world = World::new();
-        world.tell(if silent { vec![Input::ListFailed] } else { Vec::new() });
+        world.tell(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
         let told = |version, state| {
             let entries = [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
-            Input::List(List::read(list(version, true, &entries).as_bytes()).expect("a list"))
+            Input::EndpointList(EndpointList::read(list(version, true, &entries).as_bytes()).expect("a list"))
         };
         world.tell(vec![told(2, "draining")]);
         let (_, deeds) = world.ask(&look(1));
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -7,9 +7,9 @@
 use umbertray::interface::StoreState;
 use umbertray_http::Limits;
 use umbertray_http::client;
-use umbertray_http::server::{Next, Request, Requests};
-use umbertray_http_api::list::{Line, Lines, List};
-use umbertray_http_api::{ClientId, Config, Core, Deed, Input, words};
+use umbertray_http::server::{Request, RequestEvent, RequestReader};
+use umbertray_http_api::list::{EndpointList, WatchEvent, WatchReader};
+use umbertray_http_api::{ClientId, Config, Core, Effect, Input, words};
 
 const RECORDED: &str = include_str!("golden/http.txt");
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
@@ -32,10 +32,10 @@
 
 fn request(method: &str, target: &str, fields: &[(&str, &str)], body: &str) -> Request {
     let fields: Vec<_> = fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect();
-    let mut requests = Requests::new(LIMITS);
+    let mut requests = RequestReader::new(LIMITS);
     requests.bytes.extend_from_slice(&client::request(method, target, "x", &fields, body.as_bytes()));
     match requests.request() {
-        Ok(Next::Request(request)) => request,
+        Ok(RequestEvent::Request(request)) => request,
         other => panic!("{other:?}"),
     }
 }
@@ -50,12 +50,12 @@
     let now = START + Duration::from_secs(2);
     core.handle(now, vec![]);
     let ask = core.check(request).expect("an operation");
-    let deeds = core.handle(now, vec![Input::Ask { client: ClientId(1), ask, begun: now }]);
+    let deeds = core.handle(now, vec![Input::Request { client: ClientId(1), ask, begun: now }]);
     let sent = deeds.iter().find_map(|deed| match deed {
-        Deed::Send { call, .. } => Some(*call),
+        Effect::StartAttempt { call, .. } => Some(*call),
         _ => None,
     });
-    core.begin(sent.expect("an attempt"), now).expect("it may begin")
+    core.start_attempt(sent.expect("an attempt"), now).expect("it may begin")
 }
 
 fn attempts(transcript: &mut String) {
@@ -90,20 +90,20 @@
     ];
     for example in examples {
         let refused = core().check(&example).expect_err("no operation");
-        transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.what));
+        transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
     }
     let (mut core, example) = (core(), request("GET", READ, &fields, ""));
     let ask = core.check(&example).expect("an operation");
-    core.handle(START, vec![Input::Ask { client: ClientId(1), ask, begun: START }]);
+    core.handle(START, vec![Input::Request { client: ClientId(1), ask, begun: START }]);
     let refused = core.check(&example).expect_err("its id is taken");
-    transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.what));
+    transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
 }
 
 fn discovery(transcript: &mut String) {
     for (name, target) in [
-        ("discovery, list", words::STORES.to_string()),
+        ("discovery, list", words::ENDPOINT_LIST.to_string()),
         ("discovery, watch", words::watch(7)),
-        ("store, load report", words::STATS.to_string()),
+        ("store, load report", words::LOAD_REPORT_PATH.to_string()),
         ("own, readiness", words::READY.to_string()),
         ("own, liveness", words::LIVE.to_string()),
     ] {
@@ -111,7 +111,7 @@
     }
 }
 
-fn list_text(list: &List) -> String {
+fn list_text(list: &EndpointList) -> String {
     let entries = list.stores.iter().map(|entry| {
         let state = match entry.state {
             StoreState::Ready => "ready",
@@ -123,7 +123,7 @@
         format!("[{uid} {address} {zone} {shard} {state} started {started}]")
     });
     let entries: Vec<String> = entries.collect();
-    format!("{} whole {} {} unknown {:?}", list.version, list.whole, entries.join(" "), list.unknown)
+    format!("{} whole {} {} unknown {:?}", list.version, list.is_whole, entries.join(" "), list.unknown)
 }
 
 fn lists(transcript: &mut String) {
@@ -139,13 +139,13 @@
         entry("s3", "odd", 0),
     ];
     let whole = format!("{{\"rev\":9,\"all\":true,\n \"targets\":[{}]}}\n\n", entries.join(","));
-    let mut lines = Lines::new(65536);
+    let mut lines = WatchReader::new(65536);
     lines.bytes.extend_from_slice(whole.as_bytes());
     lines.bytes.extend_from_slice(b"{\"rev\":10,\"all\":false,\"targets\":[]}\n{\"rev\":11}\n");
     for _ in 0..4 {
         let text = match lines.line() {
-            Ok(Some(Line::Alive)) => "heartbeat".to_string(),
-            Ok(Some(Line::List(list))) => list_text(&list),
+            Ok(Some(WatchEvent::Heartbeat)) => "heartbeat".to_string(),
+            Ok(Some(WatchEvent::List(list))) => list_text(&list),
             Ok(None) => "nothing whole".to_string(),
             Err(error) => format!("unreadable: {error}"),
         };
--- a/crates/http-api/tests/sizes.rs
+++ b/crates/http-api/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! The bytes of the platform's list and requests that docs/CAPACITY.md counts with.
 
-use umbertray_http_api::list::List;
+use umbertray_http_api::list::EndpointList;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
@@ -31,5 +31,5 @@
     assert_eq!(list(2).len() - list(1).len(), entry);
     let whole = list(4000);
     assert_eq!(whole.len(), page("head of a list, platform") + 4000 * entry - 1);
-    assert_eq!(List::read(whole.as_bytes()).expect("a list").stores.len(), 4000);
+    assert_eq!(EndpointList::read(whole.as_bytes()).expect("a list").stores.len(), 4000);
 }
--- a/crates/http-gateway/src/bounds.rs
+++ b/crates/http-gateway/src/bounds.rs
@@ -46,7 +46,8 @@
     pub fn of(told: &Config) -> Result<Bounds, String> {
         let settings = &told.settings;
         let span = |name: &str| {
-            config::span(settings, name).ok_or_else(|| format!("settings: {name} is missing or unreadable"))
+            config::duration_setting(settings, name)
+                .ok_or_else(|| format!("settings: {name} is missing or unreadable"))
         };
         let part = |of: usize, part: f64| ((of as f64 * part) as usize).max(1);
         let timeouts = settings.keys().filter(|name| name.ends_with(".op_timeout"));
@@ -63,13 +64,13 @@
             connection_idle: span("limits.conn_idle")?,
         });
         let memory = (told.limits.memory_mb * MEGABYTE) as usize;
-        let head = part(words::BODY, HEAD);
+        let head = part(words::MAX_BODY, HEAD);
         let stores = part(told.limits.sockets, STORES);
         Ok(Bounds {
-            http: Limits { head, body: words::BODY },
-            answer: Limits { head, body: part(memory, ANSWER).max(words::BODY) },
+            http: Limits { head, body: words::MAX_BODY },
+            answer: Limits { head, body: part(memory, ANSWER).max(words::MAX_BODY) },
             answers: part(memory, ANSWERS),
-            ahead: part(words::BODY, AHEAD),
+            ahead: part(words::MAX_BODY, AHEAD),
             list: part(memory, LIST),
             clients: part(told.limits.sockets, CLIENTS),
             rejected_clients: part(told.limits.sockets, TURNED_AWAY),
--- a/crates/http-gateway/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -12,8 +12,8 @@
 use tokio::time::{timeout, timeout_at};
 use umbertray_http::Malformed;
 use umbertray_http::connection::{CloseDemand, ConnectionState, Event, NextStep, Response, State};
-use umbertray_http::server::{self, Next, Request, Requests};
-use umbertray_http_api::{ClientId, Refused, Reply, words};
+use umbertray_http::server::{self, Request, RequestEvent, RequestReader};
+use umbertray_http_api::{ClientId, FinalResponse, RequestError, words};
 use umbertray_lifecycle::check::{check, observe};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
 use umbertray_lifecycle::limits::HOLD_UP;
@@ -46,7 +46,7 @@
     taken_at: Instant,
     left: Duration,
     client: ClientId,
-    answer: oneshot::Receiver<Reply>,
+    answer: oneshot::Receiver<FinalResponse>,
 }
 
 impl Drop for Op {
@@ -61,8 +61,8 @@
 enum Own {
     Nothing,
     Health(u16),
-    Reply(Reply),
-    Refused(Refused, RefusalReason),
+    Reply(FinalResponse),
+    Refused(RequestError, RefusalReason),
 }
 
 pub struct Client {
@@ -71,9 +71,9 @@
     stream: Socket,
     demand_raised: Rc<Notify>,
     state: ConnectionState,
-    requests: Requests,
+    requests: RequestReader,
     /// What was found behind a request before its answer was written.
-    ahead: Option<Result<Next, Malformed>>,
+    ahead: Option<Result<RequestEvent, Malformed>>,
     /// The request that was read whole, until it is handed on.
     request: Option<Request>,
     op: Option<Op>,
@@ -105,7 +105,7 @@
         let timeouts = &hub.bounds().timeouts;
         let entered = Instant::now();
         let until = entered + if reject { timeouts.first_request_rejecting } else { timeouts.first_request };
-        let (state, requests) = (ConnectionState::new(reject), Requests::new(hub.bounds().http));
+        let (state, requests) = (ConnectionState::new(reject), RequestReader::new(hub.bounds().http));
         let (ahead, request, op, own, begun) = (None, None, None, Own::Nothing, Duration::ZERO);
         Client {
             hub,
@@ -224,9 +224,9 @@
         });
     }
 
-    fn refusal(&self, refused: &Refused, reason: RefusalReason) -> Bytes {
+    fn refusal(&self, refused: &RequestError, reason: RefusalReason) -> Bytes {
         self.hub.counters.count(reason);
-        let Refused { status, what } = refused;
+        let RequestError { status, message: what } = refused;
         tracing::debug!(connection = self.id, status, what, %reason, "request refused");
         refusal(refused)
     }
@@ -276,9 +276,9 @@
     async fn parsed(&mut self) -> Option<Event> {
         loop {
             match self.ahead.take().unwrap_or_else(|| self.requests.request()) {
-                Ok(Next::More) => return None,
-                Ok(Next::Continue) => _ = self.write(Bytes::from_static(server::CONTINUE)).await,
-                Ok(Next::Request(request)) => {
+                Ok(RequestEvent::More) => return None,
+                Ok(RequestEvent::Continue) => _ = self.write(Bytes::from_static(server::CONTINUE)).await,
+                Ok(RequestEvent::Request(request)) => {
                     let (op, persists) = (self.health(&request).is_none(), request.persists);
                     self.request = Some(request);
                     return Some(Event::RequestRead { op, persists });
@@ -322,7 +322,7 @@
         };
         let took = self.hub.clock.now().saturating_sub(self.begun);
         // Hazard: without a word from the core it may have run.
-        let reply = reply.unwrap_or(Reply::Aborted);
+        let reply = reply.unwrap_or(FinalResponse::Failed);
         tracing::debug!(connection = self.id, id = %op.id, client = ?op.client, ?took, %reply, "answered");
         self.observe(&op.id, request::answered_in_time(op.taken_at.elapsed(), op.left));
         self.own = Own::Reply(reply);
@@ -332,8 +332,8 @@
     /// Hazard: what is behind an error cannot be told to be a request; it is kept as it was found.
     fn answered(&mut self) -> Event {
         let ahead = self.ahead.take().unwrap_or_else(|| self.requests.request());
-        let more = matches!(ahead, Ok(Next::Request(_)));
-        self.ahead = (ahead != Ok(Next::More)).then_some(ahead);
+        let more = matches!(ahead, Ok(RequestEvent::Request(_)));
+        self.ahead = (ahead != Ok(RequestEvent::More)).then_some(ahead);
         Event::ResponseReady { more }
     }
 
@@ -353,7 +353,7 @@
                 return Some(Event::RequestRefused);
             }
         };
-        let (id, target, shard, left) = (ask.id.clone(), &request.target, ask.shard, ask.left);
+        let (id, target, shard, left) = (ask.id.clone(), &request.target, ask.shard, ask.time_left);
         let (client, answer) = self.hub.ask(ask, self.begun);
         tracing::debug!(connection = self.id, id, ?client, %target, shard, ?left, phase = ?self.hub.phase(), "taken");
         self.op = Some(Op { hub: self.hub.clone(), id, taken_at: Instant::now(), left, client, answer });
@@ -399,17 +399,17 @@
                 self.hub.counters.count(reason);
                 let (open, demand) = (self.hub.clients.len(), self.state.demand());
                 tracing::debug!(connection = self.id, open, ?demand, %reason, "request refused");
-                rendered(&Reply::Throttled { retry_after: self.hub.bounds().retry_after }, last)
+                rendered(&FinalResponse::Rejected { retry_after: self.hub.bounds().retry_after }, last)
             }
             (Response::RequestTimeout, _) => {
                 self.observe("", connection::may_have_waited(self.entered_reading.elapsed()));
                 let what = "the request did not come whole in its time".into();
-                self.refusal(&Refused { status: 408, what }, RefusalReason::RequestReadTimeout)
+                self.refusal(&RequestError { status: 408, message: what }, RefusalReason::RequestReadTimeout)
             }
             (_, Own::Refused(refused, reason)) => self.refusal(&refused, reason),
-            (_, Own::Health(status)) => server::answer(status, &[], b"", last),
+            (_, Own::Health(status)) => server::response(status, &[], b"", last),
             (_, Own::Reply(reply)) => rendered(&reply, last),
-            (_, Own::Nothing) => rendered(&Reply::Aborted, last),
+            (_, Own::Nothing) => rendered(&FinalResponse::Failed, last),
         };
         let event = self.write(bytes).await;
         if self.requests.bytes.is_empty() {
--- a/crates/http-gateway/src/hub.rs
+++ b/crates/http-gateway/src/hub.rs
@@ -14,7 +14,10 @@
 use tokio::time::sleep_until;
 use umbertray_clock::Clock;
 use umbertray_http::server::Request;
-use umbertray_http_api::{Ask, Call, ClientId, Config, Core, Deed, Input, Refused, Reply, Returned};
+use umbertray_http_api::{
+    AttemptId, AttemptOutcome, ClientId, ClientRequest, Config, Core, Effect, FinalResponse, Input,
+    RequestError,
+};
 use umbertray_lifecycle::Counters;
 use umbertray_lifecycle::reason::{DenialReason, RetryReason, StoreCloseReason};
 
@@ -41,8 +44,8 @@
     core: RefCell<Core>,
     inputs: RefCell<Vec<Input>>,
     news: Notify,
-    answers: RefCell<HashMap<ClientId, oneshot::Sender<Reply>>>,
-    work: RefCell<HashMap<Call, Work>>,
+    answers: RefCell<HashMap<ClientId, oneshot::Sender<FinalResponse>>>,
+    work: RefCell<HashMap<AttemptId, Work>>,
     next_client: Cell<u64>,
     phase: watch::Sender<Phase>,
     pub clock: Clock,
@@ -107,49 +110,49 @@
         self.news.notify_one();
     }
 
-    pub fn check(&self, request: &Request) -> Result<Ask, Refused> {
+    pub fn check(&self, request: &Request) -> Result<ClientRequest, RequestError> {
         self.core.borrow().check(request)
     }
 
     /// Hands over an op; its final answer comes through the channel.
-    pub fn ask(&self, ask: Ask, begun: Duration) -> (ClientId, oneshot::Receiver<Reply>) {
+    pub fn ask(&self, ask: ClientRequest, begun: Duration) -> (ClientId, oneshot::Receiver<FinalResponse>) {
         let client = ClientId(self.next_client.replace(self.next_client.get() + 1));
         let (answer, answered) = oneshot::channel();
         self.answers.borrow_mut().insert(client, answer);
-        self.post(Input::Ask { client, ask, begun });
+        self.post(Input::Request { client, ask, begun });
         (client, answered)
     }
 
     pub fn left(&self, client: ClientId) {
         self.answers.borrow_mut().remove(&client);
-        self.post(Input::Left(client));
+        self.post(Input::ClientDisconnected(client));
     }
 
     /// The bytes of an attempt whose connection stands; or why it must not begin. Hazard: the core hears only at its
     /// next turn that a client has left.
-    pub fn begin(&self, call: Call) -> Result<Bytes, DenialReason> {
+    pub fn begin(&self, call: AttemptId) -> Result<Bytes, DenialReason> {
         let mut core = self.core.borrow_mut();
         let client = core.client(call).ok_or(DenialReason::RequestEnded)?;
         if !self.answers.borrow().contains_key(&client) {
             return Err(DenialReason::ClientGone);
         }
-        core.begin(call, self.clock.now())
+        core.start_attempt(call, self.clock.now())
     }
 
-    pub fn retry_reason(&self, call: Call) -> Option<RetryReason> {
+    pub fn retry_reason(&self, call: AttemptId) -> Option<RetryReason> {
         self.core.borrow().retry_reason(call)
     }
 
-    pub fn id(&self, call: Call) -> Option<Box<str>> {
-        self.core.borrow().id(call).map(Box::from)
+    pub fn id(&self, call: AttemptId) -> Option<Box<str>> {
+        self.core.borrow().request_id(call).map(Box::from)
     }
 
     pub fn open(&self) -> usize {
-        self.core.borrow().open()
+        self.core.borrow().open_requests()
     }
 
     pub fn ready(&self) -> bool {
-        self.core.borrow().ready() && self.phase() == Phase::Serving
+        self.core.borrow().endpoints_known() && self.phase() == Phase::Serving
     }
 
     pub fn phase(&self) -> Phase {
@@ -182,56 +185,61 @@
         deeds.into_iter().try_for_each(|deed| self.perform(deed))
     }
 
-    fn perform(self: &Rc<Hub>, deed: Deed) -> Result<(), String> {
+    fn perform(self: &Rc<Hub>, deed: Effect) -> Result<(), String> {
         match deed {
-            Deed::Answer { client, reply } => {
+            Effect::Respond { client, reply } => {
                 if let Some(answer) = self.answers.borrow_mut().remove(&client) {
                     // A client that left meanwhile has told so itself.
                     _ = answer.send(reply);
                 }
             }
-            Deed::Send { call, store, address, until } => {
+            Effect::StartAttempt { call, store, address, until } => {
                 let written = Rc::new(Cell::new(false));
                 let (hub, done) = (self.clone(), written.clone());
                 let task = tokio::task::spawn_local(async move {
                     let (returned, at) = store::call(&hub, call, store, address, until, &done).await;
                     hub.work.borrow_mut().remove(&call);
-                    hub.post(Input::Returned { call, returned, at });
+                    hub.post(Input::AttemptFinished { call, returned, at });
                 });
                 self.work.borrow_mut().insert(call, Work { task: task.abort_handle(), written });
             }
-            Deed::Cancel { call } => {
+            Effect::Cancel { call } => {
                 if let Some(Work { task, written }) = self.work.borrow_mut().remove(&call) {
                     task.abort();
-                    let returned = if written.get() { Returned::Cancelled } else { Returned::NeverWritten };
-                    self.post(Input::Returned { call, returned, at: self.clock.now() });
+                    let returned =
+                        if written.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverWritten };
+                    self.post(Input::AttemptFinished { call, returned, at: self.clock.now() });
                 }
             }
-            Deed::Withhold { call } => {
+            Effect::CancelUnlessWritten { call } => {
                 let mut work = self.work.borrow_mut();
                 if let Entry::Occupied(entry) = work.entry(call)
                     && !entry.get().written.get()
                 {
                     entry.remove().task.abort();
-                    self.post(Input::Returned { call, returned: Returned::Withheld, at: self.clock.now() });
+                    self.post(Input::AttemptFinished {
+                        call,
+                        returned: AttemptOutcome::Withheld,
+                        at: self.clock.now(),
+                    });
                 }
             }
-            Deed::Probe { store, address } => {
+            Effect::CheckHealth { store, address } => {
                 let hub = self.clone();
                 tokio::task::spawn_local(async move {
                     let returned = store::probe(&hub, address).await;
-                    hub.post(Input::Probed { store, returned });
+                    hub.post(Input::HealthChecked { store, returned });
                 });
             }
-            Deed::Drop { address } => {
+            Effect::CloseIdleConnections { address } => {
                 let closed = self.pools.forget(address);
                 (0..closed).for_each(|_| self.counters.count(StoreCloseReason::StoreLeft));
                 tracing::debug!(store = %address, closed, reason = %StoreCloseReason::StoreLeft, "store connections closed");
             }
-            Deed::Subscribe => self.subscribe.notify_one(),
-            Deed::FetchList => self.fetch.notify_one(),
-            Deed::Log(text) => tracing::info!(text, "said"),
-            Deed::Fatal(text) => return Err(text),
+            Effect::WatchEndpoints => self.subscribe.notify_one(),
+            Effect::FetchEndpoints => self.fetch.notify_one(),
+            Effect::Log(text) => tracing::info!(text, "said"),
+            Effect::Fatal(text) => return Err(text),
         }
         Ok(())
     }
@@ -241,7 +249,7 @@
 pub async fn run(hub: Rc<Hub>) -> Result<(), String> {
     loop {
         hub.turn()?;
-        let wake = hub.core.borrow().wake();
+        let wake = hub.core.borrow().next_deadline();
         let woken = async {
             match wake {
                 Some(at) => sleep_until(hub.clock.instant(at).into()).await,
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -148,7 +148,7 @@
     let at = |span| hub.clock.instant(hub.clock.now() + span).into();
     let (closing, end): (Instant, Instant) = (at(accept_until), at(drain_deadline));
     tracing::info!(open = hub.open(), clients = hub.clients.len(), counters = %hub.counters, "stopping");
-    hub.post(Input::Ends(hub.clock.now() + retry_until));
+    hub.post(Input::ShuttingDown(hub.clock.now() + retry_until));
     hub.enter(Phase::Leaving);
     sleep_until(closing).await;
     hub.enter(Phase::Closing);
--- a/crates/http-gateway/src/patience.rs
+++ b/crates/http-gateway/src/patience.rs
@@ -25,7 +25,7 @@
 
 use std::time::Duration;
 
-use umbertray_http_api::words::SIGN_OF_LIFE;
+use umbertray_http_api::words::WATCH_HEARTBEAT_INTERVAL;
 
 /// An open watch has to bring a whole line in this time. Below 1 each sign of life comes too late. The quarter is for a
 /// path or a gateway that is late by 0.5 s; more of it is not left within the 6 s.
@@ -112,7 +112,7 @@
 }
 
 fn signs(ratio: f64) -> Duration {
-    SIGN_OF_LIFE.mul_f64(ratio)
+    WATCH_HEARTBEAT_INTERVAL.mul_f64(ratio)
 }
 
 /// At most from the last sign of life until the last of so many attempts begins, all before it having failed.
@@ -156,7 +156,7 @@
 
     #[test]
     fn a_sign_of_life_that_is_a_little_late_breaks_nothing() {
-        assert!(silence() > SIGN_OF_LIFE.mul_f64(1.2));
+        assert!(silence() > WATCH_HEARTBEAT_INTERVAL.mul_f64(1.2));
     }
 
     /// Calls in a minute of which each hangs, with the shortest waits that chance gives.
--- a/crates/http-gateway/src/response/tests.rs
+++ b/crates/http-gateway/src/response/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray_http::{Limits, server::Requests};
+use umbertray_http::{Limits, server::RequestReader};
 
 use super::*;
 
@@ -16,13 +16,13 @@
 fn responses_match_recorded_bytes() {
     let mut transcript = String::new();
     let replies = [
-        ("succeeded", Reply::Acked { kind: None, body: Bytes::from_static(b"body") }),
+        ("succeeded", FinalResponse::Succeeded { kind: None, body: Bytes::from_static(b"body") }),
         (
             "succeeded, typed",
-            Reply::Acked { kind: Some(Bytes::from_static(b"own/kind")), body: Bytes::new() },
+            FinalResponse::Succeeded { kind: Some(Bytes::from_static(b"own/kind")), body: Bytes::new() },
         ),
-        ("rejected", Reply::Throttled { retry_after: Duration::from_millis(250) }),
-        ("failed", Reply::Aborted),
+        ("rejected", FinalResponse::Rejected { retry_after: Duration::from_millis(250) }),
+        ("failed", FinalResponse::Failed),
     ];
     for (name, reply) in &replies {
         for close in [false, true] {
@@ -30,7 +30,7 @@
         }
     }
     for status in [400, 404, 405, 408, 409] {
-        let refused = Refused { status, what: "the reason".into() };
+        let refused = RequestError { status, message: "the reason".into() };
         line(&mut transcript, "refused", &refusal(&refused));
     }
     let long_target = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(400));
@@ -45,13 +45,13 @@
         long_target.as_str(),
     ];
     for text in malformed {
-        let mut requests = Requests::new(Limits { head: 256, body: 1024 });
+        let mut requests = RequestReader::new(Limits { head: 256, body: 1024 });
         requests.bytes.extend_from_slice(text.as_bytes());
         let error = requests.request().expect_err(text);
         line(&mut transcript, "malformed", &refusal(&refused(&error)));
     }
     for status in [200, 503] {
-        line(&mut transcript, "health", &server::answer(status, &[], b"", false));
+        line(&mut transcript, "health", &server::response(status, &[], b"", false));
     }
     line(&mut transcript, "continue", server::CONTINUE);
     assert!(transcript == RECORDED, "differs from src/response/golden/responses.txt:\n{transcript}");
--- a/crates/http-gateway/src/store.rs
+++ b/crates/http-gateway/src/store.rs
@@ -14,8 +14,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
-use umbertray_http::client::{self, Answers};
-use umbertray_http_api::{Call, Returned, StoreId, words};
+use umbertray_http::client::{self, ResponseReader};
+use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, words};
 use umbertray_lifecycle::attempt::told_time_holds;
 use umbertray_lifecycle::check::observe;
 use umbertray_lifecycle::reason::StoreCloseReason;
@@ -225,15 +225,15 @@
 /// Sends one dispatch and waits for what comes back; `written` is set once its last byte is out.
 pub async fn call(
     hub: &Rc<Hub>,
-    call: Call,
+    call: AttemptId,
     store: StoreId,
     address: SocketAddr,
     until: Duration,
     written: &Cell<bool>,
-) -> (Returned, Duration) {
+) -> (AttemptOutcome, Duration) {
     let (due, asked) = (hub.clock.instant(until).into(), hub.clock.now());
     let id = hub.id(call).unwrap_or_default();
-    let attempt = call.dispatch;
+    let attempt = call.attempt;
     tracing::debug!(id, op = call.op.0, attempt, store = store.0, until = ?until.saturating_sub(asked), "attempt");
     if let Some(reason) = hub.retry_reason(call) {
         hub.counters.count(reason);
@@ -247,25 +247,25 @@
 
 async fn carried(
     hub: &Rc<Hub>,
-    call: Call,
+    call: AttemptId,
     address: SocketAddr,
     due: tokio::time::Instant,
     written: &Cell<bool>,
-) -> (Returned, Duration) {
+) -> (AttemptOutcome, Duration) {
     let sent = timeout_at(due, async {
-        let mut link = hub.pools.link(address).await.ok_or(Returned::NeverWritten)?;
+        let mut link = hub.pools.link(address).await.ok_or(AttemptOutcome::NeverWritten)?;
         let bytes = match hub.begin(call) {
             Ok(bytes) => bytes,
             Err(reason) => {
                 hub.counters.count(reason);
-                tracing::debug!(op = call.op.0, attempt = call.dispatch, %reason, "attempt denied");
+                tracing::debug!(op = call.op.0, attempt = call.attempt, %reason, "attempt denied");
                 // Nothing went over it: the next attempt has it.
                 hub.pools.put_back(link);
-                return Err(Returned::Withheld);
+                return Err(AttemptOutcome::Withheld);
             }
         };
         let told = hub.clock.now();
-        write(&mut link, &bytes, written).await.ok_or(Returned::NeverWritten)?;
+        write(&mut link, &bytes, written).await.ok_or(AttemptOutcome::NeverWritten)?;
         let took = hub.clock.now().saturating_sub(told);
         check_told_time(hub, call, took);
         Ok(link)
@@ -273,20 +273,20 @@
     let link = match sent.await {
         Ok(Ok(link)) => link,
         Ok(Err(returned)) => return (returned, hub.clock.now()),
-        Err(_) => return (Returned::NeverWritten, hub.clock.now()),
+        Err(_) => return (AttemptOutcome::NeverWritten, hub.clock.now()),
     };
     match timeout_at(due, answer(hub, link)).await {
         Ok(returned) => returned,
         Err(_) => {
             hub.counters.count(StoreCloseReason::AttemptEnded);
-            tracing::debug!(op = call.op.0, attempt = call.dispatch, store = %address, reason = %StoreCloseReason::AttemptEnded, "store connection closed");
-            (Returned::TimedOut, hub.clock.now())
+            tracing::debug!(op = call.op.0, attempt = call.attempt, store = %address, reason = %StoreCloseReason::AttemptEnded, "store connection closed");
+            (AttemptOutcome::TimedOut, hub.clock.now())
         }
     }
 }
 
 /// A process that was held up, or a store that reads slowly, may make the told time untrue.
-fn check_told_time(hub: &Hub, call: Call, took: Duration) {
+fn check_told_time(hub: &Hub, call: AttemptId, took: Duration) {
     observe(&hub.counters, told_time_holds(took), |violation| {
         let id = hub.id(call).unwrap_or_default();
         tracing::warn!(id, op = call.op.0, ?took, %violation, "lifecycle rule violated");
@@ -300,10 +300,10 @@
     Some(())
 }
 
-async fn answer(hub: &Rc<Hub>, mut link: Link<'_>) -> (Returned, Duration) {
-    let mut answers = Answers::new(hub.bounds().answer);
+async fn answer(hub: &Rc<Hub>, mut link: Link<'_>) -> (AttemptOutcome, Duration) {
+    let mut answers = ResponseReader::new(hub.bounds().answer);
     let mut room = Room::new(hub);
-    let Some(stream) = &mut link.stream else { return (Returned::NeverWritten, hub.clock.now()) };
+    let Some(stream) = &mut link.stream else { return (AttemptOutcome::NeverWritten, hub.clock.now()) };
     loop {
         answers.bytes.reserve(hub.bounds().http.head);
         let read = stream.read_buf(&mut answers.bytes).await;
@@ -313,18 +313,18 @@
             Ok(0) => (answers.closed(), true),
             Err(error) => {
                 closed(hub, &link, StoreCloseReason::AnswerBroken, &error);
-                return (Returned::Broken, at);
+                return (AttemptOutcome::Broken, at);
             }
         };
         if !room.holds(answers.size()) {
             hub.counters.count(StoreCloseReason::AnswerTooLarge);
             tracing::warn!(store = %link.address, size = answers.size(), reason = %StoreCloseReason::AnswerTooLarge, "no room for an answer");
-            return (Returned::Broken, at);
+            return (AttemptOutcome::Broken, at);
         }
         match read {
             Ok(None) if ended => {
                 closed(hub, &link, StoreCloseReason::AnswerBroken, &"ended before the answer was whole");
-                return (Returned::Broken, at);
+                return (AttemptOutcome::Broken, at);
             }
             Ok(None) => {}
             Ok(Some(mut answer)) => {
@@ -335,11 +335,11 @@
                 } else {
                     closed(hub, &link, StoreCloseReason::LastAnswer, &"not to be used again");
                 }
-                return (Returned::Answer(answer), at);
+                return (AttemptOutcome::Response(answer), at);
             }
             Err(error) => {
                 closed(hub, &link, StoreCloseReason::AnswerBroken, &error);
-                return (Returned::Broken, at);
+                return (AttemptOutcome::Broken, at);
             }
         }
     }
@@ -365,7 +365,7 @@
 
     /// There is room for so many bytes. Those that any answer may have need none.
     fn holds(&mut self, size: usize) -> bool {
-        let more = size.saturating_sub(words::BODY).saturating_sub(self.taken);
+        let more = size.saturating_sub(words::MAX_BODY).saturating_sub(self.taken);
         let held = self.held.load(Relaxed).saturating_add(more);
         let fits = more == 0 || held <= self.most;
         if fits {
@@ -398,18 +398,18 @@
 }
 
 /// Asks a store for its load.
-pub async fn probe(hub: &Rc<Hub>, address: SocketAddr) -> Returned {
+pub async fn probe(hub: &Rc<Hub>, address: SocketAddr) -> AttemptOutcome {
     let written = Cell::new(false);
     let asked = timeout(hub.bounds().timeouts.connect, async {
         let mut link = hub.pools.link(address).await?;
-        let bytes = client::request("GET", words::STATS, &address.to_string(), &[], b"");
+        let bytes = client::request("GET", words::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
         write(&mut link, &bytes, &written).await?;
         Some(answer(hub, link).await.0)
     });
     match asked.await {
         Ok(Some(returned)) => returned,
-        Err(_) if written.get() => Returned::TimedOut,
-        _ => Returned::NeverWritten,
+        Err(_) if written.get() => AttemptOutcome::TimedOut,
+        _ => AttemptOutcome::NeverWritten,
     }
 }
 
--- a/crates/http-gateway/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -12,9 +12,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
-use umbertray_http::client::{self, Answers};
+use umbertray_http::client::{self, ResponseReader};
 use umbertray_http::{Limits, Malformed};
-use umbertray_http_api::list::{Line, Lines, List, Unreadable};
+use umbertray_http_api::list::{EndpointList, EndpointListError, WatchEvent, WatchReader};
 use umbertray_http_api::words;
 use umbertray_http_api::{Config, Input};
 
@@ -39,7 +39,7 @@
     #[error(transparent)]
     Http(#[from] Malformed),
     #[error(transparent)]
-    Unreadable(#[from] Unreadable),
+    Unreadable(#[from] EndpointListError),
     #[error("version {told} came after {held}")]
     Older { held: u64, told: u64 },
 }
@@ -142,7 +142,7 @@
             changed = source.changed() => match changed {
                 Ok(()) => {
                     // Danger: what the old address had last is heard from the new one, as if it were new.
-                    hub.post(Input::ListFailed);
+                    hub.post(Input::EndpointListFailed);
                     own.ended(rows);
                     (rows, slow) = (Rows::default(), None);
                     continue;
@@ -159,7 +159,7 @@
         if matches!(broken, Broken::Unreadable(_) | Broken::Older { .. } | Broken::Status(_)) {
             own.held.set(None);
         }
-        hub.post(Input::ListFailed);
+        hub.post(Input::EndpointListFailed);
         wanted = !asked;
         rows = own.failed(rows);
         draws += 1;
@@ -336,8 +336,9 @@
         due: Due,
         stage: &Stage,
     ) -> Result<(), Broken> {
-        ask(stream, words::STORES, host, due).await?;
-        let mut answers = Answers::new(Limits { body: self.hub.bounds().list, ..self.hub.bounds().http });
+        ask(stream, words::ENDPOINT_LIST, host, due).await?;
+        let mut answers =
+            ResponseReader::new(Limits { body: self.hub.bounds().list, ..self.hub.bounds().http });
         let answer = loop {
             if let Some(answer) = answers.answer()? {
                 break answer;
@@ -347,7 +348,7 @@
         if answer.head.status != 200 {
             return Err(Broken::Status(answer.head.status));
         }
-        self.told(List::read(&answer.body)?)
+        self.told(EndpointList::read(&answer.body)?)
     }
 
     async fn changes<S: AsyncRead + AsyncWrite + Unpin>(
@@ -358,8 +359,8 @@
         stage: &Stage,
     ) -> Result<(), Broken> {
         ask(stream, &words::watch(self.held.get().unwrap_or_default()), host, due).await?;
-        let mut answers = Answers::new(Limits { body: usize::MAX, ..self.hub.bounds().http });
-        let (mut lines, mut opened) = (Lines::new(self.hub.bounds().list), false);
+        let mut answers = ResponseReader::new(Limits { body: usize::MAX, ..self.hub.bounds().http });
+        let (mut lines, mut opened) = (WatchReader::new(self.hub.bounds().list), false);
         loop {
             if let Some(head) = answers.head()?
                 && head.status != 200
@@ -385,11 +386,11 @@
     }
 
     /// Tells whether any came whole.
-    fn lines(&self, lines: &mut Lines) -> Result<bool, Broken> {
+    fn lines(&self, lines: &mut WatchReader) -> Result<bool, Broken> {
         let mut any = false;
         while let Some(line) = lines.line()? {
             self.heard.set(true);
-            if let Line::List(list) = line {
+            if let WatchEvent::List(list) = line {
                 self.told(list)?;
             }
             self.opened.set(true);
@@ -399,7 +400,7 @@
     }
 
     /// Danger: an older version must not bring back stores that are gone.
-    fn told(&self, list: List) -> Result<(), Broken> {
+    fn told(&self, list: EndpointList) -> Result<(), Broken> {
         if let Some(held) = self.held.get().filter(|held| list.version < *held) {
             return Err(Broken::Older { held, told: list.version });
         }
@@ -409,7 +410,7 @@
             let (uid, shard, state) = (&store.uid, store.shard, store.state);
             tracing::debug!(version = list.version, uid, shard, ?state, started = ?store.started, "store listed");
         }
-        self.hub.post(Input::List(list));
+        self.hub.post(Input::EndpointList(list));
         Ok(())
     }
 }
@@ -426,7 +427,7 @@
 
 async fn read(
     stream: &mut (impl AsyncRead + Unpin),
-    answers: &mut Answers,
+    answers: &mut ResponseReader,
     due: Due,
     stage: &Stage,
 ) -> Result<(), Broken> {
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -154,7 +154,7 @@
     }
 
     async fn list(&self, version: u64) {
-        let listed = |input: &Input| matches!(input, Input::List(list) if list.version == version);
+        let listed = |input: &Input| matches!(input, Input::EndpointList(list) if list.version == version);
         timeout(10 * MINUTE, self.hub.posted(listed)).await.expect("the list, within ten minutes");
     }
 }
@@ -202,7 +202,7 @@
             drip(stream, b"1\r\n{\r\n", 6, DRIP).await?;
         },
         Act::Alive(_) | Act::Unchanged | Act::Slow(_) => loop {
-            sleep(words::SIGN_OF_LIFE).await;
+            sleep(words::WATCH_HEARTBEAT_INTERVAL).await;
             stream.write_all(chunk("").as_bytes()).await?;
         },
         _ => pending().await,
@@ -375,7 +375,8 @@
         let world = World::new(Told::Pushed, &[Act::Slow(20_000), Act::Hang]);
         world.dialed_so_often(2).await;
         world.moves(&[Act::Hang]);
-        let former = world.hub.posted(|input| matches!(input, Input::List(list) if list.version == 1));
+        let former =
+            world.hub.posted(|input| matches!(input, Input::EndpointList(list) if list.version == 1));
         assert!(timeout(MINUTE, former).await.is_err());
     })
     .await;
@@ -514,7 +515,7 @@
         let world = World::new(Told::Pushed, &[Act::Alive(1)]);
         world.list(1).await;
         world.moves(&[Act::Alive(2)]);
-        let broken = world.hub.posted(|input| matches!(input, Input::ListFailed));
+        let broken = world.hub.posted(|input| matches!(input, Input::EndpointListFailed));
         timeout(MINUTE, broken).await.expect("the core is told");
     })
     .await;
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -17,13 +17,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub head: Head,
     pub body: Bytes,
 }
 
 /// Reads one answer; what is behind it stays in `bytes`.
-pub struct Answers {
+pub struct ResponseReader {
     limits: Limits,
     skipped: usize,
     decoder: Option<Decoder>,
@@ -32,10 +32,10 @@
     pub bytes: BytesMut,
 }
 
-impl Answers {
-    pub fn new(limits: Limits) -> Answers {
+impl ResponseReader {
+    pub fn new(limits: Limits) -> ResponseReader {
         let (body, bytes) = (BytesMut::new(), BytesMut::new());
-        Answers { limits, skipped: 0, decoder: None, head: None, body, bytes }
+        ResponseReader { limits, skipped: 0, decoder: None, head: None, body, bytes }
     }
 
     /// The head of the answer, once it has come. Interim answers ahead of it are skipped.
@@ -82,7 +82,7 @@
 
     /// The connection has ended in good order: the answer, if its body was to go up to there (RFC 9112, 6.3). Danger: a
     /// reset is no end; after one, what has come of such an answer may have been cut.
-    pub fn closed(&mut self) -> Result<Option<Answer>, Malformed> {
+    pub fn closed(&mut self) -> Result<Option<Response>, Malformed> {
         let ends = self.decoder.as_mut().is_some_and(Decoder::closed);
         if ends { self.answer() } else { Ok(None) }
     }
@@ -101,7 +101,7 @@
     }
 
     /// The whole answer, once it has come.
-    pub fn answer(&mut self) -> Result<Option<Answer>, Malformed> {
+    pub fn answer(&mut self) -> Result<Option<Response>, Malformed> {
         if self.head()?.is_none() {
             return Ok(None);
         }
@@ -115,7 +115,7 @@
         }
         self.decoder = None;
         let body = std::mem::take(&mut self.body).freeze();
-        Ok(self.head.take().map(|head| Answer { head, body }))
+        Ok(self.head.take().map(|head| Response { head, body }))
     }
 }
 
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -14,7 +14,7 @@
 
 /// A field that may stand once stands more often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubled;
+pub struct DuplicateField;
 
 impl Headers {
     pub(crate) fn of(fields: &[httparse::Header]) -> Headers {
@@ -26,10 +26,10 @@
     }
 
     /// The value of a field that may stand once.
-    pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, Doubled> {
+    pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, DuplicateField> {
         let mut all = self.all(name);
         let first = all.next();
-        if all.next().is_some() { Err(Doubled) } else { Ok(first) }
+        if all.next().is_some() { Err(DuplicateField) } else { Ok(first) }
     }
 
     /// Whether a field that is a list (RFC 9110, 5.6.1) holds the word.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -17,7 +17,7 @@
 
 /// What can be had of the bytes so far.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum RequestEvent {
     /// More bytes are needed.
     More,
     /// The client waits to be told to send its body (RFC 9110, 10.1.1).
@@ -33,16 +33,16 @@
 }
 
 /// Reads the requests of one connection, one after the other.
-pub struct Requests {
+pub struct RequestReader {
     limits: Limits,
     partial: Option<Partial>,
     /// What has come and was not taken yet.
     pub bytes: BytesMut,
 }
 
-impl Requests {
-    pub fn new(limits: Limits) -> Requests {
-        Requests { limits, partial: None, bytes: BytesMut::new() }
+impl RequestReader {
+    pub fn new(limits: Limits) -> RequestReader {
+        RequestReader { limits, partial: None, bytes: BytesMut::new() }
     }
 
     /// Part of a request has come.
@@ -51,22 +51,24 @@
     }
 
     /// After an error nothing behind it can be told to be a request: the connection is to be closed.
-    pub fn request(&mut self) -> Result<Next, Malformed> {
+    pub fn request(&mut self) -> Result<RequestEvent, Malformed> {
         if self.partial.is_none() {
             self.partial = self.begin()?;
         }
-        let Some(partial) = &mut self.partial else { return Ok(Next::More) };
+        let Some(partial) = &mut self.partial else { return Ok(RequestEvent::More) };
         let whole = partial.decoder.decode(&mut self.bytes, &mut partial.body)?;
         if partial.body.len() > self.limits.body {
             return Err(Malformed::BodyTooLong(self.limits.body));
         }
         if !whole {
             let told = std::mem::take(&mut partial.expects) && partial.body.is_empty();
-            return Ok(if told { Next::Continue } else { Next::More });
+            return Ok(if told { RequestEvent::Continue } else { RequestEvent::More });
         }
-        let Some(Partial { mut request, body, .. }) = self.partial.take() else { return Ok(Next::More) };
+        let Some(Partial { mut request, body, .. }) = self.partial.take() else {
+            return Ok(RequestEvent::More);
+        };
         request.body = body.freeze();
-        Ok(Next::Request(request))
+        Ok(RequestEvent::Request(request))
     }
 
     fn begin(&mut self) -> Result<Option<Partial>, Malformed> {
@@ -134,7 +136,7 @@
 
 /// A whole answer; the names and values of fields are the caller's own or were read by [`Requests`] or
 /// [`crate::client::Answers`], so that they hold no end of line.
-pub fn answer(status: u16, fields: &[(&str, &[u8])], body: &[u8], close: bool) -> Bytes {
+pub fn response(status: u16, fields: &[(&str, &[u8])], body: &[u8], close: bool) -> Bytes {
     let mut bytes = BytesMut::with_capacity(192 + body.len());
     bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
     crate::client::fields(&mut bytes, fields, body.len());
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -2,8 +2,8 @@
 
 use bytes::BytesMut;
 use quickcheck::quickcheck;
-use umbertray_http::client::{self, Answer, Answers};
-use umbertray_http::server::{self, Next, Request, Requests};
+use umbertray_http::client::{self, Response, ResponseReader};
+use umbertray_http::server::{self, Request, RequestEvent, RequestReader};
 use umbertray_http::{Limits, Malformed};
 
 const LIMITS: Limits = Limits { head: 1024, body: 512 };
@@ -27,18 +27,18 @@
 }
 
 fn requests(parts: &[Vec<u8>]) -> Result<Vec<Request>, Malformed> {
-    let (mut reader, mut whole) = (Requests::new(LIMITS), Vec::new());
+    let (mut reader, mut whole) = (RequestReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
-        while let Next::Request(request) = reader.request()? {
+        while let RequestEvent::Request(request) = reader.request()? {
             whole.push(request);
         }
     }
     Ok(whole)
 }
 
-fn answers(parts: &[Vec<u8>]) -> Result<Vec<Answer>, Malformed> {
-    let (mut reader, mut whole) = (Answers::new(LIMITS), Vec::new());
+fn answers(parts: &[Vec<u8>]) -> Result<Vec<Response>, Malformed> {
+    let (mut reader, mut whole) = (ResponseReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
         while let Some(answer) = reader.answer()? {
@@ -116,7 +116,7 @@
 
 #[test]
 fn nothing_behind_a_refused_head_is_read_as_a_request() {
-    let mut reader = Requests::new(LIMITS);
+    let mut reader = RequestReader::new(LIMITS);
     let hidden = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
                   GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     reader.bytes.extend_from_slice(hidden.as_bytes());
@@ -200,7 +200,7 @@
         ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", None),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", None),
     ] {
-        let mut reader = Answers::new(LIMITS);
+        let mut reader = ResponseReader::new(LIMITS);
         for byte in text.bytes() {
             reader.bytes.extend_from_slice(&[byte]);
             assert_eq!(reader.answer(), Ok(None), "{text}");
@@ -214,7 +214,7 @@
 
 #[test]
 fn what_is_behind_an_answer_stays_in_sight() {
-    let mut reader = Answers::new(LIMITS);
+    let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab");
     assert!(reader.answer().expect("well formed").is_some());
     assert_eq!(reader.bytes, BytesMut::from(&b"b"[..]));
@@ -222,14 +222,14 @@
 
 #[test]
 fn a_client_that_waits_to_be_told_is_told_once() {
-    let mut reader = Requests::new(LIMITS);
+    let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(
         b"PUT /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n",
     );
-    assert_eq!(reader.request(), Ok(Next::Continue));
-    assert_eq!(reader.request(), Ok(Next::More));
+    assert_eq!(reader.request(), Ok(RequestEvent::Continue));
+    assert_eq!(reader.request(), Ok(RequestEvent::More));
     reader.bytes.extend_from_slice(b"a");
-    assert!(matches!(reader.request(), Ok(Next::Request(request)) if &request.body[..] == b"a"));
+    assert!(matches!(reader.request(), Ok(RequestEvent::Request(request)) if &request.body[..] == b"a"));
 }
 
 #[test]
@@ -237,7 +237,7 @@
     let bytes = client::request("PUT", "/a?b", "x:1", &[("X-Own", b"7")], b"body");
     let read = requests(&[bytes.to_vec()]).expect("our own");
     assert_eq!((&*read[0].target, &read[0].body[..]), ("/a?b", &b"body"[..]));
-    let bytes = server::answer(429, &[("Retry-After", b"0.110")], b"", true);
+    let bytes = server::response(429, &[("Retry-After", b"0.110")], b"", true);
     let read = answers(&[bytes.to_vec()]).expect("our own");
     assert_eq!((read[0].head.status, read[0].head.persists), (429, false));
     assert_eq!(read[0].head.headers.one("retry-after"), Ok(Some(&b"0.110"[..])));
--- a/crates/nbd-gateway/src/budget.rs
+++ b/crates/nbd-gateway/src/budget.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use umbertray_admission::{Answer, Claim, Room};
 use umbertray_routing::settings::Bounds;
-use umbertray_routing::{Hold, Settings};
+use umbertray_routing::{BufferGuard, Settings};
 
 use umbertray_clock::Clock;
 
@@ -32,7 +32,7 @@
 
 /// What became of a wish for room.
 pub enum Granted {
-    Held(Hold),
+    Held(BufferGuard),
     /// There is none for this volume; the client may come again after so long.
     Away(Duration),
 }
@@ -56,7 +56,7 @@
 impl Budget {
     pub fn new(bounds: &Bounds, longest: Duration, clock: Clock) -> Budget {
         let room = Arc::new(Mutex::new(Room::new(bounds.bytes as u64, longest)));
-        Budget { room, a_session: bounds.bytes_a_session / BLOCK, clock }
+        Budget { room, a_session: bounds.bytes_per_session / BLOCK, clock }
     }
 
     pub fn part(&self, session: u64) -> Part {
--- a/crates/nbd-gateway/src/changes.rs
+++ b/crates/nbd-gateway/src/changes.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 use umbertray_config_log::follow::{NotFollowed, Taken};
 use umbertray_config_log::{Follower, Replica, acted};
-use umbertray_routing::{Input, Settings, Step};
+use umbertray_routing::{Input, Settings, SettingsChange};
 use umbertray_snapshot::Disk;
 
 use crate::relayed::Relayed;
@@ -140,24 +140,24 @@
         let (mut figures, mut removed, mut volumes) = (false, 0, BTreeSet::new());
         for step in taken.iter().flat_map(|(_, steps)| steps) {
             match step {
-                Step::Figures | Step::Plan(_) => figures = true,
-                Step::Volume(place) => _ = volumes.insert(*place),
-                Step::Removed(_) => removed += 1,
+                SettingsChange::Figures | SettingsChange::Plan(_) => figures = true,
+                SettingsChange::Volume(place) => _ = volumes.insert(*place),
+                SettingsChange::Removed(_) => removed += 1,
             }
         }
         let newest = &taken.last()?.0;
         let settings = Arc::new(newest.settings(&self.own));
         self.present.store(settings.clone());
-        let mut steps: Vec<Step> = figures.then_some(Step::Figures).into_iter().collect();
-        steps.extend(volumes.into_iter().map(Step::Volume));
+        let mut steps: Vec<SettingsChange> = figures.then_some(SettingsChange::Figures).into_iter().collect();
+        steps.extend(volumes.into_iter().map(SettingsChange::Volume));
         // Settings alone, where nothing but a removal happened.
         let parts = if steps.is_empty() {
             vec![Vec::new()]
         } else {
-            steps.chunks(TOLD).map(<[Step]>::to_vec).collect()
+            steps.chunks(TOLD).map(<[SettingsChange]>::to_vec).collect()
         };
         for steps in parts {
-            self.to_hub.send(Input::Changed { settings: settings.clone(), steps }).await.ok()?;
+            self.to_hub.send(Input::SettingsChanged { settings: settings.clone(), steps }).await.ok()?;
         }
         if removed > 0 {
             self.removing.send_modify(|count| *count += removed);
