--- a/crates/nbd-gateway/src/hub.rs
+++ b/crates/nbd-gateway/src/hub.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use tokio::sync::{mpsc, watch};
-use umbertray_routing::{Hold, Host, Input, Output, Part, RequestId, SessionId, Settings, StoreId};
+use umbertray_routing::{
+    BufferGuard, Input, Output, ReplyPart, RequestHandler, RequestId, SessionId, Settings, StoreId,
+};
 use umbertray_store_protocol::list::ToList;
 use umbertray_store_protocol::store::ToStore;
 
@@ -19,14 +21,14 @@
 use umbertray_snapshot::folder::{self, Recalled};
 
 /// A part of a reply on its way to its session.
-pub struct ReplyPart {
+pub struct SessionReply {
     pub tag: u64,
-    pub part: Part,
-    pub hold: Hold,
+    pub part: ReplyPart,
+    pub hold: BufferGuard,
 }
 
 pub enum ToHub {
-    Attach(SessionId, mpsc::UnboundedSender<ReplyPart>),
+    Attach(SessionId, mpsc::UnboundedSender<SessionReply>),
     Input(Input),
     /// From the link of this generation to the store; what an earlier one still says is not heard.
     Link(StoreId, u64, Input),
@@ -37,11 +39,11 @@
 struct LinkEnd {
     generation: u64,
     /// Dropping it ends the link.
-    to_link: mpsc::UnboundedSender<(ToStore, Option<Hold>)>,
+    to_link: mpsc::UnboundedSender<(ToStore, Option<BufferGuard>)>,
 }
 
 pub struct Hub {
-    core: Box<dyn Host>,
+    core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
     /// The longest op timeout that was in force since the start: what is open may have it.
@@ -51,7 +53,7 @@
     to_list: mpsc::UnboundedSender<ToList>,
     /// Where the map is another service than the list.
     to_keeper: Option<mpsc::UnboundedSender<ToList>>,
-    sessions: HashMap<SessionId, mpsc::UnboundedSender<ReplyPart>>,
+    sessions: HashMap<SessionId, mpsc::UnboundedSender<SessionReply>>,
     links: HashMap<StoreId, LinkEnd>,
     generation: u64,
     wake_at: Duration,
@@ -68,7 +70,7 @@
 
 impl Hub {
     pub fn new(
-        core: Box<dyn Host>,
+        core: Box<dyn RequestHandler>,
         clock: Clock,
         settings: Arc<Settings>,
         (list, keeper): (SocketAddr, Option<SocketAddr>),
@@ -120,7 +122,7 @@
         let recalled = self
             .recalled
             .take()
-            .map(|recalled| Input::Recalled { saved: recalled.saved, age: recalled.age.known() });
+            .map(|recalled| Input::Restore { snapshot: recalled.saved, age: recalled.age.known() });
         self.turn(recalled.into_iter().collect())?;
         loop {
             let wake_at = tokio::time::Instant::from_std(self.clock.instant(self.wake_at));
@@ -128,11 +130,11 @@
                 biased;
                 _ = stopping.wait_for(|stop| *stop), if end_at.is_none() => {
                     end_at = Some(self.clock.now() + self.longest_timeout);
-                    tracing::info!(open = self.core.open(), sessions = self.sessions.len(), "stopping");
+                    tracing::info!(open = self.core.open_requests(), sessions = self.sessions.len(), "stopping");
                 }
                 // One part of a change a turn: however long it is, what flows goes on between them.
                 Some(change) = changed.recv() => {
-                    if let Input::Changed { settings, .. } = &change {
+                    if let Input::SettingsChanged { settings, .. } = &change {
                         self.longest_timeout = self.longest_timeout.max(settings.longest_timeout());
                     }
                     self.turn(vec![change])?;
@@ -141,7 +143,7 @@
                     let inputs = messages.drain(..).filter_map(|message| self.heard(message)).collect();
                     self.turn(inputs)?;
                 }
-                () = tokio::time::sleep_until(wake_at) => self.turn(vec![Input::Woken])?,
+                () = tokio::time::sleep_until(wake_at) => self.turn(vec![Input::TimerExpired])?,
             }
             self.save()?;
             let over = |end: Duration| self.sessions.is_empty() || self.clock.now() >= end;
@@ -163,7 +165,7 @@
         // The moment is taken first: what is kept is then never younger than it says.
         self.saving = Some(folder::stamp());
         self.save_at = now + EVERY;
-        self.turn(vec![Input::Remember { promised: PROMISED }])
+        self.turn(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
     }
 
     fn heard(&mut self, message: ToHub) -> Option<Input> {
@@ -177,14 +179,14 @@
                 None
             }
             ToHub::Input(input) => {
-                if let Input::Closed(session) = &input {
+                if let Input::SessionClosed(session) = &input {
                     self.sessions.remove(session);
                 }
                 Some(input)
             }
             ToHub::Link(store, generation, input) => {
                 self.links.get(&store).filter(|link| link.generation == generation)?;
-                if matches!(input, Input::NotLinked { .. } | Input::Unlinked { .. }) {
+                if matches!(input, Input::StoreUnreachable { .. } | Input::StoreDisconnected { .. }) {
                     self.links.remove(&store);
                 }
                 Some(input)
@@ -201,10 +203,10 @@
         match output {
             Output::Reply { id: RequestId(session, tag), part, hold } => {
                 if let Some(sender) = self.sessions.get(&session) {
-                    _ = sender.send(ReplyPart { tag, part, hold });
+                    _ = sender.send(SessionReply { tag, part, hold });
                 }
             }
-            Output::Link { store, address } => {
+            Output::ConnectStore { store, address } => {
                 self.generation += 1;
                 let (to_link, from_hub) = mpsc::unbounded_channel();
                 self.links.insert(store, LinkEnd { generation: self.generation, to_link });
@@ -218,22 +220,22 @@
                 };
                 tokio::spawn(link.run(address, from_hub));
             }
-            Output::Unlink { store } => _ = self.links.remove(&store),
-            Output::Store { store, message, hold } => {
+            Output::DisconnectStore { store } => _ = self.links.remove(&store),
+            Output::ToStore { store, message, hold } => {
                 if let Some(link) = self.links.get(&store) {
                     _ = link.to_link.send((message, hold));
                 }
             }
-            Output::List(message) => {
-                let to = self.to_keeper.as_ref().filter(|_| message.of_map()).unwrap_or(&self.to_list);
+            Output::ToList(message) => {
+                let to = self.to_keeper.as_ref().filter(|_| message.concerns_map()).unwrap_or(&self.to_list);
                 _ = to.send(message);
             }
-            Output::Save(saved) => {
+            Output::SaveSnapshot(saved) => {
                 if let Some((keeper, stamp)) = self.keeper.as_mut().zip(self.saving.take()) {
                     keeper.keep(self.clock.now(), stamp, saved);
                 }
             }
-            Output::Wake(at) => self.wake_at = at,
+            Output::SetTimer(at) => self.wake_at = at,
             Output::Log(text) => tracing::info!(text, "said"),
             Output::Fatal(text) => return Err(text),
         }
--- a/crates/nbd-gateway/src/keeper.rs
+++ b/crates/nbd-gateway/src/keeper.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::sync::mpsc;
-use umbertray_routing::{Saved, Settings};
+use umbertray_routing::{Settings, Snapshot};
 use umbertray_snapshot::folder::{self, Folder, GROWN, Recalled};
 use umbertray_snapshot::{Disk, Note, Stamp, Unusable};
 
@@ -17,14 +17,14 @@
 
 /// The hub's end of it: at most one save is with the thread.
 pub struct Keeper {
-    to_thread: Option<blocking::SyncSender<(Duration, Stamp, Saved)>>,
+    to_thread: Option<blocking::SyncSender<(Duration, Stamp, Snapshot)>>,
     thread: Option<JoinHandle<()>>,
     writing: bool,
 }
 
 /// What the settings are, for state that was promised under others. FNV-1a of the module's map and the volumes' names.
 fn digest(settings: &Settings) -> u64 {
-    let mut text = format!("{:?}", settings.for_module());
+    let mut text = format!("{:?}", settings.scheduler_settings());
     settings.volumes.iter().for_each(|volume| text.push_str(&format!("\n{} {}", volume.name, volume.plan)));
     umbertray_store_protocol::volume_id(&text)
 }
@@ -65,7 +65,7 @@
 
 impl Keeper {
     fn start(mut folder: Folder, to_hub: mpsc::UnboundedSender<ToHub>) -> Keeper {
-        let (to_thread, from_hub) = blocking::sync_channel::<(Duration, Stamp, Saved)>(1);
+        let (to_thread, from_hub) = blocking::sync_channel::<(Duration, Stamp, Snapshot)>(1);
         let thread = std::thread::spawn(move || {
             for (now, stamp, saved) in from_hub {
                 if let Err(error) = folder.save(now, stamp, saved) {
@@ -81,7 +81,7 @@
         !self.writing
     }
 
-    pub fn keep(&mut self, now: Duration, stamp: Stamp, saved: Saved) {
+    pub fn keep(&mut self, now: Duration, stamp: Stamp, saved: Snapshot) {
         let sent = self.to_thread.as_ref().is_some_and(|thread| thread.try_send((now, stamp, saved)).is_ok());
         self.writing |= sent;
     }
@@ -154,11 +154,11 @@
         let (to_hub, mut from_keeper) = mpsc::unbounded_channel();
         let mut keeper = Keeper::start(folder, to_hub);
         let began = Instant::now();
-        keeper.keep(Duration::from_secs(1), folder::stamp(), Saved::default());
+        keeper.keep(Duration::from_secs(1), folder::stamp(), Snapshot::default());
         hangs.recv().expect("it came to the sync");
         assert!(!keeper.idle(), "nothing more is asked of it");
-        keeper.keep(Duration::from_secs(2), folder::stamp(), Saved::default());
-        keeper.keep(Duration::from_secs(3), folder::stamp(), Saved::default());
+        keeper.keep(Duration::from_secs(2), folder::stamp(), Snapshot::default());
+        keeper.keep(Duration::from_secs(3), folder::stamp(), Snapshot::default());
         assert!(began.elapsed() < Duration::from_secs(1) && from_keeper.try_recv().is_err());
         let began = Instant::now();
         drop(keeper);
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -24,7 +24,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::task::JoinHandle;
-use umbertray_routing::{Core, Host, Settings};
+use umbertray_routing::{Core, RequestHandler, Settings};
 
 pub use changes::Changes;
 pub use relayed::{PATIENCE, Relayed, RelayedError, Relays};
@@ -71,7 +71,12 @@
     /// The volumes that clients can ask for now.
     pub fn exports(&self) -> Vec<String> {
         let settings = self.present.load();
-        settings.volumes.iter().filter(|volume| !volume.gone).map(|volume| volume.name.clone()).collect()
+        settings
+            .volumes
+            .iter()
+            .filter(|volume| !volume.is_removed)
+            .map(|volume| volume.name.clone())
+            .collect()
     }
 
     /// It has ended, as [`Running::ended`] tells.
@@ -106,7 +111,7 @@
 
 /// Starts a gateway whose loop hosts something else than the core, to measure against.
 pub async fn start_hosting(
-    core: Box<dyn Host>,
+    core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
     options: Options,
--- a/crates/nbd-gateway/src/link.rs
+++ b/crates/nbd-gateway/src/link.rs
@@ -8,7 +8,7 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
-use umbertray_routing::{Hold, Input, StoreId};
+use umbertray_routing::{BufferGuard, Input, StoreId};
 use umbertray_store_protocol::store::{FromStore, ToStore};
 use umbertray_store_protocol::{Message, next_frame};
 
@@ -31,7 +31,7 @@
     pub to_hub: mpsc::UnboundedSender<ToHub>,
 }
 
-type FromHub = mpsc::UnboundedReceiver<(ToStore, Option<Hold>)>;
+type FromHub = mpsc::UnboundedReceiver<(ToStore, Option<BufferGuard>)>;
 
 impl Link {
     pub async fn run(self, address: SocketAddr, from_hub: FromHub) {
@@ -42,7 +42,7 @@
             Ok(opened) => opened,
             Err(error) => {
                 tracing::info!(%address, %error, "store not linked");
-                return self.say(Input::NotLinked { store });
+                return self.say(Input::StoreUnreachable { store });
             }
         };
         tracing::info!(%address, "store linked");
@@ -54,7 +54,7 @@
         };
         let why = ended.err().map_or("closed".into(), |error| error.to_string());
         tracing::info!(%address, why, "store unlinked");
-        self.say(Input::Unlinked { store });
+        self.say(Input::StoreDisconnected { store });
     }
 
     fn say(&self, input: Input) {
@@ -69,7 +69,7 @@
         loop {
             match next_frame(&mut input).map_err(io::Error::other)? {
                 Some(FromStore::Welcome { store: lasting, shard, clock }) => {
-                    let linked = Input::Linked { store: self.store, lasting, shard, clock };
+                    let linked = Input::StoreConnected { store: self.store, lasting, shard, clock };
                     return Ok((stream, input, linked));
                 }
                 Some(_) => return Err(io::Error::other("the store's first frame is not its welcome")),
@@ -85,7 +85,7 @@
         loop {
             let at = self.clock.now();
             while let Some(message) = next_frame(&mut input).map_err(io::Error::other)? {
-                self.say(Input::Store { store: self.store, message, at });
+                self.say(Input::FromStore { store: self.store, message, at });
             }
             input.reserve(READ);
             // Three signs of life may be missed.
@@ -105,12 +105,12 @@
             count = from_hub.recv_many(&mut messages, 64) => if count == 0 {
                 return Ok(());
             },
-            () = tokio::time::sleep(SILENT) => messages.push((ToStore::Probe { token: 0 }, None)),
+            () = tokio::time::sleep(SILENT) => messages.push((ToStore::HealthCheck { token: 0 }, None)),
         }
         let (mut head, mut queue) = (BytesMut::new(), VecDeque::new());
         for (message, hold) in messages.drain(..) {
             message.put(&mut head);
-            if let Some(data) = message.tail().filter(|data| !data.is_empty()) {
+            if let Some(data) = message.payload().filter(|data| !data.is_empty()) {
                 queue.push_back(head.split().freeze());
                 queue.push_back(data.clone());
             }
--- a/crates/nbd-gateway/src/list.rs
+++ b/crates/nbd-gateway/src/list.rs
@@ -66,7 +66,8 @@
         tracing::warn!(?service, %address, why, "lost");
         // What was asked meanwhile is asked again by whoever still waits for it.
         while from_hub.try_recv().is_ok() {}
-        let lost = if service == Service::List { Input::ListLost } else { Input::KeeperLost };
+        let lost =
+            if service == Service::List { Input::ListDisconnected } else { Input::CoordinatorDisconnected };
         if to_hub.send(ToHub::Input(lost)).is_err() {
             return;
         }
@@ -104,7 +105,7 @@
             if let FromList::Welcome { term: heard } = &message {
                 term.heard(*heard)?;
             }
-            _ = to_hub.send(ToHub::Input(Input::List(message)));
+            _ = to_hub.send(ToHub::Input(Input::FromList(message)));
         }
     }
 }
--- a/crates/nbd-gateway/src/relayed.rs
+++ b/crates/nbd-gateway/src/relayed.rs
@@ -9,7 +9,7 @@
 use umbertray_config_log::follow::Taken;
 use umbertray_config_log::log::LogError;
 use umbertray_config_log::{Mirror, Replica, Told, acted};
-use umbertray_control_plane::relay::Unsound;
+use umbertray_control_plane::relay::ConfigError;
 use umbertray_relay::{Following, follow, position};
 use umbertray_snapshot::Disk;
 use umbertray_store_protocol::changes::Position;
@@ -27,7 +27,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RelayedError {
     #[error(transparent)]
-    Unsound(#[from] Unsound),
+    Unsound(#[from] ConfigError),
     #[error("the version acted on: {0}")]
     Acted(io::Error),
     #[error(
--- a/crates/nbd-gateway/src/reply.rs
+++ b/crates/nbd-gateway/src/reply.rs
@@ -7,17 +7,17 @@
     ALLOCATION_ID, CMD_FLAG_DF, CMD_FLAG_FUA, CMD_FLAG_REQ_ONE, STATE_HOLE, STATE_ZERO,
 };
 use umbertray_nbd::{Chunk, Command, Errno, Extent, Request, Session};
-use umbertray_routing::{Part, Verdict};
-use umbertray_store_protocol::store::{Stretch, Work};
+use umbertray_routing::{FinalResult, ReplyPart};
+use umbertray_store_protocol::store::{DataRange, OperationKind};
 
-pub fn work(command: Command) -> Option<Work> {
+pub fn work(command: Command) -> Option<OperationKind> {
     Some(match command {
-        Command::Read => Work::Read,
-        Command::Write => Work::Write,
-        Command::WriteZeroes => Work::Zero,
-        Command::Trim => Work::Trim,
-        Command::Flush => Work::Flush,
-        Command::BlockStatus => Work::Status,
+        Command::Read => OperationKind::Read,
+        Command::Write => OperationKind::Write,
+        Command::WriteZeroes => OperationKind::Zero,
+        Command::Trim => OperationKind::Trim,
+        Command::Flush => OperationKind::Flush,
+        Command::BlockStatus => OperationKind::Status,
         Command::Disc => return None,
     })
 }
@@ -33,7 +33,7 @@
     Gathered {
         offset: u64,
         length: u32,
-        parts: BTreeMap<u64, Part>,
+        parts: BTreeMap<u64, ReplyPart>,
     },
     Status {
         only_one: bool,
@@ -62,23 +62,23 @@
     }
 
     /// Puts what a part means in the session's output; bytes that come back follow it uncopied.
-    pub fn part(&mut self, session: &mut Session, cookie: u64, part: Part) -> Vec<Bytes> {
+    pub fn part(&mut self, session: &mut Session, cookie: u64, part: ReplyPart) -> Vec<Bytes> {
         let Some(shape) = self.open.get_mut(&cookie) else { return Vec::new() };
         match (part, shape) {
-            (Part::Final(verdict), _) => self.last(session, cookie, verdict),
-            (Part::Data { offset, data }, Shape::Gathered { parts, .. }) => {
-                parts.insert(offset, Part::Data { offset, data });
+            (ReplyPart::Final(verdict), _) => self.last(session, cookie, verdict),
+            (ReplyPart::Data { offset, data }, Shape::Gathered { parts, .. }) => {
+                parts.insert(offset, ReplyPart::Data { offset, data });
                 Vec::new()
             }
-            (Part::Data { offset, data }, _) => {
+            (ReplyPart::Data { offset, data }, _) => {
                 session.chunk(cookie, Chunk::Data { offset, data }, false).into_iter().collect()
             }
             // Where nothing is gathered, zeros need not be sent as bytes.
-            (Part::Hole { .. }, Shape::Gathered { .. }) => Vec::new(),
-            (Part::Hole { offset, length }, _) => {
+            (ReplyPart::Hole { .. }, Shape::Gathered { .. }) => Vec::new(),
+            (ReplyPart::Hole { offset, length }, _) => {
                 session.chunk(cookie, Chunk::Hole { offset, length }, false).into_iter().collect()
             }
-            (Part::Status(stretches), shape) => {
+            (ReplyPart::DataRanges(stretches), shape) => {
                 let only_one = matches!(shape, Shape::Status { only_one: true });
                 let chunk =
                     Chunk::BlockStatus { context: ALLOCATION_ID, extents: extents(&stretches, only_one) };
@@ -87,10 +87,10 @@
         }
     }
 
-    fn last(&mut self, session: &mut Session, cookie: u64, verdict: Verdict) -> Vec<Bytes> {
+    fn last(&mut self, session: &mut Session, cookie: u64, verdict: FinalResult) -> Vec<Bytes> {
         let Some(shape) = self.open.remove(&cookie) else { return Vec::new() };
         match (verdict, shape) {
-            (Verdict::Acked, Shape::Gathered { offset, length, parts }) => {
+            (FinalResult::Succeeded, Shape::Gathered { offset, length, parts }) => {
                 let data = gathered(offset, length, parts);
                 if session.structured() {
                     return session.chunk(cookie, Chunk::Data { offset, data }, true).into_iter().collect();
@@ -98,14 +98,14 @@
                 session.simple(cookie);
                 vec![data]
             }
-            (Verdict::Acked, _) if session.structured() => {
+            (FinalResult::Succeeded, _) if session.structured() => {
                 session.chunk(cookie, Chunk::None, true).into_iter().collect()
             }
-            (Verdict::Acked, _) => {
+            (FinalResult::Succeeded, _) => {
                 session.simple(cookie);
                 Vec::new()
             }
-            (Verdict::Throttled { retry_after }, _) => {
+            (FinalResult::Rejected { retry_after }, _) => {
                 // The errors on the wire are weighed in docs/errors.md.
                 let text = match retry_after.as_millis() {
                     0 => "throttled".to_string(),
@@ -114,7 +114,7 @@
                 session.error(cookie, Errno::NoMem, text);
                 Vec::new()
             }
-            (Verdict::Aborted, _) => {
+            (FinalResult::Failed, _) => {
                 session.error(cookie, Errno::Io, "aborted".into());
                 Vec::new()
             }
@@ -123,9 +123,9 @@
 }
 
 /// One buffer of the whole range; what no part covers is a hole and reads as zeros.
-fn gathered(offset: u64, length: u32, parts: BTreeMap<u64, Part>) -> Bytes {
+fn gathered(offset: u64, length: u32, parts: BTreeMap<u64, ReplyPart>) -> Bytes {
     let mut parts = parts.into_values().filter_map(|part| match part {
-        Part::Data { offset, data } => Some((offset, data)),
+        ReplyPart::Data { offset, data } => Some((offset, data)),
         _ => None,
     });
     let first = parts.next();
@@ -143,10 +143,10 @@
     whole.into()
 }
 
-fn extents(stretches: &[Stretch], only_one: bool) -> Vec<Extent> {
+fn extents(stretches: &[DataRange], only_one: bool) -> Vec<Extent> {
     let mut extents: Vec<Extent> = Vec::new();
     for stretch in stretches {
-        let flags = if stretch.data { 0 } else { STATE_HOLE | STATE_ZERO };
+        let flags = if stretch.has_data { 0 } else { STATE_HOLE | STATE_ZERO };
         match extents.last_mut().filter(|last| last.flags == flags) {
             Some(last) => last.length += stretch.length,
             None => extents.push(Extent { length: stretch.length, flags }),
--- a/crates/nbd-gateway/src/session.rs
+++ b/crates/nbd-gateway/src/session.rs
@@ -14,11 +14,11 @@
 use tokio::sync::{mpsc, watch};
 use umbertray_lifecycle::timeouts;
 use umbertray_nbd::proto::*;
-use umbertray_nbd::{BlockSizes, Export, Exports, Limits, Session, Step};
-use umbertray_routing::{Hold, Input, Request, RequestId, SessionId, Settings};
+use umbertray_nbd::{BlockSizes, Export, Exports, Limits, Session, SessionEvent};
+use umbertray_routing::{BufferGuard, Input, Request, RequestId, SessionId, Settings};
 
 use crate::budget::{Budget, Granted, Part};
-use crate::hub::{ReplyPart, ToHub};
+use crate::hub::{SessionReply, ToHub};
 use crate::link::consume;
 use crate::reply::{self, Replies};
 use umbertray_clock::Clock;
@@ -75,11 +75,11 @@
 
 impl Exports for Volumes {
     fn find(&self, name: &str) -> Option<Export> {
-        self.0.names.get(name).map(|place| self.export(&self.0.volumes[*place]))
+        self.0.volume_indices.get(name).map(|place| self.export(&self.0.volumes[*place]))
     }
 
     fn names(&self) -> Vec<String> {
-        self.0.volumes.iter().filter(|volume| !volume.gone).map(|volume| volume.name.clone()).collect()
+        self.0.volumes.iter().filter(|volume| !volume.is_removed).map(|volume| volume.name.clone()).collect()
     }
 }
 
@@ -91,7 +91,7 @@
     /// A request's header has come; its bytes wait for room.
     Waiting(Granting),
     /// There is room for it.
-    Granted(Hold),
+    Granted(BufferGuard),
     /// Nothing more is read: the client has said goodbye.
     Shut,
 }
@@ -111,7 +111,7 @@
     read_at: Duration,
     /// Bytes to write, and what is held until so many have been.
     queue: VecDeque<Bytes>,
-    holds: VecDeque<(usize, Hold)>,
+    holds: VecDeque<(usize, BufferGuard)>,
     queued: usize,
 }
 
@@ -137,7 +137,7 @@
     };
     _ = running.shared.to_hub.send(ToHub::Attach(id, to_session));
     let ended = running.talk(&mut from_hub).await;
-    _ = running.shared.to_hub.send(ToHub::Input(Input::Closed(id)));
+    _ = running.shared.to_hub.send(ToHub::Input(Input::SessionClosed(id)));
     match ended {
         Ok(why) => tracing::info!(session = id.0, %peer, why, "session closed"),
         Err(error) => tracing::warn!(session = id.0, %peer, %error, "session closed"),
@@ -145,7 +145,10 @@
 }
 
 impl Running {
-    async fn talk(&mut self, from_hub: &mut mpsc::UnboundedReceiver<ReplyPart>) -> io::Result<&'static str> {
+    async fn talk(
+        &mut self,
+        from_hub: &mut mpsc::UnboundedReceiver<SessionReply>,
+    ) -> io::Result<&'static str> {
         self.stream.set_nodelay(true)?;
         let mut stopping = self.shared.stopping.clone();
         let mut stopped = *stopping.borrow_and_update();
@@ -159,7 +162,7 @@
             }
             self.receive()?;
             self.flush()?;
-            let idle = self.session.open() == 0 && self.queue.is_empty();
+            let idle = self.session.open_requests() == 0 && self.queue.is_empty();
             if idle && (matches!(self.door, Door::Shut) || over) {
                 return Ok(if stopped {
                     "stopping"
@@ -170,7 +173,7 @@
                 });
             }
             let may_read = matches!(self.door, Door::Open | Door::Granted(_))
-                && self.session.open() < self.shared.settings.bounds.requests_a_session;
+                && self.session.open_requests() < self.shared.settings.bounds.requests_per_session;
             // A peer that sends half a request, or negotiates for ever, is not waited for.
             let half =
                 self.volume.is_none() || !self.input.is_empty() || matches!(self.door, Door::Granted(_));
@@ -207,8 +210,9 @@
     }
 
     fn gone(&self) -> bool {
-        let removed =
-            |place: usize| self.shared.present.load().volumes.get(place).is_none_or(|volume| volume.gone);
+        let removed = |place: usize| {
+            self.shared.present.load().volumes.get(place).is_none_or(|volume| volume.is_removed)
+        };
         self.volume.is_some_and(removed)
     }
 
@@ -237,28 +241,28 @@
 
     /// Takes what is whole off the input, as far as there is room.
     fn receive(&mut self) -> io::Result<()> {
-        let most = self.shared.settings.bounds.requests_a_session;
-        while matches!(self.door, Door::Open | Door::Granted(_)) && self.session.open() < most {
+        let most = self.shared.settings.bounds.requests_per_session;
+        while matches!(self.door, Door::Open | Door::Granted(_)) && self.session.open_requests() < most {
             let exports = Volumes(self.shared.present.load_full());
             let step = self.session.receive(&mut self.input, &exports);
             match step.map_err(|fault| io::Error::new(io::ErrorKind::InvalidData, fault))? {
-                Step::More => break,
-                Step::Attached(export) => {
-                    self.volume = exports.0.names.get(&export.name).copied();
+                SessionEvent::More => break,
+                SessionEvent::Attached(export) => {
+                    self.volume = exports.0.volume_indices.get(&export.name).copied();
                     self.begun = self.read_at;
                     tracing::info!(session = self.id.0, export = export.name, "session attached");
                 }
-                Step::Pending { bytes } => {
+                SessionEvent::Pending { bytes } => {
                     let (part, present) = (self.part.clone(), self.shared.present.load_full());
                     let Some(volume) = self.volume else { continue };
                     self.door = Door::Waiting(Box::pin(part.grant(volume, present, bytes)));
                 }
-                Step::Request(request) => self.request(request),
-                Step::Refused { errno, why, .. } => {
+                SessionEvent::Request(request) => self.request(request),
+                SessionEvent::Rejected { errno, reason: why, .. } => {
                     tracing::debug!(session = self.id.0, ?errno, why, "request refused");
                     self.next_begins();
                 }
-                Step::Goodbye => self.door = Door::Shut,
+                SessionEvent::Disconnected => self.door = Door::Shut,
             }
         }
         if self.input.is_empty() {
@@ -273,7 +277,7 @@
             Some(Granted::Away(retry_after)) => {
                 let ms = retry_after.as_millis().max(1);
                 let text = format!("throttled retry_after_ms={ms} no_room");
-                if self.session.turn_away(umbertray_nbd::Errno::NoMem, text) {
+                if self.session.reject(umbertray_nbd::Errno::NoMem, text) {
                     self.next_begins();
                 } else {
                     // A goodbye, or a broken client: it holds nothing but its record.
@@ -300,18 +304,18 @@
         let request = Request {
             id: RequestId(self.id, request.cookie),
             volume,
-            work,
+            kind: work,
             offset: request.offset,
             length: request.length,
             durable,
             data: request.payload,
-            begun,
+            started_at: begun,
             hold,
         };
         _ = self.shared.to_hub.send(ToHub::Input(Input::Request(request)));
     }
 
-    fn part(&mut self, ReplyPart { tag, part, hold }: ReplyPart) {
+    fn part(&mut self, SessionReply { tag, part, hold }: SessionReply) {
         let data = self.replies.part(&mut self.session, tag, part);
         let head = self.session.output().split().freeze();
         std::iter::once(head).chain(data).for_each(|bytes| self.enqueue(bytes));
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -31,7 +31,7 @@
             for top in &tops {
                 let status = client::status(top.address).await.expect("it answers");
                 assert_eq!(status.head.version, version);
-                let levels = status.sums.levels.iter().filter(|level| level.version == version);
+                let levels = status.progress.levels.iter().filter(|level| level.version == version);
                 acted += levels.map(|level| level.members).sum::<u32>();
             }
             if acted == 4 {
--- a/crates/nbd-gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/lies.rs
@@ -24,8 +24,12 @@
             let Held { checkpoint, bytes, head, entries } = stands.clone();
             let path = vec![name.to_string()];
             wire.send(FromUpstream::Hello { name: name.into(), path }).await;
-            wire.send(FromUpstream::At { head, from: checkpoint.at.version, checkpoint: Some(checkpoint) })
-                .await;
+            wire.send(FromUpstream::Head {
+                head,
+                oldest_version: checkpoint.at.version,
+                checkpoint: Some(checkpoint),
+            })
+            .await;
             let says = says.clone();
             tokio::spawn(async move {
                 while let Some(frame) = wire.next::<ToUpstream>().await {
@@ -42,10 +46,12 @@
                                 return;
                             }
                         }
-                        ToUpstream::Ping | ToUpstream::Acted(_) => wire.send(FromUpstream::Same).await,
+                        ToUpstream::Heartbeat | ToUpstream::Progress(_) => {
+                            wire.send(FromUpstream::Heartbeat).await
+                        }
                         ToUpstream::Fetch { version, offset } => {
                             let part = bytes.slice(offset as usize..);
-                            wire.send(FromUpstream::Part { version, offset, part }).await;
+                            wire.send(FromUpstream::CheckpointPart { version, offset, part }).await;
                         }
                         _ => {}
                     }
@@ -79,12 +85,12 @@
         ("unknown", |_| Bytes::from_static(&[0, 0, 0, 1, 77]), "unknown kind 77"),
         (
             "unchained",
-            |head| entry(Position { hash: [7; 32], ..head.then(b"{}") }, b"{}"),
+            |head| entry(Position { hash: [7; 32], ..head.after_change(b"{}") }, b"{}"),
             "does not follow on the one before",
         ),
         (
             "skips",
-            |head| entry(Position { version: head.version + 2, ..head.then(b"{}") }, b"{}"),
+            |head| entry(Position { version: head.version + 2, ..head.after_change(b"{}") }, b"{}"),
             "does not follow on the one before",
         ),
     ];
@@ -119,7 +125,7 @@
     let tops = [top("h1", &writer.folder).await, top("h2", &writer.folder).await];
     let honest = held(&writer.folder);
     let forged = segment::body(&change(honest.head.version, vec![added("forged")]));
-    let lie = honest.head.then(&forged);
+    let lie = honest.head.after_change(&forged);
     let (address, _serving) = poses("liar", Held { head: lie, ..honest }, vec![entry(lie, &forged)]).await;
     let far =
         |upstream: umbertray_config::Upstream| umbertray_config::Upstream { zone: "far".into(), ..upstream };
@@ -144,7 +150,7 @@
     let_go(&state).await;
     let honest = held(&writer.folder);
     let forged = segment::body(&change(honest.head.version, vec![added("forged")]));
-    let lie = honest.head.then(&forged);
+    let lie = honest.head.after_change(&forged);
     let (address, _serving) =
         poses("liar-again", Held { head: lie, ..honest }, vec![entry(lie, &forged)]).await;
     let trusting = gateway(trusting(vec![upstream("liar-again", address)])).await;
--- a/crates/nbd-gateway/tests/relays/slow.rs
+++ b/crates/nbd-gateway/tests/relays/slow.rs
@@ -1,6 +1,6 @@
 //! Followers that do not read, and what a relay holds meanwhile.
 
-use umbertray_control_plane::relay::TAIL_BYTES;
+use umbertray_control_plane::relay::MAX_SUFFIX_BYTES;
 use umbertray_relay::client;
 use umbertray_store_protocol::changes::{FromUpstream, Position, ToUpstream};
 
@@ -26,21 +26,24 @@
     let (mut version, mut most) = (1, 0);
     for number in 0..30 {
         version = large(&mut writer, number);
-        slow.send(ToUpstream::Ping).await;
+        slow.send(ToUpstream::Heartbeat).await;
         acts_on(&gateway, version).await;
-        most = most.max(client::status(top.address).await.expect("it answers").held);
+        most = most.max(client::status(top.address).await.expect("it answers").held_bytes);
     }
     let status = client::status(top.address).await.expect("it answers");
     let checkpoint = held(&writer.folder).checkpoint.length as usize;
     // Half as much again was written.
-    assert!(most as usize <= TAIL_BYTES + checkpoint, "{most} bytes held, {checkpoint} of them the state");
     assert!(
-        most as usize > TAIL_BYTES - (1 << 20),
+        most as usize <= MAX_SUFFIX_BYTES + checkpoint,
+        "{most} bytes held, {checkpoint} of them the state"
+    );
+    assert!(
+        most as usize > MAX_SUFFIX_BYTES - (1 << 20),
         "{most} bytes held: too little was written to show anything"
     );
     assert_eq!((status.head.version, status.followers), (version, 2), "the gateway and the slow one");
     // Once it takes something, it hears that what comes next is gone.
-    slow.send(ToUpstream::Taken { bytes: 128 << 10 }).await;
+    slow.send(ToUpstream::WindowUpdate { bytes: 128 << 10 }).await;
     said(&[("message", "follower needs a checkpoint"), ("follower", "slow")]).await;
 }
 
@@ -58,7 +61,7 @@
     let mut asks = Wire::hello(top.address, "asks").await;
     let checkpoint = asks
         .until("a checkpoint", |frame| match frame {
-            FromUpstream::At { checkpoint, .. } => *checkpoint,
+            FromUpstream::Head { checkpoint, .. } => *checkpoint,
             _ => None,
         })
         .await;
@@ -78,5 +81,5 @@
     // The relay is there for others.
     let mut other = Wire::hello(top.address, "other").await;
     other.send(ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 }).await;
-    other.until("a part", |frame| matches!(frame, FromUpstream::Part { .. }).then_some(())).await;
+    other.until("a part", |frame| matches!(frame, FromUpstream::CheckpointPart { .. }).then_some(())).await;
 }
--- a/crates/nbd/src/client.rs
+++ b/crates/nbd/src/client.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use crate::Fault;
+use crate::ProtocolError;
 use crate::proto::*;
 
 /// A reply, or one chunk of it.
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClientStep {
+pub enum ClientEvent {
     More,
     Ready(Export),
     Names(Vec<String>),
@@ -26,7 +26,7 @@
 
 /// What to negotiate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum Negotiation {
     /// The exports' names, then the end.
     List,
     Export {
@@ -42,7 +42,7 @@
 }
 
 pub struct Client {
-    wish: Wish,
+    wish: Negotiation,
     state: State,
     names: Vec<String>,
     export: Export,
@@ -55,8 +55,8 @@
 const MAX_CHUNK: u32 = 64 << 20;
 
 impl Client {
-    pub fn new(wish: Wish) -> Client {
-        let name = if let Wish::Export { name, .. } = &wish { name.clone() } else { String::new() };
+    pub fn new(wish: Negotiation) -> Client {
+        let name = if let Negotiation::Export { name, .. } = &wish { name.clone() } else { String::new() };
         let blocks = BlockSizes { minimum: 1, preferred: 4096, maximum: 32 << 20 };
         let export = Export { name, description: String::new(), size: 0, flags: 0, blocks };
         let out = BytesMut::new();
@@ -75,16 +75,16 @@
         put_request(&mut self.out, request);
     }
 
-    pub fn receive(&mut self, input: &mut BytesMut) -> Result<ClientStep, Fault> {
+    pub fn receive(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
         loop {
             match self.state {
                 State::Greeting => {
                     if input.len() < 18 {
-                        return Ok(ClientStep::More);
+                        return Ok(ClientEvent::More);
                     }
                     let (magic, style) = (input.get_u64(), input.get_u64());
                     if magic != NBDMAGIC || style != IHAVEOPT {
-                        return Err(Fault::Magic { place: "the greeting", found: magic });
+                        return Err(ProtocolError::Magic { place: "the greeting", found: magic });
                     }
                     let flags = input.get_u16() & (FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
                     self.out.put_u32(flags.into());
@@ -102,8 +102,8 @@
 
     fn ask(&mut self) {
         match self.wish.clone() {
-            Wish::List => self.option(OPT_LIST, &[]),
-            Wish::Export { name, structured } => {
+            Negotiation::List => self.option(OPT_LIST, &[]),
+            Negotiation::Export { name, structured } => {
                 let mut named = BytesMut::new();
                 named.put_u32(name.len() as u32);
                 named.put_slice(name.as_bytes());
@@ -128,34 +128,34 @@
         self.out.put_slice(data);
     }
 
-    fn option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientStep>, Fault> {
-        let Some(mut head) = input.get(..20) else { return Ok(Some(ClientStep::More)) };
+    fn option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
+        let Some(mut head) = input.get(..20) else { return Ok(Some(ClientEvent::More)) };
         let magic = head.get_u64();
         if magic != OPTION_REPLY {
-            return Err(Fault::Magic { place: "an option reply", found: magic });
+            return Err(ProtocolError::Magic { place: "an option reply", found: magic });
         }
         let (option, kind, length) = (head.get_u32(), head.get_u32(), head.get_u32());
         if length > MAX_CHUNK {
-            return Err(Fault::LongPayload { length, bound: MAX_CHUNK });
+            return Err(ProtocolError::LongPayload { length, bound: MAX_CHUNK });
         }
         if input.len() < 20 + length as usize {
-            return Ok(Some(ClientStep::More));
+            return Ok(Some(ClientEvent::More));
         }
         input.advance(20);
         let mut data = input.split_to(length as usize).freeze();
         match (option, kind) {
             (_, kind) if kind & REP_ERR != 0 && option != OPT_SET_META_CONTEXT => {
-                return Err(Fault::Refused(String::from_utf8_lossy(&data).into_owned()));
+                return Err(ProtocolError::Refused(String::from_utf8_lossy(&data).into_owned()));
             }
             (OPT_LIST, REP_SERVER) if data.len() >= 4 => {
                 data.advance(4);
                 self.names.push(String::from_utf8_lossy(&data).into_owned());
             }
-            (OPT_LIST, REP_ACK) => return Ok(Some(ClientStep::Names(std::mem::take(&mut self.names)))),
+            (OPT_LIST, REP_ACK) => return Ok(Some(ClientEvent::Names(std::mem::take(&mut self.names)))),
             (OPT_GO, REP_INFO) => self.info(&mut data),
             (OPT_GO, REP_ACK) => {
                 self.state = State::Transmission;
-                return Ok(Some(ClientStep::Ready(self.export.clone())));
+                return Ok(Some(ClientEvent::Ready(self.export.clone())));
             }
             _ => {}
         }
@@ -178,41 +178,41 @@
         }
     }
 
-    fn reply(&mut self, input: &mut BytesMut) -> Result<ClientStep, Fault> {
-        let Some(mut head) = input.get(..16) else { return Ok(ClientStep::More) };
+    fn reply(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
+        let Some(mut head) = input.get(..16) else { return Ok(ClientEvent::More) };
         match head.get_u32() {
             SIMPLE_REPLY_MAGIC => {
                 let (error, cookie) = (head.get_u32(), head.get_u64());
                 let expected = self.reads.get(&cookie).copied().filter(|_| error == 0).unwrap_or(0) as usize;
                 if input.len() < 16 + expected {
-                    return Ok(ClientStep::More);
+                    return Ok(ClientEvent::More);
                 }
                 input.advance(16);
                 self.reads.remove(&cookie);
                 let error = (error != 0).then(|| Errno::from_number(error));
                 let data = input.split_to(expected).freeze();
-                Ok(ClientStep::Reply(Reply::Simple { cookie, error, data }))
+                Ok(ClientEvent::Reply(Reply::Simple { cookie, error, data }))
             }
             STRUCTURED_REPLY_MAGIC => {
-                let Some(mut head) = input.get(4..20) else { return Ok(ClientStep::More) };
+                let Some(mut head) = input.get(4..20) else { return Ok(ClientEvent::More) };
                 let (flags, kind) = (head.get_u16(), head.get_u16());
                 let (cookie, length) = (head.get_u64(), head.get_u32());
                 if length > MAX_CHUNK {
-                    return Err(Fault::LongPayload { length, bound: MAX_CHUNK });
+                    return Err(ProtocolError::LongPayload { length, bound: MAX_CHUNK });
                 }
                 if input.len() < 20 + length as usize {
-                    return Ok(ClientStep::More);
+                    return Ok(ClientEvent::More);
                 }
                 input.advance(20);
                 let chunk = read_chunk(kind, input.split_to(length as usize).freeze())
-                    .ok_or(Fault::Reply("a chunk's length and kind"))?;
+                    .ok_or(ProtocolError::Reply("a chunk's length and kind"))?;
                 let done = flags & CHUNK_DONE != 0;
                 if done {
                     self.reads.remove(&cookie);
                 }
-                Ok(ClientStep::Reply(Reply::Chunk { cookie, chunk, done }))
+                Ok(ClientEvent::Reply(Reply::Chunk { cookie, chunk, done }))
             }
-            other => Err(Fault::Magic { place: "a reply", found: other.into() }),
+            other => Err(ProtocolError::Magic { place: "a reply", found: other.into() }),
         }
     }
 }
--- a/crates/nbd/src/lib.rs
+++ b/crates/nbd/src/lib.rs
@@ -8,13 +8,13 @@
 pub mod proto;
 pub mod server;
 
-pub use client::{Client, ClientStep, Reply};
+pub use client::{Client, ClientEvent, Reply};
 pub use proto::{BlockSizes, Chunk, Command, Errno, Export, Extent, Request};
-pub use server::{Exports, Limits, Session, Step};
+pub use server::{Exports, Limits, Session, SessionEvent};
 
 /// Why a session cannot go on; the peer's bytes are at fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum ProtocolError {
     #[error("wrong magic {found:#x} in {place}")]
     Magic { place: &'static str, found: u64 },
     #[error("client flags {0:#x} are unknown or lack fixed newstyle")]
--- a/crates/nbd/src/server.rs
+++ b/crates/nbd/src/server.rs
@@ -5,7 +5,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use winnow::binary::{be_u16, be_u32};
 
-use crate::Fault;
+use crate::ProtocolError;
 use crate::proto::*;
 
 /// The exports that a client may see.
@@ -30,7 +30,7 @@
 
 /// What the bytes so far amount to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SessionEvent {
     /// Nothing whole is left; read more.
     More,
     /// Negotiation has ended in this export; requests follow.
@@ -42,13 +42,13 @@
     },
     Request(Request),
     /// A request that cannot be served; its error reply is already in the output.
-    Refused {
+    Rejected {
         cookie: u64,
         errno: Errno,
-        why: &'static str,
+        reason: &'static str,
     },
     /// The client has said goodbye: answer what is open, then close.
-    Goodbye,
+    Disconnected,
 }
 
 enum State {
@@ -106,13 +106,13 @@
     }
 
     /// How many requests have no reply yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// Turns away the request whose header has come, instead of waiting for room: its answer goes out now, and its payload is
     /// dropped as it comes. False where that cannot be: a goodbye has no answer, and a cookie that is open has one to come.
-    pub fn turn_away(&mut self, errno: Errno, why: String) -> bool {
+    pub fn reject(&mut self, errno: Errno, why: String) -> bool {
         let turned = |header: &RequestHeader| {
             header.command != Command::Disc.number() && !self.open.contains(&header.cookie)
         };
@@ -130,17 +130,21 @@
     }
 
     /// Takes the next whole message off `input`.
-    pub fn receive(&mut self, input: &mut BytesMut, exports: &dyn Exports) -> Result<Step, Fault> {
+    pub fn receive(
+        &mut self,
+        input: &mut BytesMut,
+        exports: &dyn Exports,
+    ) -> Result<SessionEvent, ProtocolError> {
         loop {
             match &self.state {
                 State::ClientFlags => {
                     if input.len() < 4 {
-                        return Ok(Step::More);
+                        return Ok(SessionEvent::More);
                     }
                     let flags = input.get_u32();
                     let known = u32::from(FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
                     if flags & !known != 0 || flags & u32::from(FLAG_FIXED_NEWSTYLE) == 0 {
-                        return Err(Fault::ClientFlags(flags));
+                        return Err(ProtocolError::ClientFlags(flags));
                     }
                     self.no_zeroes = flags & u32::from(FLAG_NO_ZEROES) != 0;
                     self.state = State::Options;
@@ -152,7 +156,7 @@
                 State::Transmission(_) => return self.request(input),
                 State::Ended => {
                     input.clear();
-                    return Ok(Step::More);
+                    return Ok(SessionEvent::More);
                 }
             }
         }
@@ -160,27 +164,31 @@
 
     // Negotiation.
 
-    fn option(&mut self, input: &mut BytesMut, exports: &dyn Exports) -> Result<Option<Step>, Fault> {
+    fn option(
+        &mut self,
+        input: &mut BytesMut,
+        exports: &dyn Exports,
+    ) -> Result<Option<SessionEvent>, ProtocolError> {
         let Some((mut magic, mut rest)) = input.get(..16).map(|head| head.split_at(8)) else {
-            return Ok(Some(Step::More));
+            return Ok(Some(SessionEvent::More));
         };
         let magic = magic.get_u64();
         if magic != IHAVEOPT {
-            return Err(Fault::Magic { place: "an option", found: magic });
+            return Err(ProtocolError::Magic { place: "an option", found: magic });
         }
         let (option, length) = (rest.get_u32(), rest.get_u32());
         let bound = self.limits.option_bytes;
         if length > bound {
-            return Err(Fault::LongOption { option, length, bound });
+            return Err(ProtocolError::LongOption { option, length, bound });
         }
         if input.len() < 16 + length as usize {
-            return Ok(Some(Step::More));
+            return Ok(Some(SessionEvent::More));
         }
         input.advance(16);
         let data = input.split_to(length as usize).freeze();
         self.options += 1;
         if self.options > self.limits.options {
-            return Err(Fault::ManyOptions(self.options));
+            return Err(ProtocolError::ManyOptions(self.options));
         }
         self.answer_option(option, data, exports)
     }
@@ -190,17 +198,17 @@
         option: u32,
         data: Bytes,
         exports: &dyn Exports,
-    ) -> Result<Option<Step>, Fault> {
+    ) -> Result<Option<SessionEvent>, ProtocolError> {
         if option == OPT_ABORT {
             self.option_reply(option, REP_ACK, &[]);
             self.state = State::Ended;
-            return Ok(Some(Step::Goodbye));
+            return Ok(Some(SessionEvent::Disconnected));
         }
         if self.shutting_down {
             // EXPORT_NAME has no error reply ("NBD_OPT_EXPORT_NAME"): the session can only be closed.
             if option == OPT_EXPORT_NAME {
                 self.state = State::Ended;
-                return Ok(Some(Step::Goodbye));
+                return Ok(Some(SessionEvent::Disconnected));
             }
             self.option_reply(option, REP_ERR_SHUTDOWN, b"the server is shutting down");
             return Ok(None);
@@ -208,7 +216,7 @@
         match option {
             OPT_EXPORT_NAME => {
                 let name = String::from_utf8_lossy(&data).into_owned();
-                let Some(export) = exports.find(&name) else { return Err(Fault::NoSuchExport(name)) };
+                let Some(export) = exports.find(&name) else { return Err(ProtocolError::NoSuchExport(name)) };
                 self.out.put_u64(export.size);
                 self.out.put_u16(self.transmission_flags(&export));
                 if !self.no_zeroes {
@@ -241,7 +249,7 @@
     }
 
     /// "NBD_OPT_INFO and NBD_OPT_GO": the export's facts, all of them whether asked for or not.
-    fn info(&mut self, option: u32, data: &[u8], exports: &dyn Exports) -> Option<Step> {
+    fn info(&mut self, option: u32, data: &[u8], exports: &dyn Exports) -> Option<SessionEvent> {
         let Some((name, wanted)) = info_request(data) else {
             self.invalid(option, "lengths within the option contradict its length");
             return None;
@@ -299,11 +307,11 @@
         self.option_reply(option, REP_ACK, &[]);
     }
 
-    fn attach(&mut self, export: Export) -> Step {
+    fn attach(&mut self, export: Export) -> SessionEvent {
         // A context selected for another export does not count ("NBD_OPT_SET_META_CONTEXT").
         self.allocation = self.allocation.take().filter(|name| *name == export.name);
         self.state = State::Transmission(export.clone());
-        Step::Attached(export)
+        SessionEvent::Attached(export)
     }
 
     /// DF makes sense only with structured replies.
@@ -325,36 +333,36 @@
 
     // Transmission.
 
-    fn request(&mut self, input: &mut BytesMut) -> Result<Step, Fault> {
-        let State::Transmission(export) = &self.state else { return Ok(Step::More) };
+    fn request(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
+        let State::Transmission(export) = &self.state else { return Ok(SessionEvent::More) };
         let dropped = self.unwanted.min(input.len());
         input.advance(dropped);
         self.unwanted -= dropped;
         if self.header.is_none() {
-            let Some(head) = input.first_chunk::<REQUEST_HEADER>() else { return Ok(Step::More) };
+            let Some(head) = input.first_chunk::<REQUEST_HEADER>() else { return Ok(SessionEvent::More) };
             let header = request_header(head);
             if header.magic != REQUEST_MAGIC {
-                return Err(Fault::Magic { place: "a request", found: header.magic.into() });
+                return Err(ProtocolError::Magic { place: "a request", found: header.magic.into() });
             }
             let (write, bound) = (header.command == Command::Write.number(), export.blocks.maximum);
             // Reading on past a payload beyond the bound could take for ever: the text allows to disconnect.
             if write && header.length > bound {
-                return Err(Fault::LongPayload { length: header.length, bound });
+                return Err(ProtocolError::LongPayload { length: header.length, bound });
             }
             input.advance(REQUEST_HEADER);
             let command = Command::from_number(header.command);
             let holds = matches!(command, Some(Command::Write | Command::Read));
             let bytes = if holds { header.length.min(bound) } else { 0 };
             self.header = Some(header);
-            return Ok(Step::Pending { bytes });
+            return Ok(SessionEvent::Pending { bytes });
         }
-        let Some(header) = &self.header else { return Ok(Step::More) };
+        let Some(header) = &self.header else { return Ok(SessionEvent::More) };
         let payload = if header.command == Command::Write.number() { header.length as usize } else { 0 };
         if input.len() < payload {
-            return Ok(Step::More);
+            return Ok(SessionEvent::More);
         }
         if self.open.contains(&header.cookie) {
-            return Err(Fault::ReusedCookie(header.cookie));
+            return Err(ProtocolError::ReusedCookie(header.cookie));
         }
         let (cookie, payload) = (header.cookie, input.split_to(payload).freeze());
         let judged = self.judge(header, export);
@@ -363,15 +371,15 @@
         match judged {
             Ok(Command::Disc) => {
                 self.state = State::Ended;
-                Ok(Step::Goodbye)
+                Ok(SessionEvent::Disconnected)
             }
             Ok(command) => {
                 self.open.insert(cookie);
-                Ok(Step::Request(Request { cookie, command, flags, offset, length, payload }))
+                Ok(SessionEvent::Request(Request { cookie, command, flags, offset, length, payload }))
             }
             Err((errno, why)) => {
                 self.error(cookie, errno, why.into());
-                Ok(Step::Refused { cookie, errno, why })
+                Ok(SessionEvent::Rejected { cookie, errno, reason: why })
             }
         }
     }
--- a/crates/nbd/tests/golden.rs
+++ b/crates/nbd/tests/golden.rs
@@ -1,10 +1,11 @@
 //! Golden examples of the wire: recorded messages that every later version has to write and read byte for byte.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use umbertray_nbd::client::Wish;
+use umbertray_nbd::client::Negotiation;
 use umbertray_nbd::proto::*;
 use umbertray_nbd::{
-    BlockSizes, Chunk, Client, Command, Errno, Export, Exports, Extent, Fault, Limits, Request, Session, Step,
+    BlockSizes, Chunk, Client, Command, Errno, Export, Exports, Extent, Limits, ProtocolError, Request,
+    Session, SessionEvent,
 };
 
 const RECORDED: &str = include_str!("golden/nbd.txt");
@@ -70,11 +71,11 @@
 }
 
 /// Hands all of the input over and returns what the session wrote.
-fn receive(session: &mut Session, input: &[u8]) -> (Result<(), Fault>, Bytes) {
+fn receive(session: &mut Session, input: &[u8]) -> (Result<(), ProtocolError>, Bytes) {
     let mut buffer = BytesMut::from(input);
     let result = loop {
         match session.receive(&mut buffer, &OneExport) {
-            Ok(Step::More) => break Ok(()),
+            Ok(SessionEvent::More) => break Ok(()),
             Ok(_) => {}
             Err(fault) => break Err(fault),
         }
@@ -219,9 +220,9 @@
 
 fn client_side(transcript: &mut Transcript) {
     let wishes = [
-        ("attach", Wish::Export { name: "vol".into(), structured: true }),
-        ("attach plainly", Wish::Export { name: "vol".into(), structured: false }),
-        ("list", Wish::List),
+        ("attach", Negotiation::Export { name: "vol".into(), structured: true }),
+        ("attach plainly", Negotiation::Export { name: "vol".into(), structured: false }),
+        ("list", Negotiation::List),
     ];
     for (name, wish) in wishes {
         let (mut client, mut session) = (Client::new(wish), Session::new(Limits::default()));
--- a/crates/nbd/tests/session.rs
+++ b/crates/nbd/tests/session.rs
@@ -2,11 +2,11 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
-use umbertray_nbd::client::Wish;
+use umbertray_nbd::client::Negotiation;
 use umbertray_nbd::proto::*;
 use umbertray_nbd::{
-    BlockSizes, Chunk, Client, ClientStep, Command, Errno, Export, Exports, Extent, Fault, Limits, Reply,
-    Request, Session, Step,
+    BlockSizes, Chunk, Client, ClientEvent, Command, Errno, Export, Exports, Extent, Limits, ProtocolError,
+    Reply, Request, Session, SessionEvent,
 };
 
 struct One;
@@ -44,14 +44,18 @@
 }
 
 /// All steps that the input comes to, in pieces of so many bytes, and what the session wrote.
-fn feed(session: &mut Session, input: &[u8], piece: usize) -> (Vec<Step>, Result<(), Fault>, Bytes) {
+fn feed(
+    session: &mut Session,
+    input: &[u8],
+    piece: usize,
+) -> (Vec<SessionEvent>, Result<(), ProtocolError>, Bytes) {
     let (mut buffer, mut steps) = (BytesMut::new(), Vec::new());
     for part in input.chunks(piece) {
         buffer.put_slice(part);
         loop {
             match session.receive(&mut buffer, &One) {
-                Ok(Step::More) => break,
-                Ok(Step::Pending { .. }) => {}
+                Ok(SessionEvent::More) => break,
+                Ok(SessionEvent::Pending { .. }) => {}
                 Ok(step) => steps.push(step),
                 Err(fault) => return (steps, Err(fault), session.output().split().freeze()),
             }
@@ -88,7 +92,7 @@
     }
     option(&mut input, OPT_GO, &go("vol"));
     let (steps, ended, _) = feed(&mut session, &input, usize::MAX);
-    assert!(matches!(&steps[..], [Step::Attached(export)] if export.name == "vol") && ended.is_ok());
+    assert!(matches!(&steps[..], [SessionEvent::Attached(export)] if export.name == "vol") && ended.is_ok());
     session
 }
 
@@ -133,37 +137,37 @@
         option(&mut input, OPT_EXPORT_NAME, b"vol");
         let mut session = Session::new(Limits::default());
         let (steps, _, out) = feed(&mut session, &input, usize::MAX);
-        assert!(matches!(steps[..], [Step::Attached(_)]));
+        assert!(matches!(steps[..], [SessionEvent::Attached(_)]));
         assert_eq!(out.len(), 18 + 10 + padding);
     }
     let mut input = flags();
     option(&mut input, OPT_ABORT, &[]);
     let (steps, _, out) = feed(&mut Session::new(Limits::default()), &input, usize::MAX);
-    assert_eq!((steps, option_replies(out)), (vec![Step::Goodbye], vec![(OPT_ABORT, REP_ACK)]));
+    assert_eq!((steps, option_replies(out)), (vec![SessionEvent::Disconnected], vec![(OPT_ABORT, REP_ACK)]));
 }
 
 #[test]
 fn a_peer_that_breaks_the_protocol_is_named_its_fault() {
     let fault = |input: &[u8]| feed(&mut Session::new(Limits::default()), input, 5).1.unwrap_err();
-    assert_eq!(fault(&[0, 0, 0, 9]), Fault::ClientFlags(9));
+    assert_eq!(fault(&[0, 0, 0, 9]), ProtocolError::ClientFlags(9));
     let mut input = flags();
     input.put_slice(&[7; 16]);
-    assert!(matches!(fault(&input), Fault::Magic { place: "an option", .. }));
+    assert!(matches!(fault(&input), ProtocolError::Magic { place: "an option", .. }));
     let mut input = flags();
     option(&mut input, OPT_LIST, &[0; 9000]);
-    assert!(matches!(fault(&input), Fault::LongOption { length: 9000, .. }));
+    assert!(matches!(fault(&input), ProtocolError::LongOption { length: 9000, .. }));
     let mut input = flags();
     (0..200).for_each(|_| option(&mut input, OPT_LIST, &[]));
-    assert_eq!(fault(&input), Fault::ManyOptions(101));
+    assert_eq!(fault(&input), ProtocolError::ManyOptions(101));
     let mut input = flags();
     option(&mut input, OPT_EXPORT_NAME, b"other");
-    assert_eq!(fault(&input), Fault::NoSuchExport("other".into()));
+    assert_eq!(fault(&input), ProtocolError::NoSuchExport("other".into()));
     let fault = |input: &[u8]| feed(&mut attached(true), input, 5).1.unwrap_err();
-    assert!(matches!(fault(&[1; 28]), Fault::Magic { place: "a request", .. }));
+    assert!(matches!(fault(&[1; 28]), ProtocolError::Magic { place: "a request", .. }));
     let bound = 65536;
-    assert_eq!(fault(&bytes(1, 0, 1, 0, 65537)), Fault::LongPayload { length: 65537, bound });
+    assert_eq!(fault(&bytes(1, 0, 1, 0, 65537)), ProtocolError::LongPayload { length: 65537, bound });
     let twice = [bytes(0, 0, 5, 0, 512), bytes(0, 0, 5, 0, 512)].concat();
-    assert_eq!(fault(&twice), Fault::ReusedCookie(5));
+    assert_eq!(fault(&twice), ProtocolError::ReusedCookie(5));
 }
 
 #[test]
@@ -184,31 +188,31 @@
     for (cookie, (command, flags, offset, length, wanted)) in cases.into_iter().enumerate() {
         let input = bytes(command, flags, cookie as u64, offset, length);
         let (steps, ended, _) = feed(&mut session, &input, 9);
-        let refused = matches!(&steps[..], [Step::Refused { errno, .. }] if *errno == wanted);
+        let refused = matches!(&steps[..], [SessionEvent::Rejected { errno, .. }] if *errno == wanted);
         assert!(refused && ended.is_ok(), "{command} {offset}: {steps:?}");
     }
     let (steps, ..) = feed(&mut session, &bytes(0, CMD_FLAG_DF, 0, 0, 512), 1);
-    assert!(matches!(&steps[..], [Step::Request(_)]), "a cookie of a refused request is free again");
+    assert!(matches!(&steps[..], [SessionEvent::Request(_)]), "a cookie of a refused request is free again");
     let (steps, ..) = feed(&mut attached(false), &bytes(7, 0, 1, 0, 512), 28);
-    assert!(matches!(&steps[..], [Step::Refused { .. }]), "no context was selected");
+    assert!(matches!(&steps[..], [SessionEvent::Rejected { .. }]), "no context was selected");
     session.shut_down();
     let (steps, ..) = feed(&mut session, &bytes(0, 0, 9, 0, 512), 28);
-    assert!(matches!(&steps[..], [Step::Refused { errno: Errno::Shutdown, .. }]));
+    assert!(matches!(&steps[..], [SessionEvent::Rejected { errno: Errno::Shutdown, .. }]));
     let (steps, ..) = feed(&mut session, &bytes(2, 0, 9, 0, 0), 28);
-    assert_eq!(steps, [Step::Goodbye]);
+    assert_eq!(steps, [SessionEvent::Disconnected]);
 }
 
 /// Moves bytes between the two ends until neither has anything to say.
-fn shake(client: &mut Client, session: &mut Session) -> ClientStep {
+fn shake(client: &mut Client, session: &mut Session) -> ClientEvent {
     let (mut to_client, mut to_server) = (BytesMut::new(), BytesMut::new());
     loop {
         to_client.put_slice(&session.output().split());
         let step = client.receive(&mut to_client).expect("a good server");
         to_server.put_slice(&client.output().split());
-        if step != ClientStep::More {
+        if step != ClientEvent::More {
             return step;
         }
-        assert_ne!(session.receive(&mut to_server, &One), Ok(Step::Request(read(0))));
+        assert_ne!(session.receive(&mut to_server, &One), Ok(SessionEvent::Request(read(0))));
     }
 }
 
@@ -218,17 +222,20 @@
 
 #[test]
 fn both_ends_understand_each_other() {
-    let wish = |structured| Wish::Export { name: "vol".into(), structured };
+    let wish = |structured| Negotiation::Export { name: "vol".into(), structured };
     let mut session = Session::new(Limits::default());
-    assert_eq!(shake(&mut Client::new(Wish::List), &mut session), ClientStep::Names(vec!["vol".into()]));
+    assert_eq!(
+        shake(&mut Client::new(Negotiation::List), &mut session),
+        ClientEvent::Names(vec!["vol".into()])
+    );
     for structured in [false, true] {
         let (mut client, mut session) = (Client::new(wish(structured)), Session::new(Limits::default()));
         let ready = shake(&mut client, &mut session);
-        assert!(matches!(&ready, ClientStep::Ready(export) if export.size == 1 << 20), "{ready:?}");
+        assert!(matches!(&ready, ClientEvent::Ready(export) if export.size == 1 << 20), "{ready:?}");
         client.request(&read(1));
         let mut input = client.output().split();
-        assert_eq!(session.receive(&mut input, &One), Ok(Step::Pending { bytes: 1024 }));
-        assert_eq!(session.receive(&mut input, &One), Ok(Step::Request(read(1))));
+        assert_eq!(session.receive(&mut input, &One), Ok(SessionEvent::Pending { bytes: 1024 }));
+        assert_eq!(session.receive(&mut input, &One), Ok(SessionEvent::Request(read(1))));
         let chunks = [
             Chunk::Data { offset: 512, data: Bytes::from_static(&[7; 512]) },
             Chunk::Hole { offset: 0, length: 512 },
@@ -242,7 +249,7 @@
             out.put_slice(&[3; 1024]);
             let data = Bytes::from_static(&[3; 1024]);
             let whole = Reply::Simple { cookie: 1, error: None, data };
-            assert_eq!(client.receive(&mut out), Ok(ClientStep::Reply(whole)));
+            assert_eq!(client.receive(&mut out), Ok(ClientEvent::Reply(whole)));
             continue;
         }
         for (i, chunk) in chunks.iter().enumerate() {
@@ -251,9 +258,9 @@
             let mut out = session.output().split();
             tail.into_iter().for_each(|tail| out.put_slice(&tail));
             let wanted = Reply::Chunk { cookie: 1, chunk: chunk.clone(), done };
-            assert_eq!(client.receive(&mut out), Ok(ClientStep::Reply(wanted)));
+            assert_eq!(client.receive(&mut out), Ok(ClientEvent::Reply(wanted)));
         }
-        assert_eq!(session.open(), 0);
+        assert_eq!(session.open_requests(), 0);
     }
 }
 
@@ -264,7 +271,7 @@
         let mut input = if transmission { BytesMut::new() } else { flags() };
         input.put_slice(&noise);
         _ = feed(&mut session, &input, 3);
-        let mut client = Client::new(Wish::Export { name: "vol".into(), structured: true });
+        let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured: true });
         shake(&mut client, &mut Session::new(Limits::default()));
         let mut replies = BytesMut::new();
         replies.put_u32(STRUCTURED_REPLY_MAGIC);
@@ -304,9 +311,9 @@
             buffer.put_slice(part);
             loop {
                 match session.receive(&mut buffer, &One).expect("a good client") {
-                    Step::More => break,
-                    Step::Pending { bytes } => {
-                        away.push((bytes, session.turn_away(Errno::NoMem, "full".into())))
+                    SessionEvent::More => break,
+                    SessionEvent::Pending { bytes } => {
+                        away.push((bytes, session.reject(Errno::NoMem, "full".into())))
                     }
                     step => taken.push(step),
                 }
@@ -314,7 +321,7 @@
             assert!(buffer.len() < 64, "nothing is kept of what was turned away");
         }
         assert_eq!(away, [(4096, true), (4096, true), (0, false)]);
-        assert_eq!(taken, [Step::Goodbye]);
+        assert_eq!(taken, [SessionEvent::Disconnected]);
         let out = session.output().split().freeze();
         let cookies: Vec<u64> = out
             .windows(4)
--- a/crates/relay/src/hub.rs
+++ b/crates/relay/src/hub.rs
@@ -12,8 +12,10 @@
 use umbertray_config::Upstream;
 use umbertray_config_log::Told;
 use umbertray_config_log::chain::{self, Head};
-use umbertray_control_plane::LinkId;
-use umbertray_control_plane::relay::{Action, Entry, Event, HEARTBEAT, Left, Node, Note, TICK};
+use umbertray_control_plane::ConnectionId;
+use umbertray_control_plane::relay::{
+    Action, DisconnectReason, Entry, Event, HEARTBEAT, RelayEvent, RelayNode, TICK,
+};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::{FromUpstream, Position, Status, ToUpstream};
 
@@ -55,12 +57,12 @@
 }
 
 pub struct Hub {
-    node: Node,
+    node: RelayNode,
     clock: Clock,
     upstreams: Vec<SocketAddr>,
     listener: Option<TcpListener>,
     /// Those that are open; what is still heard of others counts for nothing.
-    links: HashMap<LinkId, Link>,
+    links: HashMap<ConnectionId, Link>,
     /// All connections, also those that are being closed.
     tasks: JoinSet<()>,
     accepted: u64,
@@ -76,7 +78,7 @@
 }
 
 impl Hub {
-    pub fn new(node: Node, upstreams: &[Upstream], listener: Option<TcpListener>) -> (Hub, Ends) {
+    pub fn new(node: RelayNode, upstreams: &[Upstream], listener: Option<TcpListener>) -> (Hub, Ends) {
         let (to_hub, from_all) = mpsc::channel(TO_HUB);
         let (to_owner, told) = mpsc::channel(1);
         let (told_back, in_force) = mpsc::channel(1);
@@ -110,8 +112,8 @@
             let accepting = self.listener.is_some() && self.tasks.len() < MOST_FOLLOWERS;
             // Each of these that another branch cancels has taken nothing: a message, connection or place stays where it was.
             tokio::select! {
-                _ = ticks.tick() => self.handle(Event::Woken),
-                Some(version) = self.in_force.recv() => self.handle(Event::InForce(version)),
+                _ = ticks.tick() => self.handle(Event::Tick),
+                Some(version) = self.in_force.recv() => self.handle(Event::Applied(version)),
                 place = to_owner.reserve(), if !self.pending.is_empty() => match place {
                     Ok(place) => {
                         place.send(std::mem::take(&mut self.pending));
@@ -138,14 +140,16 @@
     fn heard(&mut self, message: ToHub) {
         match message {
             ToHub::Folder(told) => folder_events(told).into_iter().for_each(|event| self.handle(event)),
-            ToHub::Event(Event::Asked { link, frame: ToUpstream::Status }) => {
+            ToHub::Event(Event::FromFollower { link, frame: ToUpstream::Status }) => {
                 let status = FromUpstream::Status(self.status());
-                self.act(Action::Say { link, frame: status });
+                self.act(Action::SendFollower { link, frame: status });
             }
             ToHub::Event(event) => {
                 let link = link_of(&event);
                 if link.is_none_or(|link| self.links.contains_key(&link)) {
-                    if let (Some(link), Event::Closed(_) | Event::Left(_)) = (link, &event) {
+                    if let (Some(link), Event::Disconnected(_) | Event::FollowerDisconnected(_)) =
+                        (link, &event)
+                    {
                         self.links.remove(&link);
                     }
                     self.handle(event);
@@ -155,14 +159,14 @@
     }
 
     fn status(&self) -> Status {
-        let standing = self.node.standing(self.clock.now());
+        let standing = self.node.status(self.clock.now());
         Status {
             name: self.node.config().name.clone(),
             head: standing.head,
             path: standing.path,
             followers: standing.followers as u32,
-            held: standing.held_bytes as u64,
-            sums: standing.sums,
+            held_bytes: standing.held_bytes as u64,
+            progress: standing.progress,
         }
     }
 
@@ -174,29 +178,29 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Connect { upstream, link } => self.connect(upstream, link),
-            Action::Close { link, why } => self.close(link, why),
-            Action::Tell { link, frame } => {
+            Action::Close { link, reason: why } => self.close(link, why),
+            Action::SendUpstream { link, frame } => {
                 if let Some(Link { peer: Peer::Upstream(peer), .. }) = self.links.get(&link) {
                     let room = peer.send(frame);
                     self.unless_full(link, room);
                 }
             }
-            Action::Say { link, frame } => {
+            Action::SendFollower { link, frame } => {
                 if let Some(Link { peer: Peer::Follower(peer), .. }) = self.links.get(&link) {
                     let room = peer.send(frame);
                     self.unless_full(link, room);
                 }
             }
-            Action::Adopt { at: Position { version, hash }, checkpoint } => {
+            Action::LoadCheckpoint { at: Position { version, hash }, checkpoint } => {
                 let head = Head { version, hash, checkpoint: checkpoint.to_vec(), done: VecDeque::new() };
                 self.give(Told::Whole(head), checkpoint.len());
             }
-            Action::Act(Entry { at: Position { version, hash }, body }) => {
+            Action::AppendEntry(Entry { at: Position { version, hash }, body }) => {
                 let entry = chain::Entry { version, hash, body: body.to_vec() };
                 self.give(Told::Entry(entry), body.len());
             }
-            Action::Enforce(_) => self.pending.append(&mut self.built),
-            Action::Note(note) => say(note),
+            Action::Commit(_) => self.pending.append(&mut self.built),
+            Action::Log(note) => say(note),
         }
     }
 
@@ -206,59 +210,61 @@
     }
 
     /// A peer that leaves so much unread is cut off: its task ends, and says that it did.
-    fn unless_full(&mut self, link: LinkId, taken: bool) {
+    fn unless_full(&mut self, link: ConnectionId, taken: bool) {
         if let Some(end) = self.links.get(&link).filter(|_| !taken) {
             end.task.abort();
             Ended::Stuck.say(end.address);
             let event = match end.peer {
-                Peer::Upstream(_) => Event::Closed(link),
-                Peer::Follower(_) => Event::Left(link),
+                Peer::Upstream(_) => Event::Disconnected(link),
+                Peer::Follower(_) => Event::FollowerDisconnected(link),
             };
             self.links.remove(&link);
             self.handle(event);
         }
     }
 
-    fn connect(&mut self, upstream: usize, link: LinkId) {
+    fn connect(&mut self, upstream: usize, link: ConnectionId) {
         let Some(address) = self.upstreams.get(upstream).copied() else { return };
         let (to_peer, unsent) = link::channel();
         let to_hub = self.to_hub.clone();
         let task = self.tasks.spawn(async move {
             let ended = match link::connect(address).await {
                 Ok(stream) => {
-                    _ = to_hub.send(ToHub::Event(Event::Opened(link))).await;
-                    let heard = |frame| Event::Heard { link, frame };
+                    _ = to_hub.send(ToHub::Event(Event::Connected(link))).await;
+                    let heard = |frame| Event::FromUpstream { link, frame };
                     link::run(stream, unsent, Ear { link, peer: address, to_hub: &to_hub }, heard).await
                 }
                 Err(error) => error.into(),
             };
             ended.say(address);
-            _ = to_hub.send(ToHub::Event(Event::Closed(link))).await;
+            _ = to_hub.send(ToHub::Event(Event::Disconnected(link))).await;
         });
         self.links.insert(link, Link { address, peer: Peer::Upstream(to_peer), task });
     }
 
     fn accepted(&mut self, stream: Socket, address: SocketAddr) {
         self.accepted += 1;
-        let link = LinkId(self.accepted);
+        let link = ConnectionId(self.accepted);
         let (to_peer, unsent) = link::channel();
         let to_hub = self.to_hub.clone();
         let task = self.tasks.spawn(async move {
-            let asked = |frame| Event::Asked { link, frame };
+            let asked = |frame| Event::FromFollower { link, frame };
             let ear = Ear { link, peer: address, to_hub: &to_hub };
             let ended = link::run(stream, unsent, ear, asked).await;
             ended.say(address);
-            _ = to_hub.send(ToHub::Event(Event::Left(link))).await;
+            _ = to_hub.send(ToHub::Event(Event::FollowerDisconnected(link))).await;
         });
         self.links.insert(link, Link { address, peer: Peer::Follower(to_peer), task });
-        self.handle(Event::Accepted(link));
+        self.handle(Event::FollowerConnected(link));
     }
 
     /// Lets go of a connection: its task sends what it was given, and is ended if that takes too long.
-    fn close(&mut self, link: LinkId, why: Left) {
+    fn close(&mut self, link: ConnectionId, why: DisconnectReason) {
         let Some(Link { address, peer, task }) = self.links.remove(&link) else { return };
         match why {
-            Left::Spare => tracing::debug!(peer = %address, reason = %why, "connection closed"),
+            DisconnectReason::NotNeeded => {
+                tracing::debug!(peer = %address, reason = %why, "connection closed")
+            }
             _ => tracing::warn!(peer = %address, reason = %why, "connection closed"),
         }
         drop(peer);
@@ -277,15 +283,15 @@
     }
 }
 
-fn link_of(event: &Event) -> Option<LinkId> {
+fn link_of(event: &Event) -> Option<ConnectionId> {
     match event {
-        Event::Opened(link)
-        | Event::Closed(link)
-        | Event::Accepted(link)
-        | Event::Left(link)
+        Event::Connected(link)
+        | Event::Disconnected(link)
+        | Event::FollowerConnected(link)
+        | Event::FollowerDisconnected(link)
         | Event::Malformed(link) => Some(*link),
-        Event::Heard { link, .. } | Event::Asked { link, .. } => Some(*link),
-        Event::FolderCheckpoint { .. } | Event::FolderEntries(_) | Event::InForce(_) | Event::Woken => None,
+        Event::FromUpstream { link, .. } | Event::FromFollower { link, .. } => Some(*link),
+        Event::FolderCheckpoint { .. } | Event::FolderEntries(_) | Event::Applied(_) | Event::Tick => None,
     }
 }
 
@@ -308,37 +314,45 @@
     events
 }
 
-fn say(note: Note) {
+fn say(note: RelayEvent) {
     match note {
-        Note::Follows { upstream, after } => tracing::info!(upstream, after = after.version, "follows"),
-        Note::Left { upstream, why, wait } => {
+        RelayEvent::Following { upstream, after } => {
+            tracing::info!(upstream, after = after.version, "follows")
+        }
+        RelayEvent::UpstreamLeft { upstream, why, wait } => {
             tracing::warn!(upstream, reason = %why, wait_s = wait.as_secs_f64(), "upstream left");
         }
-        Note::Loop { upstream, path } => tracing::error!(upstream, ?path, "loop of relays: refused"),
-        Note::Disagree { upstream, version } => {
+        RelayEvent::Loop { upstream, path } => tracing::error!(upstream, ?path, "loop of relays: refused"),
+        RelayEvent::Disagreement { upstream, version } => {
             tracing::error!(
                 upstream,
                 version,
                 "upstreams tell different histories: one lies, or follows another log"
             );
         }
-        Note::OtherHistory { version } => {
+        RelayEvent::DivergentHistory { version } => {
             tracing::error!(
                 version,
                 "what upstreams agree on is not what was acted on: the log was replaced, or they lie"
             );
         }
-        Note::FolderBroken { version } => {
+        RelayEvent::FolderBroken { version } => {
             tracing::error!(version, "the folder does not go on from what is held: nothing of it is taken");
         }
-        Note::Unvouched { version } => {
+        RelayEvent::NoQuorum { version } => {
             tracing::warn!(version, "no checkpoint is told by enough upstreams");
         }
-        Note::Adopted { at, from } => tracing::info!(version = at.version, from, "checkpoint adopted"),
-        Note::Behind { follower, after } => tracing::info!(follower, after, "follower needs a checkpoint"),
-        Note::FollowerLeft { follower, why } => tracing::warn!(follower, reason = %why, "follower left"),
-        Note::Nonsense { follower, what } => tracing::warn!(follower, what, "sums left out"),
-        Note::Outgrown { version } => {
+        RelayEvent::CheckpointLoaded { at, from } => {
+            tracing::info!(version = at.version, from, "checkpoint adopted")
+        }
+        RelayEvent::FollowerBehind { follower, after } => {
+            tracing::info!(follower, after, "follower needs a checkpoint")
+        }
+        RelayEvent::FollowerLeft { follower, why } => {
+            tracing::warn!(follower, reason = %why, "follower left")
+        }
+        RelayEvent::InvalidProgress { follower, what } => tracing::warn!(follower, what, "sums left out"),
+        RelayEvent::SuffixOutgrown { version } => {
             tracing::warn!(version, "the log has outgrown what is held since its checkpoint");
         }
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 use umbertray_config::{Changes, Upstream};
 use umbertray_config_log::{Replica, Told, acted};
-use umbertray_control_plane::relay::{self, Config, Node, Origin, Unsound};
+use umbertray_control_plane::relay::{self, Config, ConfigError, Origin, RelayNode};
 use umbertray_store_protocol::changes::{Position, Role};
 
 /// Followers at once, at most; beyond it no connection is accepted until one ends.
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
     #[error(transparent)]
-    Unsound(#[from] Unsound),
+    Unsound(#[from] ConfigError),
     #[error("{address}: cannot listen: {error}; see who has the address, and start again")]
     Listen { address: SocketAddr, error: io::Error },
     #[error("{}: what was carried cannot be read: {error}; mend the file `acted` there, or remove it, if it may carry an older log", folder.display())]
@@ -82,7 +82,7 @@
             let named = upstreams
                 .iter()
                 .map(|upstream| relay::Upstream { name: upstream.name.clone(), zone: upstream.zone.clone() });
-            (Origin::Upstreams { upstreams: named.collect(), vouch: *vouch }, upstreams.clone())
+            (Origin::Upstreams { upstreams: named.collect(), quorum: *vouch }, upstreams.clone())
         }
     }
 }
@@ -99,13 +99,13 @@
     let acted = folder.as_deref().map(acted::read).transpose().map_err(wrong)?.flatten();
     let acted = acted.map(|(version, hash)| Position { version, hash });
     let (origin, upstreams) = origin(&changes);
-    let config = Config { name, zone, role: Role::Relay, origin, seed, most_followers: MOST_FOLLOWERS };
-    let node = Node::new(config, acted)?;
+    let config = Config { name, zone, role: Role::Relay, origin, seed, max_followers: MOST_FOLLOWERS };
+    let node = RelayNode::new(config, acted)?;
     let wrong = |error| RelayError::Listen { address: listen, error };
     let listener = TcpListener::bind(listen).await.map_err(wrong)?;
     let address = listener.local_addr().map_err(wrong)?;
     if let Some(itself) = upstreams.iter().find(|upstream| upstream.address == address) {
-        return Err(Unsound::Itself(itself.name.clone()).into());
+        return Err(ConfigError::FollowsItself(itself.name.clone()).into());
     }
     let (hub, ends) = hub::Hub::new(node, &upstreams, Some(listener));
     let (carrying, carried) = watch::channel(0);
@@ -141,12 +141,12 @@
     (upstreams, vouch): (Vec<Upstream>, usize),
     (held, acted): (Option<Position>, Option<Position>),
     seed: u64,
-) -> Result<Following, Unsound> {
+) -> Result<Following, ConfigError> {
     let (origin, upstreams) = origin(&Changes::Relays { upstreams, vouch });
-    let config = Config { name, zone, role: Role::Gateway, origin, seed, most_followers: 0 };
+    let config = Config { name, zone, role: Role::Gateway, origin, seed, max_followers: 0 };
     let node = match held {
-        Some(held) => Node::resume(config, held),
-        None => Node::new(config, acted),
+        Some(held) => RelayNode::resume(config, held),
+        None => RelayNode::new(config, acted),
     };
     let (hub, ends) = hub::Hub::new(node?, &upstreams, None);
     let hub = tokio::spawn(hub.run());
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -9,10 +9,10 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
-use umbertray_control_plane::LinkId;
-use umbertray_control_plane::relay::{CONNECT, Event, MOST_UNSENT, SILENCE};
+use umbertray_control_plane::ConnectionId;
+use umbertray_control_plane::relay::{CONNECT_TIMEOUT, Event, IDLE_TIMEOUT, MAX_UNSENT};
 use umbertray_socket::Socket;
-use umbertray_store_protocol::changes::PART;
+use umbertray_store_protocol::changes::MAX_PART;
 use umbertray_store_protocol::{Malformed, Message, next_frame};
 
 use crate::hub::ToHub;
@@ -22,7 +22,7 @@
 /// Bytes that a frame counts as, besides the part that it carries.
 const FRAME: usize = 128;
 /// A peer that takes nothing for so long is cut off.
-const PATIENCE: Duration = SILENCE;
+const PATIENCE: Duration = IDLE_TIMEOUT;
 
 /// Why a connection ended that its owner did not close.
 #[derive(Debug, thiserror::Error)]
@@ -52,7 +52,7 @@
 }
 
 pub async fn connect(address: SocketAddr) -> io::Result<Socket> {
-    let connected = tokio::time::timeout(CONNECT, Socket::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, Socket::connect(address)).await;
     connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
@@ -74,20 +74,20 @@
 }
 
 fn length(message: &impl Message) -> usize {
-    FRAME + message.tail().map_or(0, Bytes::len)
+    FRAME + message.payload().map_or(0, Bytes::len)
 }
 
 impl<Out: Message> Sender<Out> {
     /// Whether the peer has room for it; one that has none does not read, and is to be cut off.
     pub fn send(&self, message: Out) -> bool {
         let unsent = self.unsent.fetch_add(length(&message), Ordering::Relaxed) + length(&message);
-        unsent <= MOST_UNSENT && self.frames.try_send(message).is_ok()
+        unsent <= MAX_UNSENT && self.frames.try_send(message).is_ok()
     }
 }
 
 /// Who speaks over a connection, to the hub.
 pub struct Ear<'a> {
-    pub link: LinkId,
+    pub link: ConnectionId,
     pub peer: SocketAddr,
     pub to_hub: &'a mpsc::Sender<ToHub>,
 }
@@ -115,12 +115,12 @@
         let last = messages.len() - 1;
         for (place, message) in messages.drain(..).enumerate() {
             message.put(&mut out);
-            if let Some(tail) = message.tail() {
+            if let Some(tail) = message.payload() {
                 out.extend_from_slice(tail);
             }
             counted += length(&message);
             // Small frames go together; after a long one, what waits is written.
-            if out.len() >= PART || place == last {
+            if out.len() >= MAX_PART || place == last {
                 let written = tokio::time::timeout(PATIENCE, writer.write_all(&out)).await;
                 out.clear();
                 match written {
--- a/crates/routing/src/core.rs
+++ b/crates/routing/src/core.rs
@@ -10,8 +10,10 @@
     StoreState, VolumeId,
 };
 use umbertray::scheduler::Scheduler;
-use umbertray_store_protocol::list::{Entry, FromList, Place, ToList};
-use umbertray_store_protocol::store::{self, Code, Dispatch, FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::list::{FromList, ListedStore, Location, ToList};
+use umbertray_store_protocol::store::{
+    self, Attempt, DataRange, FromStore, OperationKind, ResultCode, ToStore,
+};
 use umbertray_store_protocol::volume_id;
 
 use crate::fence::Reading;
@@ -19,12 +21,12 @@
 use crate::piece::{OpenRequest, Piece, Sent, Stage, Way};
 use crate::places::{Asked, Places};
 use crate::recall::{self, Recall};
-use crate::settings::{Settings, Step};
+use crate::settings::{Settings, SettingsChange};
 use crate::split::cuts;
 use crate::stale::goes_on;
 use crate::timers::{Timer, Timers};
-use crate::verdict::{PieceEnd, Verdict, whole};
-use crate::{Host, Input, Output, Part, Request, RequestId, SessionId};
+use crate::verdict::{FinalResult, PieceEnd, whole};
+use crate::{Input, Output, ReplyPart, Request, RequestHandler, RequestId, SessionId};
 
 /// A piece that has no place yet is answered so many ticks before its client's time is up: one for this gateway's
 /// timer, one for the reply to be written, one for it to be read, one to spare.
@@ -63,8 +65,8 @@
     report: Report,
 }
 
-impl Host for Core {
-    fn open(&self) -> usize {
+impl RequestHandler for Core {
+    fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -80,7 +82,7 @@
             actions.into_iter().for_each(|action| self.act(action));
         }
         if let Some(at) = self.timers.wake() {
-            self.out.push(Output::Wake(at));
+            self.out.push(Output::SetTimer(at));
         }
         std::mem::take(&mut self.out)
     }
@@ -89,13 +91,13 @@
 impl Core {
     /// A core at its start; `now` is on a clock whose zero lies far enough back for any store's start.
     pub fn new(settings: Arc<Settings>, seed: u64, now: Duration) -> Core {
-        let start = Event::Start { seed, settings: settings.for_module() };
+        let start = Event::Start { seed, settings: settings.scheduler_settings() };
         Core {
             volumes: settings.volumes.iter().map(|volume| volume_id(&volume.name)).collect(),
             module: Scheduler::default(),
             now,
             members: Members::default(),
-            places: Places::new(settings.bounds.places),
+            places: Places::new(settings.bounds.locations),
             requests: BTreeMap::new(),
             pieces: HashMap::new(),
             sent: HashMap::new(),
@@ -116,37 +118,39 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Request(request) => self.request(request),
-            Input::Closed(session) => self.closed(session),
-            Input::Linked { store, lasting, shard, clock } => self.linked(store, lasting, shard, clock),
-            Input::NotLinked { store } | Input::Unlinked { store } => self.unlinked(store),
-            Input::Store { store, message, at } => self.store_said(store, message, at),
-            Input::List(message) => self.list_said(message),
-            Input::ListLost => self.list_failed(),
-            Input::KeeperLost => self.map_lost(),
-            Input::Changed { settings, steps } => self.changed(settings, &steps),
-            Input::Remember { promised } => {
+            Input::SessionClosed(session) => self.closed(session),
+            Input::StoreConnected { store, lasting, shard, clock } => {
+                self.linked(store, lasting, shard, clock)
+            }
+            Input::StoreUnreachable { store } | Input::StoreDisconnected { store } => self.unlinked(store),
+            Input::FromStore { store, message, at } => self.store_said(store, message, at),
+            Input::FromList(message) => self.list_said(message),
+            Input::ListDisconnected => self.list_failed(),
+            Input::CoordinatorDisconnected => self.map_lost(),
+            Input::SettingsChanged { settings, steps } => self.changed(settings, &steps),
+            Input::TakeSnapshot { promise_duration: promised } => {
                 self.promised = promised;
                 self.events.push(Event::TakeSnapshot { promise_duration: promised });
             }
-            Input::Recalled { saved, age } => {
+            Input::Restore { snapshot: saved, age } => {
                 let (event, recall) = Recall::new(self.now, saved, age, &self.volumes);
                 self.events.push(event);
                 self.recall = Some(recall);
             }
-            Input::Woken => self.timers.woken(),
+            Input::TimerExpired => self.timers.woken(),
         }
     }
 
     /// What is open goes on as it came: its time, its kind and its volume's place do not change. The module is told of
     /// figures before it is told of volumes that go by them.
-    fn changed(&mut self, settings: Arc<Settings>, steps: &[Step]) {
+    fn changed(&mut self, settings: Arc<Settings>, steps: &[SettingsChange]) {
         let new = settings.volumes.iter().skip(self.volumes.len());
         self.volumes.extend(new.map(|volume| volume_id(&volume.name)));
-        if steps.iter().any(|step| matches!(step, Step::Figures | Step::Plan(_))) {
-            self.events.push(Event::SettingsChanged { settings: settings.for_module() });
+        if steps.iter().any(|step| matches!(step, SettingsChange::Figures | SettingsChange::Plan(_))) {
+            self.events.push(Event::SettingsChanged { settings: settings.scheduler_settings() });
         }
         for step in steps {
-            let Step::Volume(place) = step else { continue };
+            let SettingsChange::Volume(place) = step else { continue };
             let Some(volume) = settings.volumes.get(*place) else { continue };
             let (plan, gateways) = (volume.plan, f64::from(volume.gateways));
             self.events.push(Event::VolumeMoved { volume: VolumeId(*place as u32), plan, gateways });
@@ -165,7 +169,9 @@
             }
             Timer::Piece(op) => match self.pieces.get(&op).map(|piece| piece.stage) {
                 // The directory has not said where the data lies. Nothing was sent: trying again does no harm.
-                Some(Stage::Placing) => self.settle(op, Verdict::Throttled { retry_after: Duration::ZERO }),
+                Some(Stage::Placing) => {
+                    self.settle(op, FinalResult::Rejected { retry_after: Duration::ZERO })
+                }
                 Some(Stage::Answered(_)) => self.close(op),
                 _ => {}
             },
@@ -176,7 +182,7 @@
             }
             Timer::Forget => {
                 for store in self.members.forget(self.now.saturating_sub(self.memory_of_gone())) {
-                    self.out.push(Output::Unlink { store });
+                    self.out.push(Output::DisconnectStore { store });
                 }
             }
         }
@@ -185,11 +191,11 @@
     // Requests.
 
     fn request(&mut self, request: Request) {
-        let op_type = self.settings.op_type(request.work, request.length);
-        let ends = request.begun + self.settings.op_types[op_type].op_timeout;
+        let op_type = self.settings.op_type(request.kind, request.length);
+        let ends = request.started_at + self.settings.op_types[op_type].op_timeout;
         let open = OpenRequest {
             volume: request.volume,
-            work: request.work,
+            work: request.kind,
             op_type,
             durable: request.durable,
             ends,
@@ -200,7 +206,7 @@
             stretches: BTreeMap::new(),
         };
         self.requests.insert(request.id, open);
-        if request.work == Work::Flush {
+        if request.kind == OperationKind::Flush {
             let cut = crate::split::Cut { extent: 0, offset: 0, length: 0 };
             let op = self.piece(request.id, cut, Bytes::new());
             if self.unmapped {
@@ -211,7 +217,8 @@
         }
         let mut data = request.data;
         for cut in cuts(request.offset, request.length, self.settings.extent_bytes) {
-            let part = data.split_to(if request.work == Work::Write { cut.length as usize } else { 0 });
+            let part =
+                data.split_to(if request.kind == OperationKind::Write { cut.length as usize } else { 0 });
             let op = self.piece(request.id, cut, part);
             let extent = (self.volumes[request.volume], cut.extent);
             match self.places.place(extent) {
@@ -267,12 +274,12 @@
     }
 
     /// Hands a piece to the module as an op; without a place it is a new object.
-    fn arrive(&mut self, op: u32, place: Option<Place>) {
+    fn arrive(&mut self, op: u32, place: Option<Location>) {
         let Some(piece) = self.pieces.get_mut(&op).filter(|piece| piece.stage == Stage::Placing) else {
             return;
         };
         (piece.stage, piece.place) = (Stage::Deciding, place);
-        let repeats = self.settings.op_types[piece.op_type].repeats;
+        let repeats = self.settings.op_types[piece.op_type].idempotency;
         let until = goes_on(repeats, piece.ran_at, self.settings.tick).unwrap_or_default();
         let (index, length, extent) = (piece.volume, piece.cut.length, piece.cut.extent);
         let (work, op_type, ends) = (piece.work, piece.op_type, piece.ends);
@@ -283,7 +290,7 @@
             units: self.settings.units(length),
             volume: VolumeId(index as u32),
             volume_name: name,
-            key: (work != Work::Flush).then(|| key(name, extent)),
+            key: (work != OperationKind::Flush).then(|| key(name, extent)),
             shard: place.map(|place| place.shard),
             time_left: ends.min(until).saturating_sub(self.now),
             plan: volume.plan,
@@ -322,7 +329,7 @@
     // Final answers.
 
     /// A piece has its final answer; it goes out once nothing of the piece can undo what comes after it.
-    fn settle(&mut self, op: u32, verdict: Verdict) {
+    fn settle(&mut self, op: u32, verdict: FinalResult) {
         let Some(piece) = self.pieces.get_mut(&op) else { return };
         if !matches!(piece.stage, Stage::Placing | Stage::Deciding) {
             return;
@@ -335,7 +342,7 @@
         let out = piece.dispatches.iter().filter_map(|number| self.sent.get(number));
         let out = out.filter(|sent| sent.way == Way::Out).map(|sent| sent.ends).max();
         let fenced = piece.may_run_until().max(out).filter(|at| *at > self.now);
-        match fenced.filter(|_| piece.work.writes() && verdict != Verdict::Acked) {
+        match fenced.filter(|_| piece.work.writes() && verdict != FinalResult::Succeeded) {
             Some(at) => self.timers.set(at, Timer::Piece(op)),
             None => self.close(op),
         }
@@ -355,13 +362,17 @@
             return;
         }
         let Some(request) = self.requests.remove(&id) else { return };
-        let repeats = self.settings.op_types[request.op_type].repeats;
+        let repeats = self.settings.op_types[request.op_type].idempotency;
         let verdict = whole(request.pieces.iter().copied(), repeats);
-        if verdict == Verdict::Acked && request.work == Work::Status {
+        if verdict == FinalResult::Succeeded && request.work == OperationKind::Status {
             let stretches = request.stretches.into_values().flatten().collect();
-            self.out.push(Output::Reply { id, part: Part::Status(stretches), hold: request.hold.clone() });
+            self.out.push(Output::Reply {
+                id,
+                part: ReplyPart::DataRanges(stretches),
+                hold: request.hold.clone(),
+            });
         }
-        self.out.push(Output::Reply { id, part: Part::Final(verdict), hold: request.hold });
+        self.out.push(Output::Reply { id, part: ReplyPart::Final(verdict), hold: request.hold });
     }
 
     fn drop_if_over(&mut self, op: u32) {
@@ -370,7 +381,7 @@
         }
     }
 
-    fn reply(&mut self, id: RequestId, part: Part) {
+    fn reply(&mut self, id: RequestId, part: ReplyPart) {
         if let Some(request) = self.requests.get(&id) {
             self.out.push(Output::Reply { id, part, hold: request.hold.clone() });
         }
@@ -381,20 +392,20 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::StartAttempt { op, store, timeout } => self.dispatch(op.0, store, timeout),
-            Action::Reject { op, retry_after } => self.settle(op.0, Verdict::Throttled { retry_after }),
-            Action::Fail { op } => self.settle(op.0, Verdict::Aborted),
+            Action::Reject { op, retry_after } => self.settle(op.0, FinalResult::Rejected { retry_after }),
+            Action::Fail { op } => self.settle(op.0, FinalResult::Failed),
             Action::Cancel { op, attempt: dispatch } => self.cancel(op.0, dispatch),
             Action::SetTimer { token, at } => self.timers.set(at, Timer::Module(token)),
-            Action::WatchEndpoints => self.ask(ToList::Subscribe),
+            Action::WatchEndpoints => self.ask(ToList::Watch),
             Action::FetchEndpoints => self.ask(ToList::Fetch),
             Action::Snapshot { stores, volumes } => {
                 let entries = self.members.entries(self.now);
                 let saved = recall::saved(entries, stores, volumes, &self.volumes, self.promised);
-                self.out.push(Output::Save(saved));
+                self.out.push(Output::SaveSnapshot(saved));
             }
             Action::CheckHealth { store } => {
-                let message = ToStore::Probe { token: self.now.as_micros() as u64 };
-                self.out.push(Output::Store { store, message, hold: None });
+                let message = ToStore::HealthCheck { token: self.now.as_micros() as u64 };
+                self.out.push(Output::ToStore { store, message, hold: None });
             }
             Action::Log(text) => self.out.push(Output::Log(text)),
             Action::Fatal(text) => self.out.push(Output::Fatal(text)),
@@ -435,7 +446,7 @@
             Link::Down => {
                 sent.way = Way::Linking;
                 member.link = Link::Making(vec![number]);
-                self.out.push(Output::Link { store, address: member.address });
+                self.out.push(Output::ConnectStore { store, address: member.address });
             }
             Link::Making(waiting) => {
                 sent.way = Way::Linking;
@@ -443,23 +454,23 @@
             }
             Link::Up(reading) => {
                 sent.way = Way::Out;
-                let message = ToStore::Dispatch(Dispatch {
+                let message = ToStore::Attempt(Attempt {
                     number,
                     op: piece.mark,
                     volume: self.volumes[piece.volume],
                     extent: piece.cut.extent,
                     epoch: piece.place.map_or(0, |place| place.epoch),
-                    work: piece.work,
+                    kind: piece.work,
                     offset: piece.cut.offset + piece.delivered,
                     length: piece.cut.length - piece.delivered,
                     units: self.settings.units(piece.cut.length),
                     not_after: reading.not_after(ends),
-                    voids: piece.unsettled.iter().map(|(number, _)| *number).collect(),
+                    supersedes: piece.unsettled.iter().map(|(number, _)| *number).collect(),
                     durable: piece.durable,
                     data: piece.data.clone(),
                 });
                 let hold = self.requests.get(&piece.request).map(|request| request.hold.clone());
-                self.out.push(Output::Store { store, message, hold });
+                self.out.push(Output::ToStore { store, message, hold });
             }
         }
     }
@@ -469,7 +480,7 @@
         let Some((number, sent)) = number.and_then(|n| Some((n, self.sent.get(&n)?))) else { return };
         if sent.way == Way::Out {
             let message = ToStore::Cancel { number };
-            self.out.push(Output::Store { store: sent.store, message, hold: None });
+            self.out.push(Output::ToStore { store: sent.store, message, hold: None });
         } else {
             self.ended(number, Outcome::ConnectFailed, Said::default());
         }
@@ -479,11 +490,11 @@
 
     fn linked(&mut self, store: StoreId, lasting: u64, shard: u32, clock: u64) {
         let Some(member) = self.members.get_mut(store) else {
-            return self.out.push(Output::Unlink { store });
+            return self.out.push(Output::DisconnectStore { store });
         };
         // Another process listens there by now: the list is behind.
         if member.lasting != lasting || member.shard != shard {
-            self.out.push(Output::Unlink { store });
+            self.out.push(Output::DisconnectStore { store });
             self.out
                 .push(Output::Log(format!("store {lasting} of shard {shard} answers at {}", member.address)));
             return self.unlinked(store);
@@ -513,17 +524,17 @@
             FromStore::Welcome { .. } => {}
             FromStore::Data { number, offset, data } => {
                 let length = data.len() as u32;
-                self.read_part(store, number, offset, length, |offset| Part::Data { offset, data });
+                self.read_part(store, number, offset, length, |offset| ReplyPart::Data { offset, data });
             }
             FromStore::Hole { number, offset, length } => {
-                self.read_part(store, number, offset, length, |offset| Part::Hole { offset, length });
+                self.read_part(store, number, offset, length, |offset| ReplyPart::Hole { offset, length });
             }
-            FromStore::Answer(answer) => self.answered(store, answer, at),
+            FromStore::AttemptResult(answer) => self.answered(store, answer, at),
             // To a keeper; this gateway gives no orders.
-            FromStore::Ordered { .. } => {}
+            FromStore::OrderReply { .. } => {}
             // A link's own sign of life: it tells the time.
-            FromStore::Probed { token: 0, clock, .. } => self.read_clock(store, clock),
-            FromStore::Probed { clock, report, .. } => {
+            FromStore::Healthy { token: 0, clock, .. } => self.read_clock(store, clock),
+            FromStore::Healthy { clock, load_report: report, .. } => {
                 self.read_clock(store, clock);
                 self.events.push(Event::HealthChecked { store, outcome: Outcome::Succeeded, report });
             }
@@ -543,16 +554,17 @@
         number: u64,
         offset: u32,
         length: u32,
-        part: impl FnOnce(u64) -> Part,
+        part: impl FnOnce(u64) -> ReplyPart,
     ) {
         let Some(sent) = self.sent.get(&number).filter(|sent| sent.store == store) else { return };
         let Some(piece) = self.pieces.get_mut(&sent.op).filter(|piece| piece.stage == Stage::Deciding) else {
             return;
         };
         let left = piece.cut.length - piece.delivered;
-        if piece.work != Work::Read || offset != piece.cut.offset + piece.delivered || length > left {
+        if piece.work != OperationKind::Read || offset != piece.cut.offset + piece.delivered || length > left
+        {
             self.out.push(Output::Log(format!("dispatch {number}: data at {offset} that was not asked for")));
-            self.out.push(Output::Unlink { store });
+            self.out.push(Output::DisconnectStore { store });
             return self.unlinked(store);
         }
         piece.delivered += length;
@@ -562,9 +574,9 @@
         self.reply(id, part(at));
     }
 
-    fn answered(&mut self, store: StoreId, answer: store::Answer, at: Duration) {
+    fn answered(&mut self, store: StoreId, answer: store::AttemptResult, at: Duration) {
         self.read_clock(store, answer.clock);
-        if answer.code == Ok(Code::Stale) {
+        if answer.code == Ok(ResultCode::StaleEpoch) {
             return self.stale(store, answer.number, answer.epoch);
         }
         // An answer after the dispatch was given up finds no record and is swallowed.
@@ -572,30 +584,34 @@
         let Some(piece) = self.pieces.get_mut(&sent.op) else { return };
         let (work, id, place) = (piece.work, piece.request, (piece.cut.extent, piece.cut.offset));
         let whole = match piece.work {
-            Work::Read => piece.delivered == piece.cut.length || piece.stage != Stage::Deciding,
-            Work::Status => {
-                answer.stretches.iter().map(|s| u64::from(s.length)).sum::<u64>()
+            OperationKind::Read => piece.delivered == piece.cut.length || piece.stage != Stage::Deciding,
+            OperationKind::Status => {
+                answer.data_ranges.iter().map(|s| u64::from(s.length)).sum::<u64>()
                     == u64::from(piece.cut.length)
             }
             _ => true,
         };
         let outcome = match answer.code {
-            Ok(Code::Acked) if whole => Outcome::Succeeded,
-            Ok(Code::Acked | Code::Error) => Outcome::Failed,
-            Ok(Code::Full) => Outcome::Rejected,
-            Ok(Code::Fenced | Code::Stale) => Outcome::NotSent,
-            Ok(Code::Cancelled) => Outcome::Cancelled,
-            Ok(Code::Elsewhere) => {
+            Ok(ResultCode::Succeeded) if whole => Outcome::Succeeded,
+            Ok(ResultCode::Succeeded | ResultCode::Failed) => Outcome::Failed,
+            Ok(ResultCode::Rejected) => Outcome::Rejected,
+            Ok(ResultCode::Fenced | ResultCode::StaleEpoch) => Outcome::NotSent,
+            Ok(ResultCode::Cancelled) => Outcome::Cancelled,
+            Ok(ResultCode::NotHere) => {
                 self.places.doubt((self.volumes[piece.volume], piece.cut.extent));
                 Outcome::NotSent
             }
             Err(_) => Outcome::Unknown,
         };
-        if outcome == Outcome::Succeeded && work == Work::Status {
-            self.stretches(id, place, answer.stretches);
-        }
-        let said =
-            Said { at: Some(at), used: answer.used, elsewhere: answer.elsewhere, report: answer.report };
+        if outcome == Outcome::Succeeded && work == OperationKind::Status {
+            self.stretches(id, place, answer.data_ranges);
+        }
+        let said = Said {
+            at: Some(at),
+            used: answer.plan_rate_used,
+            elsewhere: answer.units_elsewhere,
+            report: answer.load_report,
+        };
         self.ended(answer.number, outcome, said);
     }
 
@@ -604,7 +620,7 @@
         extent * u64::from(self.settings.extent_bytes) + u64::from(offset)
     }
 
-    fn stretches(&mut self, id: RequestId, (extent, offset): (u64, u32), stretches: Vec<Stretch>) {
+    fn stretches(&mut self, id: RequestId, (extent, offset): (u64, u32), stretches: Vec<DataRange>) {
         let at = self.start(extent, offset);
         if let Some(request) = self.requests.get_mut(&id) {
             request.stretches.insert(at, stretches);
@@ -623,7 +639,7 @@
             piece.unsettled.push((number, sent.ends));
         }
         if outcome == Outcome::Succeeded {
-            self.settle(sent.op, Verdict::Acked);
+            self.settle(sent.op, FinalResult::Succeeded);
         }
         let ended = self.pieces.get(&sent.op).is_none_or(|piece| piece.stage != Stage::Deciding);
         self.events.push(Event::AttemptFinished(AttemptResult {
@@ -656,7 +672,7 @@
         let alike = |piece: &Piece| (piece.volume, piece.cut.extent) == (volume, extent) && piece.out == 0;
         let moves = |(other, piece): (&u32, &Piece)| {
             let held = *other == op && piece.stage == Stage::Placing || piece.stage == Stage::Deciding;
-            (alike(piece) && held && piece.work != Work::Flush).then_some((piece.mark, *other))
+            (alike(piece) && held && piece.work != OperationKind::Flush).then_some((piece.mark, *other))
         };
         let mut again: Vec<(u64, u32)> = self.pieces.iter().filter_map(moves).collect();
         again.sort_unstable();
@@ -672,7 +688,7 @@
 
     fn place_anew(&mut self, op: u32, place: (u64, u64), least: u64) {
         let Some(piece) = self.pieces.get_mut(&op) else { return };
-        let repeats = self.settings.op_types[piece.op_type].repeats;
+        let repeats = self.settings.op_types[piece.op_type].idempotency;
         let until = goes_on(repeats, piece.ran_at, self.settings.tick);
         let held = std::mem::replace(&mut piece.stage, Stage::Placing) == Stage::Deciding;
         // The module counts the dispatches of an op that comes to it anew from the first again.
@@ -681,7 +697,7 @@
             self.events.push(Event::ClientDisconnected { op: OpId(op) });
         }
         if until.is_none_or(|until| until <= self.now) {
-            return self.settle(op, Verdict::Aborted);
+            return self.settle(op, FinalResult::Failed);
         }
         match self.places.place(place) {
             Some(known) => self.arrive(op, Some(known)),
@@ -711,7 +727,7 @@
     }
 
     fn ask(&mut self, question: ToList) {
-        self.out.push(Output::List(question));
+        self.out.push(Output::ToList(question));
     }
 
     /// Danger: each question may come back as failed. If each failure asked all anew, questions would multiply until the
@@ -724,11 +740,11 @@
 
     fn list_said(&mut self, message: FromList) {
         match message {
-            FromList::Welcome { .. } | FromList::Move { .. } | FromList::Moving { .. } => {}
+            FromList::Welcome { .. } | FromList::Move { .. } | FromList::MoveStatus { .. } => {}
             FromList::Full(entries) => self.listed(&entries, true),
             FromList::Changes(entries) => self.listed(&entries, false),
             FromList::Failed => self.list_failed(),
-            FromList::Place { token, place } => {
+            FromList::Location { token, place } => {
                 self.unmapped = false;
                 match self.places.answered(token) {
                     Some(Asked::Lookup(extent, ops, _)) => self.looked_up(extent, ops, place),
@@ -755,7 +771,7 @@
         self.ask_later();
     }
 
-    fn listed(&mut self, entries: &[Entry], whole: bool) {
+    fn listed(&mut self, entries: &[ListedStore], whole: bool) {
         let listings = self.named(entries);
         if whole {
             self.members.unnamed(self.now, &listings);
@@ -769,14 +785,14 @@
     }
 
     /// Small ids for the stores that a list names, and links to them.
-    fn named(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
+    fn named(&mut self, entries: &[ListedStore]) -> Vec<Endpoint> {
         let listings: Vec<_> = entries.iter().map(|entry| self.members.listed(self.now, entry)).collect();
         for listing in &listings {
             let member = self.members.get_mut(listing.store).expect("a listed store is known");
             // A link made ahead saves the first op its time.
             if listing.state == StoreState::Ready && matches!(member.link, Link::Down) {
                 member.link = Link::Making(Vec::new());
-                self.out.push(Output::Link { store: listing.store, address: member.address });
+                self.out.push(Output::ConnectStore { store: listing.store, address: member.address });
             }
         }
         listings
@@ -785,37 +801,38 @@
     /// What a store gone was sent counts against its next start, and a dispatch to it may still be out.
     fn memory_of_gone(&self) -> Duration {
         let longest = self.settings.op_types.iter().map(|op_type| op_type.op_timeout).max();
-        2 * (self.settings.rules.cold_time + self.settings.rules.fall_time) + longest.unwrap_or_default()
+        2 * (self.settings.rules.slow_start_duration + self.settings.rules.slow_start_window)
+            + longest.unwrap_or_default()
     }
 
     /// Danger: of those that wait, some were turned away and are older than others that came meanwhile; out of order they
     /// would undo each other.
-    fn looked_up(&mut self, extent: (u64, u64), mut ops: Vec<u32>, place: Option<Place>) {
+    fn looked_up(&mut self, extent: (u64, u64), mut ops: Vec<u32>, place: Option<Location>) {
         place.into_iter().for_each(|place| self.places.learn(extent, place));
         ops.sort_by_key(|op| self.pieces.get(op).map(|piece| piece.mark));
         ops.into_iter().for_each(|op| self.placed(op, place));
     }
 
     /// The map has said where a piece's extent lies, if anywhere.
-    fn placed(&mut self, op: u32, place: Option<Place>) {
+    fn placed(&mut self, op: u32, place: Option<Location>) {
         let Some(piece) = self.pieces.get(&op).filter(|piece| piece.stage == Stage::Placing) else { return };
         let (id, cut) = (piece.request, piece.cut);
         let offset = self.start(cut.extent, cut.offset);
         match (place, piece.work) {
             // Nothing was ever written there: no store is needed to say so.
-            (None, Work::Read) => self.reply(id, Part::Hole { offset, length: cut.length }),
-            (None, Work::Status) => {
-                let hole = Stretch { length: cut.length, data: false };
+            (None, OperationKind::Read) => self.reply(id, ReplyPart::Hole { offset, length: cut.length }),
+            (None, OperationKind::Status) => {
+                let hole = DataRange { length: cut.length, has_data: false };
                 self.stretches(id, (cut.extent, cut.offset), vec![hole]);
             }
-            (None, Work::Trim) => {}
+            (None, OperationKind::Trim) => {}
             (place, _) => return self.arrive(op, place),
         }
-        self.settle(op, Verdict::Acked);
+        self.settle(op, FinalResult::Succeeded);
     }
 
     /// The extent lies where this gateway's first write was to go, or another's claim was first.
-    fn claimed(&mut self, extent: (u64, u64), wanted: u32, number: u64, place: Option<Place>) {
+    fn claimed(&mut self, extent: (u64, u64), wanted: u32, number: u64, place: Option<Location>) {
         let Some(place) = place else {
             return self.ended(number, Outcome::ConnectFailed, Said::default());
         };
@@ -839,9 +856,11 @@
         let Some(id) = self.pieces.get(&op).filter(|p| p.stage == Stage::Placing).map(|p| p.request) else {
             return;
         };
-        let Some((first, rest)) = shards.split_first() else { return self.settle(op, Verdict::Acked) };
+        let Some((first, rest)) = shards.split_first() else {
+            return self.settle(op, FinalResult::Succeeded);
+        };
         // A flush is about all that a shard acked, whatever has moved.
-        let at = |shard: u32| Some(Place { shard, epoch: 0 });
+        let at = |shard: u32| Some(Location { shard, epoch: 0 });
         self.arrive(op, at(*first));
         for shard in rest {
             let cut = self.pieces[&op].cut;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -26,13 +26,13 @@
 
 use bytes::Bytes;
 use umbertray_store_protocol::list::{FromList, ToList};
-use umbertray_store_protocol::store::{FromStore, Stretch, ToStore, Work};
+use umbertray_store_protocol::store::{DataRange, FromStore, OperationKind, ToStore};
 
 pub use self::core::Core;
-pub use saved::Saved;
-pub use settings::{Settings, Step};
+pub use saved::Snapshot;
+pub use settings::{Settings, SettingsChange};
 pub use umbertray::interface::StoreId;
-pub use verdict::Verdict;
+pub use verdict::FinalResult;
 
 /// A client's session at this gateway; never used twice in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
 pub struct RequestId(pub SessionId, pub u64);
 
 /// Kept for as long as anything of a request is: whoever counts the bytes held learns of the end by its drop.
-pub type Hold = Arc<dyn Any + Send + Sync>;
+pub type BufferGuard = Arc<dyn Any + Send + Sync>;
 
 /// What a client asks of a volume.
 #[derive(Clone)]
@@ -51,7 +51,7 @@
     pub id: RequestId,
     /// Index of the volume in the settings.
     pub volume: usize,
-    pub work: Work,
+    pub kind: OperationKind,
     /// Bytes from the volume's start; the range lies within the volume.
     pub offset: u64,
     pub length: u32,
@@ -60,63 +60,63 @@
     /// A write's data.
     pub data: Bytes,
     /// When its first byte was read: the client's time counts from here.
-    pub begun: Duration,
-    pub hold: Hold,
+    pub started_at: Duration,
+    pub hold: BufferGuard,
 }
 
 /// What happened.
 pub enum Input {
     Request(Request),
     /// The client is gone: nobody waits for its answers.
-    Closed(SessionId),
+    SessionClosed(SessionId),
     /// A connection to the store stands, and the store has said who it is.
-    Linked {
+    StoreConnected {
         store: StoreId,
         lasting: u64,
         shard: u32,
         clock: u64,
     },
     /// No connection to the store could be made; nothing was sent.
-    NotLinked {
+    StoreUnreachable {
         store: StoreId,
     },
     /// The connection broke; what was out on it may have run.
-    Unlinked {
+    StoreDisconnected {
         store: StoreId,
     },
     /// What a store said, and when it came: what then waited in this gateway is not the store's doing.
-    Store {
+    FromStore {
         store: StoreId,
         message: FromStore,
         at: Duration,
     },
-    List(FromList),
+    FromList(FromList),
     /// The connection to the list broke or could not be made.
-    ListLost,
+    ListDisconnected,
     /// The same of the keeper's, where another service than the list has the map.
-    KeeperLost,
+    CoordinatorDisconnected,
     /// These settings hold from now on, and this is what changed; the places of what was there stay. What a long change
     /// does may come in parts, each with the settings that hold after all of it.
-    Changed {
+    SettingsChanged {
         settings: Arc<Settings>,
-        steps: Vec<Step>,
+        steps: Vec<SettingsChange>,
     },
     /// What is known is to be saved; the answer is [`Output::Save`]. Its floors hold for so long.
-    Remember {
-        promised: Duration,
+    TakeSnapshot {
+        promise_duration: Duration,
     },
     /// What an earlier run saved, and how long ago, if that can be told. Said once, before all else.
-    Recalled {
-        saved: Saved,
+    Restore {
+        snapshot: Snapshot,
         age: Option<Duration>,
     },
     /// The time asked for by the last [`Output::Wake`] has come.
-    Woken,
+    TimerExpired,
 }
 
 /// A part of a request's reply.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum ReplyPart {
     /// Read data; offsets are bytes from the volume's start. Parts of a reply never overlap.
     Data {
         offset: u64,
@@ -127,45 +127,45 @@
         length: u32,
     },
     /// The whole range asked about, in order.
-    Status(Vec<Stretch>),
+    DataRanges(Vec<DataRange>),
     /// The one final answer; nothing follows it.
-    Final(Verdict),
+    Final(FinalResult),
 }
 
 /// What a gateway's loop hosts: [`Core`], or something that it is measured against.
-pub trait Host: Send + 'static {
+pub trait RequestHandler: Send + 'static {
     /// Takes what happened at `now` and returns what is to be done, in order.
     fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output>;
 
     /// Requests without their final answer.
-    fn open(&self) -> usize;
+    fn open_requests(&self) -> usize;
 }
 
 /// What is to be done, in order.
 pub enum Output {
     Reply {
         id: RequestId,
-        part: Part,
-        hold: Hold,
+        part: ReplyPart,
+        hold: BufferGuard,
     },
     /// Connect to a store; say `Linked` or `NotLinked`.
-    Link {
+    ConnectStore {
         store: StoreId,
         address: SocketAddr,
     },
     /// Close the connection to a store, if one stands; nothing need be said.
-    Unlink {
+    DisconnectStore {
         store: StoreId,
     },
-    Store {
+    ToStore {
         store: StoreId,
         message: ToStore,
-        hold: Option<Hold>,
+        hold: Option<BufferGuard>,
     },
-    List(ToList),
-    Save(Saved),
+    ToList(ToList),
+    SaveSnapshot(Snapshot),
     /// Say `Woken` at this time; replaces what was asked for before.
-    Wake(Duration),
+    SetTimer(Duration),
     Log(String),
     /// The module cannot run; the text says why.
     Fatal(String),
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use umbertray::interface::{Endpoint, StoreId, StoreState};
-use umbertray_store_protocol::list::{Entry, State};
+use umbertray_store_protocol::list::{EndpointState, ListedStore};
 
 use crate::fence::Reading;
 
@@ -46,15 +46,15 @@
 
     /// Takes one entry of a list and gives what the module is told. Its start is worked out once from its age: worked
     /// out at each list, it would differ by the delay, and each list would look like a restart.
-    pub fn listed(&mut self, now: Duration, entry: &Entry) -> Endpoint {
+    pub fn listed(&mut self, now: Duration, entry: &ListedStore) -> Endpoint {
         let id = *self.ids.entry(entry.store).or_insert_with(|| {
             self.next += 1;
             StoreId(self.next - 1)
         });
         let state = match entry.state {
-            State::Ready => StoreState::Ready,
-            State::Draining => StoreState::Draining,
-            State::Gone => StoreState::Gone,
+            EndpointState::Ready => StoreState::Ready,
+            EndpointState::Draining => StoreState::Draining,
+            EndpointState::Gone => StoreState::Gone,
         };
         let started = entry.age.map(|age| now.saturating_sub(Duration::from_micros(age)));
         let member = self.all.entry(id).or_insert_with(|| Member {
@@ -62,14 +62,14 @@
             address: entry.address,
             shard: entry.shard,
             zone: entry.zone,
-            start: entry.start,
+            start: entry.incarnation,
             started,
             state,
             gone_at: None,
             link: Link::Down,
         });
-        if member.start != entry.start {
-            (member.start, member.started) = (entry.start, started);
+        if member.start != entry.incarnation {
+            (member.start, member.started) = (entry.incarnation, started);
         }
         (member.address, member.shard, member.state) = (entry.address, entry.shard, state);
         member.gone_at = (state == StoreState::Gone).then(|| member.gone_at.unwrap_or(now));
@@ -77,16 +77,16 @@
     }
 
     /// The list as it stands, each store's age as of now.
-    pub fn entries(&self, now: Duration) -> impl Iterator<Item = (StoreId, Entry)> {
+    pub fn entries(&self, now: Duration) -> impl Iterator<Item = (StoreId, ListedStore)> {
         self.all.iter().map(move |(id, member)| {
             let state = match member.state {
-                StoreState::Ready => State::Ready,
-                StoreState::Draining => State::Draining,
-                StoreState::Gone => State::Gone,
+                StoreState::Ready => EndpointState::Ready,
+                StoreState::Draining => EndpointState::Draining,
+                StoreState::Gone => EndpointState::Gone,
             };
             let age = member.started.map(|started| now.saturating_sub(started).as_micros() as u64);
             let (store, address, shard, zone) = (member.lasting, member.address, member.shard, member.zone);
-            (*id, Entry { store, address, shard, zone, state, start: member.start, age })
+            (*id, ListedStore { store, address, shard, zone, state, incarnation: member.start, age })
         })
     }
 
--- a/crates/routing/src/piece.rs
+++ b/crates/routing/src/piece.rs
@@ -5,27 +5,27 @@
 
 use bytes::Bytes;
 use umbertray::interface::StoreId;
-use umbertray_store_protocol::list::Place;
-use umbertray_store_protocol::store::{Stretch, Work};
+use umbertray_store_protocol::list::Location;
+use umbertray_store_protocol::store::{DataRange, OperationKind};
 
 use crate::split::Cut;
 use crate::verdict::PieceEnd;
-use crate::{Hold, RequestId, Verdict};
+use crate::{BufferGuard, FinalResult, RequestId};
 
 pub(crate) struct OpenRequest {
     pub volume: usize,
-    pub work: Work,
+    pub work: OperationKind,
     pub op_type: usize,
     pub durable: bool,
     /// When the client's own time is up.
     pub ends: Duration,
-    pub hold: Hold,
+    pub hold: BufferGuard,
     pub open: usize,
     /// Its pieces, open or not.
     pub ops: Vec<u32>,
     pub pieces: Vec<PieceEnd>,
     /// A status reply's stretches, by offset in the volume.
-    pub stretches: BTreeMap<u64, Vec<Stretch>>,
+    pub stretches: BTreeMap<u64, Vec<DataRange>>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     /// The module has it.
     Deciding,
     /// The final answer is known; a write's may wait for its fences.
-    Answered(Verdict),
+    Answered(FinalResult),
     /// Answered, or nobody waits; only what is out keeps the record.
     Over,
 }
@@ -46,11 +46,11 @@
     /// What stores know the op by; never used twice in a run, as the module's small ids are.
     pub mark: u64,
     pub volume: usize,
-    pub work: Work,
+    pub work: OperationKind,
     pub cut: Cut,
     pub op_type: usize,
     /// Where it lies as far as this gateway knows; nothing for a new object.
-    pub place: Option<Place>,
+    pub place: Option<Location>,
     pub data: Bytes,
     pub durable: bool,
     pub ends: Duration,
--- a/crates/routing/src/places.rs
+++ b/crates/routing/src/places.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use umbertray_store_protocol::list::{Place, ToList};
+use umbertray_store_protocol::list::{Location, ToList};
 
 /// A volume's lasting id and the extent's index.
 pub(crate) type Extent = (u64, u64);
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 pub(crate) struct Places {
-    known: HashMap<Extent, Place>,
+    known: HashMap<Extent, Location>,
     oldest: VecDeque<Extent>,
     most: usize,
     asked: HashMap<u64, Asked>,
@@ -37,12 +37,12 @@
         Places { most, ..Places::default() }
     }
 
-    pub fn place(&self, extent: Extent) -> Option<Place> {
+    pub fn place(&self, extent: Extent) -> Option<Location> {
         self.known.get(&extent).copied()
     }
 
     /// An older word than one that was heard changes nothing.
-    pub fn learn(&mut self, extent: Extent, place: Place) {
+    pub fn learn(&mut self, extent: Extent, place: Location) {
         match self.known.get_mut(&extent) {
             Some(known) if known.epoch > place.epoch => {}
             Some(known) => *known = place,
@@ -96,7 +96,7 @@
     fn question(&self, token: u64) -> Option<ToList> {
         Some(match self.asked.get(&token)? {
             Asked::Lookup((volume, extent), _, least) => {
-                ToList::Lookup { token, volume: *volume, extent: *extent, least: *least }
+                ToList::Lookup { token, volume: *volume, extent: *extent, min_epoch: *least }
             }
             Asked::Claim((volume, extent), shard, _) => {
                 ToList::Claim { token, volume: *volume, extent: *extent, shard: *shard }
@@ -146,7 +146,7 @@
     #[test]
     fn a_place_is_kept_within_the_bound_and_an_absent_one_never() {
         let mut places = Places::new(2);
-        let at = |epoch| Place { shard: 5, epoch };
+        let at = |epoch| Location { shard: 5, epoch };
         (0..3).for_each(|extent| places.learn((1, extent), at(1)));
         assert_eq!([0, 1, 2].map(|extent| places.place((1, extent))), [None, Some(at(1)), Some(at(1))]);
         places.learn((1, 2), at(0));
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -9,10 +9,13 @@
 use quickcheck::{Gen, QuickCheck};
 use umbertray_routing::settings::*;
 use umbertray_routing::{
-    Core, Host, Input, Output, Part, Request, RequestId, Saved, SessionId, Settings, StoreId, Verdict,
+    Core, FinalResult, Input, Output, ReplyPart, Request, RequestHandler, RequestId, SessionId, Settings,
+    Snapshot, StoreId,
+};
+use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
+use umbertray_store_protocol::store::{
+    Attempt, AttemptResult, FromStore, OperationKind, ResultCode, ToStore,
 };
-use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
 
 const EXTENT: u32 = 8192;
 const TIMEOUT: Duration = Duration::from_millis(1000);
@@ -26,76 +29,83 @@
         name: name.into(),
         target_latency: ms(200),
         op_timeout: TIMEOUT,
-        utility: 1.0,
-        repeats,
-        in_order,
+        priority_weight: 1.0,
+        idempotency: repeats,
+        ordered_by_key: in_order,
     };
-    let rule = |works: &[Work], op_type| TypeRule { works: works.into(), up_to: None, op_type };
+    let rule = |works: &[OperationKind], op_type| TypeRule { kinds: works.into(), max_length: None, op_type };
     Settings {
         op_types: vec![
-            op_type("get", Repeats::Replayable, false),
-            op_type("put", Repeats::Replayable, true),
-            op_type("once", Repeats::OnceOnly, false),
+            op_type("get", Idempotency::Idempotent, false),
+            op_type("put", Idempotency::Idempotent, true),
+            op_type("once", Idempotency::NotIdempotent, false),
         ],
         type_rules: vec![
-            rule(&[Work::Read, Work::Status], 0),
-            rule(&[Work::Write, Work::Flush], 1),
-            rule(&[Work::Zero], 2),
+            rule(&[OperationKind::Read, OperationKind::Status], 0),
+            rule(&[OperationKind::Write, OperationKind::Flush], 1),
+            rule(&[OperationKind::Zero], 2),
         ],
-        plans: [Plan { name: "p".into(), weight: 1.0, rate: 1000.0, reserve: 0.0, limit: None, gone: false }]
-            .into(),
-        volumes: [Volume { name: "v".into(), size: 1 << 20, plan: 0, gateways: 2, gone: false }].into(),
-        names: [("v".to_string(), 0)].into_iter().collect(),
+        plans: [Plan {
+            name: "p".into(),
+            weight: 1.0,
+            rate: 1000.0,
+            reserve: 0.0,
+            limit: None,
+            is_removed: false,
+        }]
+        .into(),
+        volumes: [Volume { name: "v".into(), size: 1 << 20, plan: 0, gateways: 2, is_removed: false }].into(),
+        volume_indices: [("v".to_string(), 0)].into_iter().collect(),
         gateways: 2,
         extent_bytes: EXTENT,
         unit_bytes: 4096,
-        most_units: 4,
+        max_units: 4,
         mean_units: 1.5,
-        max_dispatches: 3,
+        max_attempts: 3,
         max_retry_after: ms(500),
         connect_timeout: ms(100),
         tick: ms(2),
         rules: Rules {
             capacity: None,
             drain_grace: ms(500),
-            cold_from: 0.5,
-            cold_time: ms(2000),
-            fall_multiple: 2.0,
-            fall_time: ms(500),
-            cold_units: 50.0,
+            slow_start_from: 0.5,
+            slow_start_duration: ms(2000),
+            slow_start_multiple: 2.0,
+            slow_start_window: ms(500),
+            slow_start_units: 50.0,
             order_pause: ms(100),
-            further: None,
-            ask_within: ms(1000),
+            retry_budget: None,
+            poll_within: ms(1000),
         },
         bounds: Bounds {
             sessions: 10,
-            requests_a_session: 100,
+            requests_per_session: 100,
             bytes: 1 << 20,
-            bytes_a_session: 1 << 20,
+            bytes_per_session: 1 << 20,
             request_bytes: 1 << 16,
-            places: 3,
+            locations: 3,
         },
     }
 }
 
 struct Asked {
-    work: Work,
+    work: OperationKind,
     offset: u64,
     length: u32,
     at: Duration,
     covered: BTreeMap<u64, u64>,
-    answer: Option<Verdict>,
+    answer: Option<FinalResult>,
     closed: bool,
 }
 
 struct Side {
     core: Core,
     wake: Duration,
-    out: Vec<(StoreId, Dispatch)>,
+    out: Vec<(StoreId, Attempt)>,
     asked: HashMap<RequestId, Asked>,
     /// Questions that the directory has not got to.
     questions: Vec<ToList>,
-    saved: Option<Saved>,
+    saved: Option<Snapshot>,
 }
 
 struct World {
@@ -142,30 +152,30 @@
                 let asked = at.asked.get_mut(&id).expect("a reply to a request");
                 assert!(asked.answer.is_none(), "nothing follows the final answer");
                 match part {
-                    Part::Data { offset, data } => asked.cover(offset, data.len() as u64),
-                    Part::Hole { offset, length } => asked.cover(offset, length.into()),
-                    Part::Status(stretches) => {
+                    ReplyPart::Data { offset, data } => asked.cover(offset, data.len() as u64),
+                    ReplyPart::Hole { offset, length } => asked.cover(offset, length.into()),
+                    ReplyPart::DataRanges(stretches) => {
                         let total: u64 = stretches.iter().map(|s| u64::from(s.length)).sum();
                         asked.cover(asked.offset, total);
                     }
-                    Part::Final(verdict) => {
+                    ReplyPart::Final(verdict) => {
                         assert!(self.now <= asked.at + TIMEOUT, "in time");
                         asked.answer = Some(verdict);
-                        let reads = matches!(asked.work, Work::Read | Work::Status);
-                        if verdict == Verdict::Acked && reads {
+                        let reads = matches!(asked.work, OperationKind::Read | OperationKind::Status);
+                        if verdict == FinalResult::Succeeded && reads {
                             let covered: u64 = asked.covered.values().sum();
                             assert_eq!(covered, u64::from(asked.length), "an acked read is whole");
                         }
                     }
                 }
             }
-            Output::Link { store, .. } => {
+            Output::ConnectStore { store, .. } => {
                 let lasting = u64::from(store.0) + 10;
-                inputs.push(Input::Linked { store, lasting, shard: store.0, clock: 5 });
+                inputs.push(Input::StoreConnected { store, lasting, shard: store.0, clock: 5 });
             }
-            Output::Unlink { .. } | Output::Log(_) => {}
-            Output::Store { store, message: ToStore::Dispatch(dispatch), .. } => {
-                if dispatch.work != Work::Flush {
+            Output::DisconnectStore { .. } | Output::Log(_) => {}
+            Output::ToStore { store, message: ToStore::Attempt(dispatch), .. } => {
+                if dispatch.kind != OperationKind::Flush {
                     assert_eq!(self.places.get(&dispatch.extent), Some(&store.0), "one place an extent");
                 }
                 if let Some(mark) = dispatch.data.first_chunk::<8>() {
@@ -175,10 +185,10 @@
                 }
                 at.out.push((store, dispatch));
             }
-            Output::Store { .. } => {}
-            Output::List(question) => at.questions.push(question),
-            Output::Save(saved) => at.saved = Some(saved),
-            Output::Wake(at_time) => at.wake = at_time,
+            Output::ToStore { .. } => {}
+            Output::ToList(question) => at.questions.push(question),
+            Output::SaveSnapshot(saved) => at.saved = Some(saved),
+            Output::SetTimer(at_time) => at.wake = at_time,
             Output::Fatal(why) => panic!("{why}"),
         }
     }
@@ -187,12 +197,12 @@
     fn directory(&mut self, side: usize) {
         for question in std::mem::take(&mut self.sides[side].questions) {
             let answer = match question {
-                ToList::Subscribe | ToList::Fetch => FromList::Full((0..3).map(entry).collect()),
+                ToList::Watch | ToList::Fetch => FromList::Full((0..3).map(entry).collect()),
                 ToList::Lookup { token, extent, .. } => {
-                    FromList::Place { token, place: self.places.get(&extent).map(|shard| at(*shard)) }
+                    FromList::Location { token, place: self.places.get(&extent).map(|shard| at(*shard)) }
                 }
                 ToList::Claim { token, extent, shard, .. } => {
-                    FromList::Place { token, place: Some(at(*self.places.entry(extent).or_insert(shard))) }
+                    FromList::Location { token, place: Some(at(*self.places.entry(extent).or_insert(shard))) }
                 }
                 ToList::Shards { token, .. } => {
                     let mut shards: Vec<u32> = self.places.values().copied().collect();
@@ -200,17 +210,18 @@
                     shards.dedup();
                     FromList::Shards { token, shards }
                 }
-                ToList::Hello { .. } | ToList::Move { .. } | ToList::Moving { .. } => continue,
+                ToList::Hello { .. } | ToList::Move { .. } | ToList::MoveStatus { .. } => continue,
             };
-            self.tell(side, vec![Input::List(answer)]);
+            self.tell(side, vec![Input::FromList(answer)]);
         }
     }
 
-    fn ask(&mut self, side: usize, work: Work, block: u64, blocks: u32) {
+    fn ask(&mut self, side: usize, work: OperationKind, block: u64, blocks: u32) {
         self.next += 1;
         let id = RequestId(SessionId(side as u64), self.next);
-        let (offset, length) = if work == Work::Flush { (0, 0) } else { (block * 4096, blocks * 4096) };
-        let mut data = vec![0; if work == Work::Write { length as usize } else { 0 }];
+        let (offset, length) =
+            if work == OperationKind::Flush { (0, 0) } else { (block * 4096, blocks * 4096) };
+        let mut data = vec![0; if work == OperationKind::Write { length as usize } else { 0 }];
         data.chunks_mut(4096).for_each(|block| block[..8].copy_from_slice(&self.next.to_be_bytes()));
         let asked = Asked {
             work,
@@ -223,7 +234,17 @@
         };
         self.sides[side].asked.insert(id, asked);
         let (data, hold, begun) = (Bytes::from(data), Arc::new(()), self.now);
-        let request = Request { id, volume: 0, work, offset, length, durable: false, data, begun, hold };
+        let request = Request {
+            id,
+            volume: 0,
+            kind: work,
+            offset,
+            length,
+            durable: false,
+            data,
+            started_at: begun,
+            hold,
+        };
         self.tell(side, vec![Input::Request(request)]);
     }
 
@@ -237,27 +258,27 @@
         let at = self.now;
         let data = |offset, length: u32| {
             let data = Bytes::from(vec![1; length as usize]);
-            Input::Store { store, message: FromStore::Data { number, offset, data }, at }
+            Input::FromStore { store, message: FromStore::Data { number, offset, data }, at }
         };
         let end = |code| {
-            let answer = Answer {
+            let answer = AttemptResult {
                 number,
                 code,
                 clock: 9,
                 epoch: 0,
-                used: None,
-                elsewhere: 0.0,
-                report: Vec::new(),
-                stretches: Vec::new(),
+                plan_rate_used: None,
+                units_elsewhere: 0.0,
+                load_report: Vec::new(),
+                data_ranges: Vec::new(),
             };
-            Input::Store { store, message: FromStore::Answer(answer), at }
+            Input::FromStore { store, message: FromStore::AttemptResult(answer), at }
         };
         let mut inputs = Vec::new();
-        if dispatch.work == Work::Read && how < 12 {
+        if dispatch.kind == OperationKind::Read && how < 12 {
             inputs.push(data(offset, half));
             if how < 9 {
                 let length = dispatch.length - half;
-                inputs.push(Input::Store {
+                inputs.push(Input::FromStore {
                     store,
                     message: FromStore::Hole { number, offset: offset + half, length },
                     at,
@@ -265,16 +286,16 @@
             }
         }
         inputs.push(match how {
-            0..9 => end(Ok(Code::Acked)),
-            9 => end(Ok(Code::Error)),
-            10 => end(Ok(Code::Full)),
-            11 => end(Ok(Code::Fenced)),
+            0..9 => end(Ok(ResultCode::Succeeded)),
+            9 => end(Ok(ResultCode::Failed)),
+            10 => end(Ok(ResultCode::Rejected)),
+            11 => end(Ok(ResultCode::Fenced)),
             12 => end(Err(77)),
-            13 => end(Ok(Code::Cancelled)),
+            13 => end(Ok(ResultCode::Cancelled)),
             // The link breaks with all that is out on it.
             14 => {
                 self.sides[side].out.retain(|(other, _)| *other != store);
-                Input::Unlinked { store }
+                Input::StoreDisconnected { store }
             }
             // The answer is lost.
             _ => return,
@@ -292,7 +313,7 @@
             }
             self.now = self.now.max(wake);
             self.sides[first].wake = Duration::MAX;
-            self.tell(first, vec![Input::Woken]);
+            self.tell(first, vec![Input::TimerExpired]);
         }
         self.now = end;
     }
@@ -308,13 +329,21 @@
     }
 }
 
-fn at(shard: u32) -> Place {
-    Place { shard, epoch: 0 }
+fn at(shard: u32) -> Location {
+    Location { shard, epoch: 0 }
 }
 
-fn entry(shard: u32) -> Entry {
+fn entry(shard: u32) -> ListedStore {
     let address = "127.0.0.1:1".parse().expect("an address");
-    Entry { store: u64::from(shard) + 10, address, shard, zone: 0, state: State::Ready, start: 1, age: None }
+    ListedStore {
+        store: u64::from(shard) + 10,
+        address,
+        shard,
+        zone: 0,
+        state: EndpointState::Ready,
+        incarnation: 1,
+        age: None,
+    }
 }
 
 fn day(steps: &[u16]) -> World {
@@ -324,8 +353,14 @@
         let side = bits % 2;
         match bits / 2 % 16 {
             0..6 => {
-                let work = [Work::Read, Work::Write, Work::Write, Work::Zero, Work::Flush, Work::Read]
-                    [bits / 32 % 6];
+                let work = [
+                    OperationKind::Read,
+                    OperationKind::Write,
+                    OperationKind::Write,
+                    OperationKind::Zero,
+                    OperationKind::Flush,
+                    OperationKind::Read,
+                ][bits / 32 % 6];
                 world.ask(side, work, (bits / 256 % 16) as u64, 1 + (bits / 4096 % 4) as u32);
             }
             6..12 => world.answer(side, bits / 512, bits / 32 % 16),
@@ -335,10 +370,10 @@
                 for asked in world.sides[side].asked.values_mut() {
                     asked.closed |= asked.answer.is_none();
                 }
-                world.tell(side, vec![Input::Closed(SessionId(side as u64))]);
+                world.tell(side, vec![Input::SessionClosed(SessionId(side as u64))]);
             }
             14 => world.directory(side),
-            _ if bits / 32 % 8 == 0 => world.tell(side, vec![Input::ListLost]),
+            _ if bits / 32 % 8 == 0 => world.tell(side, vec![Input::ListDisconnected]),
             _ => world.directory(side),
         }
     }
@@ -351,7 +386,7 @@
     fn keeps(steps: Vec<u16>) -> bool {
         day(&steps).sides.iter().all(|side| {
             let answered = |asked: &Asked| asked.closed != asked.answer.is_some();
-            side.core.open() == 0 && side.asked.values().all(answered)
+            side.core.open_requests() == 0 && side.asked.values().all(answered)
         })
     }
     QuickCheck::new()
@@ -363,8 +398,8 @@
 #[test]
 fn racing_first_writes_leave_one_place_and_the_loser_follows_it() {
     let mut world = World::new();
-    world.ask(0, Work::Write, 0, 1);
-    world.ask(1, Work::Write, 0, 1);
+    world.ask(0, OperationKind::Write, 0, 1);
+    world.ask(1, OperationKind::Write, 0, 1);
     // Both learn that the extent has no place, and only then does either claim.
     (0..2).for_each(|side| world.directory(side));
     world.places.insert(0, 2);
@@ -375,36 +410,38 @@
         assert_eq!(store.0, 2, "the claim of another won, and both go there");
         world.answer(side, 0, 0);
     }
-    assert!(world.sides.iter().all(|side| side.asked.values().all(|a| a.answer == Some(Verdict::Acked))));
+    assert!(
+        world.sides.iter().all(|side| side.asked.values().all(|a| a.answer == Some(FinalResult::Succeeded)))
+    );
 }
 
 #[test]
 fn a_write_given_up_is_not_answered_while_it_may_still_run() {
     let mut world = World::new();
-    world.ask(0, Work::Write, 0, 1);
+    world.ask(0, OperationKind::Write, 0, 1);
     (0..2).for_each(|_| world.directory(0));
     world.sides[0].out.clear();
     // The link breaks with the write's outcome unknown; no store of the shard is left to try again.
-    world.tell(0, vec![Input::Unlinked { store: StoreId(world.places[&0]) }]);
-    let gone = (0..3).map(|shard| Entry { state: State::Gone, ..entry(shard) }).collect();
-    world.tell(0, vec![Input::List(FromList::Full(gone))]);
+    world.tell(0, vec![Input::StoreDisconnected { store: StoreId(world.places[&0]) }]);
+    let gone = (0..3).map(|shard| ListedStore { state: EndpointState::Gone, ..entry(shard) }).collect();
+    world.tell(0, vec![Input::FromList(FromList::Full(gone))]);
     let answer = |world: &World| world.sides[0].asked.values().next().and_then(|asked| asked.answer);
     world.pass(ms(600));
     assert_eq!(answer(&world), None, "its fence in time has not passed");
     world.pass(ms(400));
-    assert!(matches!(answer(&world), Some(Verdict::Throttled { .. })));
+    assert!(matches!(answer(&world), Some(FinalResult::Rejected { .. })));
 }
 
 #[test]
 fn a_further_dispatch_voids_the_ones_that_may_still_run() {
     let mut world = World::new();
-    world.ask(0, Work::Write, 0, 1);
+    world.ask(0, OperationKind::Write, 0, 1);
     (0..2).for_each(|_| world.directory(0));
     let (store, first) = world.sides[0].out.remove(0);
-    world.tell(0, vec![Input::Unlinked { store }]);
+    world.tell(0, vec![Input::StoreDisconnected { store }]);
     world.pass(ms(300));
     let (_, second) = world.sides[0].out.remove(0);
-    assert_eq!((second.op, &second.voids[..]), (first.op, &[first.number][..]));
+    assert_eq!((second.op, &second.supersedes[..]), (first.op, &[first.number][..]));
     assert!(second.not_after <= 5 + 1_000_000, "by the store's clock, within the client's time");
 }
 
@@ -413,14 +450,14 @@
 #[test]
 fn a_directory_that_fails_is_not_asked_ever_more() {
     let mut world = World::new();
-    (0..10).for_each(|extent| world.ask(0, Work::Write, extent * 2, 1));
+    (0..10).for_each(|extent| world.ask(0, OperationKind::Write, extent * 2, 1));
     let mut asked = 0;
     for _ in 0..80 {
         let questions = std::mem::take(&mut world.sides[0].questions);
         asked += questions.len();
         for _ in questions {
             world.pass(Duration::from_micros(50));
-            world.tell(0, vec![Input::List(FromList::Failed)]);
+            world.tell(0, vec![Input::FromList(FromList::Failed)]);
         }
         world.pass(ms(10));
     }
@@ -431,12 +468,12 @@
 #[test]
 fn a_core_that_recalls_links_to_the_stores_it_knew_without_a_list() {
     let mut world = World::new();
-    world.tell(0, vec![Input::Remember { promised: ms(2000) }]);
+    world.tell(0, vec![Input::TakeSnapshot { promise_duration: ms(2000) }]);
     let saved = world.sides[0].saved.take().expect("told at once");
     assert_eq!(saved.stores.iter().filter(|store| store.learned.is_some()).count(), 3);
     let mut later = Core::new(Arc::new(settings()), 1, world.now + ms(500));
-    later.handle(world.now + ms(500), vec![Input::Recalled { saved, age: Some(ms(500)) }]);
-    let outputs = later.handle(world.now + ms(501), vec![Input::ListLost]);
-    let links = outputs.iter().filter(|output| matches!(output, Output::Link { .. })).count();
+    later.handle(world.now + ms(500), vec![Input::Restore { snapshot: saved, age: Some(ms(500)) }]);
+    let outputs = later.handle(world.now + ms(501), vec![Input::ListDisconnected]);
+    let links = outputs.iter().filter(|output| matches!(output, Output::ConnectStore { .. })).count();
     assert_eq!(links, 3, "the saved list stands in");
 }
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -9,8 +9,8 @@
 
 use serde::{Deserialize, Serialize};
 use umbertray_nbd_gateway::{Clock, Options, Running};
-use umbertray_routing::{Core, Host, Input, Output, Settings};
-use umbertray_store_protocol::list::{FromList, State};
+use umbertray_routing::{Core, Input, Output, RequestHandler, Settings};
+use umbertray_store_protocol::list::{EndpointState, FromList};
 
 use crate::script;
 
@@ -75,22 +75,22 @@
 impl Counts {
     fn hear(&self, input: &Input) {
         match input {
-            Input::List(FromList::Full(entries)) => {
-                let there = entries.iter().filter(|entry| entry.state != State::Gone).count();
+            Input::FromList(FromList::Full(entries)) => {
+                let there = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
                 self.listed.store(there as u64, Ordering::Relaxed);
                 add(&self.whole_lists, 1);
             }
-            Input::List(FromList::Changes(entries)) => add(&self.deltas, entries.len()),
-            Input::Linked { .. } => add(&self.linked, 1),
-            Input::NotLinked { .. } => add(&self.refused, 1),
+            Input::FromList(FromList::Changes(entries)) => add(&self.deltas, entries.len()),
+            Input::StoreConnected { .. } => add(&self.linked, 1),
+            Input::StoreUnreachable { .. } => add(&self.refused, 1),
             _ => {}
         }
     }
 }
 
-impl Host for Counted {
-    fn open(&self) -> usize {
-        self.core.open()
+impl RequestHandler for Counted {
+    fn open_requests(&self) -> usize {
+        self.core.open_requests()
     }
 
     fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output> {
@@ -98,7 +98,7 @@
         let mut version = None;
         for input in &inputs {
             self.counts.hear(input);
-            if let Input::Changed { settings, .. } = input {
+            if let Input::SettingsChanged { settings, .. } = input {
                 version = Some(script::version(settings));
             }
         }
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -14,7 +14,7 @@
 use umbertray_fakes::model::Power;
 use umbertray_fakes::store::{self, Identity};
 use umbertray_fakes::traffic::Crossed;
-use umbertray_store_protocol::list::State;
+use umbertray_store_protocol::list::EndpointState;
 
 use crate::hollow::{Acted, Fleet, Prepare, Seen};
 
@@ -120,7 +120,7 @@
                     if there {
                         list.restarted(named.store, named.address);
                     } else {
-                        list.state(named.store, State::Gone);
+                        list.state(named.store, EndpointState::Gone);
                     }
                 }
                 Ok(Reply::Done)
@@ -151,7 +151,7 @@
     async fn start_list(&mut self, listen: SocketAddr, stores: Vec<Named>) -> Result<Reply, String> {
         let list = list::start(listen).await.map_err(|error| format!("list at {listen}: {error}"))?;
         for Named { store, address, zone } in &stores {
-            let (shard, state) = (*store as u32, State::Ready);
+            let (shard, state) = (*store as u32, EndpointState::Ready);
             let listed = Listed { address: *address, shard, zone: *zone, state, start: 1, started: None };
             list.list(*store, listed);
         }
--- a/crates/snapshot/src/change.rs
+++ b/crates/snapshot/src/change.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use umbertray_routing::Saved;
-use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
+use umbertray_routing::Snapshot;
+use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 
 use crate::decide::Stamp;
 use crate::format::Entry;
@@ -18,8 +18,8 @@
     pub at: Stamp,
     /// How long all floors hold from then on, those of volumes that are not named too.
     pub promised: Duration,
-    pub stores: Part<SavedStore>,
-    pub volumes: Part<SavedVolume>,
+    pub stores: Part<StoreRecord>,
+    pub volumes: Part<VolumeRecord>,
 }
 
 /// New or otherwise than before, and there no more (by lasting id).
@@ -34,8 +34,8 @@
 pub struct Picture {
     at: Stamp,
     promised: Duration,
-    stores: BTreeMap<u64, SavedStore>,
-    volumes: BTreeMap<u64, SavedVolume>,
+    stores: BTreeMap<u64, StoreRecord>,
+    volumes: BTreeMap<u64, VolumeRecord>,
 }
 
 /// Figures that differ by less than this part are as good as the same.
@@ -57,29 +57,31 @@
     (one - other).abs() <= least + NEAR * one.abs().max(other.abs())
 }
 
-impl Known for SavedVolume {
+impl Known for VolumeRecord {
     fn id(&self) -> u64 {
         self.volume
     }
 
     /// Danger: rule 7. A floor on record that is above the one that is kept now would be drawn by two runs.
-    fn covered_by(&self, earlier: &SavedVolume) -> bool {
-        (earlier.floor..=earlier.floor * WORTH).contains(&self.floor)
+    fn covered_by(&self, earlier: &VolumeRecord) -> bool {
+        (earlier.reserved_tokens..=earlier.reserved_tokens * WORTH).contains(&self.reserved_tokens)
             && near(self.rate, earlier.rate, STILL)
-            && near(self.told, earlier.told, STILL)
+            && near(self.reported_rate, earlier.reported_rate, STILL)
     }
 }
 
-impl Known for SavedStore {
+impl Known for StoreRecord {
     fn id(&self) -> u64 {
         self.store
     }
 
     /// Whose it is and which life must be right; what was learned need only be near.
-    fn covered_by(&self, earlier: &SavedStore) -> bool {
-        let plain = |store: &SavedStore| SavedStore { learned: None, ..store.clone() };
-        let learned = |one: &Learned, other: &Learned| {
-            near(one.latency, other.latency, 0.0) && near(one.cap, other.cap, 0.0) && one.tags == other.tags
+    fn covered_by(&self, earlier: &StoreRecord) -> bool {
+        let plain = |store: &StoreRecord| StoreRecord { learned: None, ..store.clone() };
+        let learned = |one: &LearnedFigures, other: &LearnedFigures| {
+            near(one.latency, other.latency, 0.0)
+                && near(one.concurrency_limit, other.concurrency_limit, 0.0)
+                && one.virtual_times == other.virtual_times
         };
         plain(self) == plain(earlier)
             && match (&self.learned, &earlier.learned) {
@@ -108,14 +110,19 @@
 
 impl Picture {
     pub fn new(entry: Entry) -> Picture {
-        let Entry { at, saved: Saved { stores, volumes, promised } } = entry;
+        let Entry { at, saved: Snapshot { stores, volumes, promise_duration: promised } } = entry;
         Picture { at, promised, stores: by_id(stores), volumes: by_id(volumes) }
     }
 
     /// What is to be written so that a reader of this picture knows what is known at `at`, or near enough.
-    pub fn change(&self, at: Stamp, saved: Saved) -> Change {
+    pub fn change(&self, at: Stamp, saved: Snapshot) -> Change {
         let stores = between(&self.stores, saved.stores);
-        Change { at, promised: saved.promised, stores, volumes: between(&self.volumes, saved.volumes) }
+        Change {
+            at,
+            promised: saved.promise_duration,
+            stores,
+            volumes: between(&self.volumes, saved.volumes),
+        }
     }
 
     pub fn apply(&mut self, change: Change) {
@@ -127,7 +134,7 @@
     pub fn entry(self) -> Entry {
         let Picture { at, promised, stores, volumes } = self;
         let (stores, volumes) = (stores.into_values().collect(), volumes.into_values().collect());
-        Entry { at, saved: Saved { stores, volumes, promised } }
+        Entry { at, saved: Snapshot { stores, volumes, promise_duration: promised } }
     }
 }
 
@@ -142,41 +149,41 @@
     }
 
     /// A few volumes and stores, some of them there, with figures drawn from `word`.
-    fn drawn(words: &[u32]) -> Saved {
+    fn drawn(words: &[u32]) -> Snapshot {
         let figure = |word: u32| f64::from(word % 50) / 7.0;
         let known = |word: &u32| !word.is_multiple_of(3);
         let volumes =
-            words.iter().zip(0..).filter(|(word, _)| known(word)).map(|(word, volume)| SavedVolume {
+            words.iter().zip(0..).filter(|(word, _)| known(word)).map(|(word, volume)| VolumeRecord {
                 volume,
                 rate: figure(word >> 4),
-                told: figure(word >> 8),
-                floor: figure(word >> 12),
+                reported_rate: figure(word >> 8),
+                reserved_tokens: figure(word >> 12),
             });
         let stores = words.iter().zip(0..).filter(|(word, _)| known(&(*word >> 3))).map(|(word, store)| {
-            let learned = Learned {
+            let learned = LearnedFigures {
                 latency: figure(word >> 16),
-                cap: figure(word >> 20),
-                tags: vec![(1, figure(word >> 24))],
+                concurrency_limit: figure(word >> 20),
+                virtual_times: vec![(1, figure(word >> 24))],
             };
-            SavedStore {
+            StoreRecord {
                 store,
                 address: ([127, 0, 0, 1], 1).into(),
                 shard: 0,
                 zone: 0,
                 state: (word % 2) as u8,
-                start: u64::from(word >> 30),
+                incarnation: u64::from(word >> 30),
                 learned: (!word.is_multiple_of(5)).then_some(learned),
             }
         });
         let stores = stores.collect();
-        Saved { stores, volumes: volumes.collect(), promised: Duration::from_secs(2) }
+        Snapshot { stores, volumes: volumes.collect(), promise_duration: Duration::from_secs(2) }
     }
 
     /// However long changes are put on changes, a reader promises no more than was kept, and is near in all else.
     #[test]
     fn a_reader_never_promises_more_and_is_never_far_off() {
         fn keeps(history: Vec<Vec<u32>>) -> bool {
-            let mut picture = Picture::new(Entry { at: stamp(0), saved: Saved::default() });
+            let mut picture = Picture::new(Entry { at: stamp(0), saved: Snapshot::default() });
             history.iter().zip(1..).all(|(words, n)| {
                 let mut words = words.clone();
                 words.truncate(12);
@@ -184,19 +191,23 @@
                 picture.apply(picture.change(stamp(n), now.clone()));
                 let read = picture.clone().entry();
                 let volumes = read.saved.volumes.iter().zip(&now.volumes).all(|(read, now)| {
-                    let rates = near(read.rate, now.rate, STILL) && near(read.told, now.told, STILL);
+                    let rates = near(read.rate, now.rate, STILL)
+                        && near(read.reported_rate, now.reported_rate, STILL);
                     read.volume == now.volume
                         && rates
-                        && read.floor <= now.floor
-                        && now.floor <= read.floor * WORTH
+                        && read.reserved_tokens <= now.reserved_tokens
+                        && now.reserved_tokens <= read.reserved_tokens * WORTH
                 });
                 let stores = read.saved.stores.iter().zip(&now.stores).all(|(read, now)| {
-                    let figures = |store: &SavedStore| store.learned.as_ref().map(|l| (l.latency, l.cap));
+                    let figures = |store: &StoreRecord| {
+                        store.learned.as_ref().map(|l| (l.latency, l.concurrency_limit))
+                    };
                     let near = match (figures(read), figures(now)) {
                         (Some(one), Some(other)) => near(one.0, other.0, 0.0) && near(one.1, other.1, 0.0),
                         (one, other) => one == other,
                     };
-                    (read.store, read.state, read.start) == (now.store, now.state, now.start) && near
+                    (read.store, read.state, read.incarnation) == (now.store, now.state, now.incarnation)
+                        && near
                 });
                 let counts = (read.saved.volumes.len(), read.saved.stores.len());
                 read.at == stamp(n) && volumes && stores && counts == (now.volumes.len(), now.stores.len())
--- a/crates/snapshot/src/folder.rs
+++ b/crates/snapshot/src/folder.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use umbertray_routing::Saved;
+use umbertray_routing::Snapshot;
 
 use crate::Unusable;
 use crate::change::Picture;
@@ -21,7 +21,7 @@
 /// What is believed of what was found.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recalled {
-    pub saved: Saved,
+    pub saved: Snapshot,
     pub age: Age,
 }
 
@@ -70,7 +70,7 @@
                     let mut saved = read.entry.saved;
                     if read.head.digest != digest {
                         // Floors of limits that may be others now promise nothing.
-                        saved.promised = Duration::ZERO;
+                        saved.promise_duration = Duration::ZERO;
                     }
                     Recalled { saved, age: decide::age(read.entry.at, now) }
                 });
@@ -89,18 +89,18 @@
     /// the promise to the next, and that one draw the same again: restart loops would overspend. So the promise is
     /// taken out of the folder, for sure, before it is believed; where that fails it is not believed.
     fn claim(&mut self, mut recalled: Recalled, at: Stamp) -> Recalled {
-        let claimed = Saved { promised: Duration::ZERO, ..recalled.saved.clone() };
-        if recalled.saved.promised > Duration::ZERO
+        let claimed = Snapshot { promise_duration: Duration::ZERO, ..recalled.saved.clone() };
+        if recalled.saved.promise_duration > Duration::ZERO
             && !matches!(self.save(Duration::ZERO, at, claimed), Ok(true))
         {
-            recalled.saved.promised = Duration::ZERO;
+            recalled.saved.promise_duration = Duration::ZERO;
         }
         recalled
     }
 
     /// Writes what is known at `at`; false where it is not time to. `now` is a steady clock. After an error the next
     /// call begins a new file, when it is time to.
-    pub fn save(&mut self, now: Duration, at: Stamp, saved: Saved) -> io::Result<bool> {
+    pub fn save(&mut self, now: Duration, at: Stamp, saved: Snapshot) -> io::Result<bool> {
         let what = self.plan.next(now);
         let written = match (what, self.written.take()) {
             (Write::Wait, written) => {
@@ -121,7 +121,7 @@
         Ok(true)
     }
 
-    fn append(&mut self, mut picture: Picture, at: Stamp, saved: Saved) -> io::Result<usize> {
+    fn append(&mut self, mut picture: Picture, at: Stamp, saved: Snapshot) -> io::Result<usize> {
         let file = name(self.plan.head.generation);
         let item = Item::Change(picture.change(at, saved));
         let record = format::record(&item).ok_or(io::ErrorKind::FileTooLarge)?;
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -5,7 +5,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use umbertray_routing::Saved;
+use umbertray_routing::Snapshot;
 
 use crate::change::{Change, Picture};
 use crate::decide::Stamp;
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     pub at: Stamp,
-    pub saved: Saved,
+    pub saved: Snapshot,
 }
 
 /// What follows the head: all that is known first, then what changes.
--- a/crates/snapshot/src/older.rs
+++ b/crates/snapshot/src/older.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use umbertray_routing::Saved;
-use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
+use umbertray_routing::Snapshot;
+use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 
 use crate::decide::Stamp;
 use crate::format::Entry;
@@ -15,7 +15,7 @@
 pub struct Entry1 {
     at: Stamp,
     stores: Vec<Store1>,
-    volumes: Vec<SavedVolume>,
+    volumes: Vec<VolumeRecord>,
     promised: Duration,
 }
 
@@ -28,19 +28,19 @@
     state: u8,
     start: u64,
     _age: Option<u64>,
-    learned: Option<Learned>,
+    learned: Option<LearnedFigures>,
 }
 
-impl From<Store1> for SavedStore {
-    fn from(store: Store1) -> SavedStore {
+impl From<Store1> for StoreRecord {
+    fn from(store: Store1) -> StoreRecord {
         let Store1 { store, address, shard, zone, state, start, learned, .. } = store;
-        SavedStore { store, address, shard, zone, state, start, learned }
+        StoreRecord { store, address, shard, zone, state, incarnation: start, learned }
     }
 }
 
 impl From<Entry1> for Entry {
     fn from(Entry1 { at, stores, volumes, promised }: Entry1) -> Entry {
-        let stores = stores.into_iter().map(SavedStore::from).collect();
-        Entry { at, saved: Saved { stores, volumes, promised } }
+        let stores = stores.into_iter().map(StoreRecord::from).collect();
+        Entry { at, saved: Snapshot { stores, volumes, promise_duration: promised } }
     }
 }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use quickcheck::{Gen, QuickCheck};
-use umbertray_routing::Saved;
-use umbertray_routing::saved::{Learned, SavedStore, SavedVolume};
+use umbertray_routing::Snapshot;
+use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 use umbertray_snapshot::change::Picture;
 use umbertray_snapshot::decide::{Age, Note, Stamp};
 use umbertray_snapshot::folder::Folder;
@@ -21,16 +21,17 @@
 }
 
 /// A state that can be told from all others, as large as it is told.
-fn saved(n: u64, size: usize) -> Saved {
-    let volume = |volume| SavedVolume { volume, rate: 1.0, told: 2.0, floor: 1000.0 * n as f64 };
+fn saved(n: u64, size: usize) -> Snapshot {
+    let volume =
+        |volume| VolumeRecord { volume, rate: 1.0, reported_rate: 2.0, reserved_tokens: 1000.0 * n as f64 };
     let volumes = (0..=size as u64).map(volume).collect();
-    Saved { stores: Vec::new(), volumes, promised: Duration::from_secs(2) }
+    Snapshot { stores: Vec::new(), volumes, promise_duration: Duration::from_secs(2) }
 }
 
 /// Which of them it is; each of its volumes must say the same.
-fn number(saved: &Saved) -> u64 {
-    let floor = saved.volumes[0].floor;
-    assert!(saved.volumes.iter().all(|volume| volume.floor == floor), "of two states: {saved:?}");
+fn number(saved: &Snapshot) -> u64 {
+    let floor = saved.volumes[0].reserved_tokens;
+    assert!(saved.volumes.iter().all(|volume| volume.reserved_tokens == floor), "of two states: {saved:?}");
     (floor / 1000.0) as u64
 }
 
@@ -116,7 +117,7 @@
     };
     let promised = |disk: &SimDisk| {
         let opened = Folder::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN).expect("a usable folder");
-        opened.1.map(|recalled| (recalled.saved.promised, recalled.age))
+        opened.1.map(|recalled| (recalled.saved.promise_duration, recalled.age))
     };
     let age = Age::Known(Duration::from_micros(993));
     let disk = kept();
@@ -202,29 +203,29 @@
     put(&mut disk, 1, &file(1, 3, 1, 5));
     let (_, recalled, notes) = Folder::open(Box::new(disk), 1, 2, stamp(9), GROWN).expect("a usable folder");
     let recalled = recalled.expect("believed");
-    assert_eq!((recalled.saved.promised, number(&recalled.saved)), (Duration::ZERO, 5));
+    assert_eq!((recalled.saved.promise_duration, number(&recalled.saved)), (Duration::ZERO, 5));
     assert_eq!((recalled.age, notes), (Age::Known(Duration::from_micros(4)), vec![Note::OtherSettings]));
 }
 
 /// Files of each version, kept as data: later versions must go on reading them.
 #[test]
 fn files_of_every_version_are_read() {
-    let learned = Learned { latency: 0.25, cap: 6.0, tags: vec![(6, 1.5)] };
+    let learned = LearnedFigures { latency: 0.25, concurrency_limit: 6.0, virtual_times: vec![(6, 1.5)] };
     let store = |store: u64, address: &str, shard, state, start, learned| {
         let address = address.parse().expect("an address");
-        SavedStore { store, address, shard, zone: 1, state, start, learned }
+        StoreRecord { store, address, shard, zone: 1, state, incarnation: start, learned }
     };
     let stores =
         vec![store(4, "127.0.0.1:700", 2, 1, 3, Some(learned)), store(5, "[::1]:701", 3, 2, 1, None)];
-    let volumes = vec![SavedVolume { volume: 6, rate: 1.0, told: 2.0, floor: 3.0 }];
-    let saved = Saved { stores, volumes, promised: Duration::from_secs(2) };
+    let volumes = vec![VolumeRecord { volume: 6, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 }];
+    let saved = Snapshot { stores, volumes, promise_duration: Duration::from_secs(2) };
     let head = Head { gateway: 1, digest: 2, generation: 1 };
     let read = |bytes| format::read(bytes).expect("a whole file");
     let entry = Entry { at: stamp(6), saved };
     let expected = Read { head: head.clone(), entry: entry.clone(), entries: 2, torn: 0 };
     assert_eq!(read(include_bytes!("version-1-stores.umb")), expected);
     let mut bytes = format::opening();
-    let mut picture = Picture::new(Entry { at: stamp(5), saved: Saved::default() });
+    let mut picture = Picture::new(Entry { at: stamp(5), saved: Snapshot::default() });
     let change = picture.change(stamp(6), entry.saved.clone());
     bytes.extend(format::record(&head).expect("small"));
     bytes.extend(format::record(&Item::Whole(picture.clone().entry())).expect("small"));
@@ -239,8 +240,9 @@
     let bytes = include_bytes!("version-1.umb");
     let read = format::read(bytes).expect("version 1");
     assert_eq!(read.head, Head { gateway: 1, digest: 2, generation: 1 });
-    let volume = SavedVolume { volume: 5, rate: 1.0, told: 2.0, floor: 3.0 };
-    let saved = Saved { stores: Vec::new(), volumes: vec![volume], promised: Duration::from_secs(2) };
+    let volume = VolumeRecord { volume: 5, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 };
+    let saved =
+        Snapshot { stores: Vec::new(), volumes: vec![volume], promise_duration: Duration::from_secs(2) };
     assert_eq!(read.entry, Entry { at: stamp(5), saved });
 }
 
--- a/crates/store-protocol/src/changes.rs
+++ b/crates/store-protocol/src/changes.rs
@@ -15,27 +15,27 @@
 pub type Hash = [u8; 32];
 
 /// Bytes of a change or a checkpoint in one frame, at most.
-pub const PART: usize = 64 << 10;
+pub const MAX_PART: usize = 64 << 10;
 /// Bytes of a change, at most. A log with a longer one is carried by its next checkpoint.
-pub const MOST_BODY: u32 = 32 << 20;
+pub const MAX_BODY: u32 = 32 << 20;
 /// Bytes of a checkpoint, at most: a record of the log's files is no longer.
-pub const MOST_CHECKPOINT: u32 = 64 << 20;
+pub const MAX_CHECKPOINT: u32 = 64 << 20;
 /// Bytes of any frame, at most: a part, or a sum with all its names.
-pub const MOST_FRAME: u32 = PART as u32 + (8 << 10);
+pub const MAX_CHANGE_FRAME: u32 = MAX_PART as u32 + (8 << 10);
 /// Bytes of a name or a zone, at most.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME: usize = 128;
 /// Relays from the log's folder to a follower, at most.
-pub const MOST_PATH: usize = 16;
+pub const MAX_PATH: usize = 16;
 /// Versions that a sum tells apart, and members that it names, at most.
-pub const MOST_LEVELS: usize = 16;
-pub const MOST_BEHIND: usize = 32;
+pub const MAX_VERSION_COUNTS: usize = 16;
+pub const MAX_LAGGING: usize = 32;
 /// No sum counts more members.
-pub const MOST_MEMBERS: u32 = 100_000;
+pub const MAX_MEMBERS: u32 = 100_000;
 /// No wait that is asked of a follower is longer.
-pub const MOST_WAIT: Duration = Duration::from_secs(60);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The hash of a change's bytes after the one before it: the chain of the log.
-pub fn chained(before: &Hash, body: &[u8]) -> Hash {
+pub fn chain_hash(before: &Hash, body: &[u8]) -> Hash {
     Sha256::new().chain_update(before).chain_update(body).finalize().into()
 }
 
@@ -56,8 +56,8 @@
     pub const START: Position = Position { version: 0, hash: [0; 32] };
 
     /// The position after one more change.
-    pub fn then(&self, body: &[u8]) -> Position {
-        Position { version: self.version.saturating_add(1), hash: chained(&self.hash, body) }
+    pub fn after_change(&self, body: &[u8]) -> Position {
+        Position { version: self.version.saturating_add(1), hash: chain_hash(&self.hash, body) }
     }
 }
 
@@ -77,26 +77,26 @@
 
 /// So many members have acted on this version, and on none later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Level {
+pub struct VersionCount {
     pub version: u64,
     pub members: u32,
 }
 
 /// A member that has not acted on what its relay holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Behind {
+pub struct LaggingMember {
     pub name: String,
     pub version: u64,
     /// Seconds since it last came on.
-    pub since: u32,
+    pub lag_seconds: u32,
 }
 
 /// What a follower and all below it have acted on: levels from the newest on, members behind from the oldest on. Where there
 /// are more levels than a frame holds, the lowest two count as the lower.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Sums {
-    pub levels: Vec<Level>,
-    pub behind: Vec<Behind>,
+pub struct ProgressSummary {
+    pub levels: Vec<VersionCount>,
+    pub lagging: Vec<LaggingMember>,
 }
 
 /// Where a relay stands, for those who run it.
@@ -108,8 +108,8 @@
     pub path: Vec<String>,
     pub followers: u32,
     /// Bytes of the checkpoint and the entries that it holds.
-    pub held: u64,
-    pub sums: Sums,
+    pub held_bytes: u64,
+    pub progress: ProgressSummary,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -119,22 +119,22 @@
     /// Entries after this are wanted, from now on; once a connection.
     Follow { after: Position },
     /// The hash at a version, which the follower has from another and the upstream has passed: answered where it is held.
-    Ask { version: u64 },
+    QueryHash { version: u64 },
     /// The checkpoint's bytes from here on, a part of them.
     Fetch { version: u64, offset: u32 },
     /// So many bytes of entries were taken off the connection since this was last said: as many more may be sent.
-    Taken { bytes: u32 },
+    WindowUpdate { bytes: u32 },
     /// What it and all below it have acted on. Told to the one that is followed.
-    Acted(Sums),
+    Progress(ProgressSummary),
     /// A sign of life, where there is nothing else to say.
-    Ping,
+    Heartbeat,
     /// In place of a hello: where the relay stands.
     Status,
 }
 
 /// Why an upstream will not serve a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum RefusalReason {
     /// The follower's version has another hash here.
     Fork,
     /// The follower is this relay itself, or one above it.
@@ -142,13 +142,19 @@
     /// The follower has more than this relay.
     Ahead,
     /// A frame that makes no sense at that point.
-    Nonsense,
+    ProtocolViolation,
     /// As many followers as it takes.
-    Full,
+    TooManyFollowers,
 }
 
-impl Why {
-    const ALL: [Why; 5] = [Why::Fork, Why::Loop, Why::Ahead, Why::Nonsense, Why::Full];
+impl RefusalReason {
+    const ALL: [RefusalReason; 5] = [
+        RefusalReason::Fork,
+        RefusalReason::Loop,
+        RefusalReason::Ahead,
+        RefusalReason::ProtocolViolation,
+        RefusalReason::TooManyFollowers,
+    ];
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -162,13 +168,13 @@
     Path(Vec<String>),
     /// What it has acted on; the oldest version that it can send entries after; and the checkpoint that it has. Told where
     /// one of them has changed.
-    At {
+    Head {
         head: Position,
-        from: u64,
+        oldest_version: u64,
         checkpoint: Option<Checkpoint>,
     },
     /// The answer to what was asked.
-    Had {
+    HashAt {
         at: Position,
     },
     /// A part of a change: all of it, but for long ones. The parts of one follow each other.
@@ -179,27 +185,27 @@
         part: Bytes,
     },
     /// A part of the checkpoint.
-    Part {
+    CheckpointPart {
         version: u64,
         offset: u32,
         part: Bytes,
     },
     /// Too much is asked for at the moment: again after this.
-    Later {
+    RetryAfter {
         after: Duration,
     },
     /// The connection ends.
     Refused {
-        why: Why,
+        reason: RefusalReason,
     },
     /// A sign of life: what was told last still holds.
-    Same,
+    Heartbeat,
     Status(Status),
 }
 
 fn name(fields: &mut Reader) -> Result<String, Malformed> {
     let text = fields.text()?;
-    if text.len() <= MOST_NAME { Ok(text) } else { Err(fields.bad("name", text.len() as u64)) }
+    if text.len() <= MAX_NAME { Ok(text) } else { Err(fields.bad("name", text.len() as u64)) }
 }
 
 /// A count not over a bound, and so many items.
@@ -228,7 +234,7 @@
 
 fn checkpoint(fields: &mut Reader) -> Result<Checkpoint, Malformed> {
     let (at, digest, length) = (position(fields)?, hash(fields)?, fields.u32()?);
-    if length <= MOST_CHECKPOINT {
+    if length <= MAX_CHECKPOINT {
         Ok(Checkpoint { at, digest, length })
     } else {
         Err(fields.bad("length", length.into()))
@@ -239,7 +245,7 @@
 fn part(fields: &mut Reader, offset: u32, length: u32) -> Result<Bytes, Malformed> {
     let part = fields.rest();
     let end = u64::from(offset) + part.len() as u64;
-    if part.len() <= PART && end <= u64::from(length) { Ok(part) } else { Err(fields.bad("part", end)) }
+    if part.len() <= MAX_PART && end <= u64::from(length) { Ok(part) } else { Err(fields.bad("part", end)) }
 }
 
 fn put_names(out: &mut BytesMut, names: &[String]) {
@@ -247,27 +253,30 @@
     names.iter().for_each(|name| put_text(out, name));
 }
 
-impl Sums {
+impl ProgressSummary {
     fn put(&self, out: &mut BytesMut) {
         out.put_u16(self.levels.len() as u16);
         for level in &self.levels {
             out.put_u64(level.version);
             out.put_u32(level.members);
         }
-        out.put_u16(self.behind.len() as u16);
-        for behind in &self.behind {
+        out.put_u16(self.lagging.len() as u16);
+        for behind in &self.lagging {
             put_text(out, &behind.name);
             out.put_u64(behind.version);
-            out.put_u32(behind.since);
+            out.put_u32(behind.lag_seconds);
         }
     }
 
-    fn read(fields: &mut Reader) -> Result<Sums, Malformed> {
-        let level = |fields: &mut Reader| Ok(Level { version: fields.u64()?, members: fields.u32()? });
+    fn read(fields: &mut Reader) -> Result<ProgressSummary, Malformed> {
+        let level = |fields: &mut Reader| Ok(VersionCount { version: fields.u64()?, members: fields.u32()? });
         let behind = |fields: &mut Reader| {
-            Ok(Behind { name: name(fields)?, version: fields.u64()?, since: fields.u32()? })
+            Ok(LaggingMember { name: name(fields)?, version: fields.u64()?, lag_seconds: fields.u32()? })
         };
-        Ok(Sums { levels: few(fields, MOST_LEVELS, level)?, behind: few(fields, MOST_BEHIND, behind)? })
+        Ok(ProgressSummary {
+            levels: few(fields, MAX_VERSION_COUNTS, level)?,
+            lagging: few(fields, MAX_LAGGING, behind)?,
+        })
     }
 }
 
@@ -277,34 +286,34 @@
         put_position(out, &self.head);
         put_names(out, &self.path);
         out.put_u32(self.followers);
-        out.put_u64(self.held);
-        self.sums.put(out);
+        out.put_u64(self.held_bytes);
+        self.progress.put(out);
     }
 
     fn read(fields: &mut Reader) -> Result<Status, Malformed> {
         Ok(Status {
             name: name(fields)?,
             head: position(fields)?,
-            path: few(fields, MOST_PATH, name)?,
+            path: few(fields, MAX_PATH, name)?,
             followers: fields.u32()?,
-            held: fields.u64()?,
-            sums: Sums::read(fields)?,
+            held_bytes: fields.u64()?,
+            progress: ProgressSummary::read(fields)?,
         })
     }
 }
 
 impl Message for ToUpstream {
-    const MOST: u32 = MOST_FRAME;
+    const MAX_LENGTH: u32 = MAX_CHANGE_FRAME;
 
     fn kind(&self) -> u8 {
         match self {
             ToUpstream::Hello { .. } => 33,
             ToUpstream::Follow { .. } => 34,
             ToUpstream::Fetch { .. } => 35,
-            ToUpstream::Taken { .. } => 36,
-            ToUpstream::Acted(_) => 37,
-            ToUpstream::Ping => 38,
-            ToUpstream::Ask { .. } => 39,
+            ToUpstream::WindowUpdate { .. } => 36,
+            ToUpstream::Progress(_) => 37,
+            ToUpstream::Heartbeat => 38,
+            ToUpstream::QueryHash { .. } => 39,
             ToUpstream::Status => 40,
         }
     }
@@ -319,14 +328,14 @@
                 out.put_u8(*role as u8);
             }
             ToUpstream::Follow { after } => put_position(out, after),
-            ToUpstream::Ping | ToUpstream::Status => {}
-            ToUpstream::Ask { version } => out.put_u64(*version),
+            ToUpstream::Heartbeat | ToUpstream::Status => {}
+            ToUpstream::QueryHash { version } => out.put_u64(*version),
             ToUpstream::Fetch { version, offset } => {
                 out.put_u64(*version);
                 out.put_u32(*offset);
             }
-            ToUpstream::Taken { bytes } => out.put_u32(*bytes),
-            ToUpstream::Acted(sums) => sums.put(out),
+            ToUpstream::WindowUpdate { bytes } => out.put_u32(*bytes),
+            ToUpstream::Progress(sums) => sums.put(out),
         }
     }
 
@@ -344,10 +353,10 @@
             }
             34 => ToUpstream::Follow { after: position(fields)? },
             35 => ToUpstream::Fetch { version: fields.u64()?, offset: fields.u32()? },
-            36 => ToUpstream::Taken { bytes: fields.u32()? },
-            37 => ToUpstream::Acted(Sums::read(fields)?),
-            38 => ToUpstream::Ping,
-            39 => ToUpstream::Ask { version: fields.u64()? },
+            36 => ToUpstream::WindowUpdate { bytes: fields.u32()? },
+            37 => ToUpstream::Progress(ProgressSummary::read(fields)?),
+            38 => ToUpstream::Heartbeat,
+            39 => ToUpstream::QueryHash { version: fields.u64()? },
             40 => ToUpstream::Status,
             _ => return Err(fields.unknown()),
         })
@@ -355,19 +364,19 @@
 }
 
 impl Message for FromUpstream {
-    const MOST: u32 = MOST_FRAME;
+    const MAX_LENGTH: u32 = MAX_CHANGE_FRAME;
 
     fn kind(&self) -> u8 {
         match self {
             FromUpstream::Hello { .. } => 97,
             FromUpstream::Path(_) => 98,
-            FromUpstream::At { .. } => 99,
+            FromUpstream::Head { .. } => 99,
             FromUpstream::Entry { .. } => 100,
-            FromUpstream::Part { .. } => 101,
-            FromUpstream::Later { .. } => 102,
+            FromUpstream::CheckpointPart { .. } => 101,
+            FromUpstream::RetryAfter { .. } => 102,
             FromUpstream::Refused { .. } => 103,
-            FromUpstream::Same => 104,
-            FromUpstream::Had { .. } => 105,
+            FromUpstream::Heartbeat => 104,
+            FromUpstream::HashAt { .. } => 105,
             FromUpstream::Status(_) => 106,
         }
     }
@@ -381,7 +390,7 @@
                 put_names(out, path);
             }
             FromUpstream::Path(path) => put_names(out, path),
-            FromUpstream::At { head, from, checkpoint } => {
+            FromUpstream::Head { head, oldest_version: from, checkpoint } => {
                 put_position(out, head);
                 out.put_u64(*from);
                 out.put_u8(checkpoint.is_some().into());
@@ -396,21 +405,21 @@
                 out.put_u32(*length);
                 out.put_u32(*offset);
             }
-            FromUpstream::Part { version, offset, .. } => {
+            FromUpstream::CheckpointPart { version, offset, .. } => {
                 out.put_u64(*version);
                 out.put_u32(*offset);
             }
-            FromUpstream::Later { after } => out.put_u32(after.as_millis() as u32),
-            FromUpstream::Refused { why } => out.put_u8(*why as u8),
-            FromUpstream::Same => {}
-            FromUpstream::Had { at } => put_position(out, at),
+            FromUpstream::RetryAfter { after } => out.put_u32(after.as_millis() as u32),
+            FromUpstream::Refused { reason: why } => out.put_u8(*why as u8),
+            FromUpstream::Heartbeat => {}
+            FromUpstream::HashAt { at } => put_position(out, at),
             FromUpstream::Status(status) => status.put(out),
         }
     }
 
-    fn tail(&self) -> Option<&Bytes> {
+    fn payload(&self) -> Option<&Bytes> {
         match self {
-            FromUpstream::Entry { part, .. } | FromUpstream::Part { part, .. } => Some(part),
+            FromUpstream::Entry { part, .. } | FromUpstream::CheckpointPart { part, .. } => Some(part),
             _ => None,
         }
     }
@@ -419,39 +428,39 @@
         Ok(match kind {
             97 => {
                 fields.opening()?;
-                FromUpstream::Hello { name: name(fields)?, path: few(fields, MOST_PATH, name)? }
+                FromUpstream::Hello { name: name(fields)?, path: few(fields, MAX_PATH, name)? }
             }
-            98 => FromUpstream::Path(few(fields, MOST_PATH, name)?),
-            99 => FromUpstream::At {
+            98 => FromUpstream::Path(few(fields, MAX_PATH, name)?),
+            99 => FromUpstream::Head {
                 head: position(fields)?,
-                from: fields.u64()?,
+                oldest_version: fields.u64()?,
                 checkpoint: fields.option(checkpoint)?,
             },
             100 => {
                 let (at, length, offset) = (position(fields)?, fields.u32()?, fields.u32()?);
-                if length > MOST_BODY {
+                if length > MAX_BODY {
                     return Err(fields.bad("length", length.into()));
                 }
                 FromUpstream::Entry { at, length, offset, part: part(fields, offset, length)? }
             }
             101 => {
                 let (version, offset) = (fields.u64()?, fields.u32()?);
-                FromUpstream::Part { version, offset, part: part(fields, offset, MOST_CHECKPOINT)? }
+                FromUpstream::CheckpointPart { version, offset, part: part(fields, offset, MAX_CHECKPOINT)? }
             }
             102 => {
                 let after = Duration::from_millis(fields.u32()?.into());
-                if after > MOST_WAIT {
+                if after > MAX_RETRY_AFTER {
                     return Err(fields.bad("wait", after.as_millis() as u64));
                 }
-                FromUpstream::Later { after }
+                FromUpstream::RetryAfter { after }
             }
             103 => {
                 let code = fields.u8()?;
-                let why = Why::ALL.get(usize::from(code)).copied();
-                FromUpstream::Refused { why: why.ok_or_else(|| fields.bad("why", code.into()))? }
+                let why = RefusalReason::ALL.get(usize::from(code)).copied();
+                FromUpstream::Refused { reason: why.ok_or_else(|| fields.bad("why", code.into()))? }
             }
-            104 => FromUpstream::Same,
-            105 => FromUpstream::Had { at: position(fields)? },
+            104 => FromUpstream::Heartbeat,
+            105 => FromUpstream::HashAt { at: position(fields)? },
             106 => FromUpstream::Status(Status::read(fields)?),
             _ => return Err(fields.unknown()),
         })
--- a/crates/store-protocol/src/lib.rs
+++ b/crates/store-protocol/src/lib.rs
@@ -24,8 +24,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    #[error("a frame of {length} bytes, over the bound of {most}")]
-    Long { length: u32, most: u32 },
+    #[error("a frame of {length} bytes, over the bound of {max}")]
+    TooLong { length: u32, max: u32 },
     #[error("an empty frame")]
     Empty,
     #[error("unknown kind {0} of frame")]
@@ -43,14 +43,14 @@
 /// A message of one direction of a connection.
 pub trait Message: Sized {
     /// No frame of this direction is longer, bytes.
-    const MOST: u32 = MAX_FRAME;
+    const MAX_LENGTH: u32 = MAX_FRAME;
 
     fn kind(&self) -> u8;
     fn put_fields(&self, out: &mut BytesMut);
     fn read(kind: u8, fields: &mut Reader) -> Result<Self, Malformed>;
 
     /// Bytes that belong at the frame's end and are sent uncopied.
-    fn tail(&self) -> Option<&Bytes> {
+    fn payload(&self) -> Option<&Bytes> {
         None
     }
 
@@ -60,7 +60,7 @@
         out.put_u32(0);
         out.put_u8(self.kind());
         self.put_fields(out);
-        let length = out.len() - at - 4 + self.tail().map_or(0, Bytes::len);
+        let length = out.len() - at - 4 + self.payload().map_or(0, Bytes::len);
         out[at..at + 4].copy_from_slice(&(length as u32).to_be_bytes());
     }
 
@@ -68,7 +68,7 @@
     fn frame(&self) -> Bytes {
         let mut out = BytesMut::new();
         self.put(&mut out);
-        if let Some(tail) = self.tail() {
+        if let Some(tail) = self.payload() {
             out.put_slice(tail);
         }
         out.freeze()
@@ -81,8 +81,8 @@
     let length = head.get_u32();
     match length {
         0 => return Err(Malformed::Empty),
-        _ if length <= M::MOST => {}
-        _ => return Err(Malformed::Long { length, most: M::MOST }),
+        _ if length <= M::MAX_LENGTH => {}
+        _ => return Err(Malformed::TooLong { length, max: M::MAX_LENGTH }),
     }
     if input.len() < 4 + length as usize {
         return Ok(None);
