--- a/crates/store-protocol/src/list.rs
+++ b/crates/store-protocol/src/list.rs
@@ -4,26 +4,26 @@
 
 use bytes::{BufMut, BytesMut};
 
-use crate::orders::Span;
+use crate::orders::ExtentRange;
 use crate::{MAGIC, Malformed, Message, Reader, VERSION, put_text};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum State {
+pub enum EndpointState {
     Gone,
     Ready,
     Draining,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Entry {
+pub struct ListedStore {
     /// Lasting: the same when the store's process restarts; a replacement has another.
     pub store: u64,
     pub address: SocketAddr,
     pub shard: u32,
     pub zone: u32,
-    pub state: State,
+    pub state: EndpointState,
     /// Counts the store's starts.
-    pub start: u64,
+    pub incarnation: u64,
     /// Microseconds since it last started; absent: long ago.
     pub age: Option<u64>,
 }
@@ -34,7 +34,7 @@
         run: u64,
     },
     /// The whole list now and changes from then on.
-    Subscribe,
+    Watch,
     /// The whole list once.
     Fetch,
     /// Where an extent lies. A store has said that its range has moved this often: answered once the map is as new.
@@ -42,7 +42,7 @@
         token: u64,
         volume: u64,
         extent: u64,
-        least: u64,
+        min_epoch: u64,
     },
     /// The extent is to lie at the shard unless it lies elsewhere already: the first claim wins for ever.
     Claim {
@@ -59,20 +59,20 @@
     /// The range is to lie at the shard.
     Move {
         token: u64,
-        span: Span,
+        span: ExtentRange,
         shard: u32,
     },
     /// How far the move is, or that it be given up.
-    Moving {
+    MoveStatus {
         token: u64,
         number: u64,
-        give_up: bool,
+        abandon: bool,
     },
 }
 
 /// Where an extent lies, and how often its range has moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct Location {
     pub shard: u32,
     pub epoch: u64,
 }
@@ -83,14 +83,14 @@
     Welcome {
         term: u64,
     },
-    Full(Vec<Entry>),
-    Changes(Vec<Entry>),
+    Full(Vec<ListedStore>),
+    Changes(Vec<ListedStore>),
     /// A call failed or was turned away.
     Failed,
     /// The answer to a lookup or a claim: where the extent lies, or nowhere yet.
-    Place {
+    Location {
         token: u64,
-        place: Option<Place>,
+        place: Option<Location>,
     },
     Shards {
         token: u64,
@@ -102,7 +102,7 @@
         number: Result<u64, String>,
     },
     /// How far a move is, in words.
-    Moving {
+    MoveStatus {
         token: u64,
         state: String,
         over: bool,
@@ -111,8 +111,8 @@
 
 impl ToList {
     /// It is about where data lies, not about stores.
-    pub fn of_map(&self) -> bool {
-        !matches!(self, ToList::Hello { .. } | ToList::Subscribe | ToList::Fetch)
+    pub fn concerns_map(&self) -> bool {
+        !matches!(self, ToList::Hello { .. } | ToList::Watch | ToList::Fetch)
     }
 }
 
@@ -120,13 +120,13 @@
     fn kind(&self) -> u8 {
         match self {
             ToList::Hello { .. } => 1,
-            ToList::Subscribe => 2,
+            ToList::Watch => 2,
             ToList::Fetch => 3,
             ToList::Lookup { .. } => 4,
             ToList::Claim { .. } => 5,
             ToList::Shards { .. } => 6,
             ToList::Move { .. } => 7,
-            ToList::Moving { .. } => 8,
+            ToList::MoveStatus { .. } => 8,
         }
     }
 
@@ -137,15 +137,17 @@
                 out.put_u16(VERSION);
                 out.put_u64(*run);
             }
-            ToList::Subscribe | ToList::Fetch => {}
-            ToList::Lookup { token, volume, extent, least } => {
+            ToList::Watch | ToList::Fetch => {}
+            ToList::Lookup { token, volume, extent, min_epoch: least } => {
                 [token, volume, extent, least].into_iter().for_each(|number| out.put_u64(*number));
             }
             ToList::Move { token, span, shard } => {
-                [*token, span.volume, span.from, span.to].into_iter().for_each(|number| out.put_u64(number));
+                [*token, span.volume, span.start, span.end]
+                    .into_iter()
+                    .for_each(|number| out.put_u64(number));
                 out.put_u32(*shard);
             }
-            ToList::Moving { token, number, give_up } => {
+            ToList::MoveStatus { token, number, abandon: give_up } => {
                 out.put_u64(*token);
                 out.put_u64(*number);
                 out.put_u8((*give_up).into());
@@ -167,20 +169,22 @@
                 fields.opening()?;
                 ToList::Hello { run: fields.u64()? }
             }
-            2 => ToList::Subscribe,
+            2 => ToList::Watch,
             3 => ToList::Fetch,
             4 => ToList::Lookup {
                 token: fields.u64()?,
                 volume: fields.u64()?,
                 extent: fields.u64()?,
-                least: fields.u64()?,
+                min_epoch: fields.u64()?,
             },
             7 => ToList::Move {
                 token: fields.u64()?,
-                span: Span { volume: fields.u64()?, from: fields.u64()?, to: fields.u64()? },
+                span: ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? },
                 shard: fields.u32()?,
             },
-            8 => ToList::Moving { token: fields.u64()?, number: fields.u64()?, give_up: fields.u8()? != 0 },
+            8 => {
+                ToList::MoveStatus { token: fields.u64()?, number: fields.u64()?, abandon: fields.u8()? != 0 }
+            }
             5 => ToList::Claim {
                 token: fields.u64()?,
                 volume: fields.u64()?,
@@ -200,10 +204,10 @@
             FromList::Full(_) => 66,
             FromList::Changes(_) => 67,
             FromList::Failed => 68,
-            FromList::Place { .. } => 69,
+            FromList::Location { .. } => 69,
             FromList::Shards { .. } => 70,
             FromList::Move { .. } => 71,
-            FromList::Moving { .. } => 72,
+            FromList::MoveStatus { .. } => 72,
         }
     }
 
@@ -219,7 +223,7 @@
                 entries.iter().for_each(|entry| put_entry(out, entry));
             }
             FromList::Failed => {}
-            FromList::Place { token, place } => {
+            FromList::Location { token, place } => {
                 out.put_u64(*token);
                 out.put_u8(place.is_some().into());
                 if let Some(place) = place {
@@ -235,7 +239,7 @@
                     Err(why) => put_text(out, why),
                 }
             }
-            FromList::Moving { token, state, over } => {
+            FromList::MoveStatus { token, state, over } => {
                 out.put_u64(*token);
                 put_text(out, state);
                 out.put_u8((*over).into());
@@ -257,42 +261,52 @@
             66 => FromList::Full(fields.list(entry)?),
             67 => FromList::Changes(fields.list(entry)?),
             68 => FromList::Failed,
-            69 => FromList::Place {
+            69 => FromList::Location {
                 token: fields.u64()?,
-                place: fields.option(|fields| Ok(Place { shard: fields.u32()?, epoch: fields.u64()? }))?,
+                place: fields.option(|fields| Ok(Location { shard: fields.u32()?, epoch: fields.u64()? }))?,
             },
             71 => {
                 let (token, refused) = (fields.u64()?, fields.u8()? != 0);
                 let number = if refused { Err(fields.text()?) } else { Ok(fields.u64()?) };
                 FromList::Move { token, number }
             }
-            72 => FromList::Moving { token: fields.u64()?, state: fields.text()?, over: fields.u8()? != 0 },
+            72 => {
+                FromList::MoveStatus { token: fields.u64()?, state: fields.text()?, over: fields.u8()? != 0 }
+            }
             70 => FromList::Shards { token: fields.u64()?, shards: fields.list(Reader::u32)? },
             _ => return Err(fields.unknown()),
         })
     }
 }
 
-fn put_entry(out: &mut BytesMut, entry: &Entry) {
+fn put_entry(out: &mut BytesMut, entry: &ListedStore) {
     out.put_u64(entry.store);
     put_text(out, &entry.address.to_string());
     out.put_u32(entry.shard);
     out.put_u32(entry.zone);
     out.put_u8(entry.state as u8);
-    out.put_u64(entry.start);
+    out.put_u64(entry.incarnation);
     out.put_u8(entry.age.is_some().into());
     entry.age.iter().for_each(|age| out.put_u64(*age));
 }
 
-fn entry(fields: &mut Reader) -> Result<Entry, Malformed> {
+fn entry(fields: &mut Reader) -> Result<ListedStore, Malformed> {
     let (store, address) = (fields.u64()?, fields.text()?);
     let address = address.parse().map_err(|_| fields.bad("address", address.len() as u64))?;
     let (shard, zone, state) = (fields.u32()?, fields.u32()?, fields.u8()?);
     let state = match state {
-        0 => State::Gone,
-        1 => State::Ready,
-        2 => State::Draining,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         other => return Err(fields.bad("state", other.into())),
     };
-    Ok(Entry { store, address, shard, zone, state, start: fields.u64()?, age: fields.option(Reader::u64)? })
+    Ok(ListedStore {
+        store,
+        address,
+        shard,
+        zone,
+        state,
+        incarnation: fields.u64()?,
+        age: fields.option(Reader::u64)?,
+    })
 }
--- a/crates/store-protocol/src/orders.rs
+++ b/crates/store-protocol/src/orders.rs
@@ -9,130 +9,130 @@
 
 /// A run of a volume's extents, from the first up to, but without, the last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
-pub struct Span {
+pub struct ExtentRange {
     pub volume: u64,
-    pub from: u64,
-    pub to: u64,
+    pub start: u64,
+    pub end: u64,
 }
 
-impl Span {
-    pub fn holds(&self, volume: u64, extent: u64) -> bool {
-        self.volume == volume && (self.from..self.to).contains(&extent)
+impl ExtentRange {
+    pub fn contains(&self, volume: u64, extent: u64) -> bool {
+        self.volume == volume && (self.start..self.end).contains(&extent)
     }
 
-    pub fn meets(&self, other: &Span) -> bool {
-        self.volume == other.volume && self.from < other.to && other.from < self.to
+    pub fn overlaps(&self, other: &ExtentRange) -> bool {
+        self.volume == other.volume && self.start < other.end && other.start < self.end
     }
 }
 
 /// An extent as it stood at a moment; pages that are not named are holes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Content {
+pub struct ExtentContent {
     pub extent: u64,
     /// Counts the extent's changes: told back once it is at the target, so that what was written meanwhile is copied anew.
-    pub stamp: u64,
+    pub change_count: u64,
     pub pages: Vec<(u32, Bytes)>,
 }
 
 /// An op that has run: a repeat of it is acked without a second effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Mark {
-    pub run: u64,
+pub struct ExecutedOp {
+    pub gateway_run: u64,
     pub op: u64,
     pub extent: u64,
     /// Microseconds for which it is still to be kept.
-    pub kept: u64,
+    pub remembered_for: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
     /// To the target: what it holds of the range is void; it takes content, and no op until it is opened.
     Prepare {
-        span: Span,
+        span: ExtentRange,
         epoch: u64,
     },
     /// To the source: all of the range is to be copied, and what is written from now on again.
-    Follow {
-        span: Span,
+    TrackChanges {
+        span: ExtentRange,
     },
     /// To the source: this copy has arrived; the next one.
-    Fetch {
-        span: Span,
+    FetchNext {
+        span: ExtentRange,
         copied: Option<(u64, u64)>,
     },
     /// Danger: what is answered as done must be there after a crash too, or the range be answered as unfit from then on: the
     /// source counts it as copied.
     Put {
-        span: Span,
+        span: ExtentRange,
         epoch: u64,
-        content: Content,
+        content: ExtentContent,
     },
     /// To the source, for good: it answers no op of the range any more, and says what is left to copy.
-    Raise {
-        span: Span,
+    Fence {
+        span: ExtentRange,
         epoch: u64,
     },
     /// To the source, raised: what ran there and may be repeated.
-    Marks {
-        span: Span,
+    FetchExecuted {
+        span: ExtentRange,
     },
-    Mark {
-        span: Span,
+    RecordExecuted {
+        span: ExtentRange,
         epoch: u64,
-        marks: Vec<Mark>,
+        marks: Vec<ExecutedOp>,
     },
     /// To the target: all it was given is to be safe on the medium before it answers.
-    Seal {
-        span: Span,
+    Sync {
+        span: ExtentRange,
         epoch: u64,
     },
     /// To the target: the range is served here at this epoch from now on.
-    Open {
-        span: Span,
+    Activate {
+        span: ExtentRange,
         epoch: u64,
     },
     /// To the source: the move is taken back, and the range served here again, at a higher epoch than was meant for the target.
-    Reopen {
-        span: Span,
+    Reactivate {
+        span: ExtentRange,
         epoch: u64,
     },
     /// The range is not to be here: a target's part-copy, or a source's data once the target serves.
     Clear {
-        span: Span,
+        span: ExtentRange,
         epoch: u64,
     },
     /// To the source: nothing of the range is copied any more.
-    Leave {
-        span: Span,
+    StopTracking {
+        span: ExtentRange,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Reply {
+pub enum OrderReply {
     Done,
     /// Extents left to copy.
-    Left(u64),
+    ExtentsLeft(u64),
     /// The next extent to copy; none is left for now.
-    Next(Option<Content>),
-    Marks(Vec<Mark>),
+    NextExtent(Option<ExtentContent>),
+    ExecutedOps(Vec<ExecutedOp>),
     /// The order is of a term that is over; the store has heard of this one.
-    OldTerm(u64),
+    StaleTerm(u64),
     /// What the store holds does not allow it: the range is not in the state that the order needs.
-    Unfit,
+    WrongState,
 }
 
-fn put_span(out: &mut BytesMut, span: &Span) {
-    [span.volume, span.from, span.to].into_iter().for_each(|number| out.put_u64(number));
+fn put_span(out: &mut BytesMut, span: &ExtentRange) {
+    [span.volume, span.start, span.end].into_iter().for_each(|number| out.put_u64(number));
 }
 
-fn span(fields: &mut Reader) -> Result<Span, Malformed> {
-    let span = Span { volume: fields.u64()?, from: fields.u64()?, to: fields.u64()? };
-    if span.from < span.to { Ok(span) } else { Err(fields.bad("range", span.to)) }
+fn span(fields: &mut Reader) -> Result<ExtentRange, Malformed> {
+    let span = ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? };
+    if span.start < span.end { Ok(span) } else { Err(fields.bad("range", span.end)) }
 }
 
-fn put_content(out: &mut BytesMut, content: &Content) {
+fn put_content(out: &mut BytesMut, content: &ExtentContent) {
     out.put_u64(content.extent);
-    out.put_u64(content.stamp);
+    out.put_u64(content.change_count);
     out.put_u16(content.pages.len() as u16);
     for (page, bytes) in &content.pages {
         out.put_u32(*page);
@@ -140,24 +140,31 @@
     }
 }
 
-fn content(fields: &mut Reader) -> Result<Content, Malformed> {
+fn content(fields: &mut Reader) -> Result<ExtentContent, Malformed> {
     let (extent, stamp) = (fields.u64()?, fields.u64()?);
     let pages = fields.list(|fields| Ok((fields.u32()?, fields.bytes(PAGE)?)))?;
-    Ok(Content { extent, stamp, pages })
+    Ok(ExtentContent { extent, change_count: stamp, pages })
 }
 
-fn put_marks(out: &mut BytesMut, marks: &[Mark]) {
+fn put_marks(out: &mut BytesMut, marks: &[ExecutedOp]) {
     out.put_u32(marks.len() as u32);
     for mark in marks {
-        [mark.run, mark.op, mark.extent, mark.kept].into_iter().for_each(|number| out.put_u64(number));
+        [mark.gateway_run, mark.op, mark.extent, mark.remembered_for]
+            .into_iter()
+            .for_each(|number| out.put_u64(number));
     }
 }
 
-fn marks(fields: &mut Reader) -> Result<Vec<Mark>, Malformed> {
+fn marks(fields: &mut Reader) -> Result<Vec<ExecutedOp>, Malformed> {
     let count = fields.u32()?;
     // Danger: the count is the peer's word; room is taken for what is there.
     let read = |fields: &mut Reader| {
-        Ok(Mark { run: fields.u64()?, op: fields.u64()?, extent: fields.u64()?, kept: fields.u64()? })
+        Ok(ExecutedOp {
+            gateway_run: fields.u64()?,
+            op: fields.u64()?,
+            extent: fields.u64()?,
+            remembered_for: fields.u64()?,
+        })
     };
     (0..count).map(|_| read(fields)).collect()
 }
@@ -167,63 +174,63 @@
     pub fn name(&self) -> &'static str {
         match self {
             Order::Prepare { .. } => "prepare",
-            Order::Follow { .. } => "follow",
-            Order::Fetch { .. } => "fetch",
+            Order::TrackChanges { .. } => "follow",
+            Order::FetchNext { .. } => "fetch",
             Order::Put { .. } => "put",
-            Order::Raise { .. } => "raise",
-            Order::Marks { .. } => "marks",
-            Order::Mark { .. } => "mark",
-            Order::Seal { .. } => "seal",
-            Order::Open { .. } => "open",
-            Order::Reopen { .. } => "reopen",
+            Order::Fence { .. } => "raise",
+            Order::FetchExecuted { .. } => "marks",
+            Order::RecordExecuted { .. } => "mark",
+            Order::Sync { .. } => "seal",
+            Order::Activate { .. } => "open",
+            Order::Reactivate { .. } => "reopen",
             Order::Clear { .. } => "clear",
-            Order::Leave { .. } => "leave",
+            Order::StopTracking { .. } => "leave",
         }
     }
 
-    pub fn span(&self) -> &Span {
+    pub fn span(&self) -> &ExtentRange {
         match self {
             Order::Prepare { span, .. }
-            | Order::Follow { span }
-            | Order::Fetch { span, .. }
+            | Order::TrackChanges { span }
+            | Order::FetchNext { span, .. }
             | Order::Put { span, .. }
-            | Order::Raise { span, .. }
-            | Order::Marks { span }
-            | Order::Mark { span, .. }
-            | Order::Seal { span, .. }
-            | Order::Open { span, .. }
-            | Order::Reopen { span, .. }
+            | Order::Fence { span, .. }
+            | Order::FetchExecuted { span }
+            | Order::RecordExecuted { span, .. }
+            | Order::Sync { span, .. }
+            | Order::Activate { span, .. }
+            | Order::Reactivate { span, .. }
             | Order::Clear { span, .. }
-            | Order::Leave { span } => span,
+            | Order::StopTracking { span } => span,
         }
     }
 
     pub(crate) fn put(&self, out: &mut BytesMut) {
         let code = match self {
             Order::Prepare { .. } => 0,
-            Order::Follow { .. } => 1,
-            Order::Fetch { .. } => 2,
+            Order::TrackChanges { .. } => 1,
+            Order::FetchNext { .. } => 2,
             Order::Put { .. } => 3,
-            Order::Raise { .. } => 4,
-            Order::Marks { .. } => 5,
-            Order::Mark { .. } => 6,
-            Order::Seal { .. } => 7,
-            Order::Open { .. } => 8,
+            Order::Fence { .. } => 4,
+            Order::FetchExecuted { .. } => 5,
+            Order::RecordExecuted { .. } => 6,
+            Order::Sync { .. } => 7,
+            Order::Activate { .. } => 8,
             Order::Clear { .. } => 9,
-            Order::Leave { .. } => 10,
-            Order::Reopen { .. } => 11,
+            Order::StopTracking { .. } => 10,
+            Order::Reactivate { .. } => 11,
         };
         out.put_u8(code);
         put_span(out, self.span());
         match self {
             Order::Prepare { epoch, .. }
-            | Order::Raise { epoch, .. }
-            | Order::Seal { epoch, .. }
-            | Order::Open { epoch, .. }
-            | Order::Reopen { epoch, .. }
+            | Order::Fence { epoch, .. }
+            | Order::Sync { epoch, .. }
+            | Order::Activate { epoch, .. }
+            | Order::Reactivate { epoch, .. }
             | Order::Clear { epoch, .. } => out.put_u64(*epoch),
-            Order::Follow { .. } | Order::Marks { .. } | Order::Leave { .. } => {}
-            Order::Fetch { copied, .. } => {
+            Order::TrackChanges { .. } | Order::FetchExecuted { .. } | Order::StopTracking { .. } => {}
+            Order::FetchNext { copied, .. } => {
                 out.put_u8(copied.is_some().into());
                 copied.iter().flat_map(|(extent, stamp)| [extent, stamp]).for_each(|n| out.put_u64(*n));
             }
@@ -231,7 +238,7 @@
                 out.put_u64(*epoch);
                 put_content(out, content);
             }
-            Order::Mark { epoch, marks, .. } => {
+            Order::RecordExecuted { epoch, marks, .. } => {
                 out.put_u64(*epoch);
                 put_marks(out, marks);
             }
@@ -242,55 +249,57 @@
         let (code, span) = (fields.u8()?, span(fields)?);
         Ok(match code {
             0 => Order::Prepare { span, epoch: fields.u64()? },
-            1 => Order::Follow { span },
-            2 => Order::Fetch { span, copied: fields.option(|fields| Ok((fields.u64()?, fields.u64()?)))? },
+            1 => Order::TrackChanges { span },
+            2 => {
+                Order::FetchNext { span, copied: fields.option(|fields| Ok((fields.u64()?, fields.u64()?)))? }
+            }
             3 => Order::Put { span, epoch: fields.u64()?, content: content(fields)? },
-            4 => Order::Raise { span, epoch: fields.u64()? },
-            5 => Order::Marks { span },
-            6 => Order::Mark { span, epoch: fields.u64()?, marks: marks(fields)? },
-            7 => Order::Seal { span, epoch: fields.u64()? },
-            8 => Order::Open { span, epoch: fields.u64()? },
+            4 => Order::Fence { span, epoch: fields.u64()? },
+            5 => Order::FetchExecuted { span },
+            6 => Order::RecordExecuted { span, epoch: fields.u64()?, marks: marks(fields)? },
+            7 => Order::Sync { span, epoch: fields.u64()? },
+            8 => Order::Activate { span, epoch: fields.u64()? },
             9 => Order::Clear { span, epoch: fields.u64()? },
-            10 => Order::Leave { span },
-            11 => Order::Reopen { span, epoch: fields.u64()? },
+            10 => Order::StopTracking { span },
+            11 => Order::Reactivate { span, epoch: fields.u64()? },
             other => return Err(fields.bad("order", other.into())),
         })
     }
 }
 
-impl Reply {
+impl OrderReply {
     pub(crate) fn put(&self, out: &mut BytesMut) {
         match self {
-            Reply::Done => out.put_u8(0),
-            Reply::Left(count) => {
+            OrderReply::Done => out.put_u8(0),
+            OrderReply::ExtentsLeft(count) => {
                 out.put_u8(1);
                 out.put_u64(*count);
             }
-            Reply::Next(content) => {
+            OrderReply::NextExtent(content) => {
                 out.put_u8(2);
                 out.put_u8(content.is_some().into());
                 content.iter().for_each(|content| put_content(out, content));
             }
-            Reply::Marks(marks) => {
+            OrderReply::ExecutedOps(marks) => {
                 out.put_u8(3);
                 put_marks(out, marks);
             }
-            Reply::OldTerm(term) => {
+            OrderReply::StaleTerm(term) => {
                 out.put_u8(4);
                 out.put_u64(*term);
             }
-            Reply::Unfit => out.put_u8(5),
+            OrderReply::WrongState => out.put_u8(5),
         }
     }
 
-    pub(crate) fn read(fields: &mut Reader) -> Result<Reply, Malformed> {
+    pub(crate) fn read(fields: &mut Reader) -> Result<OrderReply, Malformed> {
         Ok(match fields.u8()? {
-            0 => Reply::Done,
-            1 => Reply::Left(fields.u64()?),
-            2 => Reply::Next(fields.option(content)?),
-            3 => Reply::Marks(marks(fields)?),
-            4 => Reply::OldTerm(fields.u64()?),
-            5 => Reply::Unfit,
+            0 => OrderReply::Done,
+            1 => OrderReply::ExtentsLeft(fields.u64()?),
+            2 => OrderReply::NextExtent(fields.option(content)?),
+            3 => OrderReply::ExecutedOps(marks(fields)?),
+            4 => OrderReply::StaleTerm(fields.u64()?),
+            5 => OrderReply::WrongState,
             other => return Err(fields.bad("reply", other.into())),
         })
     }
--- a/crates/store-protocol/src/store.rs
+++ b/crates/store-protocol/src/store.rs
@@ -2,12 +2,12 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-use crate::orders::{Order, Reply};
+use crate::orders::{Order, OrderReply};
 use crate::{MAGIC, Malformed, Message, Reader, VERSION, put_text};
 
 /// What a dispatch asks of an extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Work {
+pub enum OperationKind {
     Read,
     Write,
     /// The range reads as zeros from now on.
@@ -20,16 +20,23 @@
     Status,
 }
 
-impl Work {
-    const ALL: [Work; 6] = [Work::Read, Work::Write, Work::Zero, Work::Trim, Work::Flush, Work::Status];
+impl OperationKind {
+    const ALL: [OperationKind; 6] = [
+        OperationKind::Read,
+        OperationKind::Write,
+        OperationKind::Zero,
+        OperationKind::Trim,
+        OperationKind::Flush,
+        OperationKind::Status,
+    ];
 
     pub fn writes(self) -> bool {
-        matches!(self, Work::Write | Work::Zero | Work::Trim)
+        matches!(self, OperationKind::Write | OperationKind::Zero | OperationKind::Trim)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dispatch {
+pub struct Attempt {
     /// Counts up within a gateway's run and is never used twice in it.
     pub number: u64,
     /// The op's mark, the same in all its dispatches and in no other op's of this gateway's run: by it a store knows a
@@ -39,7 +46,7 @@
     pub extent: u64,
     /// How often the extent's range has moved, as far as the gateway knows. A flush, which is about no range, has 0.
     pub epoch: u64,
-    pub work: Work,
+    pub kind: OperationKind,
     /// Bytes within the extent.
     pub offset: u32,
     pub length: u32,
@@ -47,7 +54,7 @@
     /// The fence in time: on its own clock (microseconds) the store neither begins nor applies it after this.
     pub not_after: u64,
     /// The fence in order: earlier dispatches of this gateway's run that must have no effect from now on.
-    pub voids: Vec<u64>,
+    pub supersedes: Vec<u64>,
     /// Safe on the medium before the answer.
     pub durable: bool,
     /// A write's data, `length` bytes.
@@ -60,11 +67,11 @@
     Hello {
         run: u64,
     },
-    Dispatch(Dispatch),
+    Attempt(Attempt),
     Cancel {
         number: u64,
     },
-    Probe {
+    HealthCheck {
         token: u64,
     },
     /// A keeper's, for the move of this number: refused where the store has heard of a later term.
@@ -78,49 +85,56 @@
 
 /// What became of a dispatch, by the store's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
-    Acked,
+pub enum ResultCode {
+    Succeeded,
     /// It failed; it may have run.
-    Error,
+    Failed,
     /// Turned away unseen: the queue is full or the store drains.
-    Full,
+    Rejected,
     /// Fenced off: its time is up or a later dispatch has voided it. It has not run and will not.
     Fenced,
     Cancelled,
     /// This store does not hold the extent. It has not run.
-    Elsewhere,
+    NotHere,
     /// The range has moved since, see the answer's epoch. It has not run and will not.
-    Stale,
+    StaleEpoch,
 }
 
-impl Code {
-    const ALL: [Code; 7] =
-        [Code::Acked, Code::Error, Code::Full, Code::Fenced, Code::Cancelled, Code::Elsewhere, Code::Stale];
+impl ResultCode {
+    const ALL: [ResultCode; 7] = [
+        ResultCode::Succeeded,
+        ResultCode::Failed,
+        ResultCode::Rejected,
+        ResultCode::Fenced,
+        ResultCode::Cancelled,
+        ResultCode::NotHere,
+        ResultCode::StaleEpoch,
+    ];
 }
 
 /// A part of an extent that holds data, or holds none and reads as zeros.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stretch {
+pub struct DataRange {
     pub length: u32,
-    pub data: bool,
+    pub has_data: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     pub number: u64,
     /// A code that this version does not know is `Err`.
-    pub code: Result<Code, u8>,
+    pub code: Result<ResultCode, u8>,
     /// The store's clock, in microseconds.
     pub clock: u64,
     /// Of a stale dispatch: the map has, or will have, this epoch for the range, or a higher.
     pub epoch: u64,
     /// The volume's service everywhere in a finished period, as a ratio to its plan's rate.
-    pub used: Option<f64>,
+    pub plan_rate_used: Option<f64>,
     /// Units served for the volume through other gateways since the last answer here.
-    pub elsewhere: f64,
-    pub report: Vec<(String, f64)>,
+    pub units_elsewhere: f64,
+    pub load_report: Vec<(String, f64)>,
     /// For `Work::Status`: the range asked about, in order.
-    pub stretches: Vec<Stretch>,
+    pub data_ranges: Vec<DataRange>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -143,15 +157,15 @@
         offset: u32,
         length: u32,
     },
-    Answer(Answer),
-    Probed {
+    AttemptResult(AttemptResult),
+    Healthy {
         token: u64,
         clock: u64,
-        report: Vec<(String, f64)>,
+        load_report: Vec<(String, f64)>,
     },
-    Ordered {
+    OrderReply {
         token: u64,
-        reply: Reply,
+        reply: OrderReply,
     },
 }
 
@@ -171,15 +185,15 @@
     fn kind(&self) -> u8 {
         match self {
             ToStore::Hello { .. } => 1,
-            ToStore::Dispatch(_) => 2,
+            ToStore::Attempt(_) => 2,
             ToStore::Cancel { .. } => 3,
-            ToStore::Probe { .. } => 4,
+            ToStore::HealthCheck { .. } => 4,
             ToStore::Order { .. } => 5,
         }
     }
 
-    fn tail(&self) -> Option<&Bytes> {
-        let ToStore::Dispatch(dispatch) = self else { return None };
+    fn payload(&self) -> Option<&Bytes> {
+        let ToStore::Attempt(dispatch) = self else { return None };
         Some(&dispatch.data)
     }
 
@@ -190,23 +204,25 @@
                 out.put_u16(VERSION);
                 out.put_u64(*run);
             }
-            ToStore::Dispatch(dispatch) => {
+            ToStore::Attempt(dispatch) => {
                 out.put_u64(dispatch.number);
                 out.put_u64(dispatch.op);
                 out.put_u64(dispatch.volume);
                 out.put_u64(dispatch.extent);
                 out.put_u64(dispatch.epoch);
-                out.put_u8(Work::ALL.iter().position(|work| *work == dispatch.work).unwrap_or(0) as u8);
+                out.put_u8(
+                    OperationKind::ALL.iter().position(|work| *work == dispatch.kind).unwrap_or(0) as u8
+                );
                 out.put_u32(dispatch.offset);
                 out.put_u32(dispatch.length);
                 out.put_f64(dispatch.units);
                 out.put_u64(dispatch.not_after);
-                out.put_u16(dispatch.voids.len() as u16);
-                dispatch.voids.iter().for_each(|number| out.put_u64(*number));
+                out.put_u16(dispatch.supersedes.len() as u16);
+                dispatch.supersedes.iter().for_each(|number| out.put_u64(*number));
                 out.put_u8(dispatch.durable.into());
             }
             ToStore::Cancel { number } => out.put_u64(*number),
-            ToStore::Probe { token } => out.put_u64(*token),
+            ToStore::HealthCheck { token } => out.put_u64(*token),
             ToStore::Order { token, term, number, order } => {
                 [token, term, number].into_iter().for_each(|field| out.put_u64(*field));
                 order.put(out);
@@ -220,9 +236,9 @@
                 fields.opening()?;
                 ToStore::Hello { run: fields.u64()? }
             }
-            2 => ToStore::Dispatch(dispatch(fields)?),
+            2 => ToStore::Attempt(dispatch(fields)?),
             3 => ToStore::Cancel { number: fields.u64()? },
-            4 => ToStore::Probe { token: fields.u64()? },
+            4 => ToStore::HealthCheck { token: fields.u64()? },
             5 => ToStore::Order {
                 token: fields.u64()?,
                 term: fields.u64()?,
@@ -234,22 +250,22 @@
     }
 }
 
-fn dispatch(fields: &mut Reader) -> Result<Dispatch, Malformed> {
+fn dispatch(fields: &mut Reader) -> Result<Attempt, Malformed> {
     let (number, op, volume, extent) = (fields.u64()?, fields.u64()?, fields.u64()?, fields.u64()?);
     let epoch = fields.u64()?;
     let work = fields.u8()?;
-    let work = *Work::ALL.get(usize::from(work)).ok_or_else(|| fields.bad("work", work.into()))?;
+    let work = *OperationKind::ALL.get(usize::from(work)).ok_or_else(|| fields.bad("work", work.into()))?;
     let (offset, length, units) = (fields.u32()?, fields.u32()?, fields.amount("units")?);
     let (not_after, voids) = (fields.u64()?, fields.list(Reader::u64)?);
     let durable = fields.u8()? != 0;
     let data = fields.rest();
-    let wanted = if work == Work::Write { length as usize } else { 0 };
+    let wanted = if work == OperationKind::Write { length as usize } else { 0 };
     if data.len() != wanted || offset.checked_add(length).is_none() {
         return Err(fields.bad("length", length.into()));
     }
     #[rustfmt::skip]
-    let whole = Dispatch {
-        number, op, volume, extent, epoch, work, offset, length, units, not_after, voids, durable, data,
+    let whole = Attempt {
+        number, op, volume, extent, epoch, kind: work, offset, length, units, not_after, supersedes: voids, durable, data,
     };
     Ok(whole)
 }
@@ -260,13 +276,13 @@
             FromStore::Welcome { .. } => 65,
             FromStore::Data { .. } => 66,
             FromStore::Hole { .. } => 67,
-            FromStore::Answer(_) => 68,
-            FromStore::Probed { .. } => 69,
-            FromStore::Ordered { .. } => 70,
+            FromStore::AttemptResult(_) => 68,
+            FromStore::Healthy { .. } => 69,
+            FromStore::OrderReply { .. } => 70,
         }
     }
 
-    fn tail(&self) -> Option<&Bytes> {
+    fn payload(&self) -> Option<&Bytes> {
         let FromStore::Data { data, .. } = self else { return None };
         Some(data)
     }
@@ -289,13 +305,13 @@
                 out.put_u32(*offset);
                 out.put_u32(*length);
             }
-            FromStore::Answer(answer) => put_answer(out, answer),
-            FromStore::Probed { token, clock, report } => {
+            FromStore::AttemptResult(answer) => put_answer(out, answer),
+            FromStore::Healthy { token, clock, load_report: report } => {
                 out.put_u64(*token);
                 out.put_u64(*clock);
                 put_report(out, report);
             }
-            FromStore::Ordered { token, reply } => {
+            FromStore::OrderReply { token, reply } => {
                 out.put_u64(*token);
                 reply.put(out);
             }
@@ -310,43 +326,48 @@
             }
             66 => FromStore::Data { number: fields.u64()?, offset: fields.u32()?, data: fields.rest() },
             67 => FromStore::Hole { number: fields.u64()?, offset: fields.u32()?, length: fields.u32()? },
-            68 => FromStore::Answer(answer(fields)?),
-            70 => FromStore::Ordered { token: fields.u64()?, reply: Reply::read(fields)? },
-            69 => FromStore::Probed { token: fields.u64()?, clock: fields.u64()?, report: report(fields)? },
+            68 => FromStore::AttemptResult(answer(fields)?),
+            70 => FromStore::OrderReply { token: fields.u64()?, reply: OrderReply::read(fields)? },
+            69 => FromStore::Healthy {
+                token: fields.u64()?,
+                clock: fields.u64()?,
+                load_report: report(fields)?,
+            },
             _ => return Err(fields.unknown()),
         })
     }
 }
 
-fn put_answer(out: &mut BytesMut, answer: &Answer) {
+fn put_answer(out: &mut BytesMut, answer: &AttemptResult) {
     out.put_u64(answer.number);
     out.put_u8(match answer.code {
-        Ok(code) => Code::ALL.iter().position(|known| *known == code).unwrap_or(0) as u8,
+        Ok(code) => ResultCode::ALL.iter().position(|known| *known == code).unwrap_or(0) as u8,
         Err(unknown) => unknown,
     });
     out.put_u64(answer.clock);
     out.put_u64(answer.epoch);
-    out.put_u8(answer.used.is_some().into());
-    answer.used.iter().for_each(|used| out.put_f64(*used));
-    out.put_f64(answer.elsewhere);
-    put_report(out, &answer.report);
-    out.put_u16(answer.stretches.len() as u16);
-    for stretch in &answer.stretches {
+    out.put_u8(answer.plan_rate_used.is_some().into());
+    answer.plan_rate_used.iter().for_each(|used| out.put_f64(*used));
+    out.put_f64(answer.units_elsewhere);
+    put_report(out, &answer.load_report);
+    out.put_u16(answer.data_ranges.len() as u16);
+    for stretch in &answer.data_ranges {
         out.put_u32(stretch.length);
-        out.put_u8(stretch.data.into());
+        out.put_u8(stretch.has_data.into());
     }
 }
 
-fn answer(fields: &mut Reader) -> Result<Answer, Malformed> {
+fn answer(fields: &mut Reader) -> Result<AttemptResult, Malformed> {
     let (number, code) = (fields.u64()?, fields.u8()?);
-    Ok(Answer {
+    Ok(AttemptResult {
         number,
-        code: Code::ALL.get(usize::from(code)).copied().ok_or(code),
+        code: ResultCode::ALL.get(usize::from(code)).copied().ok_or(code),
         clock: fields.u64()?,
         epoch: fields.u64()?,
-        used: fields.option(|fields| fields.amount("used"))?,
-        elsewhere: fields.amount("elsewhere")?,
-        report: report(fields)?,
-        stretches: fields.list(|fields| Ok(Stretch { length: fields.u32()?, data: fields.u8()? != 0 }))?,
+        plan_rate_used: fields.option(|fields| fields.amount("used"))?,
+        units_elsewhere: fields.amount("elsewhere")?,
+        load_report: report(fields)?,
+        data_ranges: fields
+            .list(|fields| Ok(DataRange { length: fields.u32()?, has_data: fields.u8()? != 0 }))?,
     })
 }
--- a/crates/store-protocol/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -4,19 +4,35 @@
 
 use bytes::{Bytes, BytesMut};
 use umbertray_store_protocol::changes::{
-    Behind, Checkpoint, FromUpstream, Level, Position, Role, Status, Sums, ToUpstream, Why,
+    Checkpoint, FromUpstream, LaggingMember, Position, ProgressSummary, RefusalReason, Role, Status,
+    ToUpstream, VersionCount,
+};
+use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
+use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use umbertray_store_protocol::store::{
+    Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
-use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_protocol::orders::{Content, Mark, Order, PAGE, Reply, Span};
-use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, Stretch, ToStore, Work};
 use umbertray_store_protocol::{Message, next_frame, volume_id};
 
 const RECORDED: &str = include_str!("golden/frames.txt");
-const SPAN: Span = Span { volume: 1, from: 2, to: 9 };
-const MARK: Mark = Mark { run: 1, op: 2, extent: 3, kept: 4 };
-const CODES: [Code; 7] =
-    [Code::Acked, Code::Error, Code::Full, Code::Fenced, Code::Cancelled, Code::Elsewhere, Code::Stale];
-const REFUSALS: [Why; 5] = [Why::Fork, Why::Loop, Why::Ahead, Why::Nonsense, Why::Full];
+const SPAN: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
+const MARK: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
+const CODES: [ResultCode; 7] = [
+    ResultCode::Succeeded,
+    ResultCode::Failed,
+    ResultCode::Rejected,
+    ResultCode::Fenced,
+    ResultCode::Cancelled,
+    ResultCode::NotHere,
+    ResultCode::StaleEpoch,
+];
+const REFUSALS: [RefusalReason; 5] = [
+    RefusalReason::Fork,
+    RefusalReason::Loop,
+    RefusalReason::Ahead,
+    RefusalReason::ProtocolViolation,
+    RefusalReason::TooManyFollowers,
+];
 const AT: Position = Position { version: 7, hash: [5; 32] };
 
 #[derive(Default)]
@@ -35,65 +51,71 @@
     }
 }
 
-fn dispatch(work: Work, data: &'static [u8]) -> ToStore {
-    ToStore::Dispatch(Dispatch {
+fn dispatch(work: OperationKind, data: &'static [u8]) -> ToStore {
+    ToStore::Attempt(Attempt {
         number: 1,
         op: 2,
         volume: 3,
         extent: 4,
         epoch: 5,
-        work,
+        kind: work,
         offset: 5,
         length: 3,
         units: 1.5,
         not_after: 6,
-        voids: vec![7],
+        supersedes: vec![7],
         durable: true,
         data: Bytes::from_static(data),
     })
 }
 
-fn content(pages: Vec<(u32, Bytes)>) -> Content {
-    Content { extent: 3, stamp: 4, pages }
+fn content(pages: Vec<(u32, Bytes)>) -> ExtentContent {
+    ExtentContent { extent: 3, change_count: 4, pages }
 }
 
 fn orders() -> [Order; 12] {
     let (span, epoch) = (SPAN, 6);
     [
         Order::Prepare { span, epoch },
-        Order::Follow { span },
-        Order::Fetch { span, copied: Some((3, 4)) },
+        Order::TrackChanges { span },
+        Order::FetchNext { span, copied: Some((3, 4)) },
         Order::Put { span, epoch, content: content(vec![(7, Bytes::from(vec![1; PAGE]))]) },
-        Order::Raise { span, epoch },
-        Order::Marks { span },
-        Order::Mark { span, epoch, marks: vec![MARK] },
-        Order::Seal { span, epoch },
-        Order::Open { span, epoch },
-        Order::Reopen { span, epoch },
+        Order::Fence { span, epoch },
+        Order::FetchExecuted { span },
+        Order::RecordExecuted { span, epoch, marks: vec![MARK] },
+        Order::Sync { span, epoch },
+        Order::Activate { span, epoch },
+        Order::Reactivate { span, epoch },
         Order::Clear { span, epoch },
-        Order::Leave { span },
+        Order::StopTracking { span },
     ]
 }
 
 fn store_frames(transcript: &mut Transcript) {
-    let works = [Work::Read, Work::Zero, Work::Trim, Work::Flush, Work::Status];
-    let mut to_store = vec![ToStore::Hello { run: 9 }, dispatch(Work::Write, b"abc")];
+    let works = [
+        OperationKind::Read,
+        OperationKind::Zero,
+        OperationKind::Trim,
+        OperationKind::Flush,
+        OperationKind::Status,
+    ];
+    let mut to_store = vec![ToStore::Hello { run: 9 }, dispatch(OperationKind::Write, b"abc")];
     to_store.extend(works.map(|work| dispatch(work, b"")));
-    to_store.extend([ToStore::Cancel { number: 8 }, ToStore::Probe { token: 7 }]);
+    to_store.extend([ToStore::Cancel { number: 8 }, ToStore::HealthCheck { token: 7 }]);
     to_store.extend(orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
     transcript.frames("to store", &to_store);
 
     let report = vec![("queue".to_string(), 2.5)];
     let answer = |code| {
-        FromStore::Answer(Answer {
+        FromStore::AttemptResult(AttemptResult {
             number: 1,
             code,
             clock: 2,
             epoch: 5,
-            used: Some(0.5),
-            elsewhere: 3.0,
-            report: report.clone(),
-            stretches: vec![Stretch { length: 4, data: true }],
+            plan_rate_used: Some(0.5),
+            units_elsewhere: 3.0,
+            load_report: report.clone(),
+            data_ranges: vec![DataRange { length: 4, has_data: true }],
         })
     };
     let mut from_store = vec![
@@ -101,19 +123,19 @@
         FromStore::Data { number: 1, offset: 2, data: Bytes::from_static(b"xyz") },
         FromStore::Hole { number: 1, offset: 2, length: 3 },
         answer(Err(200)),
-        FromStore::Probed { token: 1, clock: 2, report: report.clone() },
+        FromStore::Healthy { token: 1, clock: 2, load_report: report.clone() },
     ];
     from_store.extend(CODES.map(|code| answer(Ok(code))));
     let replies = [
-        Reply::Done,
-        Reply::Left(2),
-        Reply::Next(None),
-        Reply::Next(Some(content(vec![]))),
-        Reply::Marks(vec![MARK]),
-        Reply::OldTerm(9),
-        Reply::Unfit,
+        OrderReply::Done,
+        OrderReply::ExtentsLeft(2),
+        OrderReply::NextExtent(None),
+        OrderReply::NextExtent(Some(content(vec![]))),
+        OrderReply::ExecutedOps(vec![MARK]),
+        OrderReply::StaleTerm(9),
+        OrderReply::WrongState,
     ];
-    from_store.extend(replies.map(|reply| FromStore::Ordered { token: 1, reply }));
+    from_store.extend(replies.map(|reply| FromStore::OrderReply { token: 1, reply }));
     transcript.frames("from store", &from_store);
 }
 
@@ -122,22 +144,22 @@
         "to list",
         &[
             ToList::Hello { run: 1 },
-            ToList::Subscribe,
+            ToList::Watch,
             ToList::Fetch,
-            ToList::Lookup { token: 1, volume: 2, extent: 3, least: 4 },
-            ToList::Move { token: 1, span: Span { volume: 2, from: 3, to: 4 }, shard: 5 },
-            ToList::Moving { token: 1, number: 2, give_up: true },
+            ToList::Lookup { token: 1, volume: 2, extent: 3, min_epoch: 4 },
+            ToList::Move { token: 1, span: ExtentRange { volume: 2, start: 3, end: 4 }, shard: 5 },
+            ToList::MoveStatus { token: 1, number: 2, abandon: true },
             ToList::Claim { token: 1, volume: 2, extent: 3, shard: 4 },
             ToList::Shards { token: 1, volume: 2 },
         ],
     );
-    let entry = |address: &str, state, age| Entry {
+    let entry = |address: &str, state, age| ListedStore {
         store: 1,
         address: address.parse().expect("an address"),
         shard: 2,
         zone: 3,
         state,
-        start: 4,
+        incarnation: 4,
         age,
     };
     transcript.frames(
@@ -145,25 +167,26 @@
         &[
             FromList::Welcome { term: 3 },
             FromList::Full(vec![
-                entry("127.0.0.1:80", State::Ready, None),
-                entry("[::1]:81", State::Draining, Some(5)),
+                entry("127.0.0.1:80", EndpointState::Ready, None),
+                entry("[::1]:81", EndpointState::Draining, Some(5)),
             ]),
-            FromList::Changes(vec![entry("127.0.0.1:80", State::Gone, Some(5))]),
+            FromList::Changes(vec![entry("127.0.0.1:80", EndpointState::Gone, Some(5))]),
             FromList::Failed,
-            FromList::Place { token: 1, place: Some(Place { shard: 2, epoch: 3 }) },
-            FromList::Place { token: 1, place: None },
+            FromList::Location { token: 1, place: Some(Location { shard: 2, epoch: 3 }) },
+            FromList::Location { token: 1, place: None },
             FromList::Shards { token: 1, shards: vec![1, 2] },
             FromList::Move { token: 1, number: Ok(2) },
             FromList::Move { token: 1, number: Err("why".into()) },
-            FromList::Moving { token: 1, state: "over".into(), over: true },
+            FromList::MoveStatus { token: 1, state: "over".into(), over: true },
         ],
     );
 }
 
 fn change_frames(transcript: &mut Transcript) {
     let name = || "relay-1".to_string();
-    let behind = Behind { name: name(), version: 6, since: 5 };
-    let sums = Sums { levels: vec![Level { version: 7, members: 3 }], behind: vec![behind] };
+    let behind = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
+    let sums =
+        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![behind] };
     let hello = |role| ToUpstream::Hello { name: name(), zone: "a".into(), role };
     transcript.frames(
         "to upstream",
@@ -171,11 +194,11 @@
             hello(Role::Gateway),
             hello(Role::Relay),
             ToUpstream::Follow { after: AT },
-            ToUpstream::Ask { version: 3 },
+            ToUpstream::QueryHash { version: 3 },
             ToUpstream::Fetch { version: 7, offset: 65536 },
-            ToUpstream::Taken { bytes: 9 },
-            ToUpstream::Acted(sums.clone()),
-            ToUpstream::Ping,
+            ToUpstream::WindowUpdate { bytes: 9 },
+            ToUpstream::Progress(sums.clone()),
+            ToUpstream::Heartbeat,
             ToUpstream::Status,
         ],
     );
@@ -184,23 +207,23 @@
     let mut from_upstream = vec![
         FromUpstream::Hello { name: name(), path: vec!["top".into(), name()] },
         FromUpstream::Path(vec![name()]),
-        FromUpstream::At { head: AT, from: 3, checkpoint: Some(checkpoint) },
-        FromUpstream::At { head: Position::START, from: 0, checkpoint: None },
-        FromUpstream::Had { at: AT },
+        FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint) },
+        FromUpstream::Head { head: Position::START, oldest_version: 0, checkpoint: None },
+        FromUpstream::HashAt { at: AT },
         FromUpstream::Entry { at: AT, length: 9, offset: 2, part: part.clone() },
-        FromUpstream::Part { version: 7, offset: 3, part },
-        FromUpstream::Later { after: std::time::Duration::from_millis(1500) },
-        FromUpstream::Same,
+        FromUpstream::CheckpointPart { version: 7, offset: 3, part },
+        FromUpstream::RetryAfter { after: std::time::Duration::from_millis(1500) },
+        FromUpstream::Heartbeat,
         FromUpstream::Status(Status {
             name: name(),
             head: AT,
             path: vec![name()],
             followers: 2,
-            held: 3,
-            sums,
+            held_bytes: 3,
+            progress: sums,
         }),
     ];
-    from_upstream.extend(REFUSALS.map(|why| FromUpstream::Refused { why }));
+    from_upstream.extend(REFUSALS.map(|why| FromUpstream::Refused { reason: why }));
     transcript.frames("from upstream", &from_upstream);
 }
 
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -2,8 +2,10 @@
 
 use bytes::Bytes;
 use umbertray_store_protocol::Message;
-use umbertray_store_protocol::list::{Entry, FromList, Place, State, ToList};
-use umbertray_store_protocol::store::{Answer, Code, Dispatch, FromStore, ToStore, Work};
+use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
+use umbertray_store_protocol::store::{
+    Attempt, AttemptResult, FromStore, OperationKind, ResultCode, ToStore,
+};
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
@@ -15,40 +17,40 @@
 }
 
 /// A store at an address as long as private networks mostly have.
-fn entry(store: u64, age: Option<u64>) -> Entry {
+fn entry(store: u64, age: Option<u64>) -> ListedStore {
     let address = format!("10.{}.{}.10:7000", 100 + store / 250 % 100, 100 + store % 100);
     let address = address.parse().expect("an address");
-    Entry {
+    ListedStore {
         store,
         address,
         shard: store as u32,
         zone: (store % 6) as u32,
-        state: State::Ready,
-        start: 3,
+        state: EndpointState::Ready,
+        incarnation: 3,
         age,
     }
 }
 
-fn dispatch(work: Work, data: Bytes) -> ToStore {
+fn dispatch(work: OperationKind, data: Bytes) -> ToStore {
     let (number, op, volume, extent, epoch) = (1, 2, 3, 4, 0);
     let (offset, length, units, not_after, voids) = (0, 4096, 1.0, 9, Vec::new());
     let durable = false;
-    let fields = Dispatch {
+    let fields = Attempt {
         number,
         op,
         volume,
         extent,
         epoch,
-        work,
+        kind: work,
         offset,
         length,
         units,
         not_after,
-        voids,
+        supersedes: voids,
         durable,
         data,
     };
-    ToStore::Dispatch(fields)
+    ToStore::Attempt(fields)
 }
 
 #[test]
@@ -65,10 +67,10 @@
 #[test]
 fn questions_of_the_map_have_the_bytes_that_the_page_counts_with() {
     let (token, volume, extent) = (1, 2, 3);
-    let place = Some(Place { shard: 4, epoch: 5 });
-    assert_eq!(ToList::Lookup { token, volume, extent, least: 0 }.frame().len(), page("lookup"));
+    let place = Some(Location { shard: 4, epoch: 5 });
+    assert_eq!(ToList::Lookup { token, volume, extent, min_epoch: 0 }.frame().len(), page("lookup"));
     assert_eq!(ToList::Claim { token, volume, extent, shard: 4 }.frame().len(), page("claim"));
-    assert_eq!(FromList::Place { token, place }.frame().len(), page("place"));
+    assert_eq!(FromList::Location { token, place }.frame().len(), page("place"));
     assert_eq!(ToList::Hello { run: 1 }.frame().len(), page("hello"));
     assert_eq!(FromList::Welcome { term: 1 }.frame().len(), page("welcome of list or keeper"));
 }
@@ -78,21 +80,21 @@
     let clock = 1;
     assert_eq!(ToStore::Hello { run: 1 }.frame().len(), page("hello"));
     assert_eq!(FromStore::Welcome { store: 1, shard: 2, clock }.frame().len(), page("welcome of a store"));
-    assert_eq!(ToStore::Probe { token: 0 }.frame().len(), page("sign of life, asked"));
-    let probed = FromStore::Probed { token: 0, clock, report: Vec::new() };
+    assert_eq!(ToStore::HealthCheck { token: 0 }.frame().len(), page("sign of life, asked"));
+    let probed = FromStore::Healthy { token: 0, clock, load_report: Vec::new() };
     assert_eq!(probed.frame().len(), page("sign of life, told, without a report"));
-    assert_eq!(dispatch(Work::Read, Bytes::new()).frame().len(), page("dispatch without its data"));
+    assert_eq!(dispatch(OperationKind::Read, Bytes::new()).frame().len(), page("dispatch without its data"));
     let data = Bytes::from(vec![0; 4096]);
-    assert_eq!(dispatch(Work::Write, data).frame().len(), page("dispatch without its data") + 4096);
-    let answer = Answer {
+    assert_eq!(dispatch(OperationKind::Write, data).frame().len(), page("dispatch without its data") + 4096);
+    let answer = AttemptResult {
         number: 1,
-        code: Ok(Code::Acked),
+        code: Ok(ResultCode::Succeeded),
         clock,
         epoch: 0,
-        used: Some(0.5),
-        elsewhere: 0.0,
-        report: Vec::new(),
-        stretches: Vec::new(),
+        plan_rate_used: Some(0.5),
+        units_elsewhere: 0.0,
+        load_report: Vec::new(),
+        data_ranges: Vec::new(),
     };
-    assert_eq!(FromStore::Answer(answer).frame().len(), page("answer without a report"));
+    assert_eq!(FromStore::AttemptResult(answer).frame().len(), page("answer without a report"));
 }
