--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -125,7 +125,7 @@
     ) -> Result<Option<Event>, Malformed> {
         Ok(Some(match record {
             Record::OpenInstance { seed, boot_info } => {
-                let settings = umbertray_setting_names::of_lines(boot_info);
+                let settings = umbertray_setting_names::from_lines(boot_info);
                 let fields = settings.get("telemetry.fields").map_or("", String::as_str);
                 self.fields = fields.split(',').filter(|name| !name.is_empty()).map(String::from).collect();
                 Event::Start { seed: *seed, settings }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn settings_take_our_words() {
-    let settings = umbertray_setting_names::of_lines(
+    let settings = umbertray_setting_names::from_lines(
         "profiles.0.promiseS=0.3\nprofiles.0.effect=single_shot\nbad line\ndiscovery=subscribe",
     );
     let pairs: Vec<_> = settings.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -6,9 +6,9 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use serde_json::json;
-use umbertray_config_log::change::{Change, Refused};
+use umbertray_config_log::change::{Change, ChangeRejected};
 use umbertray_config_log::guard::GUARDS;
-use umbertray_config_log::log::{self, GROWN, Log, LogError, Past};
+use umbertray_config_log::log::{self, CommittedChange, Log, LogError, SEGMENT_BYTES};
 use umbertray_config_log::model::Fields;
 use umbertray_config_log::{Configuration, Edit, Guard, Kind, Path, SettingsChange, Version};
 use umbertray_snapshot::Disk;
@@ -186,11 +186,11 @@
     }
 }
 
-impl From<Refused> for Failed {
-    fn from(refused: Refused) -> Failed {
+impl From<ChangeRejected> for Failed {
+    fn from(refused: ChangeRejected) -> Failed {
         let why = refused.to_string();
         match refused {
-            Refused::Conflict(met) => {
+            ChangeRejected::Conflict(met) => {
                 let line = |c: &umbertray_config_log::Conflict| {
                     let (place, version, actor) = (&c.place, c.version, &c.actor);
                     format!(
@@ -200,8 +200,8 @@
                 };
                 Failed::Conflict(format!("{why}\n{}", met.iter().map(line).collect::<Vec<_>>().join("\n")))
             }
-            Refused::Guarded(_) => Failed::Guarded(why),
-            Refused::Disk(_) => Failed::Disk(why),
+            ChangeRejected::Guarded(_) => Failed::Guarded(why),
+            ChangeRejected::Disk(_) => Failed::Disk(why),
             _ => Failed::Wrong(why),
         }
     }
@@ -261,14 +261,14 @@
             _ => format!("{}: {error}", folder.display()),
         })
     })?;
-    Ok(Log::open(Box::new(disk), GROWN)?)
+    Ok(Log::open(Box::new(disk), SEGMENT_BYTES)?)
 }
 
 fn newest(folder: &File) -> Result<u64, Failed> {
-    let disk = Disk::look(folder);
+    let disk = Disk::read_only(folder);
     let first = log::segments(&disk).map_err(LogError::from)?.last().copied();
     let first = first.ok_or_else(|| Failed::Wrong(format!("{}: there is no log", folder.display())))?;
-    Ok(log::read_segment(&disk, first)?.reader.safe)
+    Ok(log::read_segment(&disk, first)?.reader.synced_version)
 }
 
 fn version(folder: &File, number: Option<u64>) -> Result<Version, Failed> {
@@ -277,7 +277,7 @@
     if number == 0 || number > newest {
         return Err(Failed::Wrong(format!("there is no version {number}; they are 1 to {newest}")));
     }
-    Ok(log::version(&Disk::look(folder), number)?)
+    Ok(log::version(&Disk::read_only(folder), number)?)
 }
 
 /// The version of a number, or the last whose author's clock was not past a moment.
@@ -287,7 +287,7 @@
     }
     let moment = humantime::parse_rfc3339_weak(at)
         .map_err(|error| Failed::Wrong(format!("{at:?} is neither a version nor a moment: {error}")))?;
-    let past = log::history(&Disk::look(folder), 0)?;
+    let past = log::history(&Disk::read_only(folder), 0)?;
     let before = past.iter().filter(|past| UNIX_EPOCH + past.change.at() <= moment);
     let number = before.map(|past| past.version).max();
     number.ok_or_else(|| Failed::Wrong(format!("there was no version before {at}")))
@@ -378,8 +378,8 @@
 ) -> Result<(), Failed> {
     let committed = opened.commit(change(who, base, edits, allow))?;
     output::print_line(&match log.json {
-        true => json!({ "version": committed.version, "again": committed.again }).to_string(),
-        false if committed.again => format!("version {}, done before", committed.version),
+        true => json!({ "version": committed.version, "again": committed.was_committed_before }).to_string(),
+        false if committed.was_committed_before => format!("version {}, done before", committed.version),
         false => format!("version {}", committed.version),
     });
     Ok(())
@@ -407,7 +407,7 @@
 fn say_edit(log: &LogArguments, edit: &Edit, before: &Configuration, version: &Version) {
     let place = edit.path();
     let was = before.field(&place);
-    let volumes = (place.key.kind == Kind::Plan).then(|| version.members(&place.key.name));
+    let volumes = (place.key.kind == Kind::Plan).then(|| version.volume_count(&place.key.name));
     output::print_line(&match log.json {
         true => {
             json!({ "place": place.to_string(), "before": was, "after": edit.value(), "volumes": volumes })
@@ -431,7 +431,7 @@
     Ok(())
 }
 
-fn say_past(log: &LogArguments, past: &Past) {
+fn say_past(log: &LogArguments, past: &CommittedChange) {
     let (change, version) = (&past.change, past.version);
     let at = humantime::format_rfc3339_micros(UNIX_EPOCH + change.at()).to_string();
     if log.json {
@@ -451,7 +451,7 @@
 }
 
 fn list(log: &LogArguments, after: u64, verify: bool) -> Result<(), Failed> {
-    let disk = Disk::look(&log.changes);
+    let disk = Disk::read_only(&log.changes);
     newest(&log.changes)?;
     if verify {
         let whole = log::verify(&disk)?;
@@ -467,8 +467,8 @@
 
 fn blame(place: &Path, log: &LogArguments) -> Result<(), Failed> {
     newest(&log.changes)?;
-    let past = log::history(&Disk::look(&log.changes), 0)?;
-    let about = |past: &&Past| past.change.edits.iter().any(|edit| edit.path().meets(place));
+    let past = log::history(&Disk::read_only(&log.changes), 0)?;
+    let about = |past: &&CommittedChange| past.change.edits.iter().any(|edit| edit.path().meets(place));
     match past.iter().rev().find(about) {
         Some(past) => {
             say_past(log, past);
--- a/crates/cli/src/keeper.rs
+++ b/crates/cli/src/coordinator.rs
@@ -1,10 +1,10 @@
-//! `umbertray keeper`: the process that holds the map of where data lies, and what operators ask of it.
+//! `umbertray coordinator`: the process that holds the map of where data lies, and what operators ask of it.
 
 use std::path::PathBuf;
 use std::str::FromStr;
 use std::time::Duration;
 
-use umbertray_coordinator::{Options, Takeover, client};
+use umbertray_coordinator::{CoordinatorOptions, Takeover, client};
 use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
@@ -12,13 +12,13 @@
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// The keeper's script: keeper(listen = ..., list = ..., folder = ...).
+    /// The coordinator's script: keeper(listen = ..., list = ..., folder = ...).
     #[arg(long)]
     config: PathBuf,
-    /// Takes over from a keeper whose process stands still with the folder's lock.
+    /// Takes over from a coordinator whose process stands still with the folder's lock.
     #[arg(long)]
     take_over: bool,
-    /// Asks the keeper that listens there to move extents: VOLUME:FROM..TO=SHARD, without TO itself. Waits for the end.
+    /// Asks the coordinator that listens there to move extents: VOLUME:FROM..TO=SHARD, without TO itself. Waits for the end.
     #[arg(long, value_name = "MOVE", conflicts_with = "take_over")]
     r#move: Option<Wish>,
     /// Asks how far a move is.
@@ -61,12 +61,13 @@
 pub async fn run(arguments: Arguments) -> Result<(), String> {
     let name = arguments.config.display().to_string();
     let text = std::fs::read_to_string(&arguments.config).map_err(|error| format!("{name}: {error}"))?;
-    let keeper = umbertray_config::read_keeper(&name, text).map_err(|problems| serve::said(&problems))?;
-    let said = |error: client::AskError| error.to_string();
+    let keeper =
+        umbertray_config::read_coordinator(&name, text).map_err(|problems| serve::said(&problems))?;
+    let said = |error: client::RequestError| error.to_string();
     if let Some(Wish { span, shard }) = arguments.r#move {
-        let number = client::wish(keeper.listen, span, shard).await.map_err(said)?;
+        let number = client::request_move(keeper.listen, span, shard).await.map_err(said)?;
         loop {
-            let (state, over) = client::how_far(keeper.listen, number, false).await.map_err(said)?;
+            let (state, over) = client::move_status(keeper.listen, number, false).await.map_err(said)?;
             tell(number, &state, over);
             if over {
                 return Ok(());
@@ -75,13 +76,18 @@
         }
     }
     if let Some(number) = arguments.moving {
-        let (state, over) = client::how_far(keeper.listen, number, arguments.give_up).await.map_err(said)?;
+        let (state, over) =
+            client::move_status(keeper.listen, number, arguments.give_up).await.map_err(said)?;
         tell(number, &state, over);
         return Ok(());
     }
-    let takeover = if arguments.take_over { Takeover::FromStill } else { Takeover::No };
-    let options =
-        Options { listen: keeper.listen, list: keeper.list, folder: keeper.folder.into(), takeover };
+    let takeover = if arguments.take_over { Takeover::FromStalled } else { Takeover::Never };
+    let options = CoordinatorOptions {
+        listen: keeper.listen,
+        endpoint_list: keeper.endpoint_list,
+        folder: keeper.folder.into(),
+        takeover,
+    };
     let mut running = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
     let said = serde_json::json!({ "keeper": running.address.to_string(), "term": running.term });
     output::print_line(&said.to_string());
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,6 +1,6 @@
 //! `umbertray demo`: everything in one process, no file needed.
 
-use umbertray_config::Document;
+use umbertray_config::SettingsDocument;
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Power;
 
@@ -15,7 +15,7 @@
 }
 
 /// The settings that the demo and the measurements run on.
-pub fn document(gateways: u32) -> Result<Document, String> {
+pub fn document(gateways: u32) -> Result<SettingsDocument, String> {
     let script = include_str!("demo.star").to_string();
     let mut document = umbertray_config::read("demo.star", script)
         .map_err(|problems| problems.iter().map(|problem| format!("{problem}\n")).collect::<String>())?;
@@ -30,18 +30,18 @@
     let fleet = Fleet::start(arguments.stores, power, 1).await.map_err(|error| format!("stores: {error}"))?;
     // The demo's map is not to outlive it; what it is for is seen with `umbertray keeper`.
     let folder = std::env::temp_dir().join(format!("umbertray-demo-{}", std::process::id()));
-    let options = umbertray_coordinator::Options {
+    let options = umbertray_coordinator::CoordinatorOptions {
         listen: umbertray_fakes::fleet::any_port(),
-        list: fleet.list.address,
+        endpoint_list: fleet.list.address,
         folder: folder.clone(),
-        takeover: umbertray_coordinator::Takeover::No,
+        takeover: umbertray_coordinator::Takeover::Never,
     };
     let keeper = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
     let mut gateways = Vec::new();
     for seed in 0..arguments.gateways {
         let mut document = document.clone();
-        (document.list, document.seed) = (fleet.list.address, seed.into());
-        document.keeper = Some(keeper.address);
+        (document.endpoint_list, document.seed) = (fleet.list.address, seed.into());
+        document.coordinator = Some(keeper.address);
         gateways.push(serve::start(document, None).await?);
     }
     let addresses: Vec<String> =
--- a/crates/cli/src/stand_in.rs
+++ b/crates/cli/src/fake.rs
@@ -1,4 +1,4 @@
-//! `umbertray stand-in`: a scripted list or store in a process of its own.
+//! `umbertray fake`: a scripted list or store in a process of its own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/fault_test.rs
@@ -1,4 +1,4 @@
-//! `umbertray rehearse`: a scripted day through real gateways, and its verdict.
+//! `umbertray fault-test`: a scripted day through real gateways, and its verdict.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use umbertray_fault_tests::judge::Count;
-use umbertray_fault_tests::{Day, Record, Verdict, judge, rehearse};
+use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
 
 use crate::output;
 
@@ -35,14 +35,14 @@
     for seed in arguments.seed..arguments.seed + arguments.repeat {
         let folder = arguments.out.join(format!("seed-{seed}"));
         std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-        let record = rehearse(&day, seed, &program, &folder).await;
+        let record = run_scenario(&day, seed, &program, &folder).await;
         let record = record.map_err(|error| format!("seed {seed}: {error}"))?;
         let verdict = judge(&day, &record);
         keep(&folder, &day, &record, &verdict).map_err(|error| format!("{}: {error}", folder.display()))?;
         say(seed, &verdict);
         broken += u64::from(!verdict.kept);
         if !verdict.kept {
-            output::print_line(&format!("  again: umbertray rehearse {name} --seed {seed}"));
+            output::print_line(&format!("  again: umbertray fault-test {name} --seed {seed}"));
         }
     }
     if broken > 0 { Err(format!("{broken} of {} runs broke a rule", arguments.repeat)) } else { Ok(()) }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,18 +1,18 @@
 //! The program `umbertray`.
 
 mod config;
+mod coordinator;
 mod demo;
-mod keeper;
+mod fake;
+mod fault_test;
 mod measure;
 mod nbd;
 mod node;
 mod output;
-mod rehearse;
 mod relay;
 mod scale;
 mod serve;
 mod soak;
-mod stand_in;
 mod state;
 
 use std::process::ExitCode;
@@ -45,8 +45,9 @@
     Serve(serve::Arguments),
     /// Runs one gateway on the platform, over HTTP, until SIGTERM.
     Node(node::Arguments),
-    /// Runs the keeper of the map of where data lies, until SIGTERM or SIGINT.
-    Keeper(keeper::Arguments),
+    /// Runs the coordinator of the map of where data lies, until SIGTERM or SIGINT.
+    #[command(alias = "keeper")]
+    Coordinator(coordinator::Arguments),
     /// Runs a relay, which carries the log of changes to gateways and other relays, until SIGTERM or SIGINT.
     Relay(relay::Arguments),
     /// Runs gateways with stand-in stores and list on loopback; prints their addresses as one line of JSON.
@@ -58,10 +59,11 @@
     #[command(subcommand)]
     State(state::Command),
     /// Runs a scripted store or list, for trying a gateway by hand.
-    #[command(subcommand)]
-    StandIn(stand_in::Command),
+    #[command(subcommand, alias = "stand-in")]
+    Fake(fake::Command),
     /// Plays a scripted day through real gateways and judges it by what crossed the sockets.
-    Rehearse(rehearse::Arguments),
+    #[command(alias = "rehearse")]
+    FaultTest(fault_test::Arguments),
     /// Plays randomized faults, drawn from a seed, on processes of `umbertray node`, and judges what crossed the sockets.
     Soak(soak::Arguments),
     /// Measures the gateway against a pass-through of the same sockets and codecs, on loopback; a line of JSON a case.
@@ -92,14 +94,14 @@
     };
     let ended = match arguments.command {
         Command::Serve(arguments) => runtime.block_on(serve::run(arguments)),
-        Command::Keeper(arguments) => runtime.block_on(keeper::run(arguments)),
+        Command::Coordinator(arguments) => runtime.block_on(coordinator::run(arguments)),
         Command::Relay(arguments) => runtime.block_on(relay::run(arguments)),
         Command::Demo(arguments) => runtime.block_on(demo::run(arguments)),
         Command::Node(_) => Ok(()),
         Command::Config(command) => return config::run(command),
         Command::State(command) => state::run(command),
-        Command::StandIn(command) => runtime.block_on(stand_in::run(command)),
-        Command::Rehearse(arguments) => runtime.block_on(rehearse::run(arguments)),
+        Command::Fake(command) => runtime.block_on(fake::run(command)),
+        Command::FaultTest(arguments) => runtime.block_on(fault_test::run(arguments)),
         Command::Soak(arguments) => runtime.block_on(soak::run(arguments)),
         Command::Measure(arguments) => runtime.block_on(measure::run(arguments)),
         Command::Scale(arguments) => {
--- a/crates/cli/src/measure/changes.rs
+++ b/crates/cli/src/measure/changes.rs
@@ -7,14 +7,14 @@
 
 use hdrhistogram::Histogram;
 use serde_json::json;
-use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::model::Fields;
 use umbertray_config_log::{Change, Configuration, Edit, Follower, Guard, Key, Kind, Version};
 use umbertray_fakes::client::Connection;
 use umbertray_fakes::fleet::Fleet;
-use umbertray_nbd_gateway::{Changes, Clock, Options};
+use umbertray_nbd_gateway::{ChangeSource, Clock, GatewayOptions};
 use umbertray_routing::Core;
-use umbertray_snapshot::{Disk, Layer};
+use umbertray_snapshot::{Disk, Storage};
 use umbertray_store_protocol::store::OperationKind;
 
 use super::{Arguments, Figures, Side, Timed, figures, fill, settings, turn};
@@ -54,36 +54,37 @@
 }
 
 /// A log whose first version is the demo's with so many volumes more.
-fn begin(layer: Box<dyn Layer>, volumes: u64) -> Result<Log, String> {
+fn begin(layer: Box<dyn Storage>, volumes: u64) -> Result<Log, String> {
     let mut document = demo::document(1)?;
     settings(&mut document);
     let mut first = Configuration::of_calls(&document.calls());
     for n in 0..volumes {
         first.entities.insert(volume(format!("v{n}")), Arc::new(fields("basic")));
     }
-    let mut log = Log::open(layer, GROWN).map_err(failed)?;
+    let mut log = Log::open(layer, SEGMENT_BYTES).map_err(failed)?;
     let edits = log.head().configuration.diff(&first);
     log.commit(change("first".into(), 0, edits)).map_err(failed)?;
     Ok(log)
 }
 
-fn own() -> Result<umbertray_config::Document, String> {
+fn own() -> Result<umbertray_config::SettingsDocument, String> {
     let mut document = demo::document(1)?;
     settings(&mut document);
     Ok(document)
 }
 
 async fn following(fleet: &Fleet, folder: &Path) -> Result<Side, String> {
-    let follower = Follower::open(&Disk::look(folder), None).map_err(failed)?;
+    let follower = Follower::open(&Disk::read_only(folder), None).map_err(failed)?;
     let document = own()?;
-    let settings = Arc::new(follower.at.version.settings(&document.settings));
+    let settings = Arc::new(follower.replica.version.settings(&document.settings));
     let (clock, spent) = (Clock::start(), Arc::new(AtomicU64::new(0)));
     let host = Timed { host: Core::new(settings.clone(), 1, clock.now()), spent: spent.clone() };
-    let changes = Some(Changes::Folder { folder: folder.into(), follower: Box::new(follower), acted: None });
-    let options = Options {
+    let changes =
+        Some(ChangeSource::Folder { folder: folder.into(), follower: Box::new(follower), acted: None });
+    let options = GatewayOptions {
         listen: document.listen,
-        list: fleet.list.address,
-        keeper: None,
+        endpoint_list: fleet.list.address,
+        coordinator: None,
         seed: 1,
         state: None,
         changes,
@@ -150,7 +151,7 @@
 /// A disk that is never waited for: to make long logs, not to keep them.
 struct Unsynced(Disk);
 
-impl Layer for Unsynced {
+impl Storage for Unsynced {
     fn names(&self) -> std::io::Result<Vec<String>> {
         self.0.names()
     }
@@ -189,10 +190,10 @@
     let (committing, head) = (began.elapsed(), log.head().number);
     drop(log);
     let began = Instant::now();
-    let version = Follower::open(&Disk::look(folder), None).map_err(failed)?.at.version.number;
+    let version = Follower::open(&Disk::read_only(folder), None).map_err(failed)?.replica.version.number;
     let following = began.elapsed();
     let began = Instant::now();
-    drop(Log::open(Box::new(Disk::open(folder).map_err(failed)?), GROWN).map_err(failed)?);
+    drop(Log::open(Box::new(Disk::open(folder).map_err(failed)?), SEGMENT_BYTES).map_err(failed)?);
     let row = json!({
         "changes": changes, "volumes": VOLUMES, "newest": head, "followed_to": version,
         "us_a_commit_without_sync": committing.as_micros() as f64 / changes.max(1) as f64,
@@ -205,7 +206,7 @@
 /// Bytes that one more version costs while all are held, by what the process holds; so many that what was freed before
 /// does not hide them.
 fn memory() -> Result<(), String> {
-    let layer = umbertray_snapshot::sim::SimDisk::default();
+    let layer = umbertray_snapshot::sim::SimulatedDisk::default();
     let first = begin(Box::new(layer), VOLUMES)?;
     let mut versions: Vec<Version> = vec![first.head().clone()];
     let before = super::resident(std::process::id())?;
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -11,18 +11,18 @@
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use umbertray_config::Document;
+use umbertray_config::SettingsDocument;
 use umbertray_fakes::client::Connection;
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Power;
 use umbertray_fault_tests::run::Gateway;
 use umbertray_nbd::Command;
-use umbertray_nbd_gateway::{Clock, Options, Running};
+use umbertray_nbd_gateway::{Clock, GatewayOptions, RunningGateway};
 use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 use umbertray_routing::settings::Volume;
 use umbertray_routing::{Core, Input, Output, RequestHandler as _, Snapshot};
 use umbertray_snapshot::Disk;
-use umbertray_snapshot::folder::{Folder, GROWN, stamp};
+use umbertray_snapshot::folder::{FILE_BYTES, SnapshotStore, current_stamp};
 use umbertray_store_protocol::store::OperationKind;
 
 use crate::{demo, output};
@@ -52,7 +52,7 @@
 const BLOCKS: u64 = 4096;
 
 struct Side {
-    gateway: Running,
+    gateway: RunningGateway,
     spent: Arc<AtomicU64>,
 }
 
@@ -71,7 +71,7 @@
     Fleet::start(4, power, 1).await.map_err(|error| format!("stores: {error}"))
 }
 
-fn settings(document: &mut Document) {
+fn settings(document: &mut SettingsDocument) {
     document.settings.bounds.bytes = 256 << 20;
     // Plans as large as the stores, so that dues hold nothing back.
     document.settings.plans.iter_mut().for_each(|plan| (plan.rate, plan.reserve) = (1e6, 0.0));
@@ -82,10 +82,10 @@
     settings(&mut document);
     let (clock, spent) = (Clock::start(), Arc::new(AtomicU64::new(0)));
     let settings = Arc::new(document.settings);
-    let options = Options {
+    let options = GatewayOptions {
         listen: document.listen,
-        list: fleet.list.address,
-        keeper: None,
+        endpoint_list: fleet.list.address,
+        coordinator: None,
         seed: 1,
         state,
         changes: None,
@@ -323,11 +323,11 @@
     };
     let open = || {
         let disk = Box::new(Disk::open(folder).map_err(|error| failed(&error))?);
-        Folder::open(disk, 1, 1, stamp(), GROWN).map_err(|error| failed(&error))
+        SnapshotStore::open(disk, 1, 1, current_stamp(), FILE_BYTES).map_err(|error| failed(&error))
     };
     let (remembering, known) = remember(&saved)?;
     let mut writing = open()?.0;
-    writing.save(Duration::from_secs(100), stamp(), known.clone()).map_err(|error| failed(&error))?;
+    writing.save(Duration::from_secs(100), current_stamp(), known.clone()).map_err(|error| failed(&error))?;
     let size =
         || std::fs::read_dir(folder).ok()?.filter_map(|file| Some(file.ok()?.metadata().ok()?.len())).max();
     let whole = size();
@@ -341,14 +341,14 @@
         .filter_map(|store| store.learned.as_mut())
         .for_each(|known| known.concurrency_limit *= 2.0);
     let changing = Instant::now();
-    writing.save(Duration::from_secs(200), stamp(), later).map_err(|error| failed(&error))?;
+    writing.save(Duration::from_secs(200), current_stamp(), later).map_err(|error| failed(&error))?;
     let changed = changing.elapsed();
     let change = size().zip(whole).map(|(now, before)| now - before);
     drop(writing);
     let began = Instant::now();
     let recalled = open()?.1.ok_or("nothing was recalled")?;
     let row = serde_json::json!({
-        "largest_state": { "stores": recalled.saved.stores.len(), "volumes": recalled.saved.volumes.len() },
+        "largest_state": { "stores": recalled.snapshot.stores.len(), "volumes": recalled.snapshot.volumes.len() },
         "ms_to_open": began.elapsed().as_millis() as u64,
         "bytes": whole, "bytes_of_a_hundredth_changed": change, "ms_to_write_that": changed.as_millis() as u64,
         "ms_of_the_loop_a_save": remembering.as_secs_f64() * 1e3,
@@ -368,12 +368,16 @@
 async fn memory(fleet: &Fleet, folder: &Path, arguments: &Arguments) -> Result<(), String> {
     let mut document = demo::document(1)?;
     settings(&mut document);
-    document.list = fleet.list.address;
+    document.endpoint_list = fleet.list.address;
     std::fs::create_dir_all(folder).map_err(|error| error.to_string())?;
     measure_memory(&document, folder, arguments).await
 }
 
-async fn measure_memory(document: &Document, folder: &Path, arguments: &Arguments) -> Result<(), String> {
+async fn measure_memory(
+    document: &SettingsDocument,
+    folder: &Path,
+    arguments: &Arguments,
+) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|error| error.to_string())?;
     let gateway = Gateway::start(&program, folder, "gateway", &document.as_script()).await;
     let gateway = gateway.map_err(|error| error.to_string())?;
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use serde_json::json;
-use umbertray_relay::{Options, client};
+use umbertray_relay::{RelayOptions, client};
 use umbertray_store_protocol::changes::Status;
 use umbertray_store_protocol::volume_id;
 
@@ -28,13 +28,14 @@
     let file = arguments.config.display().to_string();
     let text = std::fs::read_to_string(&arguments.config).map_err(|error| format!("{file}: {error}"))?;
     let relay = umbertray_config::read_relay(&file, text).map_err(|problems| serve::said(&problems))?;
-    let umbertray_config::Relay { listen, name, zone, changes, folder } = relay;
+    let umbertray_config::RelaySettings { listen, name, zone, changes, folder } = relay;
     if let Some(addresses) = arguments.status {
         let addresses = if addresses.is_empty() { vec![listen] } else { addresses };
         return status(&addresses, arguments.in_force).await;
     }
     let seed = volume_id(&name);
-    let options = Options { listen, name: name.clone(), zone, changes, folder: folder.map(Into::into), seed };
+    let options =
+        RelayOptions { listen, name: name.clone(), zone, changes, folder: folder.map(Into::into), seed };
     let mut running = umbertray_relay::start(options).await.map_err(|error| error.to_string())?;
     output::print_line(&json!({ "relay": running.address.to_string(), "name": name }).to_string());
     tokio::select! {
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -50,7 +50,7 @@
     /// Factors to sweep one after another: stores, gateways, changes, restarts, volumes.
     #[arg(long, value_delimiter = ',')]
     factors: Vec<Factor>,
-    /// Brings on a fleet's worst moments: all started at once, a zone gone and back, list and keeper stopped or killed.
+    /// Brings on a fleet's worst moments: all started at once, a zone gone and back, list and coordinator stopped or killed.
     #[arg(long, conflicts_with = "factors")]
     moments: bool,
     /// How often each size of a sweep is measured.
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use tokio::signal::unix::{SignalKind, signal};
-use umbertray_config::{Call, Document};
+use umbertray_config::{FunctionCall, SettingsDocument};
 use umbertray_config_log::chain::Hash;
 use umbertray_config_log::{Follower, Replica};
-use umbertray_nbd_gateway::{Changes, Options, PATIENCE, Relayed, Relays};
+use umbertray_nbd_gateway::{ChangeSource, GatewayOptions, PATIENCE, RelaySource, RelayedChanges};
 use umbertray_routing::Settings;
 use umbertray_snapshot::Disk;
 
@@ -23,7 +23,7 @@
 /// What a script's calls are, and where it stands.
 struct Script {
     name: String,
-    calls: Vec<Call>,
+    calls: Vec<FunctionCall>,
 }
 
 impl Script {
@@ -36,49 +36,49 @@
 
     /// It names a log of changes, which has what is shared.
     fn follows(&self) -> bool {
-        let named = |call: &Call| {
+        let named = |call: &FunctionCall| {
             call.named.get("changes").is_some_and(|changes| *changes != "" && !changes.is_null())
         };
         self.calls.iter().any(|call| call.function == "gateway" && named(call))
     }
 
-    fn whole(&self) -> Result<Document, String> {
-        umbertray_config::whole(&self.name, &self.calls).map_err(|problems| said(&problems))
+    fn whole(&self) -> Result<SettingsDocument, String> {
+        umbertray_config::parse_whole(&self.name, &self.calls).map_err(|problems| said(&problems))
     }
 
-    fn own_part(&self) -> Result<Document, String> {
+    fn own_part(&self) -> Result<SettingsDocument, String> {
         umbertray_config::own_part(&self.name, &self.calls).map_err(|problems| said(&problems))
     }
 
     /// With what the log has.
-    fn with(&self, at: &Replica) -> Result<Document, String> {
+    fn with(&self, at: &Replica) -> Result<SettingsDocument, String> {
         let shared = at.version.configuration.calls();
         umbertray_config_log::version::document(&shared, &self.calls).map_err(|problems| problems.join("\n"))
     }
 }
 
 fn follower(folder: &Path, acted: Option<(u64, Hash)>) -> Result<Follower, String> {
-    Follower::open(&Disk::look(folder), acted).map_err(|error| format!("{}: {error}", folder.display()))
+    Follower::open(&Disk::read_only(folder), acted).map_err(|error| format!("{}: {error}", folder.display()))
 }
 
 /// The settings that a script and the folder that it names, if any, come to. What relays tell is not asked for: the second is
 /// false where it is missing.
-pub fn document(file: &Path) -> Result<(Document, bool), String> {
+pub fn document(file: &Path) -> Result<(SettingsDocument, bool), String> {
     let script = Script::read(file)?;
     if !script.follows() {
         return Ok((script.whole()?, true));
     }
     let own = script.own_part()?;
     match &own.changes {
-        Some(umbertray_config::Changes::Folder(folder)) => {
-            Ok((script.with(&follower(Path::new(folder), None)?.at)?, true))
+        Some(umbertray_config::ChangeSource::Folder(folder)) => {
+            Ok((script.with(&follower(Path::new(folder), None)?.replica)?, true))
         }
         _ => Ok((own, false)),
     }
 }
 
 /// Reads a script, and the log of changes that it names, if any, from what the gateway has acted on.
-async fn read(file: &Path) -> Result<(Document, Option<Changes>), String> {
+async fn read(file: &Path) -> Result<(SettingsDocument, Option<ChangeSource>), String> {
     let script = Script::read(file)?;
     if !script.follows() {
         return Ok((script.whole()?, None));
@@ -86,17 +86,18 @@
     let own = script.own_part()?;
     let state: Option<PathBuf> = own.state.map(PathBuf::from);
     let changes = match own.changes {
-        Some(umbertray_config::Changes::Folder(folder)) => {
+        Some(umbertray_config::ChangeSource::Folder(folder)) => {
             let acted = state.as_deref().map(umbertray_nbd_gateway::acted).transpose();
             let acted = acted.map_err(|error| format!("the version acted on: {error}"))?.flatten();
             let follower = follower(Path::new(&folder), acted)?;
-            Changes::Folder { folder: folder.into(), follower: Box::new(follower), acted: state }
+            ChangeSource::Folder { folder: folder.into(), follower: Box::new(follower), acted: state }
         }
-        Some(umbertray_config::Changes::Relays { upstreams, vouch }) => {
+        Some(umbertray_config::ChangeSource::Relays { upstreams, quorum: vouch }) => {
             let (name, zone, seed) = (own.name, own.zone, own.seed);
-            let relays = Relays { name, zone, upstreams, vouch, seed, patience: PATIENCE, state };
-            let relayed = Relayed::start(relays).await.map_err(|error| error.to_string())?;
-            Changes::Relays(Box::new(relayed))
+            let relays =
+                RelaySource { name, zone, upstreams, quorum: vouch, seed, patience: PATIENCE, state };
+            let relayed = RelayedChanges::start(relays).await.map_err(|error| error.to_string())?;
+            ChangeSource::Relays(Box::new(relayed))
         }
         None => return Ok((script.whole()?, None)),
     };
@@ -113,27 +114,35 @@
 }
 
 /// What a document says to start a gateway with; where it follows a log of changes, that has the shared settings.
-fn options(document: Document, changes: Option<Changes>) -> (Arc<Settings>, Options) {
-    let Document { listen, list, keeper, seed, state, settings, .. } = document;
+fn options(document: SettingsDocument, changes: Option<ChangeSource>) -> (Arc<Settings>, GatewayOptions) {
+    let SettingsDocument { listen, endpoint_list: list, coordinator: keeper, seed, state, settings, .. } =
+        document;
     let settings = match &changes {
         Some(changes) => changes.at().version.settings(&settings),
         None => settings,
     };
-    let options = Options { listen, list, keeper, seed, state: state.map(Into::into), changes };
+    let options = GatewayOptions {
+        listen,
+        endpoint_list: list,
+        coordinator: keeper,
+        seed,
+        state: state.map(Into::into),
+        changes,
+    };
     (Arc::new(settings), options)
 }
 
 /// Starts the gateway that a document describes.
 pub async fn start(
-    document: Document,
-    changes: Option<Changes>,
-) -> Result<umbertray_nbd_gateway::Running, String> {
+    document: SettingsDocument,
+    changes: Option<ChangeSource>,
+) -> Result<umbertray_nbd_gateway::RunningGateway, String> {
     let (settings, options) = options(document, changes);
     umbertray_nbd_gateway::start(settings, options).await.map_err(|error| format!("listen: {error}"))
 }
 
 /// What a script says to start a gateway with, and what its state folder has of earlier runs.
-pub async fn prepare(file: &Path) -> Result<(Arc<Settings>, Options), String> {
+pub async fn prepare(file: &Path) -> Result<(Arc<Settings>, GatewayOptions), String> {
     let (document, changes) = read(file).await?;
     Ok(options(document, changes))
 }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -2,10 +2,10 @@
 
 use std::path::{Path, PathBuf};
 
-use umbertray_snapshot::decide::{self, Found};
-use umbertray_snapshot::folder::{files, stamp};
-use umbertray_snapshot::format::{self, MOST_FILE};
-use umbertray_snapshot::{Age, Disk, Layer};
+use umbertray_snapshot::decide::{self, FoundFile};
+use umbertray_snapshot::folder::{current_stamp, files};
+use umbertray_snapshot::format::{self, MAX_FILE_BYTES};
+use umbertray_snapshot::{Age, Disk, Storage};
 
 use crate::output;
 
@@ -19,14 +19,14 @@
     Export { path: PathBuf },
 }
 
-fn found(path: &Path) -> Result<Vec<Found>, String> {
+fn found(path: &Path) -> Result<Vec<FoundFile>, String> {
     let failed = |error: std::io::Error| format!("{}: {error}", path.display());
     if path.is_dir() {
-        return files(&Disk::look(path)).map_err(failed);
+        return files(&Disk::read_only(path)).map_err(failed);
     }
     let (folder, name) = (path.parent().unwrap_or(Path::new(".")), path.file_name().unwrap_or_default());
     let name = name.to_string_lossy().into_owned();
-    let read = format::read(&Disk::look(folder).read(&name, MOST_FILE).map_err(failed)?);
+    let read = format::parse_file(&Disk::read_only(folder).read(&name, MAX_FILE_BYTES).map_err(failed)?);
     let generation = read.as_ref().map_or(0, |read| read.head.generation);
     Ok(vec![(name, generation, read)])
 }
@@ -44,19 +44,19 @@
         output::print_line(&text);
         return Ok(());
     }
-    let (now, mut bad) = (stamp(), 0);
+    let (now, mut bad) = (current_stamp(), 0);
     for (name, generation, read) in &found {
         let line = match read {
             Ok(read) => {
-                bad += usize::from(read.torn > 0 || read.head.generation != *generation);
+                bad += usize::from(read.torn_bytes > 0 || read.head.generation != *generation);
                 let age = match decide::age(read.entry.at, now) {
                     Age::Known(age) => serde_json::json!(age.as_secs_f64()),
-                    Age::VeryOld => serde_json::json!("very old"),
+                    Age::Unknown => serde_json::json!("very old"),
                 };
                 let saved = &read.entry.saved;
                 serde_json::json!({
                     "file": name, "gateway": read.head.gateway, "settings": read.head.digest,
-                    "generation": read.head.generation, "entries": read.entries, "torn_bytes": read.torn,
+                    "generation": read.head.generation, "entries": read.entries, "torn_bytes": read.torn_bytes,
                     "age_s": age, "stores": saved.stores.len(), "volumes": saved.volumes.len(),
                 })
             }
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_config::Document;
+use umbertray_config::SettingsDocument;
 use umbertray_fakes::client::{Connection, Ended, Whole};
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Power;
 use umbertray_fault_tests::load::{BLOCK, content, mark};
-use umbertray_fault_tests::{Day, Record, Verdict, judge, rehearse};
+use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
 use umbertray_nbd::Errno;
-use umbertray_nbd_gateway::{Options, Running};
+use umbertray_nbd_gateway::{GatewayOptions, RunningGateway};
 
 pub const KIB: u32 = 1 << 10;
 
 /// Settings of one op type for reads and one for writes; `more` adds or replaces calls.
-pub fn document(more: &str) -> Document {
+pub fn document(more: &str) -> SettingsDocument {
     let script = format!(
         r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB)
@@ -43,21 +43,21 @@
     Fleet::start(stores, quick(), 1).await.expect("stores start on loopback")
 }
 
-pub async fn gateway(fleet: &Fleet, seed: u64, document: &Document) -> Running {
+pub async fn gateway(fleet: &Fleet, seed: u64, document: &SettingsDocument) -> RunningGateway {
     gateway_with(fleet, seed, document, None).await
 }
 
-/// One that asks a keeper for the map.
+/// One that asks a coordinator for the map.
 pub async fn gateway_with(
     fleet: &Fleet,
     seed: u64,
-    document: &Document,
+    document: &SettingsDocument,
     keeper: Option<std::net::SocketAddr>,
-) -> Running {
-    let options = Options {
+) -> RunningGateway {
+    let options = GatewayOptions {
         listen: document.listen.clone(),
-        list: fleet.list.address,
-        keeper,
+        endpoint_list: fleet.list.address,
+        coordinator: keeper,
         seed,
         state: None,
         changes: None,
@@ -67,7 +67,7 @@
         .expect("a gateway starts")
 }
 
-pub async fn connect(gateway: &Running) -> Connection {
+pub async fn connect(gateway: &RunningGateway) -> Connection {
     Connection::open(gateway.addresses[0], "vol", true).await.expect("a session opens")
 }
 
@@ -116,10 +116,10 @@
 /// Plays a day of `days/`, which must break no rule.
 pub async fn played(name: &str, text: &str, seed: u64) -> (Record, Verdict) {
     let day = Day::read(name, text.into()).unwrap_or_else(|problems| panic!("{problems:#?}"));
-    let record = rehearse(&day, seed, program(), &folder(&format!("{name}-{seed}"))).await;
+    let record = run_scenario(&day, seed, program(), &folder(&format!("{name}-{seed}"))).await;
     let record = record.expect("the day plays");
     let verdict = judge(&day, &record);
-    assert!(verdict.kept, "seed {seed}, again: umbertray rehearse days/{name} --seed {seed}\n{verdict:#?}");
+    assert!(verdict.kept, "seed {seed}, again: umbertray fault-test days/{name} --seed {seed}\n{verdict:#?}");
     (record, verdict)
 }
 
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -30,7 +30,7 @@
     mostly_acked(&verdict);
 }
 
-/// Ranges move back and forth while keeper, stores and gateways die, stand still and come back.
+/// Ranges move back and forth while coordinator, stores and gateways die, stand still and come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn ranges_that_move_under_load_lose_nothing() {
     let text = include_str!("../../../../days/fences.star");
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -174,7 +174,7 @@
 async fn a_gateway_that_stood_still_answers_each_request_once() {
     let fleet = fleet(2).await;
     let mut document = document("");
-    document.list = fleet.list.address;
+    document.endpoint_list = fleet.list.address;
     let folder = folder("stand-still");
     let gateway =
         Gateway::start(program(), &folder, "gateway", &document.as_script()).await.expect("it starts");
@@ -207,7 +207,7 @@
 async fn a_gateway_started_again_pushes_no_cold_store_over() {
     let mut fleet = fleet(3).await;
     let mut document = document("");
-    document.list = fleet.list.address;
+    document.endpoint_list = fleet.list.address;
     let folder = folder("killed");
     let script = document.as_script();
     let mut gateway = Gateway::start(program(), &folder, "gateway", &script).await.expect("it starts");
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -1,4 +1,4 @@
-//! Ranges that move under gateways that know of it, do not, or stand still: keeper and program in processes of their own.
+//! Ranges that move under gateways that know of it, do not, or stand still: coordinator and program in processes of their own.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use umbertray_fakes::client::Connection;
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Fault;
-use umbertray_fault_tests::keeper::Keeper;
+use umbertray_fault_tests::coordinator::CoordinatorProcess;
 use umbertray_fault_tests::run::Gateway;
-use umbertray_nbd_gateway::Running;
+use umbertray_nbd_gateway::RunningGateway;
 use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
@@ -20,12 +20,12 @@
     ExtentRange { volume: volume_id("vol"), start: from, end: to }
 }
 
-async fn keeper(fleet: &Fleet, name: &str) -> Keeper {
-    Keeper::start(program(), &folder(name), fleet.list.address).await.expect("a keeper starts")
+async fn keeper(fleet: &Fleet, name: &str) -> CoordinatorProcess {
+    CoordinatorProcess::start(program(), &folder(name), fleet.list.address).await.expect("a keeper starts")
 }
 
-/// Two stores, a keeper, a gateway that asks it, and a client that has written so many blocks.
-async fn begun(name: &str, blocks: u32) -> (Fleet, Keeper, Running, Connection) {
+/// Two stores, a coordinator, a gateway that asks it, and a client that has written so many blocks.
+async fn begun(name: &str, blocks: u32) -> (Fleet, CoordinatorProcess, RunningGateway, Connection) {
     let fleet = fleet(2).await;
     let keeper = keeper(&fleet, name).await;
     let gateway = gateway_with(&fleet, 1, &document(""), Some(keeper.address)).await;
@@ -43,7 +43,7 @@
     (0..2).filter(holds).collect()
 }
 
-async fn moved(keeper: &Keeper, shard: u32) {
+async fn moved(keeper: &CoordinatorProcess, shard: u32) {
     let taken_on = async {
         loop {
             // One that has just started may not have heard of the stores yet.
@@ -124,7 +124,7 @@
     assert_eq!(marks(&client.read(0, 4096).await, 0, 1), [Some(2)]);
 }
 
-/// Without a keeper what is known is served, flushes too; what is new waits for it and is told to come back.
+/// Without a coordinator what is known is served, flushes too; what is new waits for it and is told to come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_keeper_stalls_only_what_is_new() {
     let (fleet, mut keeper, _gateway, client) = begun("moves-static", 4).await;
@@ -150,7 +150,7 @@
     moved(&keeper, 1 - home(&fleet)[0]).await;
 }
 
-/// The keeper dies again and again while a hot range goes back and forth: each move ends, and nothing acked is lost.
+/// The coordinator dies again and again while a hot range goes back and forth: each move ends, and nothing acked is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keeper_killed_at_any_step_sees_its_moves_through() {
     let (fleet, mut keeper, _gateway, client) = begun("moves-killed", 64).await;
@@ -175,12 +175,12 @@
     }
 }
 
-/// A keeper that stood still while another took over changes nothing when it wakes: it ends.
+/// A coordinator that stood still while another took over changes nothing when it wakes: it ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_keepers_the_older_ends_when_it_wakes() {
     let (fleet, mut keeper, _gateway, _client) = begun("moves-two", 1).await;
     let source = home(&fleet)[0];
-    let refused = Keeper::start(program(), &folder_of("moves-two"), fleet.list.address).await;
+    let refused = CoordinatorProcess::start(program(), &folder_of("moves-two"), fleet.list.address).await;
     assert!(refused.is_err(), "two on one folder");
     let mut former = keeper.second().await.expect("a second takes over");
     assert_eq!(keeper.term, 2);
@@ -200,7 +200,8 @@
     let fleet = fleet(2).await;
     let keeper = keeper(&fleet, "moves-still").await;
     let mut settings = document("");
-    (settings.list, settings.keeper, settings.seed) = (fleet.list.address, Some(keeper.address), 9);
+    (settings.endpoint_list, settings.coordinator, settings.seed) =
+        (fleet.list.address, Some(keeper.address), 9);
     settings.listen = vec![([127, 0, 0, 1], 0).into()];
     let still = Gateway::start(program(), &folder_of("moves-still"), "still", &settings.as_script()).await;
     let still = still.expect("a gateway starts");
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -23,7 +23,7 @@
         let plan = &mut document.settings.plans[0];
         plan.limit = Some(Limit { rate: limit, burst, slack: 5.0 });
     }
-    (document.list, document.seed) = (fleet.list.address, 7);
+    (document.endpoint_list, document.seed) = (fleet.list.address, 7);
     document.settings.gateways = 1;
     document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = 1);
     document.state = Some(folder.join("state").display().to_string());
@@ -48,7 +48,7 @@
 async fn promised(gateway: &Gateway, folder: &Path, floor: f64) {
     let connection = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
     let promised = || {
-        let found = files(&Disk::look(&folder.join("state"))).ok()?;
+        let found = files(&Disk::read_only(&folder.join("state"))).ok()?;
         let newest = found.into_iter().filter_map(|(_, generation, read)| Some((generation, read.ok()?)));
         let read = newest.max_by_key(|(generation, _)| *generation)?.1;
         read.entry.saved.volumes.first().map(|volume| volume.reserved_tokens)
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -60,7 +60,7 @@
         assert_eq!((seen.listed, seen.whole_lists, seen.deltas), (8, 1, 0));
         assert_eq!((seen.linked, seen.refused, seen.over), (6, 2, false));
     }
-    // Each of three gateways and the keeper gets a welcome and one whole list.
+    // Each of three gateways and the coordinator gets a welcome and one whole list.
     let (list, _) = stage.traffic().await.expect("the list can be asked");
     // Addresses are text; the system's own ports have five digits.
     let entry = |address: &str| ListedStore {
@@ -150,7 +150,7 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("it starts");
-    // List, stores, keeper, a real gateway, a worker.
+    // List, stores, coordinator, a real gateway, a worker.
     wait(|| children(run.id()).len() == 5, "it starts five processes");
     let started = children(run.id());
     let id = nix::unistd::Pid::from_raw(run.id() as i32);
@@ -168,7 +168,7 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("it starts");
-    // List, stores, keeper, a worker; the keeper is the product's own and does not go with it.
+    // List, stores, coordinator, a worker; the coordinator is the product's own and does not go with it.
     wait(|| children(run.id()).len() == 4, "it starts four processes");
     let is_worker = |id: &u32| {
         std::fs::read_to_string(format!("/proc/{id}/cmdline")).is_ok_and(|line| line.contains("scale-worker"))
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -10,12 +10,12 @@
 use umbertray_nbd::client::Negotiation;
 use umbertray_nbd::proto::{CMD_FLAG_DF, CMD_FLAG_FUA, put_request};
 use umbertray_nbd::{Client, ClientEvent, Command, Reply, Request};
-use umbertray_nbd_gateway::Running;
+use umbertray_nbd_gateway::RunningGateway;
 
 use crate::common::*;
 
 /// A session by hand: the stream after negotiation, and the client's state.
-async fn by_hand(gateway: &Running) -> (TcpStream, Client, BytesMut) {
+async fn by_hand(gateway: &RunningGateway) -> (TcpStream, Client, BytesMut) {
     let mut stream = TcpStream::connect(gateway.addresses[0]).await.expect("it listens");
     let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured: false });
     let mut input = BytesMut::new();
--- a/crates/config-log/src/acted.rs
+++ b/crates/config-log/src/acted.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use umbertray_snapshot::{Disk, Layer};
+use umbertray_snapshot::{Disk, Storage};
 
 use crate::chain::Hash;
 
@@ -20,7 +20,7 @@
 /// The version that an earlier run had acted on. A file that is there and cannot be read is an error: without it an older
 /// log would be believed.
 pub fn read(folder: &Path) -> io::Result<Option<(u64, Hash)>> {
-    match Disk::look(folder).read(FILE, 4096) {
+    match Disk::read_only(folder).read(FILE, 4096) {
         Ok(bytes) => {
             let acted: Acted = serde_json::from_slice(&bytes)?;
             Ok(Some((acted.version, acted.hash)))
@@ -34,5 +34,5 @@
 /// run take an older log, with a limit that was lowered since.
 pub fn write(folder: &Path, version: u64, hash: Hash) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    Disk::look(folder).put(FRESH, FILE, &serde_json::to_vec(&Acted { version, hash })?)
+    Disk::read_only(folder).put(FRESH, FILE, &serde_json::to_vec(&Acted { version, hash })?)
 }
--- a/crates/config-log/src/chain.rs
+++ b/crates/config-log/src/chain.rs
@@ -9,42 +9,42 @@
 use std::io;
 
 use serde::{Deserialize, Serialize};
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::format::{MOST_FILE, next, record};
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::format::{MAX_FILE_BYTES, encode_record, next_record};
 pub use umbertray_store_protocol::changes::{Hash, chain_hash};
 
 pub const VERSION: u16 = 1;
 
 /// A change's id, its version, and what tells it from another of that id.
-pub type Done = (String, u64, u64);
+pub type CompletedChange = (String, u64, u64);
 
 /// What a new segment begins with: the state before its first body, and what was done lately.
-pub type Checkpoint = (Vec<u8>, VecDeque<Done>);
+pub type Checkpoint = (Vec<u8>, VecDeque<CompletedChange>);
 
 /// How the files of a log begin and are named.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Kind {
+pub struct LogFormat {
     pub magic: &'static [u8; 6],
     pub prefix: &'static str,
     pub suffix: &'static str,
     /// A segment has this name until it is whole.
-    pub fresh: &'static str,
+    pub temporary: &'static str,
 }
 
-impl Kind {
+impl LogFormat {
     /// The file of the segment that begins after a version.
-    pub fn name(&self, version: u64) -> String {
+    pub fn file_name(&self, version: u64) -> String {
         format!("{}{version:020}{}", self.prefix, self.suffix)
     }
 
-    pub fn version_of(&self, name: &str) -> Option<u64> {
+    pub fn version_in(&self, name: &str) -> Option<u64> {
         name.strip_prefix(self.prefix)?.strip_suffix(self.suffix)?.parse().ok()
     }
 
-    fn opening(&self, head: Head) -> Option<Vec<u8>> {
+    fn opening(&self, head: SegmentHeader) -> Option<Vec<u8>> {
         let mut out = self.magic.to_vec();
         out.extend(VERSION.to_le_bytes());
-        out.extend(record(&Item::Head(head))?);
+        out.extend(encode_record(&LogRecord::Header(head))?);
         Some(out)
     }
 }
@@ -58,48 +58,48 @@
 }
 
 /// What a reader takes an entry for. One that is wrong ends the reading there, and what follows is not looked at.
-pub trait Read: Sized {
-    fn of(entry: Entry) -> Result<Self, Broken>;
+pub trait FromEntry: Sized {
+    fn from_entry(entry: Entry) -> Result<Self, Corruption>;
 }
 
-impl Read for Entry {
-    fn of(entry: Entry) -> Result<Entry, Broken> {
+impl FromEntry for Entry {
+    fn from_entry(entry: Entry) -> Result<Entry, Corruption> {
         Ok(entry)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SegmentHeader {
     /// The version that the checkpoint is of, and its hash in the chain.
     pub version: u64,
     pub hash: Hash,
     pub checkpoint: Vec<u8>,
     /// Changes done lately, for those sent again.
-    pub done: VecDeque<Done>,
+    pub completed: VecDeque<CompletedChange>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Item {
-    Head(Head),
+pub enum LogRecord {
+    Header(SegmentHeader),
     Change { body: Vec<u8>, hash: Hash },
-    Safe { version: u64 },
+    Synced { version: u64 },
 }
 
 /// What is wrong with a log. Nothing after that place is believed, and nothing is written to it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum Corruption {
     #[error("not a log of changes")]
-    Magic,
+    NotALog,
     #[error("format version {0}, newer than {VERSION}")]
-    Newer(u16),
+    NewerFormat(u16),
     #[error("no whole head")]
-    Head,
+    NoHeader,
     #[error("the chain is broken at version {0}: its change does not follow on the one before")]
-    Chain(u64),
+    BrokenChain(u64),
     #[error("bytes are damaged where version {0} should stand, and whole records follow")]
-    Middle(u64),
+    DamagedRecord(u64),
     #[error("version {version} is wrong: {what}")]
-    Wrong { version: u64, what: String },
+    InvalidChange { version: u64, what: String },
     #[error("versions {from} to {to} are missing")]
     Missing { from: u64, to: u64 },
 }
@@ -107,56 +107,66 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ChainError {
     #[error("{file}: {why}")]
-    Broken { file: String, why: Broken },
+    Broken { file: String, why: Corruption },
     #[error(transparent)]
     Disk(#[from] io::Error),
 }
 
 /// Reads a segment as its bytes come; it stops where a record is not whole.
 #[derive(Clone, Debug)]
-pub struct Reader {
+pub struct SegmentReader {
     pub version: u64,
     pub hash: Hash,
     /// The log is safe up to this version.
-    pub safe: u64,
+    pub synced_version: u64,
     /// Bytes that were whole records.
-    pub read: u64,
+    pub bytes_read: u64,
 }
 
-impl Reader {
+impl SegmentReader {
     /// Reads what comes before the entries; how the segment begins.
-    pub fn open(kind: &Kind, bytes: &[u8]) -> Result<(Reader, Head), Broken> {
-        let rest = bytes.strip_prefix(kind.magic).ok_or(Broken::Magic)?;
-        let (version, mut rest) = rest.split_first_chunk::<2>().ok_or(Broken::Head)?;
+    pub fn open(kind: &LogFormat, bytes: &[u8]) -> Result<(SegmentReader, SegmentHeader), Corruption> {
+        let rest = bytes.strip_prefix(kind.magic).ok_or(Corruption::NotALog)?;
+        let (version, mut rest) = rest.split_first_chunk::<2>().ok_or(Corruption::NoHeader)?;
         match u16::from_le_bytes(*version) {
             VERSION => {}
-            newer if newer > VERSION => return Err(Broken::Newer(newer)),
-            _ => return Err(Broken::Magic),
+            newer if newer > VERSION => return Err(Corruption::NewerFormat(newer)),
+            _ => return Err(Corruption::NotALog),
         }
-        let Some(Item::Head(head)) = next(&mut rest) else { return Err(Broken::Head) };
+        let Some(LogRecord::Header(head)) = next_record(&mut rest) else { return Err(Corruption::NoHeader) };
         let read = (bytes.len() - rest.len()) as u64;
         // A segment is not there before its head is safe.
-        Ok((Reader { version: head.version, hash: head.hash, safe: head.version, read }, head))
+        Ok((
+            SegmentReader {
+                version: head.version,
+                hash: head.hash,
+                synced_version: head.version,
+                bytes_read: read,
+            },
+            head,
+        ))
     }
 
     /// Takes whole records off the bytes that follow what was read; the entries among them.
-    pub fn feed<T: Read>(&mut self, bytes: &[u8]) -> Result<Vec<T>, Broken> {
+    pub fn feed<T: FromEntry>(&mut self, bytes: &[u8]) -> Result<Vec<T>, Corruption> {
         let (mut rest, mut entries) = (bytes, Vec::new());
-        while let Some(item) = next::<Item>(&mut rest) {
+        while let Some(item) = next_record::<LogRecord>(&mut rest) {
             match item {
-                Item::Change { body, hash } => {
+                LogRecord::Change { body, hash } => {
                     let version = self.version + 1;
                     if hash != chain_hash(&self.hash, &body) {
-                        return Err(Broken::Chain(version));
+                        return Err(Corruption::BrokenChain(version));
                     }
-                    entries.push(T::of(Entry { version, hash, body })?);
+                    entries.push(T::from_entry(Entry { version, hash, body })?);
                     (self.version, self.hash) = (version, hash);
                 }
-                Item::Safe { version } => self.safe = self.safe.max(version.min(self.version)),
-                Item::Head(_) => return Err(Broken::Chain(self.version + 1)),
+                LogRecord::Synced { version } => {
+                    self.synced_version = self.synced_version.max(version.min(self.version))
+                }
+                LogRecord::Header(_) => return Err(Corruption::BrokenChain(self.version + 1)),
             }
         }
-        self.read += (bytes.len() - rest.len()) as u64;
+        self.bytes_read += (bytes.len() - rest.len()) as u64;
         Ok(entries)
     }
 }
@@ -164,48 +174,52 @@
 /// Danger: bytes at the end that are no record may be a write that a crash cut off, or damage to one that was
 /// committed. A whole record after them says that it is damage: cutting there would drop what was committed unseen.
 fn whole_record_in(rest: &[u8]) -> bool {
-    (1..rest.len()).any(|from| next::<Item>(&mut &rest[from..]).is_some())
+    (1..rest.len()).any(|from| next_record::<LogRecord>(&mut &rest[from..]).is_some())
 }
 
 /// The segments there are, by the version that each begins after.
-pub fn segments(layer: &dyn Layer, kind: &Kind) -> io::Result<Vec<u64>> {
-    let mut all: Vec<u64> = layer.names()?.iter().filter_map(|name| kind.version_of(name)).collect();
+pub fn segments(layer: &dyn Storage, kind: &LogFormat) -> io::Result<Vec<u64>> {
+    let mut all: Vec<u64> = layer.names()?.iter().filter_map(|name| kind.version_in(name)).collect();
     all.sort_unstable();
     Ok(all)
 }
 
 /// A segment as read: how it begins, its entries, and what follows the last whole record.
 pub struct Segment<T = Entry> {
-    pub head: Head,
-    pub reader: Reader,
+    pub header: SegmentHeader,
+    pub reader: SegmentReader,
     pub entries: Vec<T>,
-    pub rest: usize,
+    pub trailing_bytes: usize,
     /// Bytes of all of it, and of what comes before its entries.
     size: usize,
     base: usize,
 }
 
-pub fn read_segment<T: Read>(layer: &dyn Layer, kind: &Kind, first: u64) -> Result<Segment<T>, ChainError> {
-    let file = kind.name(first);
+pub fn read_segment<T: FromEntry>(
+    layer: &dyn Storage,
+    kind: &LogFormat,
+    first: u64,
+) -> Result<Segment<T>, ChainError> {
+    let file = kind.file_name(first);
     let broken = |why| ChainError::Broken { file: file.clone(), why };
-    let bytes = layer.read(&file, MOST_FILE)?;
-    let (mut reader, head) = Reader::open(kind, &bytes).map_err(broken)?;
+    let bytes = layer.read(&file, MAX_FILE_BYTES)?;
+    let (mut reader, head) = SegmentReader::open(kind, &bytes).map_err(broken)?;
     if head.version != first {
-        return Err(broken(Broken::Head));
+        return Err(broken(Corruption::NoHeader));
     }
-    let base = reader.read as usize;
+    let base = reader.bytes_read as usize;
     let entries = reader.feed(&bytes[base..]).map_err(broken)?;
-    let rest = &bytes[reader.read as usize..];
+    let rest = &bytes[reader.bytes_read as usize..];
     if whole_record_in(rest) {
-        return Err(broken(Broken::Middle(reader.version + 1)));
+        return Err(broken(Corruption::DamagedRecord(reader.version + 1)));
     }
-    Ok(Segment { head, entries, rest: rest.len(), size: bytes.len(), base, reader })
+    Ok(Segment { header: head, entries, trailing_bytes: rest.len(), size: bytes.len(), base, reader })
 }
 
 /// What a log tells at its opening: the state that its newest segment begins with, and what came since.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Opened<T = Entry> {
-    pub head: Head,
+pub struct OpenedLog<T = Entry> {
+    pub header: SegmentHeader,
     pub entries: Vec<T>,
 }
 
@@ -222,9 +236,9 @@
 }
 
 /// The one writer of a log.
-pub struct Chain {
-    layer: Box<dyn Layer>,
-    kind: &'static Kind,
+pub struct HashChain {
+    layer: Box<dyn Storage>,
+    kind: &'static LogFormat,
     version: u64,
     hash: Hash,
     since: u64,
@@ -235,66 +249,67 @@
     torn: usize,
 }
 
-impl Chain {
+impl HashChain {
     /// Opens the newest segment of a folder that no other writer has; in a folder without one, the first is begun with
     /// this checkpoint. Nothing found is written to before [`settle`](Chain::settle).
-    pub fn open<T: Read>(
-        layer: Box<dyn Layer>,
-        kind: &'static Kind,
+    pub fn open<T: FromEntry>(
+        layer: Box<dyn Storage>,
+        kind: &'static LogFormat,
         most_grown: usize,
         empty: impl FnOnce() -> Vec<u8>,
-    ) -> Result<(Chain, Opened<T>), ChainError> {
+    ) -> Result<(HashChain, OpenedLog<T>), ChainError> {
         match segments(&*layer, kind)?.last() {
-            Some(newest) => Chain::found(layer, kind, *newest, most_grown),
-            None => Ok(Chain::begun(layer, kind, most_grown, empty())?),
+            Some(newest) => HashChain::found(layer, kind, *newest, most_grown),
+            None => Ok(HashChain::begun(layer, kind, most_grown, empty())?),
         }
     }
 
-    fn found<T: Read>(
-        layer: Box<dyn Layer>,
-        kind: &'static Kind,
+    fn found<T: FromEntry>(
+        layer: Box<dyn Storage>,
+        kind: &'static LogFormat,
         newest: u64,
         most_grown: usize,
-    ) -> Result<(Chain, Opened<T>), ChainError> {
-        let Segment { head, reader, entries, rest: torn, size, base } = read_segment(&*layer, kind, newest)?;
-        let Reader { version, hash, safe, .. } = reader;
+    ) -> Result<(HashChain, OpenedLog<T>), ChainError> {
+        let Segment { header: head, reader, entries, trailing_bytes: torn, size, base } =
+            read_segment(&*layer, kind, newest)?;
+        let SegmentReader { version, hash, synced_version: safe, .. } = reader;
         let (since, end) = (newest, End::Found { safe });
-        let chain = Chain { layer, kind, version, hash, since, size, base, most_grown, end, torn };
-        Ok((chain, Opened { head, entries }))
+        let chain = HashChain { layer, kind, version, hash, since, size, base, most_grown, end, torn };
+        Ok((chain, OpenedLog { header: head, entries }))
     }
 
     fn begun<T>(
-        layer: Box<dyn Layer>,
-        kind: &'static Kind,
+        layer: Box<dyn Storage>,
+        kind: &'static LogFormat,
         most_grown: usize,
         checkpoint: Vec<u8>,
-    ) -> io::Result<(Chain, Opened<T>)> {
+    ) -> io::Result<(HashChain, OpenedLog<T>)> {
         let (version, hash, since, size, base, end, torn) = (0, [0; 32], 0, 0, 0, End::Sound, 0);
-        let mut chain = Chain { layer, kind, version, hash, since, size, base, most_grown, end, torn };
-        let head = Head { version, hash, checkpoint, done: VecDeque::new() };
+        let mut chain = HashChain { layer, kind, version, hash, since, size, base, most_grown, end, torn };
+        let head = SegmentHeader { version, hash, checkpoint, completed: VecDeque::new() };
         chain.begin(head.clone())?;
-        Ok((chain, Opened { head, entries: Vec::new() }))
+        Ok((chain, OpenedLog { header: head, entries: Vec::new() }))
     }
 
     /// Makes what was found safe, once whoever opened the log has replayed it and believes it; the checkpoint, which is
     /// asked for where the end is torn, is the state after all entries. Nothing is appended before.
-    pub fn settle(&mut self, checkpoint: impl FnOnce() -> Checkpoint) -> io::Result<()> {
+    pub fn recover(&mut self, checkpoint: impl FnOnce() -> Checkpoint) -> io::Result<()> {
         if let End::Found { safe } = self.end {
             self.end = End::Doubtful;
             if self.torn > 0 {
                 // Whether the last whole entry was synced is not known; the new segment, which holds it, is.
                 self.begin_with(checkpoint())?;
             } else if safe < self.version {
-                self.layer.sync(&self.kind.name(self.since))?;
+                self.layer.sync(&self.kind.file_name(self.since))?;
                 self.mark()?;
             }
             self.end = End::Sound;
         }
-        self.ready()
+        self.check_writable()
     }
 
     /// Why nothing can be appended, if so.
-    pub fn ready(&self) -> io::Result<()> {
+    pub fn check_writable(&self) -> io::Result<()> {
         match self.end {
             End::Sound => Ok(()),
             End::Found { .. } => Err(io::Error::other("what was found of the log is not settled yet")),
@@ -305,7 +320,7 @@
     /// Commits one body: when this returns it is synced, and marked safe unless that failed, which the next one tells.
     /// The checkpoint, asked for where a new segment is begun first, is the state before this body.
     pub fn append(&mut self, body: Vec<u8>, checkpoint: impl FnOnce() -> Checkpoint) -> io::Result<Hash> {
-        self.ready()?;
+        self.check_writable()?;
         self.end = End::Doubtful;
         if self.size > self.most_grown.max(2 * self.base) {
             self.begin_with(checkpoint())?;
@@ -320,8 +335,8 @@
     }
 
     /// Begins a new segment with the state after all that was appended.
-    pub fn roll(&mut self, checkpoint: Vec<u8>, done: VecDeque<Done>) -> io::Result<()> {
-        self.ready()?;
+    pub fn roll(&mut self, checkpoint: Vec<u8>, done: VecDeque<CompletedChange>) -> io::Result<()> {
+        self.check_writable()?;
         self.end = End::Doubtful;
         self.begin_with((checkpoint, done))?;
         self.end = End::Sound;
@@ -329,8 +344,8 @@
     }
 
     /// Begins a new segment with a state further on, of a log that this one is a copy of.
-    pub fn adopt(&mut self, head: Head) -> io::Result<()> {
-        self.ready()?;
+    pub fn adopt_checkpoint(&mut self, head: SegmentHeader) -> io::Result<()> {
+        self.check_writable()?;
         self.end = End::Doubtful;
         let (version, hash) = (head.version, head.hash);
         self.begin(head)?;
@@ -341,13 +356,13 @@
     /// Removes all segments but the newest: a copy has what was before elsewhere.
     pub fn forget_earlier(&mut self) -> io::Result<()> {
         let earlier = segments(&*self.layer, self.kind)?.into_iter().filter(|first| *first < self.since);
-        earlier.into_iter().try_for_each(|first| self.layer.remove(&self.kind.name(first)))
+        earlier.into_iter().try_for_each(|first| self.layer.remove(&self.kind.file_name(first)))
     }
 
     fn write(&mut self, body: Vec<u8>) -> io::Result<Hash> {
         let hash = chain_hash(&self.hash, &body);
-        let bytes = record(&Item::Change { body, hash }).ok_or(io::ErrorKind::FileTooLarge)?;
-        let file = self.kind.name(self.since);
+        let bytes = encode_record(&LogRecord::Change { body, hash }).ok_or(io::ErrorKind::FileTooLarge)?;
+        let file = self.kind.file_name(self.since);
         self.layer.append(&file, &bytes)?;
         self.layer.sync(&file)?;
         self.size += bytes.len();
@@ -356,19 +371,20 @@
 
     /// Says that the log is safe up to its end, so that its followers act on it.
     fn mark(&mut self) -> io::Result<()> {
-        let bytes = record(&Item::Safe { version: self.version }).ok_or(io::ErrorKind::FileTooLarge)?;
+        let bytes =
+            encode_record(&LogRecord::Synced { version: self.version }).ok_or(io::ErrorKind::FileTooLarge)?;
         self.size += bytes.len();
-        self.layer.append(&self.kind.name(self.since), &bytes)
+        self.layer.append(&self.kind.file_name(self.since), &bytes)
     }
 
     fn begin_with(&mut self, (checkpoint, done): Checkpoint) -> io::Result<()> {
-        self.begin(Head { version: self.version, hash: self.hash, checkpoint, done })
+        self.begin(SegmentHeader { version: self.version, hash: self.hash, checkpoint, completed: done })
     }
 
-    fn begin(&mut self, head: Head) -> io::Result<()> {
+    fn begin(&mut self, head: SegmentHeader) -> io::Result<()> {
         let version = head.version;
         let bytes = self.kind.opening(head).ok_or(io::ErrorKind::FileTooLarge)?;
-        self.layer.put(self.kind.fresh, &self.kind.name(version), &bytes)?;
+        self.layer.put(self.kind.temporary, &self.kind.file_name(version), &bytes)?;
         (self.since, self.size, self.base) = (version, bytes.len(), bytes.len());
         Ok(())
     }
@@ -382,17 +398,17 @@
     }
 
     /// The version that the newest segment begins after.
-    pub fn since(&self) -> u64 {
+    pub fn segment_start(&self) -> u64 {
         self.since
     }
 
     /// Bytes cut off the end at the opening: a write that was never finished.
-    pub fn torn(&self) -> usize {
+    pub fn torn_bytes(&self) -> usize {
         self.torn
     }
 
     /// Where it lies, to look at.
-    pub fn layer(&self) -> &dyn Layer {
+    pub fn layer(&self) -> &dyn Storage {
         &*self.layer
     }
 }
--- a/crates/config-log/src/change.rs
+++ b/crates/config-log/src/change.rs
@@ -8,9 +8,9 @@
 use crate::model::{Edit, Path};
 
 /// The most bytes of an actor, a reason or a change's id.
-pub const MOST_WORDS: usize = 1024;
+pub const MAX_TEXT_BYTES: usize = 1024;
 /// The most edits of one change.
-pub const MOST_EDITS: usize = 1 << 20;
+pub const MAX_EDITS: usize = 1 << 20;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
@@ -45,9 +45,9 @@
 
 /// Why a change is not done. Nothing of it is.
 #[derive(Debug, thiserror::Error)]
-pub enum Refused {
+pub enum ChangeRejected {
     #[error("a change needs {0}")]
-    Lacks(&'static str),
+    Missing(&'static str),
     #[error("the change's base is version {base}, the newest is {head}")]
     NoSuchBase { base: u64, head: u64 },
     #[error("the id {id:?} is that of version {version}, another change")]
@@ -64,17 +64,19 @@
 }
 
 /// A change without who and why, or with more than is kept, is none.
-pub fn formed(change: &Change) -> Result<(), Refused> {
+pub fn validate(change: &Change) -> Result<(), ChangeRejected> {
     for (what, text) in [("an id", &change.id), ("an actor", &change.actor), ("a reason", &change.reason)] {
         if text.trim().is_empty() {
-            return Err(Refused::Lacks(what));
+            return Err(ChangeRejected::Missing(what));
         }
-        if text.len() > MOST_WORDS {
-            return Err(Refused::Invalid(vec![format!("{what} is longer than {MOST_WORDS} bytes")]));
+        if text.len() > MAX_TEXT_BYTES {
+            return Err(ChangeRejected::Invalid(vec![format!(
+                "{what} is longer than {MAX_TEXT_BYTES} bytes"
+            )]));
         }
     }
-    if change.edits.len() > MOST_EDITS {
-        return Err(Refused::Invalid(vec![format!("more than {MOST_EDITS} edits")]));
+    if change.edits.len() > MAX_EDITS {
+        return Err(ChangeRejected::Invalid(vec![format!("more than {MAX_EDITS} edits")]));
     }
     Ok(())
 }
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -6,84 +6,85 @@
 use std::collections::VecDeque;
 use std::io::ErrorKind;
 
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::format::MOST_FILE;
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::format::MAX_FILE_BYTES;
 
-use crate::chain::{self, Entry, Read, chain_hash};
+use crate::chain::{self, Entry, FromEntry, chain_hash};
 use crate::log::{LogError, checkpoint, replay, segments};
-use crate::segment::{Broken, CHANGES, Hash, Head, Past, Reader, name};
+use crate::segment::{CHANGES, CommittedChange, Corruption, Hash, SegmentHeader, SegmentReader, file_name};
 use crate::version::{SettingsChange, Version};
 
 /// Why a log is not followed. The gateway goes on with what it has.
 #[derive(Debug, thiserror::Error)]
-pub enum NotFollowed {
+pub enum FollowError {
     #[error("the log has no version that is safely committed")]
-    Empty,
+    NoLog,
     /// Danger: an older log may hold a limit that was lowered since.
     #[error(
         "the log ends at version {found}, this gateway has acted on version {have}: it is another's or an older copy"
     )]
-    Older { have: u64, found: u64 },
+    LogOlder { have: u64, found: u64 },
     #[error("version {0} of the log is not the one that this gateway has acted on")]
-    Other(u64),
+    DivergentHistory(u64),
     #[error(transparent)]
     Log(#[from] LogError),
 }
 
-impl From<std::io::Error> for NotFollowed {
-    fn from(error: std::io::Error) -> NotFollowed {
-        NotFollowed::Log(error.into())
+impl From<std::io::Error> for FollowError {
+    fn from(error: std::io::Error) -> FollowError {
+        FollowError::Log(error.into())
     }
 }
 
 /// What comes next in a history. All of it is safely committed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Update {
     Entry(Entry),
     /// The state at a version, where the entries before it are not to be had.
-    Whole(Head),
+    Checkpoint(SegmentHeader),
 }
 
-impl Told {
+impl Update {
     pub fn version(&self) -> u64 {
         match self {
-            Told::Entry(entry) => entry.version,
-            Told::Whole(head) => head.version,
+            Update::Entry(entry) => entry.version,
+            Update::Checkpoint(head) => head.version,
         }
     }
 
     pub fn hash(&self) -> Hash {
         match self {
-            Told::Entry(entry) => entry.hash,
-            Told::Whole(head) => head.hash,
+            Update::Entry(entry) => entry.hash,
+            Update::Checkpoint(head) => head.hash,
         }
     }
 }
 
 /// Where a reader is in the log of a folder.
-pub struct Tail {
+pub struct FolderReader {
     version: u64,
     hash: Hash,
     segment: u64,
-    reader: Reader,
+    reader: SegmentReader,
     /// Read, but not said to be safe yet.
     waiting: VecDeque<Entry>,
 }
 
-impl Tail {
+impl FolderReader {
     /// Reads the newest segment: the state that it begins with, and what of it is safe.
-    pub fn open(layer: &dyn Layer) -> Result<(Tail, Vec<Told>), NotFollowed> {
-        let newest = *segments(layer)?.last().ok_or(NotFollowed::Empty)?;
-        let chain::Segment { head, reader, entries, .. } = chain::read_segment(layer, &CHANGES, newest)?;
+    pub fn open(layer: &dyn Storage) -> Result<(FolderReader, Vec<Update>), FollowError> {
+        let newest = *segments(layer)?.last().ok_or(FollowError::NoLog)?;
+        let chain::Segment { header: head, reader, entries, .. } =
+            chain::read_segment(layer, &CHANGES, newest)?;
         let (version, hash, waiting) = (head.version, head.hash, VecDeque::from(entries));
-        let mut tail = Tail { version, hash, segment: newest, reader, waiting };
-        let mut told = vec![Told::Whole(head)];
+        let mut tail = FolderReader { version, hash, segment: newest, reader, waiting };
+        let mut told = vec![Update::Checkpoint(head)];
         told.extend(tail.safe());
-        if tail.version == 0 { Err(NotFollowed::Empty) } else { Ok((tail, told)) }
+        if tail.version == 0 { Err(FollowError::NoLog) } else { Ok((tail, told)) }
     }
 
     /// What was committed since the last look. Where that ends in trouble, what came before it is told first.
-    pub fn poll(&mut self, layer: &dyn Layer) -> Result<Vec<Told>, NotFollowed> {
+    pub fn poll(&mut self, layer: &dyn Storage) -> Result<Vec<Update>, FollowError> {
         let mut told = Vec::new();
         match self.read_to_end(layer, &mut told) {
             Err(error) if told.is_empty() => Err(error),
@@ -91,11 +92,11 @@
         }
     }
 
-    fn read_to_end(&mut self, layer: &dyn Layer, told: &mut Vec<Told>) -> Result<(), NotFollowed> {
-        let newer = |than| Ok::<_, NotFollowed>(segments(layer)?.into_iter().find(|first| *first > than));
+    fn read_to_end(&mut self, layer: &dyn Storage, told: &mut Vec<Update>) -> Result<(), FollowError> {
+        let newer = |than| Ok::<_, FollowError>(segments(layer)?.into_iter().find(|first| *first > than));
         match self.read_on(layer) {
             // Its segment was put away while nobody looked: a newer one tells the rest.
-            Err(NotFollowed::Log(LogError::Disk(error)))
+            Err(FollowError::Log(LogError::Disk(error)))
                 if error.kind() == ErrorKind::NotFound && newer(self.segment)?.is_some() => {}
             read => told.extend(read?),
         }
@@ -108,41 +109,41 @@
         Ok(())
     }
 
-    fn read_on(&mut self, layer: &dyn Layer) -> Result<Vec<Told>, NotFollowed> {
-        let file = name(self.segment);
-        let bytes = layer.read_on(&file, self.reader.read, MOST_FILE)?;
+    fn read_on(&mut self, layer: &dyn Storage) -> Result<Vec<Update>, FollowError> {
+        let file = file_name(self.segment);
+        let bytes = layer.read_from(&file, self.reader.bytes_read, MAX_FILE_BYTES)?;
         let fed = self.reader.feed::<Entry>(&bytes);
         self.waiting.extend(fed.map_err(|why| LogError::Broken { file, why })?);
         Ok(self.safe())
     }
 
-    fn safe(&mut self) -> Vec<Told> {
-        self.up_to(self.reader.safe)
+    fn safe(&mut self) -> Vec<Update> {
+        self.up_to(self.reader.synced_version)
     }
 
-    fn up_to(&mut self, last: u64) -> Vec<Told> {
+    fn up_to(&mut self, last: u64) -> Vec<Update> {
         let count = self.waiting.iter().take_while(|entry| entry.version <= last).count();
         let taken: Vec<Entry> = self.waiting.drain(..count).collect();
         if let Some(entry) = taken.last() {
             (self.version, self.hash) = (entry.version, entry.hash);
         }
-        taken.into_iter().map(Told::Entry).collect()
+        taken.into_iter().map(Update::Entry).collect()
     }
 
     /// A new segment is safe with all before it: what this one still has up to there is told, and the state, which those who
     /// have that much know.
-    fn enter(&mut self, segment: chain::Segment, told: &mut Vec<Told>) -> Result<(), NotFollowed> {
-        let chain::Segment { head, reader, entries, .. } = segment;
+    fn enter(&mut self, segment: chain::Segment, told: &mut Vec<Update>) -> Result<(), FollowError> {
+        let chain::Segment { header: head, reader, entries, .. } = segment;
         told.extend(self.up_to(head.version));
         // What was told under that number must be what the log has there.
         if head.version == self.version && head.hash != self.hash {
-            return Err(NotFollowed::Other(head.version));
+            return Err(FollowError::DivergentHistory(head.version));
         }
         self.segment = head.version;
         self.reader = reader;
         if self.version <= head.version {
             (self.version, self.hash) = (head.version, head.hash);
-            told.push(Told::Whole(head));
+            told.push(Update::Checkpoint(head));
         }
         let after = self.version;
         self.waiting = entries.into_iter().filter(|entry| entry.version > after).collect();
@@ -151,7 +152,7 @@
 }
 
 /// A version and what a gateway does about it.
-pub type Taken = (Version, Vec<SettingsChange>);
+pub type AppliedVersion = (Version, Vec<SettingsChange>);
 
 /// One who acts on the log: what of it, and its place in the chain.
 #[derive(Clone, Debug)]
@@ -161,38 +162,40 @@
 }
 
 impl Replica {
-    pub fn read(head: &Head) -> Result<Replica, Broken> {
+    pub fn from_header(head: &SegmentHeader) -> Result<Replica, Corruption> {
         Ok(Replica { version: checkpoint(head)?, hash: head.hash })
     }
 
     /// Takes what comes next; nothing where it was known. What does not follow on what was acted on, or is wrong, is not taken,
     /// and nothing changes.
-    pub fn take(&mut self, told: &Told) -> Result<Option<Taken>, Broken> {
+    pub fn apply(&mut self, told: &Update) -> Result<Option<AppliedVersion>, Corruption> {
         let have = self.version.number;
         let (version, steps) = match told {
-            Told::Entry(entry) if entry.version < have => return Ok(None),
-            Told::Entry(entry) if entry.version == have && entry.hash == self.hash => return Ok(None),
-            Told::Entry(entry) => {
+            Update::Entry(entry) if entry.version < have => return Ok(None),
+            Update::Entry(entry) if entry.version == have && entry.hash == self.hash => return Ok(None),
+            Update::Entry(entry) => {
                 if entry.version != have + 1 || entry.hash != chain_hash(&self.hash, &entry.body) {
-                    return Err(Broken::Chain(entry.version));
+                    return Err(Corruption::BrokenChain(entry.version));
                 }
-                replay(&self.version, &Past::of(entry.clone())?)?
+                replay(&self.version, &CommittedChange::from_entry(entry.clone())?)?
             }
-            Told::Whole(head) if head.version > have => self.reach(head)?,
-            Told::Whole(head) if head.version == have && head.hash != self.hash => {
-                return Err(Broken::Chain(have));
+            Update::Checkpoint(head) if head.version > have => self.reach(head)?,
+            Update::Checkpoint(head) if head.version == have && head.hash != self.hash => {
+                return Err(Corruption::BrokenChain(have));
             }
-            Told::Whole(_) => return Ok(None),
+            Update::Checkpoint(_) => return Ok(None),
         };
         (self.version, self.hash) = (version.clone(), told.hash());
         Ok(Some((version, steps)))
     }
 
     /// The step to a state that lies any number of changes ahead: places stay.
-    fn reach(&self, head: &Head) -> Result<Taken, Broken> {
+    fn reach(&self, head: &SegmentHeader) -> Result<AppliedVersion, Corruption> {
         let edits = self.version.configuration.diff(&checkpoint(head)?.configuration);
-        let wrong =
-            |problems: Vec<String>| Broken::Wrong { version: head.version, what: problems.join("; ") };
+        let wrong = |problems: Vec<String>| Corruption::InvalidChange {
+            version: head.version,
+            what: problems.join("; "),
+        };
         let (mut version, steps) = self.version.next(&edits).map_err(wrong)?;
         version.number = head.version;
         Ok((version, steps))
@@ -201,52 +204,52 @@
 
 /// A gateway's reading of a folder.
 pub struct Follower {
-    pub at: Replica,
-    tail: Tail,
+    pub replica: Replica,
+    tail: FolderReader,
     /// Told and not taken yet: what is wrong stands first.
-    pending: VecDeque<Told>,
+    pending: VecDeque<Update>,
 }
 
 impl Follower {
     /// Reads the newest segment up to what is safe. `acted` is what an earlier run had acted on: nothing before it is
     /// taken.
-    pub fn open(layer: &dyn Layer, acted: Option<(u64, Hash)>) -> Result<Follower, NotFollowed> {
-        let (tail, told) = Tail::open(layer)?;
-        let file = name(tail.segment);
-        let broken = |why| NotFollowed::Log(LogError::Broken { file: file.clone(), why });
+    pub fn open(layer: &dyn Storage, acted: Option<(u64, Hash)>) -> Result<Follower, FollowError> {
+        let (tail, told) = FolderReader::open(layer)?;
+        let file = file_name(tail.segment);
+        let broken = |why| FollowError::Log(LogError::Broken { file: file.clone(), why });
         let mut known: Vec<(u64, Hash)> = told.iter().map(|told| (told.version(), told.hash())).collect();
         known.extend(tail.waiting.iter().map(|entry| (entry.version, entry.hash)));
         let mut told = told.into_iter();
-        let Some(Told::Whole(head)) = told.next() else { return Err(NotFollowed::Empty) };
-        let mut at = Replica::read(&head).map_err(broken)?;
+        let Some(Update::Checkpoint(head)) = told.next() else { return Err(FollowError::NoLog) };
+        let mut at = Replica::from_header(&head).map_err(broken)?;
         for next in told {
-            at.take(&next).map_err(broken)?;
+            at.apply(&next).map_err(broken)?;
         }
         if let Some((have, hash)) = acted {
             let found = at.version.number;
             if found < have {
-                return Err(NotFollowed::Older { have, found });
+                return Err(FollowError::LogOlder { have, found });
             }
             if known.iter().any(|(version, other)| *version == have && *other != hash) {
-                return Err(NotFollowed::Other(have));
+                return Err(FollowError::DivergentHistory(have));
             }
         }
-        Ok(Follower { at, tail, pending: VecDeque::new() })
+        Ok(Follower { replica: at, tail, pending: VecDeque::new() })
     }
 
     /// What was committed since the last look: a version and what to do about it, one after another. Where that ends in
     /// trouble, what came before it is taken first.
-    pub fn poll(&mut self, layer: &dyn Layer) -> Result<Vec<Taken>, NotFollowed> {
+    pub fn poll(&mut self, layer: &dyn Storage) -> Result<Vec<AppliedVersion>, FollowError> {
         // What is wrong stays so, and nothing after it is looked at.
         if self.pending.is_empty() {
             self.pending.extend(self.tail.poll(layer)?);
         }
         let mut taken = Vec::new();
         while let Some(told) = self.pending.front() {
-            match self.at.take(told) {
+            match self.replica.apply(told) {
                 Ok(step) => taken.extend(step),
                 Err(why) if taken.is_empty() => {
-                    return Err(LogError::Broken { file: name(self.tail.segment), why }.into());
+                    return Err(LogError::Broken { file: file_name(self.tail.segment), why }.into());
                 }
                 Err(_) => break,
             }
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -16,10 +16,10 @@
 pub mod segment;
 pub mod version;
 
-pub use change::{Change, Conflict, Refused};
-pub use follow::{Follower, Replica, Tail, Told};
+pub use change::{Change, ChangeRejected, Conflict};
+pub use follow::{FolderReader, Follower, Replica, Update};
 pub use guard::Guard;
 pub use log::Log;
-pub use mirror::Mirror;
+pub use mirror::LogCopy;
 pub use model::{Configuration, Edit, Key, Kind, Path};
 pub use version::{SettingsChange, Version};
--- a/crates/config-log/src/model.rs
+++ b/crates/config-log/src/model.rs
@@ -8,7 +8,7 @@
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use umbertray_config::Call;
+use umbertray_config::FunctionCall;
 
 /// What can change in service. A gateway's own addresses, identity and bounds are its script's and need a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -88,12 +88,12 @@
 #[error(
     "{0:?} is no place: write KIND/NAME or KIND/NAME:FIELD, where KIND is op_type, plan or volume, or requests or rules without a name"
 )]
-pub struct BadPath(String);
+pub struct InvalidPath(String);
 
 impl FromStr for Path {
-    type Err = BadPath;
+    type Err = InvalidPath;
 
-    fn from_str(text: &str) -> Result<Path, BadPath> {
+    fn from_str(text: &str) -> Result<Path, InvalidPath> {
         let word = |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_lowercase() || b == b'_');
         let (rest, field) = match text.rsplit_once(':').filter(|(_, field)| word(field)) {
             Some((rest, field)) => (rest, Some(field.to_string())),
@@ -106,7 +106,7 @@
             (Some(kind), Some(name)) if !kind.single() && !name.is_empty() => {
                 Ok(Path { key: Key::new(kind, name), field })
             }
-            _ => Err(BadPath(text.into())),
+            _ => Err(InvalidPath(text.into())),
         }
     }
 }
@@ -133,17 +133,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?}: {why}")]
-pub struct BadEdit {
+pub struct InvalidEdit {
     text: String,
     why: String,
 }
 
 impl Edit {
     /// One field set, as people write it: `KIND/NAME:FIELD=VALUE`, the value in JSON or a word.
-    pub fn set(text: &str) -> Result<Edit, BadEdit> {
-        let bad = |why: String| BadEdit { text: text.into(), why };
+    pub fn set(text: &str) -> Result<Edit, InvalidEdit> {
+        let bad = |why: String| InvalidEdit { text: text.into(), why };
         let (place, value) = text.split_once('=').ok_or_else(|| bad("no = in it".into()))?;
-        let place: Path = place.parse().map_err(|error: BadPath| bad(error.to_string()))?;
+        let place: Path = place.parse().map_err(|error: InvalidPath| bad(error.to_string()))?;
         let field = place.field.ok_or_else(|| bad("it names no field".into()))?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| value.into());
         Ok(Edit::Set { key: place.key, field, value })
@@ -178,7 +178,7 @@
 
 impl Configuration {
     /// Of a script's calls; those that are a gateway's own are left out.
-    pub fn of_calls(calls: &[Call]) -> Configuration {
+    pub fn of_calls(calls: &[FunctionCall]) -> Configuration {
         let mut entities = OrdMap::new();
         let mut requests = Vec::new();
         for call in calls {
@@ -204,7 +204,7 @@
     }
 
     /// The script's calls that would say the same.
-    pub fn calls(&self) -> Vec<Call> {
+    pub fn calls(&self) -> Vec<FunctionCall> {
         self.entities.iter().flat_map(|(key, fields)| calls(key, fields)).collect()
     }
 
@@ -263,8 +263,11 @@
 }
 
 /// The calls that say what an entity is.
-pub fn calls(key: &Key, fields: &Fields) -> Vec<Call> {
-    let call = |function, first: Value, named: Fields| Call { named, ..Call::of(function, first, []) };
+pub fn calls(key: &Key, fields: &Fields) -> Vec<FunctionCall> {
+    let call = |function, first: Value, named: Fields| FunctionCall {
+        named,
+        ..FunctionCall::from_script(function, first, [])
+    };
     match key.kind {
         Kind::Requests => {
             let rules = fields.get("rules").and_then(Value::as_array).cloned().unwrap_or_default();
--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -8,7 +8,7 @@
 
 use imbl::{HashMap, Vector};
 use serde_json::Value;
-use umbertray_config::{Call, Document, Problem, canon, check};
+use umbertray_config::{FunctionCall, Problem, SettingsDocument, canon, check};
 use umbertray_routing::Settings;
 pub use umbertray_routing::SettingsChange;
 use umbertray_routing::settings::{OpType, Plan, Rules, TypeRule, Volume};
@@ -33,7 +33,7 @@
 
 impl Version {
     /// Version 0, as a checked document has it.
-    pub fn first(document: &Document) -> Version {
+    pub fn first(document: &SettingsDocument) -> Version {
         let s = &document.settings;
         let mut members = HashMap::new();
         s.volumes.iter().for_each(|volume| *members.entry(volume.plan).or_insert(0) += 1);
@@ -54,7 +54,7 @@
 
     /// Version 0, before anything was said; not one to act on.
     pub fn empty() -> Version {
-        let rules = check::rules(&Call::of("rules", Value::Null, []), &mut Vec::new());
+        let rules = check::rules(&FunctionCall::from_script("rules", Value::Null, []), &mut Vec::new());
         Version {
             number: 0,
             configuration: Configuration::default(),
@@ -100,7 +100,7 @@
     }
 
     /// Volumes of a plan.
-    pub fn members(&self, plan: &str) -> usize {
+    pub fn volume_count(&self, plan: &str) -> usize {
         let place = self.plan_places.get(plan);
         place.and_then(|place| self.members.get(place)).copied().unwrap_or(0)
     }
@@ -190,7 +190,7 @@
         self.configuration.entities.insert(key.clone(), Arc::new(canonical));
     }
 
-    fn put_op_type(&mut self, call: &Call, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
+    fn put_op_type(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
         let op_type = check::op_type(call, problems);
         let fields = canon::op_type(&op_type).named;
         let op_types = Arc::make_mut(&mut self.op_types);
@@ -215,7 +215,7 @@
 
     fn put_requests(
         &mut self,
-        calls: &[Call],
+        calls: &[FunctionCall],
         fields: &Fields,
         problems: &mut Vec<Problem>,
         work: &mut Work,
@@ -224,14 +224,15 @@
         let rules: Vec<TypeRule> =
             calls.iter().map(|call| check::type_rule(call, &place, problems)).collect();
         let given = fields.get("rules").and_then(Value::as_array).map_or(0, Vec::len);
-        let whole = Call::of("requests", Value::Null, []);
+        let whole = FunctionCall::from_script("requests", Value::Null, []);
         if given != rules.len() || fields.len() != 1 {
             problems.push(whole.problem("rules must be a list of request rules".into()));
         }
         let unruled = check::unruled(&rules);
         problems.extend(unruled.map(|name| whole.problem(format!("no rule without up_to covers {name:?}"))));
         let canonical = if problems.is_empty() {
-            let calls: Vec<Call> = rules.iter().map(|rule| canon::request(rule, &self.op_types)).collect();
+            let calls: Vec<FunctionCall> =
+                rules.iter().map(|rule| canon::request(rule, &self.op_types)).collect();
             let key = Key::new(Kind::Requests, "");
             let entities = Configuration::of_calls(&calls).entities;
             entities.get(&key).map_or_else(Fields::new, |fields| (**fields).clone())
@@ -243,7 +244,7 @@
         canonical
     }
 
-    fn put_plan(&mut self, call: &Call, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
+    fn put_plan(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
         let plan = check::plan(call, problems);
         let fields = canon::plan(&plan).named;
         let place = self.plan_places.get(&plan.name).copied().unwrap_or(self.plans.len());
@@ -260,7 +261,7 @@
         fields
     }
 
-    fn put_volume(&mut self, call: &Call, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
+    fn put_volume(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>, work: &mut Work) -> Fields {
         let places = &self.plan_places;
         let volume = check::volume(call, &|name| places.get(name).copied(), problems);
         if !problems.is_empty() {
@@ -352,13 +353,13 @@
 }
 
 /// Checks calls of the shared settings together with a gateway's own (those of a plain one where there are none).
-pub fn document(shared: &[Call], own: &[Call]) -> Result<Document, Vec<String>> {
+pub fn document(shared: &[FunctionCall], own: &[FunctionCall]) -> Result<SettingsDocument, Vec<String>> {
     let plain = || {
         let fields = [("listen", serde_json::json!(["127.0.0.1:0"])), ("list", "127.0.0.1:1".into())];
-        vec![Call::of("gateway", Value::Null, fields)]
+        vec![FunctionCall::from_script("gateway", Value::Null, fields)]
     };
     let own = if own.is_empty() { plain() } else { own.to_vec() };
-    let calls: Vec<Call> = own.into_iter().chain(shared.iter().cloned()).collect();
+    let calls: Vec<FunctionCall> = own.into_iter().chain(shared.iter().cloned()).collect();
     let problems = |problems: Vec<Problem>| problems.iter().map(ToString::to_string).collect::<Vec<_>>();
     umbertray_config::document("the configuration", &calls).map_err(problems)
 }
--- a/crates/config-log/tests/chain.rs
+++ b/crates/config-log/tests/chain.rs
@@ -2,12 +2,15 @@
 
 use std::collections::VecDeque;
 
-use umbertray_config_log::chain::{self, Broken, Chain, ChainError, Checkpoint, Kind, Opened};
+use umbertray_config_log::chain::{
+    self, ChainError, Checkpoint, Corruption, HashChain, LogFormat, OpenedLog,
+};
 use umbertray_config_log::segment::CHANGES;
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::sim::{SimDisk, Trouble};
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
 
-const KEPT: Kind = Kind { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", fresh: "kept.new" };
+const KEPT: LogFormat =
+    LogFormat { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", temporary: "kept.new" };
 
 /// Segments of a few bodies each.
 const GROWN: usize = 200;
@@ -28,18 +31,19 @@
     (serde_json::to_vec(all).expect("plain"), VecDeque::new())
 }
 
-fn open(disk: &SimDisk) -> Result<(Chain, Bodies), ChainError> {
+fn open(disk: &SimulatedDisk) -> Result<(HashChain, Bodies), ChainError> {
     let empty = || checkpoint(&Bodies::new()).0;
-    let (mut chain, Opened { head, entries }) = Chain::open(Box::new(disk.clone()), &KEPT, GROWN, empty)?;
+    let (mut chain, OpenedLog { header: head, entries }) =
+        HashChain::open(Box::new(disk.clone()), &KEPT, GROWN, empty)?;
     let mut all: Bodies = serde_json::from_slice(&head.checkpoint).expect("a state");
     all.extend(entries.into_iter().map(|entry: chain::Entry| entry.body));
-    chain.settle(|| checkpoint(&all))?;
+    chain.recover(|| checkpoint(&all))?;
     assert_eq!(chain.version(), all.len() as u64);
     Ok((chain, all))
 }
 
 /// Appends until there are so many or the disk fails; how many are known to be there.
-fn append_to(disk: &SimDisk, count: usize) -> usize {
+fn append_to(disk: &SimulatedDisk, count: usize) -> usize {
     let Ok((mut chain, mut all)) = open(disk) else { return 0 };
     while all.len() < count && chain.append(body(all.len()), || checkpoint(&all)).is_ok() {
         all.push(body(all.len()));
@@ -48,7 +52,7 @@
 }
 
 /// What is there is all that was acknowledged, in order, perhaps with what was being written; it goes on from there.
-fn check(found: &SimDisk, done: usize, count: usize) {
+fn check(found: &SimulatedDisk, done: usize, count: usize) {
     let (chain, all) = open(found).expect("whole");
     drop(chain);
     assert!(all.len() == done || all.len() == done + 1, "{done} done, {} found", all.len());
@@ -59,23 +63,23 @@
 
 #[test]
 fn after_trouble_at_any_step_what_was_acknowledged_is_there_in_order_and_nothing_else() {
-    let whole = SimDisk::default();
+    let whole = SimulatedDisk::default();
     assert_eq!(append_to(&whole, 30), 30);
     let segments = chain::segments(&whole, &KEPT).expect("there");
     assert!(segments.len() > 3 && chain::segments(&whole, &CHANGES).expect("there").is_empty());
     for step in 1..=whole.steps() {
         for seed in 0..4 {
-            let disk = SimDisk::default();
-            disk.trouble(step, Trouble::Crash);
+            let disk = SimulatedDisk::default();
+            disk.trouble(step, StorageFault::Crash);
             let done = append_to(&disk, 30);
             let found = disk.after_crash(seed * 1000 + step);
             // The next opening, which may have to cut a torn end, meets a crash too.
-            found.trouble(1 + seed, Trouble::Crash);
+            found.trouble(1 + seed, StorageFault::Crash);
             let again = append_to(&found, done + 1).max(done);
             check(&found.after_crash(seed), again, 40);
         }
-        let disk = SimDisk::default();
-        disk.trouble(step, Trouble::Fail);
+        let disk = SimulatedDisk::default();
+        disk.trouble(step, StorageFault::Fail);
         let done = append_to(&disk, 30);
         check(&disk, done, 40);
     }
@@ -83,9 +87,9 @@
 
 #[test]
 fn nothing_is_appended_after_a_failed_write_or_before_what_was_found_is_settled() {
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     let (mut chain, all) = open(&disk).expect("a folder");
-    disk.trouble(disk.steps() + 1, Trouble::Fail);
+    disk.trouble(disk.steps() + 1, StorageFault::Fail);
     let none = || checkpoint(&Bodies::new());
     assert!(chain.append(body(1), none).is_err());
     let steps = disk.steps();
@@ -95,20 +99,21 @@
     }
     drop(chain);
     assert!(all.is_empty());
-    let opened: Result<(Chain, Opened), _> = Chain::open(Box::new(disk.clone()), &KEPT, GROWN, Vec::new);
+    let opened: Result<(HashChain, OpenedLog), _> =
+        HashChain::open(Box::new(disk.clone()), &KEPT, GROWN, Vec::new);
     let (mut chain, _) = opened.expect("whole");
     assert!(chain.append(body(1), none).is_err());
     assert_eq!(disk.steps(), steps, "nothing was written");
-    chain.settle(none).expect("the disk works again");
+    chain.recover(none).expect("the disk works again");
     chain.append(body(1), none).expect("settled");
 }
 
 #[test]
 fn a_log_of_another_kind_is_told() {
-    let mut disk = SimDisk::default();
+    let mut disk = SimulatedDisk::default();
     append_to(&disk, 1);
-    let bytes = disk.read(&KEPT.name(0), GROWN).expect("there");
-    disk.write(&CHANGES.name(0), &bytes).expect("no trouble");
+    let bytes = disk.read(&KEPT.file_name(0), GROWN).expect("there");
+    disk.write(&CHANGES.file_name(0), &bytes).expect("no trouble");
     let read = chain::read_segment::<chain::Entry>(&disk, &CHANGES, 0);
-    assert!(matches!(read.err(), Some(ChainError::Broken { why: Broken::Magic, .. })));
+    assert!(matches!(read.err(), Some(ChainError::Broken { why: Corruption::NotALog, .. })));
 }
--- a/crates/config-log/tests/golden.rs
+++ b/crates/config-log/tests/golden.rs
@@ -8,9 +8,9 @@
 use umbertray_config_log::guard::Guard;
 use umbertray_config_log::log::{self, Log};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
-use umbertray_config_log::{Mirror, Replica, Tail, Told, acted};
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::sim::SimDisk;
+use umbertray_config_log::{FolderReader, LogCopy, Replica, Update, acted};
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::sim::SimulatedDisk;
 
 /// Small, so that the history rolls over into a second segment.
 const SEGMENT_BYTES: usize = 2048;
@@ -32,15 +32,15 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(folder)
 }
 
-fn files(layer: &dyn Layer) -> Vec<(String, Vec<u8>)> {
+fn files(layer: &dyn Storage) -> Vec<(String, Vec<u8>)> {
     let mut names = layer.names().expect("a folder");
     names.sort();
     names.into_iter().map(|name| (name.clone(), layer.read(&name, MOST_BYTES).expect("a file"))).collect()
 }
 
 /// A disk in memory with the recorded files on it.
-fn recorded_disk(folder: &str) -> SimDisk {
-    let mut disk = SimDisk::default();
+fn recorded_disk(folder: &str) -> SimulatedDisk {
+    let mut disk = SimulatedDisk::default();
     for entry in std::fs::read_dir(recorded(folder)).expect("recorded files") {
         let path = entry.expect("a file").path();
         let name = path.file_name().and_then(|name| name.to_str()).expect("UTF-8").to_string();
@@ -52,7 +52,7 @@
 }
 
 /// Fails where the disk holds other names or bytes than are recorded; what it holds is left to look at.
-fn assert_recorded(disk: &SimDisk, folder: &str) {
+fn assert_recorded(disk: &SimulatedDisk, folder: &str) {
     let written = files(disk);
     if written != files(&recorded_disk(folder)) {
         let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden").join(folder);
@@ -74,8 +74,8 @@
 }
 
 /// A history with each kind of edit, a version that undoes another, guarded changes, and a rolled segment.
-fn history() -> SimDisk {
-    let disk = SimDisk::default();
+fn history() -> SimulatedDisk {
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("an empty folder");
     let document = umbertray_config::read("golden.star", SCRIPT.into()).expect("a right script");
     let first = log.head().configuration.diff(&Configuration::of_calls(&document.calls()));
@@ -96,15 +96,15 @@
     disk
 }
 
-fn copy_of(source: &SimDisk) -> SimDisk {
-    let copy = SimDisk::default();
-    let (mut mirror, mut state) = Mirror::open(Box::new(copy.clone())).expect("an empty folder");
-    for told in Tail::open(source).expect("a whole log").1 {
-        mirror.keep(&told, state.as_ref()).expect("room");
+fn copy_of(source: &SimulatedDisk) -> SimulatedDisk {
+    let copy = SimulatedDisk::default();
+    let (mut mirror, mut state) = LogCopy::open(Box::new(copy.clone())).expect("an empty folder");
+    for told in FolderReader::open(source).expect("a whole log").1 {
+        mirror.append(&told, state.as_ref()).expect("room");
         match (&mut state, &told) {
-            (Some(state), told) => _ = state.take(told).expect("it follows"),
-            (None, Told::Whole(head)) => state = Some(Replica::read(head).expect("right")),
-            (None, Told::Entry(_)) => panic!("a state comes first"),
+            (Some(state), told) => _ = state.apply(told).expect("it follows"),
+            (None, Update::Checkpoint(head)) => state = Some(Replica::from_header(head).expect("right")),
+            (None, Update::Entry(_)) => panic!("a state comes first"),
         }
     }
     copy
@@ -140,7 +140,7 @@
 
 #[test]
 fn recorded_relay_copy_is_read() {
-    let (_, state) = Mirror::open(Box::new(recorded_disk("copy"))).expect("a whole copy");
+    let (_, state) = LogCopy::open(Box::new(recorded_disk("copy"))).expect("a whole copy");
     let plain = Log::open(Box::new(history()), SEGMENT_BYTES).expect("a whole log");
     let state = state.expect("a state");
     assert_eq!(state.version.number, 19);
--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -6,15 +6,15 @@
 
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Value, json};
-use umbertray_config_log::change::{Change, Refused};
-use umbertray_config_log::follow::{Follower, NotFollowed};
+use umbertray_config_log::change::{Change, ChangeRejected};
+use umbertray_config_log::follow::{FollowError, Follower};
 use umbertray_config_log::guard::Guard;
-use umbertray_config_log::log::{self, Log, LogError, Past};
+use umbertray_config_log::log::{self, CommittedChange, Log, LogError};
 use umbertray_config_log::model::{Configuration, Edit, Fields, Key, Kind};
-use umbertray_config_log::segment::{self, Broken};
+use umbertray_config_log::segment::{self, Corruption};
 use umbertray_config_log::version::{SettingsChange, Version, document};
-use umbertray_snapshot::sim::{SimDisk, Trouble};
-use umbertray_snapshot::{Disk, Layer};
+use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
+use umbertray_snapshot::{Disk, Storage};
 
 const ALL: [Guard; 4] = [Guard::Reserve, Guard::Cut, Guard::Removal, Guard::Parts];
 
@@ -132,7 +132,7 @@
 #[test]
 fn every_version_is_rebuilt_to_the_byte_and_conflicts_agree_with_the_model() {
     fn keeps(steps: Vec<(u32, u8, u8)>) -> bool {
-        let disk = SimDisk::default();
+        let disk = SimulatedDisk::default();
         // Segments of a few changes each, so that histories cross them.
         let mut log = Log::open(Box::new(disk.clone()), 256).expect("a folder");
         import(&mut log);
@@ -148,9 +148,11 @@
             let change = change(&format!("c{n}"), base, edits);
             let ours = log.commit(change.clone());
             let same = match (model.commit(&change), ours) {
-                (Ok(true), Ok(done)) => done.version == model.changes.len() as u64 && !done.again,
-                (Ok(false), Err(Refused::Invalid(_))) => true,
-                (Err(met), Err(Refused::Conflict(found))) => {
+                (Ok(true), Ok(done)) => {
+                    done.version == model.changes.len() as u64 && !done.was_committed_before
+                }
+                (Ok(false), Err(ChangeRejected::Invalid(_))) => true,
+                (Err(met), Err(ChangeRejected::Conflict(found))) => {
                     let mut found: Vec<u64> = found.iter().map(|conflict| conflict.version).collect();
                     found.dedup();
                     met == found
@@ -174,7 +176,7 @@
 }
 
 /// Commits until the disk fails; the last version that was said to be done.
-fn commit_all(disk: &SimDisk, from: u32, count: u32) -> u64 {
+fn commit_all(disk: &SimulatedDisk, from: u32, count: u32) -> u64 {
     let Ok(mut log) = Log::open(Box::new(disk.clone()), 700) else { return 0 };
     let mut done = log.head().number;
     if done == 0 {
@@ -193,15 +195,16 @@
 
 #[test]
 fn after_a_crash_at_any_step_what_was_committed_is_there_and_no_gateway_was_ahead() {
-    let whole = SimDisk::default();
+    let whole = SimulatedDisk::default();
     assert_eq!(commit_all(&whole, 1, 9), 10);
     for step in 1..=whole.steps() {
         for seed in 0..4 {
-            let disk = SimDisk::default();
-            disk.trouble(step, Trouble::Crash);
+            let disk = SimulatedDisk::default();
+            disk.trouble(step, StorageFault::Crash);
             let done = commit_all(&disk, 1, 9);
             // What a gateway reads through the same page cache when the machine is about to stop.
-            let acted = Follower::open(&disk.seen(), None).map_or(0, |follower| follower.at.version.number);
+            let acted =
+                Follower::open(&disk.seen(), None).map_or(0, |follower| follower.replica.version.number);
             let found = disk.after_crash(seed * 1000 + step);
             let log = Log::open(Box::new(found.clone()), 700).expect("a log after a crash");
             let head = log.head().number;
@@ -209,7 +212,7 @@
             assert!(acted <= head, "step {step}: acted on {acted}, {head} is left");
             drop(log);
             assert_eq!(log::verify(&found).expect("whole"), head);
-            let follower = Follower::open(&found, None).map_or(0, |follower| follower.at.version.number);
+            let follower = Follower::open(&found, None).map_or(0, |follower| follower.replica.version.number);
             assert_eq!(follower, head, "step {step}: all is marked safe once a writer has been there");
             assert_eq!(commit_all(&found, 100, 3).max(head), head.max(1) + 3);
         }
@@ -218,11 +221,11 @@
 
 #[test]
 fn a_step_that_fails_never_pretends_and_a_change_sent_again_is_done_once() {
-    let whole = SimDisk::default();
+    let whole = SimulatedDisk::default();
     commit_all(&whole, 1, 9);
     for step in 1..=whole.steps() {
-        let disk = SimDisk::default();
-        disk.trouble(step, Trouble::Fail);
+        let disk = SimulatedDisk::default();
+        disk.trouble(step, StorageFault::Fail);
         let done = commit_all(&disk, 1, 9);
         let mut log = Log::open(Box::new(disk.clone()), 700).expect("the disk works again");
         assert!(log.head().number >= done);
@@ -240,19 +243,24 @@
 
 #[test]
 fn an_id_is_of_one_change_and_who_and_why_must_be_said() {
-    let mut log = Log::open(Box::new(SimDisk::default()), 1 << 20).expect("a folder");
+    let mut log = Log::open(Box::new(SimulatedDisk::default()), 1 << 20).expect("a folder");
     import(&mut log);
     let edit = |weight: f64| vec![set(Kind::Plan, "p0", "weight", json!(weight))];
     assert_eq!(log.commit(change("c", 1, edit(3.0))).expect("right").version, 2);
     let again = log.commit(Change { at: 77, ..change("c", 1, edit(3.0)) }).expect("the same");
-    assert!(again.again && again.version == 2);
-    assert!(matches!(log.commit(change("c", 1, edit(4.0))), Err(Refused::IdTaken { version: 2, .. })));
+    assert!(again.was_committed_before && again.version == 2);
+    assert!(matches!(log.commit(change("c", 1, edit(4.0))), Err(ChangeRejected::IdTaken { version: 2, .. })));
     for (actor, reason) in [("", "why"), ("who", " ")] {
         let lacking = Change { actor: actor.into(), reason: reason.into(), ..change("d", 2, edit(5.0)) };
-        assert!(matches!(log.commit(lacking), Err(Refused::Lacks(_))));
+        assert!(matches!(log.commit(lacking), Err(ChangeRejected::Missing(_))));
     }
-    assert!(matches!(log.commit(change("e", 9, edit(5.0))), Err(Refused::NoSuchBase { base: 9, head: 2 })));
-    let Err(Refused::Conflict(met)) = log.commit(change("f", 1, edit(5.0))) else { panic!("both from 1") };
+    assert!(matches!(
+        log.commit(change("e", 9, edit(5.0))),
+        Err(ChangeRejected::NoSuchBase { base: 9, head: 2 })
+    ));
+    let Err(ChangeRejected::Conflict(met)) = log.commit(change("f", 1, edit(5.0))) else {
+        panic!("both from 1")
+    };
     assert_eq!(
         (met[0].place.as_str(), met[0].theirs.as_str(), met[0].actor.as_str()),
         ("plan/p0:weight", "3.0", "ann")
@@ -262,7 +270,7 @@
 
 #[test]
 fn what_is_guarded_needs_its_word() {
-    let mut log = Log::open(Box::new(SimDisk::default()), 1 << 20).expect("a folder");
+    let mut log = Log::open(Box::new(SimulatedDisk::default()), 1 << 20).expect("a folder");
     import(&mut log);
     let capacity = change("c", 1, vec![set(Kind::Rules, "", "capacity", json!(100.0))]);
     log.commit(capacity).expect("right");
@@ -277,7 +285,7 @@
     for (n, (guard, edit)) in cases.into_iter().enumerate() {
         let base = log.head().number;
         let unsaid = Change { allow: vec![], ..change(&format!("u{n}"), base, vec![edit.clone()]) };
-        let Err(Refused::Guarded(found)) = log.commit(unsaid) else { panic!("{guard:?}") };
+        let Err(ChangeRejected::Guarded(found)) = log.commit(unsaid) else { panic!("{guard:?}") };
         assert_eq!(found.iter().map(|found| found.guard).collect::<Vec<_>>(), [guard], "{found:?}");
         let said = Change { allow: vec![guard], ..change(&format!("s{n}"), base, vec![edit]) };
         log.commit(said).expect("with its word");
@@ -286,7 +294,7 @@
     let base = log.head().number;
     log.commit(Change { allow: vec![], ..change("more", base, vec![fewer(4)]) }).expect("more are no danger");
     let parts = Change { allow: vec![], ..change("fewer", base + 1, vec![fewer(3)]) };
-    assert!(matches!(log.commit(parts), Err(Refused::Guarded(_))));
+    assert!(matches!(log.commit(parts), Err(ChangeRejected::Guarded(_))));
     // What cannot be had is refused whatever is said.
     for edit in [
         set(Kind::OpType, "get", "repeats", json!("once_only")),
@@ -298,26 +306,26 @@
         Edit::Remove { key: Key::new(Kind::Rules, "") },
     ] {
         let refused = log.commit(change("never", base + 1, vec![edit.clone()]));
-        assert!(matches!(refused, Err(Refused::Invalid(_))), "{edit:?}: {refused:?}");
+        assert!(matches!(refused, Err(ChangeRejected::Invalid(_))), "{edit:?}: {refused:?}");
     }
 }
 
 /// A log of ten versions in one segment; its file's bytes.
 fn one_segment() -> Vec<u8> {
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 1 << 20).expect("a folder");
     import(&mut log);
     for n in 1..=9u32 {
         let edit = set(Kind::Plan, "p0", "weight", json!(f64::from(n)));
         log.commit(change(&format!("c{n}"), u64::from(n), vec![edit])).expect("right");
     }
-    disk.read(&segment::name(0), 1 << 20).expect("there")
+    disk.read(&segment::file_name(0), 1 << 20).expect("there")
 }
 
-fn with(bytes: &[u8]) -> SimDisk {
-    let mut disk = SimDisk::default();
-    disk.write(&segment::name(0), bytes).expect("no trouble");
-    disk.sync(&segment::name(0)).expect("no trouble");
+fn with(bytes: &[u8]) -> SimulatedDisk {
+    let mut disk = SimulatedDisk::default();
+    disk.write(&segment::file_name(0), bytes).expect("no trouble");
+    disk.sync(&segment::file_name(0)).expect("no trouble");
     disk.sync_folder().expect("no trouble");
     disk
 }
@@ -333,7 +341,11 @@
             Err(LogError::Broken { .. }) => {}
             // Only the last change or the marker after it may be taken for a write that was cut off.
             Ok(log) => {
-                assert!(log.head().number >= 9 && log.torn > 0, "bit in byte {at}: {}", log.head().number)
+                assert!(
+                    log.head().number >= 9 && log.torn_bytes > 0,
+                    "bit in byte {at}: {}",
+                    log.head().number
+                )
             }
             Err(error) => panic!("{error}"),
         }
@@ -346,11 +358,13 @@
             assert_eq!(log::verify(&disk).expect("whole again"), head, "cut at {cut}");
             // Whoever acted on more says so, and does not go back.
             let acted = Some((10, [7; 32]));
-            let followed = Follower::open(&disk, acted).map(|follower| follower.at.version.number);
+            let followed = Follower::open(&disk, acted).map(|follower| follower.replica.version.number);
             assert!(
                 matches!(
                     followed,
-                    Err(NotFollowed::Older { .. } | NotFollowed::Other(10) | NotFollowed::Empty)
+                    Err(FollowError::LogOlder { .. }
+                        | FollowError::DivergentHistory(10)
+                        | FollowError::NoLog)
                 ),
                 "cut at {cut}: {followed:?}"
             );
@@ -391,12 +405,12 @@
     twice.insert(8, 7);
     for order in [left_out, swapped, twice] {
         let opened = Log::open(Box::new(with(&joined(&order))), 1 << 20);
-        assert!(matches!(opened, Err(LogError::Broken { why: Broken::Chain(_), .. })));
+        assert!(matches!(opened, Err(LogError::Broken { why: Corruption::BrokenChain(_), .. })));
     }
     let mut newer = good.clone();
     newer[6] = 9;
     let opened = Log::open(Box::new(with(&newer)), 1 << 20);
-    assert!(matches!(opened, Err(LogError::Broken { why: Broken::Newer(9), .. })));
+    assert!(matches!(opened, Err(LogError::Broken { why: Corruption::NewerFormat(9), .. })));
 }
 
 #[test]
@@ -423,10 +437,10 @@
                         Edit::Put { key: Key::new(Kind::Volume, &format!("new{n}")), fields }
                     };
                     let done = open().commit(change(&format!("w{n}"), 1, vec![edit.clone()]));
-                    assert!(matches!(done, Ok(_) | Err(Refused::Conflict(_))), "{done:?}");
+                    assert!(matches!(done, Ok(_) | Err(ChangeRejected::Conflict(_))), "{done:?}");
                     // Sent again, it is the same.
                     let again = open().commit(change(&format!("w{n}"), 1, vec![edit]));
-                    assert_eq!(again.is_ok_and(|committed| committed.again), done.is_ok());
+                    assert_eq!(again.is_ok_and(|committed| committed.was_committed_before), done.is_ok());
                     (n, done.is_ok())
                 })
             })
@@ -436,7 +450,7 @@
     let done = results.iter().filter(|(_, done)| *done).count();
     // Three plans and two fields: six of the fortieth part that met, and all that met nobody.
     assert_eq!(done, 160 + 6);
-    let disk = Disk::look(&folder);
+    let disk = Disk::read_only(&folder);
     assert_eq!(log::verify(&disk).expect("whole"), 1 + done as u64);
     let past = log::history(&disk, 1).expect("whole");
     let mut ids: Vec<&str> = past.iter().map(|past| past.change.id.as_str()).collect();
@@ -447,9 +461,9 @@
 
 #[test]
 fn a_follower_takes_what_is_safe_in_order_and_never_goes_back() {
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 700).expect("a folder");
-    assert!(matches!(Follower::open(&disk, None), Err(NotFollowed::Empty)));
+    assert!(matches!(Follower::open(&disk, None), Err(FollowError::NoLog)));
     import(&mut log);
     let mut follower = Follower::open(&disk, None).expect("version 1");
     assert!(follower.poll(&disk).expect("whole").is_empty());
@@ -469,38 +483,38 @@
     steps.extend(follower.poll(&disk).expect("whole"));
     let numbers: Vec<u64> = steps.iter().map(|(version, _)| version.number).collect();
     assert_eq!(numbers, (2..=31).collect::<Vec<_>>());
-    assert_eq!(follower.at.version.configuration.bytes(), log.head().configuration.bytes());
+    assert_eq!(follower.replica.version.configuration.bytes(), log.head().configuration.bytes());
     assert_eq!(steps[0].1, [SettingsChange::Volume(1)]);
     // One that was away while segments went finds the difference, and keeps its places.
-    let mut away =
-        Follower::open(&with(&disk.read(&segment::name(0), 1 << 20).expect("there")), None).expect("old");
-    let mut newest = SimDisk::default();
+    let mut away = Follower::open(&with(&disk.read(&segment::file_name(0), 1 << 20).expect("there")), None)
+        .expect("old");
+    let mut newest = SimulatedDisk::default();
     let last = *log::segments(&disk).expect("there").last().expect("some");
     newest
-        .write(&segment::name(last), &disk.read(&segment::name(last), 1 << 20).expect("there"))
+        .write(&segment::file_name(last), &disk.read(&segment::file_name(last), 1 << 20).expect("there"))
         .expect("room");
     let caught_up = away.poll(&newest).expect("whole");
     assert_eq!(caught_up.last().map(|(version, _)| version.number), Some(31));
-    assert_eq!(away.at.version.configuration.bytes(), log.head().configuration.bytes());
+    assert_eq!(away.replica.version.configuration.bytes(), log.head().configuration.bytes());
     // Its log is put back to what it was: it keeps what it has.
-    let past: Past = log::history(&disk, 29).expect("whole").remove(0);
+    let past: CommittedChange = log::history(&disk, 29).expect("whole").remove(0);
     assert_eq!(past.version, 30);
-    let acted = Some((31, follower.at.hash));
+    let acted = Some((31, follower.replica.hash));
     assert!(matches!(
         Follower::open(&with(&one_segment()), acted),
-        Err(NotFollowed::Older { have: 31, found: 10 })
+        Err(FollowError::LogOlder { have: 31, found: 10 })
     ));
-    assert!(matches!(Follower::open(&disk, Some((31, [1; 32]))), Err(NotFollowed::Other(31))));
+    assert!(matches!(Follower::open(&disk, Some((31, [1; 32]))), Err(FollowError::DivergentHistory(31))));
     assert!(Follower::open(&disk, acted).is_ok());
 }
 
 /// Changes that were read before the trouble are told; the trouble is told at the next look, and at each after.
 #[test]
 fn trouble_further_on_takes_nothing_from_what_was_read_before_it() {
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 700).expect("a folder");
     import(&mut log);
-    let first = disk.read(&segment::name(0), 1 << 20).expect("there");
+    let first = disk.read(&segment::file_name(0), 1 << 20).expect("there");
     let mut follower = Follower::open(&with(&first), None).expect("version 1");
     for n in 1..=30u32 {
         let edit = set(Kind::Plan, "p1", "limit", json!(50.0 + f64::from(n)));
@@ -510,19 +524,19 @@
     let (last, broken) = (*segments.last().expect("some"), segments[segments.len() - 2]);
     assert!(broken > 1 && last > broken, "{segments:?}");
     let mut damaged = disk.clone();
-    damaged.write(&segment::name(broken), b"no log").expect("room");
+    damaged.write(&segment::file_name(broken), b"no log").expect("room");
     let taken = follower.poll(&damaged).expect("what was read before");
     let numbers: Vec<u64> = taken.iter().map(|(version, _)| version.number).collect();
     assert_eq!(numbers, (2..=broken).collect::<Vec<_>>());
-    assert_eq!(follower.at.version.number, broken);
+    assert_eq!(follower.replica.version.number, broken);
     for _ in 0..2 {
-        assert!(matches!(follower.poll(&damaged), Err(NotFollowed::Log(LogError::Broken { .. }))));
+        assert!(matches!(follower.poll(&damaged), Err(FollowError::Log(LogError::Broken { .. }))));
     }
 }
 
 #[test]
 fn a_clock_that_runs_backwards_changes_no_order() {
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 1 << 20).expect("a folder");
     import(&mut log);
     for n in 1..=5u64 {
@@ -575,6 +589,6 @@
     assert!(began.elapsed() < Duration::from_secs(30), "{:?}", began.elapsed());
     let again = Version::read(version.number, &version.configuration).expect("right");
     assert_eq!(again.configuration.bytes(), version.configuration.bytes());
-    assert_eq!((again.volumes(), again.members("p2")), (version.volumes(), version.members("p2")));
+    assert_eq!((again.volumes(), again.volume_count("p2")), (version.volumes(), version.volume_count("p2")));
     assert!((again.reserved() - version.reserved()).abs() < 1e-6);
 }
--- a/crates/config-log/tests/mirror.rs
+++ b/crates/config-log/tests/mirror.rs
@@ -4,10 +4,10 @@
 use umbertray_config_log::change::Change;
 use umbertray_config_log::log::Log;
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
-use umbertray_config_log::segment::Broken;
-use umbertray_config_log::{Mirror, Replica, Tail, Told};
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::sim::{SimDisk, Trouble};
+use umbertray_config_log::segment::Corruption;
+use umbertray_config_log::{FolderReader, LogCopy, Replica, Update};
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
 
 const SHARED: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
@@ -24,8 +24,8 @@
 }
 
 /// What is told of a log of so many versions, beginning with its state at the first.
-fn told(versions: u64) -> Vec<Told> {
-    let disk = SimDisk::default();
+fn told(versions: u64) -> Vec<Update> {
+    let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 1 << 20).expect("a folder");
     let document = umbertray_config::read("shared.star", SHARED.into()).expect("right");
     commit(&mut log, Configuration::default().diff(&Configuration::of_calls(&document.calls())));
@@ -33,22 +33,22 @@
         let (key, field) = (Key::new(Kind::Plan, "p"), "weight".into());
         commit(&mut log, vec![Edit::Set { key, field, value: json!(weight as f64) }]);
     }
-    Tail::open(&disk).expect("whole").1
+    FolderReader::open(&disk).expect("whole").1
 }
 
 /// Keeps all of it, from where the copy is; up to which version it is known to be kept, and whether all went well.
-fn keep(disk: &SimDisk, all: &[Told]) -> u64 {
-    let Ok((mut mirror, mut state)) = Mirror::open(Box::new(disk.clone())) else { return 0 };
+fn keep(disk: &SimulatedDisk, all: &[Update]) -> u64 {
+    let Ok((mut mirror, mut state)) = LogCopy::open(Box::new(disk.clone())) else { return 0 };
     let mut kept = state.as_ref().map_or(0, |state| state.version.number);
     for told in all {
-        if mirror.keep(told, state.as_ref()).is_err() {
+        if mirror.append(told, state.as_ref()).is_err() {
             return kept;
         }
         match &mut state {
-            Some(state) => _ = state.take(told).expect("it follows"),
+            Some(state) => _ = state.apply(told).expect("it follows"),
             None => {
-                let Told::Whole(head) = told else { panic!("a state comes first") };
-                state = Some(Replica::read(head).expect("right"));
+                let Update::Checkpoint(head) = told else { panic!("a state comes first") };
+                state = Some(Replica::from_header(head).expect("right"));
             }
         }
         kept = told.version();
@@ -56,19 +56,19 @@
     kept
 }
 
-fn found(disk: &SimDisk) -> Option<Replica> {
-    Mirror::open(Box::new(disk.clone())).expect("whole").1
+fn found(disk: &SimulatedDisk) -> Option<Replica> {
+    LogCopy::open(Box::new(disk.clone())).expect("whole").1
 }
 
 #[test]
 fn after_trouble_at_any_step_a_copy_has_what_was_kept_and_goes_on() {
     let all = told(9);
-    let (whole, last) = (SimDisk::default(), all.last().map(|told| (told.version(), told.hash())));
+    let (whole, last) = (SimulatedDisk::default(), all.last().map(|told| (told.version(), told.hash())));
     assert_eq!(keep(&whole, &all), 9);
     for step in 1..=whole.steps() {
         for seed in 0..4 {
-            let disk = SimDisk::default();
-            disk.trouble(step, Trouble::Crash);
+            let disk = SimulatedDisk::default();
+            disk.trouble(step, StorageFault::Crash);
             let kept = keep(&disk, &all);
             let after = disk.after_crash(seed * 1000 + step);
             let number = found(&after).map_or(0, |state| state.version.number);
@@ -77,8 +77,8 @@
             let end = found(&after).map(|state| (state.version.number, state.hash));
             assert_eq!(end, last, "step {step}");
         }
-        let disk = SimDisk::default();
-        disk.trouble(step, Trouble::Fail);
+        let disk = SimulatedDisk::default();
+        disk.trouble(step, StorageFault::Fail);
         let kept = keep(&disk, &all);
         assert!(found(&disk).map_or(0, |state| state.version.number) >= kept, "step {step}");
         assert_eq!(keep(&disk, &all), 9, "step {step}");
@@ -88,22 +88,22 @@
 #[test]
 fn a_copy_holds_one_segment_and_is_followed_like_the_log() {
     let all = told(40);
-    let disk = SimDisk::default();
+    let disk = SimulatedDisk::default();
     assert_eq!(keep(&disk, &all), 40);
     // A state further on than what is held takes the place of all of it.
-    let (mut mirror, state) = Mirror::open(Box::new(disk.clone())).expect("whole");
+    let (mut mirror, state) = LogCopy::open(Box::new(disk.clone())).expect("whole");
     let state = state.expect("forty versions");
-    let head = umbertray_config_log::segment::Head {
+    let head = umbertray_config_log::segment::SegmentHeader {
         version: 50,
         hash: [7; 32],
         checkpoint: state.version.configuration.bytes(),
-        done: Default::default(),
+        completed: Default::default(),
     };
-    mirror.keep(&Told::Whole(head), Some(&state)).expect("the disk works");
+    mirror.append(&Update::Checkpoint(head), Some(&state)).expect("the disk works");
     drop(mirror);
     let segments = disk.names().expect("there").iter().filter(|name| name.starts_with("changes-")).count();
     assert_eq!(segments, 1);
-    let (_, followed) = Tail::open(&disk).expect("whole");
+    let (_, followed) = FolderReader::open(&disk).expect("whole");
     assert_eq!(followed.last().map(|told| (told.version(), told.hash())), Some((50, [7; 32])));
     assert_eq!(found(&disk).map(|state| state.hash), Some([7; 32]));
 }
@@ -112,27 +112,27 @@
 #[test]
 fn a_replica_takes_what_follows_and_nothing_else() {
     let all = told(5);
-    let (Told::Whole(head), entries) = (&all[0], &all[1..]) else { panic!("a state comes first") };
-    let mut state = Replica::read(head).expect("right");
+    let (Update::Checkpoint(head), entries) = (&all[0], &all[1..]) else { panic!("a state comes first") };
+    let mut state = Replica::from_header(head).expect("right");
     for (place, told) in entries.iter().enumerate() {
-        let Told::Entry(entry) = told else { panic!("entries follow") };
+        let Update::Entry(entry) = told else { panic!("entries follow") };
         let before = (state.version.number, state.hash);
         let mut wrong = vec![umbertray_config_log::chain::Entry { hash: [1; 32], ..entry.clone() }];
         wrong.push(umbertray_config_log::chain::Entry { body: b"{}".to_vec(), ..entry.clone() });
-        if let Some(Told::Entry(skipped)) = entries.get(place + 1) {
+        if let Some(Update::Entry(skipped)) = entries.get(place + 1) {
             wrong.push(skipped.clone());
         }
         for wrong in wrong {
-            assert!(matches!(state.take(&Told::Entry(wrong)), Err(Broken::Chain(_))));
+            assert!(matches!(state.apply(&Update::Entry(wrong)), Err(Corruption::BrokenChain(_))));
             assert_eq!((state.version.number, state.hash), before);
         }
-        assert!(state.take(told).expect("it follows").is_some());
-        assert!(state.take(told).expect("it is known").is_none());
+        assert!(state.apply(told).expect("it follows").is_some());
+        assert!(state.apply(told).expect("it is known").is_none());
         assert_eq!((state.version.number, state.hash), (entry.version, entry.hash));
     }
     // Of the version that it has, another history is none; an older state is known.
-    let other = umbertray_config_log::segment::Head { version: 5, hash: [9; 32], ..head.clone() };
-    assert!(matches!(state.take(&Told::Whole(other)), Err(Broken::Chain(5))));
-    assert!(state.take(&all[0]).expect("older").is_none());
+    let other = umbertray_config_log::segment::SegmentHeader { version: 5, hash: [9; 32], ..head.clone() };
+    assert!(matches!(state.apply(&Update::Checkpoint(other)), Err(Corruption::BrokenChain(5))));
+    assert!(state.apply(&all[0]).expect("older").is_none());
     assert_eq!(state.version.number, 5);
 }
--- a/crates/config-log/tests/sizes.rs
+++ b/crates/config-log/tests/sizes.rs
@@ -4,10 +4,10 @@
 
 use serde_json::json;
 use umbertray_config_log::change::Change;
-use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
-use umbertray_snapshot::Layer;
-use umbertray_snapshot::sim::SimDisk;
+use umbertray_snapshot::Storage;
+use umbertray_snapshot::sim::SimulatedDisk;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
@@ -37,7 +37,7 @@
     Change { id: id.into(), base, actor, reason, at: 1_800_000_000_000_000, edits, allow: Vec::new() }
 }
 
-fn written(disk: &SimDisk) -> usize {
+fn written(disk: &SimulatedDisk) -> usize {
     let names = disk.names().expect("there");
     let logs = names.iter().filter(|name| name.ends_with(".log"));
     logs.map(|name| disk.read(name, 1 << 30).expect("there").len()).sum()
@@ -47,8 +47,8 @@
 #[test]
 fn a_change_of_one_field_has_the_bytes_that_the_page_counts_with() {
     for volumes in [1, 100] {
-        let disk = SimDisk::default();
-        let mut log = Log::open(Box::new(disk.clone()), GROWN).expect("empty");
+        let disk = SimulatedDisk::default();
+        let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("empty");
         let edits = log.head().configuration.diff(&configuration(volumes));
         log.commit(change("import", 0, edits)).expect("the first version");
         let before = written(&disk);
--- a/crates/config/src/calls.rs
+++ b/crates/config/src/calls.rs
@@ -10,7 +10,7 @@
 
 /// A call of one of the script's own functions.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct FunctionCall {
     pub function: &'static str,
     /// The positional argument, where there is one.
     pub first: Value,
@@ -20,16 +20,16 @@
     pub column: usize,
 }
 
-impl Call {
+impl FunctionCall {
     /// A call that no script made: of settings as they are known.
-    pub fn of(
+    pub fn from_script(
         function: &'static str,
         first: Value,
         fields: impl IntoIterator<Item = (&'static str, Value)>,
-    ) -> Call {
+    ) -> FunctionCall {
         let named = fields.into_iter().filter(|(_, value)| !value.is_null());
         let named = named.map(|(name, value)| (name.to_string(), value)).collect();
-        Call { function, first, named, file: String::new(), line: 0, column: 0 }
+        FunctionCall { function, first, named, file: String::new(), line: 0, column: 0 }
     }
 
     /// The call as a line of a script.
@@ -58,13 +58,13 @@
 
 /// Reads a call's arguments; each problem is noted and a stand-in value goes on, so that all are found at once.
 pub struct Arguments<'a> {
-    pub call: &'a Call,
+    pub call: &'a FunctionCall,
     problems: &'a mut Vec<Problem>,
     known: Vec<&'static str>,
 }
 
 impl<'a> Arguments<'a> {
-    pub fn new(call: &'a Call, problems: &'a mut Vec<Problem>) -> Arguments<'a> {
+    pub fn new(call: &'a FunctionCall, problems: &'a mut Vec<Problem>) -> Arguments<'a> {
         Arguments { call, problems, known: Vec::new() }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Seconds.
-    pub fn span(
+    pub fn duration(
         &mut self,
         name: &'static str,
         range: RangeInclusive<f64>,
--- a/crates/config/src/canon.rs
+++ b/crates/config/src/canon.rs
@@ -5,8 +5,8 @@
 use serde_json::{Value, json};
 use umbertray_routing::settings::{Bounds, Idempotency, OpType, Plan, Rules, TypeRule, Volume};
 
-use crate::calls::Call;
-use crate::{Changes, Document, check};
+use crate::calls::FunctionCall;
+use crate::{ChangeSource, SettingsDocument, check};
 
 fn seconds(span: Duration) -> Value {
     json!(span.as_secs_f64())
@@ -16,28 +16,28 @@
     figure.map_or(Value::Null, |figure| json!(figure))
 }
 
-fn changes(changes: &Option<Changes>) -> (Value, Value) {
+fn changes(changes: &Option<ChangeSource>) -> (Value, Value) {
     match changes {
         None => (Value::Null, Value::Null),
-        Some(Changes::Folder(folder)) => (json!(folder), Value::Null),
-        Some(Changes::Relays { upstreams, vouch }) => {
+        Some(ChangeSource::Folder(folder)) => (json!(folder), Value::Null),
+        Some(ChangeSource::Relays { upstreams, quorum: vouch }) => {
             (json!(upstreams.iter().map(ToString::to_string).collect::<Vec<_>>()), json!(vouch))
         }
     }
 }
 
-pub fn gateway(document: &Document) -> Call {
+pub fn gateway(document: &SettingsDocument) -> FunctionCall {
     let s = &document.settings;
     let listen: Vec<String> = document.listen.iter().map(ToString::to_string).collect();
     let (changes, vouch) = changes(&document.changes);
     let text = |text: &Option<String>| text.as_ref().map_or(Value::Null, |text| json!(text));
-    Call::of(
+    FunctionCall::from_script(
         "gateway",
         Value::Null,
         [
             ("listen", json!(listen)),
-            ("list", json!(document.list.to_string())),
-            ("keeper", text(&document.keeper.map(|address| address.to_string()))),
+            ("list", json!(document.endpoint_list.to_string())),
+            ("keeper", text(&document.coordinator.map(|address| address.to_string()))),
             ("seed", json!(document.seed)),
             ("state", text(&document.state)),
             ("changes", changes),
@@ -57,13 +57,13 @@
     )
 }
 
-pub fn op_type(op_type: &OpType) -> Call {
+pub fn op_type(op_type: &OpType) -> FunctionCall {
     let (repeats, span) = match op_type.idempotency {
         Idempotency::Idempotent => ("replayable", Value::Null),
         Idempotency::NotIdempotent => ("once_only", Value::Null),
         Idempotency::Deduplicated(span) => ("deduplicated", seconds(span)),
     };
-    Call::of(
+    FunctionCall::from_script(
         "op_type",
         json!(op_type.name),
         [
@@ -77,15 +77,19 @@
     )
 }
 
-pub fn request(rule: &TypeRule, op_types: &[OpType]) -> Call {
+pub fn request(rule: &TypeRule, op_types: &[OpType]) -> FunctionCall {
     let works: Vec<&str> = rule.kinds.iter().map(|work| check::work_name(*work)).collect();
     let up_to = rule.max_length.map_or(Value::Null, |most| json!(most));
-    Call::of("request", json!(works), [("op_type", json!(op_types[rule.op_type].name)), ("up_to", up_to)])
+    FunctionCall::from_script(
+        "request",
+        json!(works),
+        [("op_type", json!(op_types[rule.op_type].name)), ("up_to", up_to)],
+    )
 }
 
-pub fn plan(plan: &Plan) -> Call {
+pub fn plan(plan: &Plan) -> FunctionCall {
     let limit = |of: fn(&umbertray_routing::settings::Limit) -> f64| optional(plan.limit.as_ref().map(of));
-    Call::of(
+    FunctionCall::from_script(
         "plan",
         json!(plan.name),
         [
@@ -99,17 +103,17 @@
     )
 }
 
-pub fn volume(volume: &Volume, plan: &str) -> Call {
-    Call::of(
+pub fn volume(volume: &Volume, plan: &str) -> FunctionCall {
+    FunctionCall::from_script(
         "volume",
         json!(volume.name),
         [("size", json!(volume.size)), ("plan", json!(plan)), ("gateways", json!(volume.gateways))],
     )
 }
 
-pub fn rules(rules: &Rules) -> Call {
+pub fn rules(rules: &Rules) -> FunctionCall {
     let further = rules.retry_budget.as_ref();
-    Call::of(
+    FunctionCall::from_script(
         "rules",
         Value::Null,
         [
@@ -129,8 +133,8 @@
     )
 }
 
-pub fn bounds(bounds: &Bounds) -> Call {
-    Call::of(
+pub fn bounds(bounds: &Bounds) -> FunctionCall {
+    FunctionCall::from_script(
         "bounds",
         Value::Null,
         [
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -12,8 +12,8 @@
 };
 use umbertray_store_protocol::store::OperationKind;
 
-use crate::calls::{Arguments, Call};
-use crate::{Changes, Document, Problem, Relay, Upstream};
+use crate::calls::{Arguments, FunctionCall};
+use crate::{ChangeSource, Problem, RelaySettings, SettingsDocument, Upstream};
 
 const WORKS: [(&str, OperationKind); 6] = [
     ("read", OperationKind::Read),
@@ -33,7 +33,7 @@
 }
 
 /// The whole that a script's calls say.
-pub fn document(file: &str, calls: &[Call]) -> Result<Document, Vec<Problem>> {
+pub fn document(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     let mut problems = Vec::new();
     let whole = |what: &str| Problem { file: file.into(), line: 0, column: 0, what: what.into() };
     let of = |function: &str| calls.iter().filter(move |call| call.function == function).collect::<Vec<_>>();
@@ -60,7 +60,7 @@
     problems.extend(
         unruled(&type_rules).map(|name| whole(&format!("no request rule without up_to covers {name:?}"))),
     );
-    let empty = |function: &'static str| Call {
+    let empty = |function: &'static str| FunctionCall {
         function,
         first: serde_json::Value::Null,
         named: Default::default(),
@@ -91,7 +91,7 @@
     WORKS.into_iter().filter(move |(_, work)| !ruled(*work)).map(|(name, _)| name)
 }
 
-fn unique(calls: &[&Call], names: &[&str], problems: &mut Vec<Problem>) {
+fn unique(calls: &[&FunctionCall], names: &[&str], problems: &mut Vec<Problem>) {
     let mut known = HashSet::new();
     for (call, name) in calls.iter().zip(names) {
         if !known.insert(name) {
@@ -100,18 +100,18 @@
     }
 }
 
-pub fn op_type(call: &Call, problems: &mut Vec<Problem>) -> OpType {
+pub fn op_type(call: &FunctionCall, problems: &mut Vec<Problem>) -> OpType {
     let mut args = Arguments::new(call, problems);
     let name = args.first_text();
-    let target_latency = args.span("target_latency", 0.001..=DAY, None);
-    let op_timeout = args.span("op_timeout", 0.001..=DAY, None);
+    let target_latency = args.duration("target_latency", 0.001..=DAY, None);
+    let op_timeout = args.duration("op_timeout", 0.001..=DAY, None);
     if op_timeout < target_latency {
         args.problem(format!("op_timeout {op_timeout:?} is under target_latency {target_latency:?}"));
     }
     let utility = args.number("utility", 1e-6..=MOST, None);
     let repeats = match args.text("repeats", Some("replayable")).as_str() {
         "replayable" => Idempotency::Idempotent,
-        "deduplicated" => Idempotency::Deduplicated(args.span("dedup_span", 0.001..=DAY, None)),
+        "deduplicated" => Idempotency::Deduplicated(args.duration("dedup_span", 0.001..=DAY, None)),
         "once_only" => Idempotency::NotIdempotent,
         other => {
             args.problem(format!("repeats = {other:?} is none of replayable, deduplicated, once_only"));
@@ -133,7 +133,7 @@
     }
 }
 
-pub fn plan(call: &Call, problems: &mut Vec<Problem>) -> Plan {
+pub fn plan(call: &FunctionCall, problems: &mut Vec<Problem>) -> Plan {
     let mut args = Arguments::new(call, problems);
     let name = args.first_text();
     let weight = args.number("weight", 1e-6..=MOST, Some(1.0));
@@ -164,7 +164,7 @@
 /// Where an op type or plan of a name stands, if there is one.
 pub type Place<'a> = &'a dyn Fn(&str) -> Option<usize>;
 
-pub fn type_rule(call: &Call, op_types: Place, problems: &mut Vec<Problem>) -> TypeRule {
+pub fn type_rule(call: &FunctionCall, op_types: Place, problems: &mut Vec<Problem>) -> TypeRule {
     let mut args = Arguments::new(call, problems);
     let mut works = Vec::new();
     for kind in args.first_texts() {
@@ -186,7 +186,7 @@
     TypeRule { kinds: works, max_length: up_to, op_type: op_type.unwrap_or(0) }
 }
 
-pub fn volume(call: &Call, plans: Place, problems: &mut Vec<Problem>) -> Volume {
+pub fn volume(call: &FunctionCall, plans: Place, problems: &mut Vec<Problem>) -> Volume {
     let mut args = Arguments::new(call, problems);
     let name = args.first_text();
     let size = args.count("size", 512..=1 << 50, None);
@@ -206,7 +206,7 @@
     Volume { name, size, plan: plan.unwrap_or(0), gateways, is_removed: false }
 }
 
-pub fn rules(call: &Call, problems: &mut Vec<Problem>) -> Rules {
+pub fn rules(call: &FunctionCall, problems: &mut Vec<Problem>) -> Rules {
     let mut args = Arguments::new(call, problems);
     let free = args.optional("further_free", 0.0..=MOST);
     let share = args.optional("further_share", 0.0..=1e3);
@@ -224,14 +224,14 @@
         }
     };
     let rules = Rules {
-        drain_grace: args.span("drain_grace", 0.0..=DAY, Some(1.0)),
+        drain_grace: args.duration("drain_grace", 0.0..=DAY, Some(1.0)),
         slow_start_from: args.number("cold_from", 0.001..=1.0, Some(0.25)),
-        slow_start_duration: args.span("cold_time", 0.0..=DAY, Some(10.0)),
+        slow_start_duration: args.duration("cold_time", 0.0..=DAY, Some(10.0)),
         slow_start_units: args.number("cold_units", 0.0..=MOST, Some(8.0)),
         slow_start_multiple: args.number("fall_multiple", 1.0..=1e3, Some(2.0)),
-        slow_start_window: args.span("fall_time", 0.001..=DAY, Some(1.0)),
-        order_pause: args.span("order_pause", 0.0..=DAY, Some(0.5)),
-        poll_within: args.span("ask_within", 0.01..=DAY, Some(10.0)),
+        slow_start_window: args.duration("fall_time", 0.001..=DAY, Some(1.0)),
+        order_pause: args.duration("order_pause", 0.0..=DAY, Some(0.5)),
+        poll_within: args.duration("ask_within", 0.01..=DAY, Some(10.0)),
         capacity: args.optional("capacity", 1e-6..=MOST),
         retry_budget: further,
     };
@@ -239,7 +239,7 @@
     rules
 }
 
-fn bounds(call: &Call, problems: &mut Vec<Problem>) -> Bounds {
+fn bounds(call: &FunctionCall, problems: &mut Vec<Problem>) -> Bounds {
     let mut args = Arguments::new(call, problems);
     let bounds = Bounds {
         sessions: args.count("sessions", 1..=1_000_000, Some(4096)) as usize,
@@ -275,7 +275,11 @@
 }
 
 /// The one call of a script that makes a process of another kind than a gateway.
-fn alone<'a>(file: &str, calls: &'a [Call], function: &str) -> Result<&'a Call, Vec<Problem>> {
+fn alone<'a>(
+    file: &str,
+    calls: &'a [FunctionCall],
+    function: &str,
+) -> Result<&'a FunctionCall, Vec<Problem>> {
     let [call] = calls else {
         let what = format!("one call of {function} is wanted, and no other; there are {}", calls.len());
         return Err(vec![Problem { file: file.into(), line: 0, column: 0, what }]);
@@ -286,7 +290,7 @@
     Ok(call)
 }
 
-pub fn keeper(file: &str, calls: &[Call]) -> Result<crate::Keeper, Vec<Problem>> {
+pub fn keeper(file: &str, calls: &[FunctionCall]) -> Result<crate::CoordinatorSettings, Vec<Problem>> {
     let call = alone(file, calls, "keeper")?;
     let mut problems = Vec::new();
     let mut args = Arguments::new(call, &mut problems);
@@ -296,11 +300,15 @@
     });
     let folder = args.text("folder", None);
     args.end();
-    if problems.is_empty() { Ok(crate::Keeper { listen, list, folder }) } else { Err(problems) }
+    if problems.is_empty() {
+        Ok(crate::CoordinatorSettings { listen, endpoint_list: list, folder })
+    } else {
+        Err(problems)
+    }
 }
 
 /// A folder is a string, relays are a list.
-fn changes(args: &mut Arguments) -> Option<Changes> {
+fn changes(args: &mut Arguments) -> Option<ChangeSource> {
     let relays = args.call.named.get("changes").is_some_and(Value::is_array);
     let changes = if relays {
         let texts = args.texts("changes");
@@ -314,9 +322,9 @@
         }
         let most = upstreams.len().max(1) as u64;
         let vouch = args.count("vouch", 1..=most, Some(VOUCH.min(most))) as usize;
-        Some(Changes::Relays { upstreams, vouch })
+        Some(ChangeSource::Relays { upstreams, quorum: vouch })
     } else {
-        Some(args.text("changes", Some(""))).filter(|text| !text.is_empty()).map(Changes::Folder)
+        Some(args.text("changes", Some(""))).filter(|text| !text.is_empty()).map(ChangeSource::Folder)
     };
     if !relays && args.optional("vouch", 1.0..=MOST).is_some() {
         args.problem("vouch goes with a list of relays only".into());
@@ -361,7 +369,7 @@
     (name, zone)
 }
 
-pub fn relay(file: &str, calls: &[Call]) -> Result<Relay, Vec<Problem>> {
+pub fn relay(file: &str, calls: &[FunctionCall]) -> Result<RelaySettings, Vec<Problem>> {
     let call = alone(file, calls, "relay")?;
     let mut problems = Vec::new();
     let mut args = Arguments::new(call, &mut problems);
@@ -375,17 +383,17 @@
     let folder = Some(args.text("folder", Some(""))).filter(|text| !text.is_empty());
     args.end();
     match changes {
-        Some(changes) if problems.is_empty() => Ok(Relay { listen, name, zone, changes, folder }),
+        Some(changes) if problems.is_empty() => Ok(RelaySettings { listen, name, zone, changes, folder }),
         _ => Err(problems),
     }
 }
 
 fn gateway(
-    call: &Call,
+    call: &FunctionCall,
     (op_types, type_rules, plans, volumes): Named,
     (rules, bounds): (Rules, Bounds),
     problems: &mut Vec<Problem>,
-) -> Document {
+) -> SettingsDocument {
     let mut args = Arguments::new(call, problems);
     let listen = args.texts("listen");
     let listen = listen.iter().map(|text| address(&mut args, "listen", text)).collect();
@@ -413,12 +421,22 @@
         max_units: args.count("most_units", 1..=1 << 16, Some(8)) as u32,
         mean_units: args.number("mean_units", 0.01..=65_536.0, Some(1.5)),
         max_attempts: args.count("max_dispatches", 1..=100, Some(3)) as u32,
-        max_retry_after: args.span("max_retry_after", 0.0..=DAY, Some(1.0)),
-        connect_timeout: args.span("connect_timeout", 0.001..=DAY, Some(0.25)),
-        tick: args.span("tick", 0.001..=1.0, Some(0.002)),
+        max_retry_after: args.duration("max_retry_after", 0.0..=DAY, Some(1.0)),
+        connect_timeout: args.duration("connect_timeout", 0.001..=DAY, Some(0.25)),
+        tick: args.duration("tick", 0.001..=1.0, Some(0.002)),
         rules,
         bounds,
     };
     args.end();
-    Document { listen, list, keeper, seed, state, changes, name, zone, settings }
+    SettingsDocument {
+        listen,
+        endpoint_list: list,
+        coordinator: keeper,
+        seed,
+        state,
+        changes,
+        name,
+        zone,
+        settings,
+    }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod check;
 mod script;
 
-pub use calls::{Arguments, Call};
+pub use calls::{Arguments, FunctionCall};
 pub use script::evaluate;
 
 use std::fmt;
@@ -20,16 +20,16 @@
 
 /// What a gateway is to be: its own addresses, and the settings that all gateways of a deployment share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Document {
+pub struct SettingsDocument {
     pub listen: Vec<SocketAddr>,
-    pub list: SocketAddr,
-    /// The keeper of the map; absent: the list's service has the directory of extents too.
-    pub keeper: Option<SocketAddr>,
+    pub endpoint_list: SocketAddr,
+    /// The coordinator of the map; absent: the list's service has the directory of extents too.
+    pub coordinator: Option<SocketAddr>,
     pub seed: u64,
     /// The folder in which state is kept over restarts.
     pub state: Option<String>,
     /// Whence the log of changes comes, whose plans, volumes, op types and rules hold in place of the script's.
-    pub changes: Option<Changes>,
+    pub changes: Option<ChangeSource>,
     /// What relays know it by; a name of its own among all that follow them.
     pub name: String,
     pub zone: String,
@@ -38,11 +38,11 @@
 
 /// Whence a log of changes comes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changes {
+pub enum ChangeSource {
     /// The writer's folder.
     Folder(String),
     /// Relays, and how many of them must say the same before it is acted on.
-    Relays { upstreams: Vec<Upstream>, vouch: usize },
+    Relays { upstreams: Vec<Upstream>, quorum: usize },
 }
 
 /// A relay that is followed.
@@ -84,43 +84,43 @@
 const SETTINGS: [&str; 7] = ["gateway", "op_type", "request", "plan", "volume", "rules", "bounds"];
 
 /// Evaluates a script and checks what it says.
-pub fn read(file: &str, text: String) -> Result<Document, Vec<Problem>> {
-    whole(file, &script::evaluate(file, text).map_err(|problem| vec![problem])?)
+pub fn read(file: &str, text: String) -> Result<SettingsDocument, Vec<Problem>> {
+    parse_whole(file, &script::evaluate(file, text).map_err(|problem| vec![problem])?)
 }
 
-/// What a keeper is to be.
+/// What a coordinator is to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keeper {
+pub struct CoordinatorSettings {
     pub listen: SocketAddr,
-    pub list: SocketAddr,
+    pub endpoint_list: SocketAddr,
     /// The folder of its log.
     pub folder: String,
 }
 
-/// Evaluates a keeper's script and checks what it says.
-pub fn read_keeper(file: &str, text: String) -> Result<Keeper, Vec<Problem>> {
+/// Evaluates a coordinator's script and checks what it says.
+pub fn read_coordinator(file: &str, text: String) -> Result<CoordinatorSettings, Vec<Problem>> {
     check::keeper(file, &script::evaluate(file, text).map_err(|problem| vec![problem])?)
 }
 
 /// What a relay is to be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Relay {
+pub struct RelaySettings {
     pub listen: SocketAddr,
     /// What others know it by; a name of its own among all that follow relays.
     pub name: String,
     pub zone: String,
-    pub changes: Changes,
+    pub changes: ChangeSource,
     /// Where it keeps what it carries, over its restarts.
     pub folder: Option<String>,
 }
 
 /// Evaluates a relay's script and checks what it says.
-pub fn read_relay(file: &str, text: String) -> Result<Relay, Vec<Problem>> {
+pub fn read_relay(file: &str, text: String) -> Result<RelaySettings, Vec<Problem>> {
     check::relay(file, &script::evaluate(file, text).map_err(|problem| vec![problem])?)
 }
 
 /// Checks that a script's calls are settings, and what they say.
-pub fn whole(file: &str, calls: &[Call]) -> Result<Document, Vec<Problem>> {
+pub fn parse_whole(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     let strange = calls.iter().filter(|call| !SETTINGS.contains(&call.function));
     let strange: Vec<Problem> =
         strange.map(|call| call.problem("does not belong in settings".into())).collect();
@@ -128,7 +128,7 @@
 }
 
 /// Checks that a script's calls are a gateway's own: what is shared is said by the log of changes that it follows.
-pub fn own(calls: &[Call]) -> Result<(), Vec<Problem>> {
+pub fn check_own(calls: &[FunctionCall]) -> Result<(), Vec<Problem>> {
     let strange = calls.iter().filter(|call| !["gateway", "bounds"].contains(&call.function));
     let what = "is the log's to say, since gateway(changes = ...) names one";
     let strange: Vec<Problem> = strange.map(|call| call.problem(what.into())).collect();
@@ -136,25 +136,25 @@
 }
 
 /// A gateway's own calls, read beside stand-ins for what the log has, which is not known yet.
-pub fn own_part(file: &str, calls: &[Call]) -> Result<Document, Vec<Problem>> {
-    own(calls)?;
+pub fn own_part(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
+    check_own(calls)?;
     let (latency, works) = (0.001.into(), ["read", "write", "zero", "trim", "flush", "status"]);
     let op = [("target_latency", latency), ("op_timeout", 1.into()), ("utility", 1.into())];
     let shared = [
-        Call::of("op_type", "op".into(), op),
-        Call::of("request", works.as_slice().into(), [("op_type", "op".into())]),
-        Call::of("plan", "plan".into(), [("rate", 1.into())]),
-        Call::of("volume", "volume".into(), [("size", 512.into()), ("plan", "plan".into())]),
+        FunctionCall::from_script("op_type", "op".into(), op),
+        FunctionCall::from_script("request", works.as_slice().into(), [("op_type", "op".into())]),
+        FunctionCall::from_script("plan", "plan".into(), [("rate", 1.into())]),
+        FunctionCall::from_script("volume", "volume".into(), [("size", 512.into()), ("plan", "plan".into())]),
     ];
     document(file, &[calls, &shared].concat())
 }
 
 /// Checks the settings among a script's calls.
-pub fn document(file: &str, calls: &[Call]) -> Result<Document, Vec<Problem>> {
+pub fn document(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check::document(file, calls)
 }
 
-impl Document {
+impl SettingsDocument {
     /// The settings as understood, every default filled in, as a script that reads back to the same.
     pub fn as_script(&self) -> String {
         self.calls().iter().map(|call| call.as_script() + "\n").collect()
@@ -167,7 +167,7 @@
     }
 
     /// The calls of that script.
-    pub fn calls(&self) -> Vec<Call> {
+    pub fn calls(&self) -> Vec<FunctionCall> {
         let settings = &self.settings;
         let mut calls = vec![canon::gateway(self)];
         calls.extend(settings.op_types.iter().map(canon::op_type));
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -14,7 +14,7 @@
 use starlark::values::none::NoneType;
 
 use crate::Problem;
-use crate::calls::Call;
+use crate::calls::FunctionCall;
 
 /// A script that calls or loops more often, or holds more memory (bytes), is stopped.
 const MOST_TICKS: u64 = 500_000;
@@ -23,7 +23,7 @@
 const MOST_TEXT: usize = 4 << 20;
 
 #[derive(Debug, Default, ProvidesStaticType)]
-struct Calls(RefCell<Vec<Call>>);
+struct Calls(RefCell<Vec<FunctionCall>>);
 
 fn note(
     eval: &Evaluator,
@@ -35,7 +35,7 @@
     let place = eval.call_stack_top_location().map(|span| span.resolve());
     let named: anyhow::Result<BTreeMap<String, serde_json::Value>> =
         named.into_iter().map(|(name, value)| Ok((name, value.to_json_value()?))).collect();
-    let call = Call {
+    let call = FunctionCall {
         function,
         first: first.map(|value| value.to_json_value()).transpose()?.unwrap_or_default(),
         named: named?,
@@ -169,7 +169,7 @@
 }
 
 /// Evaluates a script within bounds; its calls, in order.
-pub fn evaluate(file: &str, text: String) -> Result<Vec<Call>, Problem> {
+pub fn evaluate(file: &str, text: String) -> Result<Vec<FunctionCall>, Problem> {
     let whole = |what: String| Problem { file: file.into(), line: 0, column: 0, what };
     if text.len() > MOST_TEXT {
         return Err(whole(format!("{} bytes, over the bound of {MOST_TEXT}", text.len())));
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings as people write them: understood, or every problem named with its place.
 
-use umbertray_config::{Changes, Document, Problem, read};
+use umbertray_config::{ChangeSource, Problem, SettingsDocument, read};
 
 const GOOD: &str = r#"
 gateway(listen = ["127.0.0.1:0", "[::1]:0"], list = "127.0.0.1:7000", gateways = 3, state = "/var/lib/x")
@@ -28,7 +28,7 @@
 
 #[test]
 fn what_is_printed_reads_back_to_the_same() {
-    let document: Document = read("s.star", GOOD.into()).expect("it is right");
+    let document: SettingsDocument = read("s.star", GOOD.into()).expect("it is right");
     assert_eq!(document.settings.volumes.len(), 4);
     assert_eq!(document.settings.op_types[0].target_latency, std::time::Duration::from_millis(100));
     assert_eq!(read("again", document.as_script()), Ok(document));
@@ -114,7 +114,7 @@
     let text = "relay(listen = \"10.0.0.1:7200\", zone = \"a\", changes = [\"b/r2=10.0.0.2:7200\", \"10.0.0.3:7200\", \"r4=10.0.0.4:7200\"])";
     let relay = umbertray_config::read_relay("r.star", text.into()).expect("it is right");
     assert_eq!((relay.name.as_str(), relay.zone.as_str()), ("10.0.0.1:7200", "a"));
-    let Changes::Relays { upstreams, vouch } = relay.changes else { panic!("relays are named") };
+    let ChangeSource::Relays { upstreams, quorum: vouch } = relay.changes else { panic!("relays are named") };
     let named: Vec<String> = upstreams.iter().map(ToString::to_string).collect();
     assert_eq!(
         named,
@@ -123,7 +123,7 @@
     assert_eq!(vouch, 2);
     let text = "relay(listen = \"10.0.0.1:7200\", changes = \"/srv/log\", folder = \"/var/lib/r\")";
     let relay = umbertray_config::read_relay("r.star", text.into()).expect("it is right");
-    assert_eq!(relay.changes, Changes::Folder("/srv/log".into()));
+    assert_eq!(relay.changes, ChangeSource::Folder("/srv/log".into()));
 }
 
 #[test]
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -1,4 +1,4 @@
-//! The keeper's core: questions of gateways, moves under way, one order a move out at a time.
+//! The coordinator's core: questions of gateways, moves under way, one order a move out at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -46,7 +46,7 @@
         order: Order,
     },
     SetTimer(Duration),
-    /// A later run of the keeper is at work: this one has nothing to say any more.
+    /// A later run of the coordinator is at work: this one has nothing to say any more.
     Superseded {
         term: u64,
     },
--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -1,4 +1,4 @@
-//! What a store makes of a keeper's orders, and which ops it may serve: kept with the shard's data, and looked at in the same
+//! What a store makes of a coordinator's orders, and which ops it may serve: kept with the shard's data, and looked at in the same
 //! moment as the data is.
 //!
 //! Invariant: an extent's epoch never falls. At one epoch a store goes from incoming to serving to closed and never back,
@@ -46,7 +46,7 @@
     Current,
     /// Its gateway's map is old; the range has this epoch, or a higher.
     Stale(u64),
-    /// Its gateway's map is newer: the keeper's word is on its way. It may wait as long as it has time.
+    /// Its gateway's map is newer: the coordinator's word is on its way. It may wait as long as it has time.
     NotActiveYet,
 }
 
--- a/crates/control-plane/src/moves.rs
+++ b/crates/control-plane/src/moves.rs
@@ -32,7 +32,7 @@
 /// What is asked next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 enum Step {
-    /// Where a run of the keeper begins a phase anew.
+    /// Where a run of the coordinator begins a phase anew.
     #[default]
     First,
     Follow,
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -1,4 +1,4 @@
-//! What outlives a run of the keeper, and the records that change it.
+//! What outlives a run of the coordinator, and the records that change it.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// One step that is logged before it is acted on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// A run of the keeper begins. Its orders are refused once a store has heard of a later one.
+    /// A run of the coordinator begins. Its orders are refused once a store has heard of a later one.
     Term(u64),
     Claimed {
         volume: u64,
--- a/crates/control-plane/tests/explore/main.rs
+++ b/crates/control-plane/tests/explore/main.rs
@@ -1,7 +1,7 @@
-//! Every order of events of one range's move, at small size: the product's keeper core and fences between a medium, a
+//! Every order of events of one range's move, at small size: the product's coordinator core and fences between a medium, a
 //! net and gateways of the test. The faults of a run are bounded, so the space is finite and searched whole.
 //!
-//! The net: an order, an op or an answer may be lost, doubled and late, and overtake others. A keeper may crash between
+//! The net: an order, an op or an answer may be lost, doubled and late, and overtake others. A coordinator may crash between
 //! any two outputs of a step; what it had sent is then an old run's and may still come. A store may crash and lose its
 //! queue.
 
--- a/crates/control-plane/tests/explore/world.rs
+++ b/crates/control-plane/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! A keeper, two stores, two gateways and a net, and every event that can come next.
+//! A coordinator, two stores, two gateways and a net, and every event that can come next.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
     StoreCrash(u32),
 }
 
-/// What the keeper hears; at most this many of its outputs come about before it crashes, if it does.
+/// What the coordinator hears; at most this many of its outputs come about before it crashes, if it does.
 #[derive(Clone, Copy, Debug)]
 pub enum Heard {
     Reply(usize),
@@ -94,7 +94,7 @@
     pub wake: bool,
     pub order: Option<Sent>,
     pub replies: Vec<(u64, OrderReply)>,
-    /// Orders that the keeper has given up on, or a former run gave.
+    /// Orders that the coordinator has given up on, or a former run gave.
     pub late: Vec<Sent>,
     /// Orders of the move before.
     pub former: Arc<Vec<Sent>>,
@@ -203,7 +203,7 @@
         self.start();
     }
 
-    /// The keeper's step, up to a crash after so many outputs; how many there were to be.
+    /// The coordinator's step, up to a crash after so many outputs; how many there were to be.
     pub fn keeper(&mut self, input: Input, crash: Option<usize>) -> usize {
         let records = std::mem::take(&mut self.unlogged);
         records.iter().for_each(|record| self.log.change(|log| log.apply(record)));
@@ -370,7 +370,7 @@
         }
     }
 
-    /// The world after an event, and how many outputs the keeper had.
+    /// The world after an event, and how many outputs the coordinator had.
     pub fn step(&mut self, event: &Event) -> Step<usize> {
         let mut outputs = 0;
         match event {
@@ -413,7 +413,7 @@
         Ok(outputs)
     }
 
-    /// What can come next, but for crashes within the keeper's step.
+    /// What can come next, but for crashes within the coordinator's step.
     pub fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         self.keeper_events(&mut events);
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! The bytes of the keeper's map that docs/CAPACITY.md counts with are those that it writes.
+//! The bytes of the coordinator's map that docs/CAPACITY.md counts with are those that it writes.
 
 use umbertray_control_plane::{CoordinatorState, Record};
 use umbertray_store_protocol::volume_id;
@@ -32,7 +32,7 @@
 #[test]
 fn claims_and_checkpoints_have_the_bytes_that_the_page_counts_with() {
     let log = postcard::to_stdvec(&claims(10_000)).expect("numbers").len() as f64 / 10_000.0;
-    assert_eq!(log.round(), page("claim in the keeper's log, in a group"));
+    assert_eq!(log.round(), page("claim in the coordinator's log, in a group"));
     let (few, many) = (bytes_a_range(10_000), bytes_a_range(100_000));
-    assert_eq!([few.round(), many.round()], [page("range in the keeper's checkpoint"); 2]);
+    assert_eq!([few.round(), many.round()], [page("range in the coordinator's checkpoint"); 2]);
 }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,4 +1,4 @@
-//! One question to a keeper, on a connection of its own: what operators and rehearsals ask.
+//! One question to a coordinator, on a connection of its own: what operators and rehearsals ask.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,32 +15,36 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     #[error("the keeper at {address} does not answer: {error}; see whether it runs, and ask again")]
-    Silent { address: SocketAddr, error: io::Error },
+    Unreachable { address: SocketAddr, error: io::Error },
     #[error("the keeper refuses: {0}")]
-    Refused(String),
+    Rejected(String),
     #[error("the keeper at {address} says something else than was asked: is it a keeper of this version?")]
-    Strange { address: SocketAddr },
+    UnexpectedReply { address: SocketAddr },
 }
 
 /// Wishes for a move of a range to a shard; its number.
-pub async fn wish(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, AskError> {
+pub async fn request_move(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, RequestError> {
     match ask(address, ToList::Move { token: 1, span, shard }).await? {
-        FromList::Move { number, .. } => number.map_err(AskError::Refused),
-        _ => Err(AskError::Strange { address }),
+        FromList::Move { number, .. } => number.map_err(RequestError::Rejected),
+        _ => Err(RequestError::UnexpectedReply { address }),
     }
 }
 
 /// How far a move is, in words, and whether it is over; it may be given up at that.
-pub async fn how_far(address: SocketAddr, number: u64, give_up: bool) -> Result<(String, bool), AskError> {
+pub async fn move_status(
+    address: SocketAddr,
+    number: u64,
+    give_up: bool,
+) -> Result<(String, bool), RequestError> {
     match ask(address, ToList::MoveStatus { token: 1, number, abandon: give_up }).await? {
         FromList::MoveStatus { state, over, .. } => Ok((state, over)),
-        _ => Err(AskError::Strange { address }),
+        _ => Err(RequestError::UnexpectedReply { address }),
     }
 }
 
-async fn ask(address: SocketAddr, question: ToList) -> Result<FromList, AskError> {
+async fn ask(address: SocketAddr, question: ToList) -> Result<FromList, RequestError> {
     let asked = async {
         let mut stream = Socket::connect(address).await?;
         stream.write_all(&ToList::Hello { run: 0 }.frame()).await?;
@@ -59,5 +63,5 @@
     };
     let asked = tokio::time::timeout(PATIENCE, asked).await;
     let asked = asked.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    asked.map_err(|error| AskError::Silent { address, error })
+    asked.map_err(|error| RequestError::Unreachable { address, error })
 }
--- a/crates/coordinator/src/hub.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -9,12 +9,12 @@
 use umbertray_control_plane::{ConnectionId, Coordinator, Input, Output, Record};
 use umbertray_store_protocol::list::{FromList, ListedStore};
 
-use crate::KeeperError;
+use crate::CoordinatorError;
 use crate::lease::Lease;
 use crate::log::Log;
 use crate::stores::{self, Sent, Stores};
 
-pub enum ToHub {
+pub enum LoopEvent {
     Opened(ConnectionId, mpsc::Sender<FromList>),
     Closed(ConnectionId),
     Input(Input),
@@ -29,32 +29,37 @@
     orders: mpsc::UnboundedSender<Sent>,
 }
 
-pub struct Hub {
+pub struct EventLoop {
     core: Coordinator,
     log: Log,
     lease: Lease,
     clock: Clock,
     run: u64,
-    to_hub: mpsc::UnboundedSender<ToHub>,
+    to_hub: mpsc::UnboundedSender<LoopEvent>,
     peers: HashMap<ConnectionId, mpsc::Sender<FromList>>,
     stores: Stores,
     links: HashMap<u64, Link>,
     wake: Option<Duration>,
 }
 
-impl Hub {
-    pub fn new(core: Coordinator, log: Log, lease: Lease, to_hub: mpsc::UnboundedSender<ToHub>) -> Hub {
+impl EventLoop {
+    pub fn new(
+        core: Coordinator,
+        log: Log,
+        lease: Lease,
+        to_hub: mpsc::UnboundedSender<LoopEvent>,
+    ) -> EventLoop {
         let clock = Clock::start();
         let run = clock.now().as_nanos() as u64;
         let (peers, links, stores) = (HashMap::new(), HashMap::new(), Stores::default());
-        Hub { core, log, lease, clock, run, to_hub, peers, stores, links, wake: None }
+        EventLoop { core, log, lease, clock, run, to_hub, peers, stores, links, wake: None }
     }
 
     pub async fn run(
         mut self,
         first: Vec<Output>,
-        mut from_all: mpsc::UnboundedReceiver<ToHub>,
-    ) -> Result<(), KeeperError> {
+        mut from_all: mpsc::UnboundedReceiver<LoopEvent>,
+    ) -> Result<(), CoordinatorError> {
         self.act(first)?;
         let mut messages = Vec::with_capacity(TURN);
         loop {
@@ -76,29 +81,29 @@
     }
 
     /// Danger: a lease that has run out may be another's by now. Renewed over it, both would speak.
-    fn renewed(&mut self) -> Result<(), KeeperError> {
+    fn renewed(&mut self) -> Result<(), CoordinatorError> {
         if !self.lease.holds() || self.lease.lost() {
-            return Err(KeeperError::TakenOver);
+            return Err(CoordinatorError::TakenOver);
         }
         if let Err(error) = self.lease.renew() {
             tracing::error!(%error, "the lease cannot be renewed");
-            return Err(KeeperError::TakenOver);
+            return Err(CoordinatorError::TakenOver);
         }
         Ok(())
     }
 
-    fn heard(&mut self, message: ToHub) -> Option<Input> {
+    fn heard(&mut self, message: LoopEvent) -> Option<Input> {
         match message {
-            ToHub::Opened(link, peer) => {
+            LoopEvent::Opened(link, peer) => {
                 self.peers.insert(link, peer);
                 None
             }
-            ToHub::Closed(link) => {
+            LoopEvent::Closed(link) => {
                 self.peers.remove(&link);
                 Some(Input::Closed(link))
             }
-            ToHub::Input(input) => Some(input),
-            ToHub::Listed { entries, whole } => {
+            LoopEvent::Input(input) => Some(input),
+            LoopEvent::Listed { entries, whole } => {
                 self.stores.listed(entries, whole);
                 // Its link ends once what was given is answered.
                 self.links.retain(|store, _| self.stores.has(*store));
@@ -107,20 +112,20 @@
         }
     }
 
-    fn turn(&mut self, inputs: Vec<Input>) -> Result<(), KeeperError> {
+    fn turn(&mut self, inputs: Vec<Input>) -> Result<(), CoordinatorError> {
         let outputs = self.core.handle(self.clock.now(), inputs);
         self.act(outputs)
     }
 
-    /// In order: what was logged is safe, and this keeper surely the one at work when it was, before any of it is said.
-    fn act(&mut self, outputs: Vec<Output>) -> Result<(), KeeperError> {
+    /// In order: what was logged is safe, and this coordinator surely the one at work when it was, before any of it is said.
+    fn act(&mut self, outputs: Vec<Output>) -> Result<(), CoordinatorError> {
         self.wake = None;
         for output in outputs {
             match output {
                 Output::Log(records) => self.log(&records)?,
                 Output::SetTimer(at) => self.wake = Some(at),
                 Output::Superseded { term } => {
-                    return Err(KeeperError::Over { ours: self.core.state().term, theirs: term });
+                    return Err(CoordinatorError::Superseded { ours: self.core.state().term, theirs: term });
                 }
                 Output::Send { link, message } => {
                     self.sure()?;
@@ -138,7 +143,7 @@
         Ok(())
     }
 
-    fn log(&mut self, records: &[Record]) -> Result<(), KeeperError> {
+    fn log(&mut self, records: &[Record]) -> Result<(), CoordinatorError> {
         let written = tokio::task::block_in_place(|| self.log.append(records, self.core.state()));
         written.map_err(|error| {
             tracing::error!(%error, "the log cannot be written; nothing that depends on it is said");
@@ -146,8 +151,8 @@
         })
     }
 
-    fn sure(&self) -> Result<(), KeeperError> {
-        if self.lease.holds() { Ok(()) } else { Err(KeeperError::TakenOver) }
+    fn sure(&self) -> Result<(), CoordinatorError> {
+        if self.lease.holds() { Ok(()) } else { Err(CoordinatorError::TakenOver) }
     }
 
     fn order(&mut self, shard: u32, sent: Sent) {
@@ -155,7 +160,7 @@
         let token = sent.token;
         let given = self.link(shard).is_some_and(|orders| orders.send(sent).is_ok());
         if !given {
-            _ = self.to_hub.send(ToHub::Input(Input::OrderFinished { token, reply: None }));
+            _ = self.to_hub.send(LoopEvent::Input(Input::OrderFinished { token, reply: None }));
         }
     }
 
--- a/crates/coordinator/src/lease.rs
+++ b/crates/coordinator/src/lease.rs
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use umbertray_snapshot::folder::{since_boot, stamp};
-use umbertray_snapshot::{Disk, Layer};
+use umbertray_snapshot::folder::{current_stamp, time_since_boot};
+use umbertray_snapshot::{Disk, Storage};
 
-use crate::KeeperError;
+use crate::CoordinatorError;
 
 /// For so long a renewal holds; it is renewed at a third of it.
 const HOLDS: Duration = Duration::from_secs(3);
@@ -26,9 +26,9 @@
 pub enum Takeover {
     /// Only a folder that nobody has.
     #[default]
-    No,
-    /// Also one whose keeper has not renewed its lease in time, though its process still holds the lock.
-    FromStill,
+    Never,
+    /// Also one whose coordinator has not renewed its lease in time, though its process still holds the lock.
+    FromStalled,
 }
 
 pub struct Lease {
@@ -41,7 +41,7 @@
 fn found(folder: &Path) -> io::Result<Option<Duration>> {
     match fs::read_to_string(folder.join(LEASE)) {
         Ok(text) => {
-            let boot = stamp().boot.to_string();
+            let boot = current_stamp().boot.to_string();
             let mut words = text.split_whitespace();
             // One of an earlier start of the machine is over.
             let until = words.next().filter(|word| *word == boot).and_then(|_| words.next()?.parse().ok());
@@ -53,16 +53,17 @@
 }
 
 impl Lease {
-    pub fn take(folder: &Path, takeover: Takeover) -> Result<(Lease, Disk), KeeperError> {
+    pub fn take(folder: &Path, takeover: Takeover) -> Result<(Lease, Disk), CoordinatorError> {
         let wrong = crate::disk(folder);
         let disk = match Disk::open(folder) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => match takeover {
-                Takeover::No => return Err(KeeperError::Locked { folder: folder.into() }),
-                Takeover::FromStill => taken_over(folder)?,
+                Takeover::Never => return Err(CoordinatorError::Locked { folder: folder.into() }),
+                Takeover::FromStalled => taken_over(folder)?,
             },
             opened => opened.map_err(&wrong)?,
         };
-        let mut lease = Lease { folder: folder.into(), files: Disk::look(folder), until: Duration::ZERO };
+        let mut lease =
+            Lease { folder: folder.into(), files: Disk::read_only(folder), until: Duration::ZERO };
         lease.renew().map_err(&wrong)?;
         Ok((lease, disk))
     }
@@ -73,11 +74,11 @@
 
     /// When to renew it next, from now.
     pub fn renew_in(&self) -> Duration {
-        (self.until.saturating_sub(HOLDS.mul_f64(2.0 / 3.0))).saturating_sub(since_boot())
+        (self.until.saturating_sub(HOLDS.mul_f64(2.0 / 3.0))).saturating_sub(time_since_boot())
     }
 
     pub fn renew(&mut self) -> io::Result<()> {
-        let stamp = stamp();
+        let stamp = current_stamp();
         let until = Duration::from_micros(stamp.since_boot) + HOLDS;
         self.files.put(FRESH, LEASE, format!("{} {}\n", stamp.boot, until.as_micros()).as_bytes())?;
         self.until = until;
@@ -86,7 +87,7 @@
 
     /// Danger: to be asked after what was logged is synced, and before any of it is said.
     pub fn holds(&self) -> bool {
-        since_boot() < self.until
+        time_since_boot() < self.until
     }
 
     /// Whether another has taken the folder: one that stood still finds it so when it wakes.
@@ -95,18 +96,18 @@
     }
 }
 
-/// The folder of a keeper whose lease is over, though its process has the lock: its lock is replaced.
-fn taken_over(folder: &Path) -> Result<Disk, KeeperError> {
+/// The folder of a coordinator whose lease is over, though its process has the lock: its lock is replaced.
+fn taken_over(folder: &Path) -> Result<Disk, CoordinatorError> {
     let wrong = crate::disk(folder);
     if let Some(until) = found(folder).map_err(&wrong)?
-        && let Some(wait) = until.checked_sub(since_boot()).filter(|left| !left.is_zero())
+        && let Some(wait) = until.checked_sub(time_since_boot()).filter(|left| !left.is_zero())
     {
         let ago = HOLDS.saturating_sub(wait);
-        return Err(KeeperError::Leased { folder: folder.into(), ago, wait: HOLDS });
+        return Err(CoordinatorError::Leased { folder: folder.into(), ago, wait: HOLDS });
     }
     let disk = Disk::open_over(folder).map_err(|error| match error.kind() {
         // Another was faster.
-        io::ErrorKind::WouldBlock => KeeperError::Locked { folder: folder.into() },
+        io::ErrorKind::WouldBlock => CoordinatorError::Locked { folder: folder.into() },
         _ => wrong(error),
     })?;
     tracing::warn!(folder = %folder.display(), "taken over from a keeper that stands still");
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -1,43 +1,44 @@
-//! The keeper's log: the chain that changes of the settings stand in too, with records of the map in it.
+//! The coordinator's log: the chain that changes of the settings stand in too, with records of the map in it.
 
 use std::collections::VecDeque;
 use std::io;
 use std::path::Path;
 
-use umbertray_config_log::chain::{Chain, ChainError, Kind, Opened};
+use umbertray_config_log::chain::{ChainError, HashChain, LogFormat, OpenedLog};
 use umbertray_control_plane::{Coordinator, CoordinatorState, Output, Record};
-use umbertray_snapshot::Layer;
+use umbertray_snapshot::Storage;
 
-use crate::KeeperError;
+use crate::CoordinatorError;
 
-const KEPT: Kind = Kind { magic: b"UMBMAP", prefix: "map-", suffix: ".log", fresh: "map.new" };
+const KEPT: LogFormat = LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary: "map.new" };
 
 /// A segment grows to so many bytes, or to twice what it begins with if that is more.
 const GROWN: usize = 4 << 20;
 
 pub struct Log {
-    chain: Chain,
+    chain: HashChain,
 }
 
 impl Log {
     /// Opens or begins a folder's log; a core on what it says, and what that core does first.
     pub fn open(
-        layer: Box<dyn Layer>,
+        layer: Box<dyn Storage>,
         folder: &Path,
-    ) -> Result<(Log, Coordinator, Vec<Output>), KeeperError> {
-        let broken = |error| KeeperError::Log { folder: folder.into(), error };
-        let opened = Chain::open(layer, &KEPT, GROWN, || CoordinatorState::default().bytes());
-        let (mut chain, Opened { head, entries }): (Chain, Opened) = opened.map_err(broken)?;
-        let unknown = |version| KeeperError::Unknown { folder: folder.into(), version };
+    ) -> Result<(Log, Coordinator, Vec<Output>), CoordinatorError> {
+        let broken = |error| CoordinatorError::Log { folder: folder.into(), error };
+        let opened = HashChain::open(layer, &KEPT, GROWN, || CoordinatorState::default().bytes());
+        let (mut chain, OpenedLog { header: head, entries }): (HashChain, OpenedLog) =
+            opened.map_err(broken)?;
+        let unknown = |version| CoordinatorError::UnreadableRecord { folder: folder.into(), version };
         let mut state = CoordinatorState::read(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
         for entry in entries {
             let records: Vec<Record> =
                 postcard::from_bytes(&entry.body).map_err(|_| unknown(entry.version))?;
             records.iter().for_each(|record| state.apply(record));
         }
-        let settled = chain.settle(|| (state.bytes(), VecDeque::new()));
+        let settled = chain.recover(|| (state.bytes(), VecDeque::new()));
         settled.map_err(|error| broken(ChainError::Disk(error)))?;
-        // A run of its own segment: what a keeper that was taken over from still writes, it writes to the one before.
+        // A run of its own segment: what a coordinator that was taken over from still writes, it writes to the one before.
         let rolled = chain.roll(state.bytes(), VecDeque::new());
         rolled.map_err(|error| broken(ChainError::Disk(error)))?;
         let (core, first) = Coordinator::start(state);
--- a/crates/coordinator/src/log/tests.rs
+++ b/crates/coordinator/src/log/tests.rs
@@ -2,7 +2,7 @@
 //! records to the same bytes, and read the recorded files.
 
 use umbertray_control_plane::{Move, Phase};
-use umbertray_snapshot::sim::SimDisk;
+use umbertray_snapshot::sim::SimulatedDisk;
 use umbertray_store_protocol::orders::ExtentRange;
 
 use super::*;
@@ -11,7 +11,7 @@
 /// A line a file: its name and its bytes in hex.
 const RECORDED: &str = include_str!("golden/folder.txt");
 
-fn open(disk: &SimDisk) -> (Log, Coordinator) {
+fn open(disk: &SimulatedDisk) -> (Log, Coordinator) {
     let (log, core, _) = Log::open(Box::new(disk.clone()), Path::new("folder")).expect("a whole log");
     (log, core)
 }
@@ -40,8 +40,8 @@
     batches
 }
 
-fn written() -> (SimDisk, CoordinatorState) {
-    let disk = SimDisk::default();
+fn written() -> (SimulatedDisk, CoordinatorState) {
+    let disk = SimulatedDisk::default();
     let (mut log, core) = open(&disk);
     let mut state = core.state().clone();
     // The run's own term stands in its state already.
@@ -52,7 +52,7 @@
     (disk, state)
 }
 
-fn transcript(disk: &SimDisk) -> String {
+fn transcript(disk: &SimulatedDisk) -> String {
     let mut names = disk.names().expect("a folder");
     names.sort();
     let file = |name: String| {
@@ -63,8 +63,8 @@
     names.into_iter().map(file).collect()
 }
 
-fn recorded_disk() -> SimDisk {
-    let mut disk = SimDisk::default();
+fn recorded_disk() -> SimulatedDisk {
+    let mut disk = SimulatedDisk::default();
     for line in RECORDED.lines() {
         let (name, hex) = line.split_once(": ").expect("a name and its bytes");
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -11,7 +11,7 @@
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::{Message, next_frame};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// Connections at most; beyond it none is accepted until one ends.
 const MOST: usize = 4096;
@@ -20,7 +20,7 @@
 /// A peer that has not said who it is by then, or takes no answer for so long, is cut off.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-pub async fn accept(listener: TcpListener, to_hub: mpsc::UnboundedSender<ToHub>) {
+pub async fn accept(listener: TcpListener, to_hub: mpsc::UnboundedSender<LoopEvent>) {
     let mut links = tokio::task::JoinSet::new();
     for number in 0.. {
         while links.len() >= MOST {
@@ -38,7 +38,7 @@
     }
 }
 
-async fn serve(link: ConnectionId, stream: Socket, to_hub: mpsc::UnboundedSender<ToHub>) {
+async fn serve(link: ConnectionId, stream: Socket, to_hub: mpsc::UnboundedSender<LoopEvent>) {
     _ = stream.set_nodelay(true);
     let (mut reader, mut writer) = stream.into_split();
     let (to_peer, mut from_hub) = mpsc::channel::<FromList>(UNREAD);
@@ -70,9 +70,9 @@
                         );
                     }
                     if let Some(to_peer) = unknown.take() {
-                        _ = to_core.send(ToHub::Opened(link, to_peer));
+                        _ = to_core.send(LoopEvent::Opened(link, to_peer));
                     }
-                    _ = to_core.send(ToHub::Input(Input::Request { link, message }));
+                    _ = to_core.send(LoopEvent::Input(Input::Request { link, message }));
                 }
                 Ok(None) => {
                     let read = reader.read_buf(&mut input);
@@ -92,5 +92,5 @@
         () = writing => {}
         () = reading => {}
     }
-    _ = to_hub.send(ToHub::Closed(link));
+    _ = to_hub.send(LoopEvent::Closed(link));
 }
--- a/crates/coordinator/src/stores.rs
+++ b/crates/coordinator/src/stores.rs
@@ -15,7 +15,7 @@
 use umbertray_store_protocol::store::{FromStore, ToStore};
 use umbertray_store_protocol::{Message, next_frame};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// The list is asked again after so long where it cannot be had.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -55,8 +55,8 @@
     }
 }
 
-/// Follows the list for as long as the keeper runs.
-pub async fn follow(list: SocketAddr, to_hub: mpsc::UnboundedSender<ToHub>) {
+/// Follows the list for as long as the coordinator runs.
+pub async fn follow(list: SocketAddr, to_hub: mpsc::UnboundedSender<LoopEvent>) {
     loop {
         let ended = watch(list, &to_hub).await;
         let why = ended.err().map_or("closed".into(), |error| error.to_string());
@@ -65,15 +65,15 @@
     }
 }
 
-async fn watch(list: SocketAddr, to_hub: &mpsc::UnboundedSender<ToHub>) -> io::Result<()> {
+async fn watch(list: SocketAddr, to_hub: &mpsc::UnboundedSender<LoopEvent>) -> io::Result<()> {
     let mut stream = connect(list, &ToList::Hello { run: 0 }).await?;
     stream.write_all(&ToList::Watch.frame()).await?;
     let mut input = BytesMut::new();
     loop {
         while let Some(message) = next_frame::<FromList>(&mut input).map_err(io::Error::other)? {
             let listed = match message {
-                FromList::Full(entries) => ToHub::Listed { entries, whole: true },
-                FromList::Changes(entries) => ToHub::Listed { entries, whole: false },
+                FromList::Full(entries) => LoopEvent::Listed { entries, whole: true },
+                FromList::Changes(entries) => LoopEvent::Listed { entries, whole: false },
                 FromList::Failed => return Err(io::Error::other("the list turned the call away")),
                 _ => continue,
             };
@@ -99,7 +99,7 @@
     address: SocketAddr,
     run: u64,
     mut orders: mpsc::UnboundedReceiver<Sent>,
-    to_hub: mpsc::UnboundedSender<ToHub>,
+    to_hub: mpsc::UnboundedSender<LoopEvent>,
 ) {
     let mut open: Option<(Socket, BytesMut)> = None;
     while let Some(Sent { token, term, number, order }) = orders.recv().await {
@@ -121,7 +121,7 @@
                 None
             }
         };
-        if to_hub.send(ToHub::Input(Input::OrderFinished { token, reply })).is_err() {
+        if to_hub.send(LoopEvent::Input(Input::OrderFinished { token, reply })).is_err() {
             return;
         }
     }
--- a/crates/fakes/src/book.rs
+++ b/crates/fakes/src/book.rs
@@ -38,7 +38,7 @@
     },
     /// A dispatch took effect, or its data was read.
     Ran { run: u64, number: u64 },
-    /// A keeper's order for a move; whether the store took it.
+    /// A coordinator's order for a move; whether the store took it.
     Ordered { term: u64, number: u64, order: String, done: bool },
     /// It was answered with this code, whether or not the answer arrived.
     Answered { run: u64, number: u64, code: String },
--- a/crates/fakes/src/medium.rs
+++ b/crates/fakes/src/medium.rs
@@ -52,7 +52,7 @@
     Fenced,
     /// The range has moved, and has this epoch.
     Stale(u64),
-    /// The gateway knows of a move of which the keeper's word has not come yet.
+    /// The gateway knows of a move of which the coordinator's word has not come yet.
     Early,
 }
 
@@ -120,7 +120,7 @@
         followers.for_each(|following| _ = following.dirty.insert(extent));
     }
 
-    /// Takes a keeper's order for the move of this number.
+    /// Takes a coordinator's order for the move of this number.
     pub fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
         let fits = match self.fences.take(term, number, order) {
             Ok(fits) => fits,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -402,7 +402,7 @@
                 Applied::Done | Applied::Repeat => self.answer(&job, ResultCode::Succeeded, Vec::new()),
                 Applied::Fenced => self.answer(&job, ResultCode::Fenced, Vec::new()),
                 Applied::Stale(epoch) => self.answer_of(&job, ResultCode::StaleEpoch, epoch, Vec::new()),
-                // It waits for the keeper's word for as long as it has time.
+                // It waits for the coordinator's word for as long as it has time.
                 Applied::Early => self.model.put_aside(now + EARLY, job),
             }
         }
--- a/crates/fault-tests/src/keeper.rs
+++ b/crates/fault-tests/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The keeper of a day: a process of its own, asked for moves as an operator would.
+//! The coordinator of a day: a process of its own, asked for moves as an operator would.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_coordinator::client::{self, AskError};
+use umbertray_coordinator::client::{self, RequestError};
 use umbertray_store_protocol::orders::ExtentRange;
 
 use crate::run::Process;
 
-/// An answer of the keeper may take so long.
+/// An answer of the coordinator may take so long.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-pub struct Keeper {
+pub struct CoordinatorProcess {
     program: PathBuf,
     folder: PathBuf,
     list: SocketAddr,
@@ -23,12 +23,19 @@
     pub term: u64,
 }
 
-impl Keeper {
+impl CoordinatorProcess {
     /// Starts `program keeper`, its log and script in `folder`.
-    pub async fn start(program: &Path, folder: &Path, list: SocketAddr) -> io::Result<Keeper> {
+    pub async fn start(program: &Path, folder: &Path, list: SocketAddr) -> io::Result<CoordinatorProcess> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (process, address, term) = run(program, folder, list, any, &[]).await?;
-        Ok(Keeper { program: program.into(), folder: folder.into(), list, process, address, term })
+        Ok(CoordinatorProcess {
+            program: program.into(),
+            folder: folder.into(),
+            list,
+            process,
+            address,
+            term,
+        })
     }
 
     /// Ends it as a crash would.
@@ -67,16 +74,16 @@
 
     /// Wishes for a move; its number, or why it cannot be.
     pub async fn wish(&self, span: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
-        match client::wish(self.address, span, shard).await {
+        match client::request_move(self.address, span, shard).await {
             Ok(number) => Ok(Ok(number)),
-            Err(AskError::Refused(why)) => Ok(Err(why)),
+            Err(RequestError::Rejected(why)) => Ok(Err(why)),
             Err(error) => Err(io::Error::other(error)),
         }
     }
 
     /// How far a move is, in words, and whether it is over.
     pub async fn how_far(&self, number: u64, give_up: bool) -> io::Result<(String, bool)> {
-        client::how_far(self.address, number, give_up).await.map_err(io::Error::other)
+        client::move_status(self.address, number, give_up).await.map_err(io::Error::other)
     }
 
     /// Waits for a move's end, at most so long; how it ended.
--- a/crates/fault-tests/src/day.rs
+++ b/crates/fault-tests/src/day.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray_config::{Arguments, Document, Problem};
+use umbertray_config::{Arguments, Problem, SettingsDocument};
 use umbertray_fakes::model::Power;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug)]
 pub struct Day {
     pub text: String,
-    pub document: Document,
+    pub document: SettingsDocument,
     pub length: Duration,
     pub gateways: u32,
     pub stores: u32,
@@ -117,7 +117,7 @@
     pub state: bool,
     /// Gateways follow a log of changes, in which the day's troubles may change things.
     pub changes: bool,
-    /// A keeper in a process of its own has the map.
+    /// A coordinator in a process of its own has the map.
     pub keeper: bool,
     pub loads: Vec<Load>,
     pub troubles: Vec<Trouble>,
@@ -178,10 +178,10 @@
         ..plain
     };
     (
-        args.span("length", 0.1..=3600.0, None),
+        args.duration("length", 0.1..=3600.0, None),
         args.count("gateways", 1..=32, Some(3)) as u32,
         args.count("stores", 1..=64, Some(6)) as u32,
-        args.span("slack", 0.0..=10.0, Some(0.25)),
+        args.duration("slack", 0.0..=10.0, Some(0.25)),
         args.flag("state"),
         args.flag("changes"),
         args.flag("keeper"),
@@ -226,8 +226,8 @@
     let on = args.text("volume", volumes.first().map(String::as_str));
     Trouble {
         kind: kind.unwrap_or(Kind::Crash),
-        at: args.span("at", 0.0..=3600.0, None),
-        lasts: args.span("lasts", 0.0..=3600.0, Some(1.0)),
+        at: args.duration("at", 0.0..=3600.0, None),
+        lasts: args.duration("lasts", 0.0..=3600.0, Some(1.0)),
         part: args.number("part", 0.0..=1.0, Some(0.0)),
         size: args.number("size", 0.0..=1e6, Some(2.0)),
         volume: volume(args, &on, volumes),
