--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -1,9 +1,9 @@
 //! Scripted days on real sockets: gateways in processes of their own, stand-in stores and clients around them, and a judge
 //! that reads only what clients and stores saw.
 
+pub mod coordinator;
 pub mod day;
 pub mod judge;
-pub mod keeper;
 pub mod load;
 pub mod record;
 pub mod run;
@@ -12,4 +12,4 @@
 pub use day::Day;
 pub use judge::{Verdict, judge};
 pub use record::Record;
-pub use run::rehearse;
+pub use run::run_scenario;
--- a/crates/fault-tests/src/run.rs
+++ b/crates/fault-tests/src/run.rs
@@ -17,7 +17,7 @@
 use tokio::process::{Child, Command};
 use tokio::sync::watch;
 use umbertray_config_log::guard::GUARDS;
-use umbertray_config_log::log::GROWN;
+use umbertray_config_log::log::SEGMENT_BYTES;
 use umbertray_config_log::{Change, Configuration, Edit, Log, Version};
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Fault;
@@ -26,8 +26,8 @@
 use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
+use crate::coordinator::CoordinatorProcess;
 use crate::day::{Day, Kind, Trouble};
-use crate::keeper::Keeper;
 use crate::load::{Client, Shared, Weather};
 use crate::record::{Deed, Record};
 
@@ -172,15 +172,15 @@
     draw: StdRng,
     /// Stores killed, to be started again.
     down: Vec<umbertray_fakes::store::Identity>,
-    keeper: Option<Keeper>,
-    /// Keepers that were taken over from, standing still.
+    keeper: Option<CoordinatorProcess>,
+    /// Coordinators that were taken over from, standing still.
     still: Vec<Process>,
     /// Moves that were taken on.
     moves: Vec<u64>,
 }
 
 /// Plays a day with gateways of `program`, their settings and logs in `folder`.
-pub async fn rehearse(day: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
+pub async fn run_scenario(day: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
     let fleet = Fleet::start(day.stores, day.power.clone(), seed).await?;
     let volumes = &day.document.settings.volumes;
     let (weather, watched) = watch::channel(Weather::fair(volumes.len()));
@@ -210,7 +210,7 @@
     };
     if day.keeper {
         _ = std::fs::remove_dir_all(folder.join("keeper"));
-        stage.keeper = Some(Keeper::start(program, folder, stage.fleet.list.address).await?);
+        stage.keeper = Some(CoordinatorProcess::start(program, folder, stage.fleet.list.address).await?);
     }
     if day.changes {
         _ = std::fs::remove_dir_all(stage.log());
@@ -270,15 +270,15 @@
     /// One more store is drained and replaced.
     Replace(u64),
     Worse(usize, u32),
-    /// The keeper comes back.
-    Keeper,
+    /// The coordinator comes back.
+    CoordinatorProcess,
 }
 
 impl Stage {
     async fn gateway(&self, number: usize, life: u64) -> io::Result<Gateway> {
         let mut document = self.day.document.clone();
-        document.list = self.fleet.list.address;
-        document.keeper = self.keeper.as_ref().map(|keeper| keeper.address);
+        document.endpoint_list = self.fleet.list.address;
+        document.coordinator = self.keeper.as_ref().map(|keeper| keeper.address);
         // A gateway's state is that of its seed, so its lives share one where state is kept.
         let life = if self.day.state { 0 } else { life };
         document.seed = (self.seed << 16 ^ number as u64 ^ life << 8) & ((1 << 53) - 1);
@@ -286,12 +286,12 @@
         document.state = self.day.state.then(|| folder.display().to_string());
         document.listen = vec![SocketAddr::from(([127, 0, 0, 1], 0))];
         let name = format!("gateway-{number}");
-        let own = |call: &&umbertray_config::Call| {
+        let own = |call: &&umbertray_config::FunctionCall| {
             !self.day.changes || ["gateway", "bounds"].contains(&call.function)
         };
         if self.day.changes {
             let folder = std::path::absolute(self.log())?.display().to_string();
-            document.changes = Some(umbertray_config::Changes::Folder(folder));
+            document.changes = Some(umbertray_config::ChangeSource::Folder(folder));
         }
         let script: String =
             document.calls().iter().filter(own).map(|call| call.as_script() + "\n").collect();
@@ -305,7 +305,7 @@
     /// Commits edits of the shared settings; which limits are others from then on is on record.
     fn change(&self, edits: Vec<Edit>) -> io::Result<()> {
         let disk = Disk::open(&self.log())?;
-        let mut log = Log::open(Box::new(disk), GROWN).map_err(io::Error::other)?;
+        let mut log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(io::Error::other)?;
         let before = log.head().clone();
         let change = Change {
             id: format!("change-{}", before.number),
@@ -361,7 +361,7 @@
                     self.fleet.kill(id).await;
                 }
                 Step::Replace(id) => self.replace(id, at, &mut steps).await?,
-                Step::Keeper => {
+                Step::CoordinatorProcess => {
                     if let Some(keeper) = &mut self.keeper {
                         keeper.again().await?;
                     }
@@ -507,7 +507,7 @@
             Kind::KeeperCrash => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.kill().await?;
-                    steps.push((at + trouble.lasts, Step::Keeper));
+                    steps.push((at + trouble.lasts, Step::CoordinatorProcess));
                 }
             }
             Kind::KeeperStall => {
--- a/crates/http-api/src/config.rs
+++ b/crates/http-api/src/config.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use umbertray::interface::Settings;
 
-use crate::list::EndpointList;
+use crate::endpoint_list::EndpointList;
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -71,7 +71,9 @@
             limits: told.limits,
             known: EndpointList::read(told.known.to_string().as_bytes())
                 .map_err(|error| field("known", &error))?,
-            settings: umbertray_setting_names::settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))),
+            settings: umbertray_setting_names::from_pairs(
+                pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())),
+            ),
         })
     }
 }
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -15,12 +15,12 @@
 use umbertray_lifecycle::attempt::{self, AttemptStart, Repeats, RequestStatus, StoreStatus};
 use umbertray_lifecycle::reason::{DenialReason, RetryReason};
 
-use crate::ask::{ClientRequest, Names, RequestError};
+use crate::boot_timestamp::{BootTimestamp, StampClock};
 use crate::config::{Config, duration_setting};
-use crate::list::{DiscoveredEndpoint, EndpointList};
-use crate::places;
-use crate::starts::{BootTimestamp, StampClock};
-use crate::words;
+use crate::endpoint_list::{DiscoveredEndpoint, EndpointList};
+use crate::fields;
+use crate::request::{ClientRequest, Names, RequestError};
+use crate::stable_positions;
 
 /// Who waits for an answer: one request of one connection, never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -308,7 +308,7 @@
         if self.open.contains(&ask.id) {
             return Err(RequestError {
                 status: 409,
-                message: format!("{}: an open request has this id", words::REQUEST_ID),
+                message: format!("{}: an open request has this id", fields::REQUEST_ID),
             });
         }
         Ok(ask)
@@ -372,9 +372,9 @@
         out.begun_at = Some(now);
         let left = (out.until - now).as_millis().to_string();
         let (host, ask) = (store.address.to_string(), &door.ask);
-        let mut told = vec![(words::REQUEST_ID, ask.id.as_bytes()), (words::TIME_LEFT, left.as_bytes())];
+        let mut told = vec![(fields::REQUEST_ID, ask.id.as_bytes()), (fields::TIME_LEFT, left.as_bytes())];
         // Danger: without its mark a repeat is a second effect (rule 2), and to the store not what its client sent.
-        told.extend(ask.idempotency_key.as_ref().map(|mark| (words::IDEMPOTENCY_KEY, &mark[..])));
+        told.extend(ask.idempotency_key.as_ref().map(|mark| (fields::IDEMPOTENCY_KEY, &mark[..])));
         Ok(client::request(ask.method, &ask.target, &host, &told, &ask.body))
     }
 
@@ -434,7 +434,7 @@
     pub fn reconfigure(&mut self, settings: Settings) -> Result<(), String> {
         // Danger: only what has been read once is sorted, or a count of nothing would be walked through.
         let in_places = |_| {
-            let placed = places::in_places(&self.settings, &settings);
+            let placed = stable_positions::in_places(&self.settings, &settings);
             names(&placed).map(|names| (names, placed))
         };
         let (names, settings) = names(&settings).and_then(in_places)?;
@@ -517,9 +517,9 @@
         };
         if let AttemptOutcome::Response(from) = returned {
             let headers = &from.head.headers;
-            answer.plan_rate_used = number(headers, words::PLAN_RATE_USED).map(|percent| percent / 100.0);
-            answer.units_elsewhere = number(headers, words::UNITS_ELSEWHERE).unwrap_or_default();
-            answer.report = self.report(headers.one(words::LOAD_REPORT).ok().flatten().unwrap_or_default());
+            answer.plan_rate_used = number(headers, fields::PLAN_RATE_USED).map(|percent| percent / 100.0);
+            answer.units_elsewhere = number(headers, fields::UNITS_ELSEWHERE).unwrap_or_default();
+            answer.report = self.report(headers.one(fields::LOAD_REPORT).ok().flatten().unwrap_or_default());
             if answer.outcome == Outcome::Succeeded {
                 let kind = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
                 self.answer(call.op, FinalResponse::Succeeded { kind, body: from.body });
@@ -544,7 +544,7 @@
     }
 
     fn probe_report(&self, answer: &client::Response) -> Report {
-        let told = answer.head.headers.one(words::LOAD_REPORT).ok().flatten();
+        let told = answer.head.headers.one(fields::LOAD_REPORT).ok().flatten();
         self.report(told.unwrap_or(&answer.body))
     }
 
@@ -669,7 +669,7 @@
 fn outcome(returned: &AttemptOutcome) -> Outcome {
     match returned {
         AttemptOutcome::Response(answer) => {
-            let unrun = answer.head.headers.one(words::NOT_EXECUTED);
+            let unrun = answer.head.headers.one(fields::NOT_EXECUTED);
             let unrun = unrun.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
             match answer.head.status {
                 200 => Outcome::Succeeded,
--- a/crates/http-api/src/list.rs
+++ b/crates/http-api/src/endpoint_list.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use umbertray::interface::StoreState;
 
-use crate::starts::BootTimestamp;
+use crate::boot_timestamp::BootTimestamp;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
--- a/crates/http-api/src/ask.rs
+++ b/crates/http-api/src/request.rs
@@ -7,8 +7,8 @@
 use umbertray_http::server::Request;
 
 use crate::config::duration_setting;
-use crate::places;
-use crate::words;
+use crate::fields;
+use crate::stable_positions;
 
 /// An op as its client asked for it. What goes to a store is written anew from these parts.
 #[derive(Clone, Debug, PartialEq)]
@@ -57,7 +57,8 @@
 impl Names {
     pub fn of(settings: &Settings) -> Result<Names, String> {
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
-        let count = |list: &str| places::count(settings, list).ok_or_else(|| format!("{list}.count"));
+        let count =
+            |list: &str| stable_positions::count(settings, list).ok_or_else(|| format!("{list}.count"));
         let named = |list: &str, i: usize| {
             let gone = settings.get(&format!("{list}.{i}.gone")).is_some_and(|gone| gone == "true");
             let name = format!("{list}.{i}.name");
@@ -85,23 +86,23 @@
             other => return refused(405, format!("method {other}")),
         };
         let (op_type, volume, key) = self.path(&request.target)?;
-        let plan = text(request, words::PLAN)?;
+        let plan = text(request, fields::PLAN)?;
         let Some(plan) = self.plans.iter().position(|own| own.as_deref() == Some(plan)) else {
-            return refused(400, format!("{}: no plan of this name", words::PLAN));
+            return refused(400, format!("{}: no plan of this name", fields::PLAN));
         };
-        let id = text(request, words::REQUEST_ID)?;
+        let id = text(request, fields::REQUEST_ID)?;
         if hex(id).is_none() {
-            return refused(400, format!("{}: not {} hex digits", words::REQUEST_ID, words::HEX_DIGITS));
+            return refused(400, format!("{}: not {} hex digits", fields::REQUEST_ID, fields::HEX_DIGITS));
         }
-        let Ok(mark) = request.headers.one(words::IDEMPOTENCY_KEY) else {
-            return refused(400, format!("{} stands more than once", words::IDEMPOTENCY_KEY));
+        let Ok(mark) = request.headers.one(fields::IDEMPOTENCY_KEY) else {
+            return refused(400, format!("{} stands more than once", fields::IDEMPOTENCY_KEY));
         };
-        let left = text(request, words::TIME_LEFT)?;
+        let left = text(request, fields::TIME_LEFT)?;
         let digits = !left.is_empty() && left.bytes().all(|byte| byte.is_ascii_digit());
         let Some(left) = left.parse().ok().filter(|left| digits && *left > 0) else {
-            return refused(400, format!("{}: not a whole number of milliseconds", words::TIME_LEFT));
+            return refused(400, format!("{}: not a whole number of milliseconds", fields::TIME_LEFT));
         };
-        let (units, shard, gateways) = self.placement(text(request, words::PLACEMENT)?)?;
+        let (units, shard, gateways) = self.placement(text(request, fields::PLACEMENT)?)?;
         Ok(ClientRequest {
             id: id.into(),
             idempotency_key: mark.map(Bytes::copy_from_slice),
@@ -132,7 +133,7 @@
             return refused(404, "the path names no op type");
         };
         let Some((volume, key)) = hex(volume).zip(hex(key)) else {
-            return refused(404, format!("volume and key are not {} hex digits each", words::HEX_DIGITS));
+            return refused(404, format!("volume and key are not {} hex digits each", fields::HEX_DIGITS));
         };
         Ok((op_type, volume, key))
     }
@@ -143,23 +144,23 @@
             own.find(|(own, _)| *own == name).map(|(_, value)| value)
         };
         let wrong =
-            |name: &str| refused(400, format!("{}: {name} is missing or not to be had", words::PLACEMENT));
+            |name: &str| refused(400, format!("{}: {name} is missing or not to be had", fields::PLACEMENT));
         let number = |name: &str| part(name).and_then(|text| text.parse::<f64>().ok());
-        let units = number(words::UNITS).filter(|n| n.is_finite() && *n > 0.0);
+        let units = number(fields::UNITS).filter(|n| n.is_finite() && *n > 0.0);
         let Some(units) = units.filter(|n| self.most_units.is_none_or(|most| *n <= most)) else {
-            return wrong(words::UNITS);
+            return wrong(fields::UNITS);
         };
-        let Some(gateways) = number(words::GATEWAYS).filter(|n| n.is_finite() && *n >= 1.0) else {
-            return wrong(words::GATEWAYS);
+        let Some(gateways) = number(fields::GATEWAYS).filter(|n| n.is_finite() && *n >= 1.0) else {
+            return wrong(fields::GATEWAYS);
         };
-        let shard = match part(words::SHARD) {
-            Some(words::NEW_OBJECT) => None,
+        let shard = match part(fields::SHARD) {
+            Some(fields::NEW_OBJECT) => None,
             Some(text) => {
                 let shard = text.parse().ok().filter(|n| self.shards.is_none_or(|all| *n < all));
-                let Some(shard) = shard else { return wrong(words::SHARD) };
+                let Some(shard) = shard else { return wrong(fields::SHARD) };
                 Some(shard)
             }
-            None => return wrong(words::SHARD),
+            None => return wrong(fields::SHARD),
         };
         Ok((units, shard, gateways))
     }
@@ -177,6 +178,6 @@
 }
 
 fn hex(text: &str) -> Option<u64> {
-    let digits = text.len() == words::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let digits = text.len() == fields::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
--- a/crates/http-api/tests/starts.rs
+++ b/crates/http-api/tests/boot_timestamp.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray_http_api::starts::{BootTimestamp, StampClock};
+use umbertray_http_api::boot_timestamp::{BootTimestamp, StampClock};
 
 /// A moment of the true clock, in seconds since 1970.
 const TRUTH: u64 = 1_800_000_000;
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -7,7 +7,7 @@
 use umbertray_http::client::ResponseReader;
 use umbertray_http::server::{Request, RequestEvent, RequestReader};
 use umbertray_http::{Limits, client};
-use umbertray_http_api::list::{EndpointList, WatchEvent, WatchReader};
+use umbertray_http_api::endpoint_list::{EndpointList, WatchEvent, WatchReader};
 use umbertray_http_api::{
     AttemptId, AttemptOutcome, ClientId, Config, Core, Effect, FinalResponse, Input, RequestError,
 };
@@ -183,7 +183,7 @@
         profiles.0.promiseS=0.25\nprofiles.0.effect=guarded\nprofiles.0.stream=false\nfamilyInfo.writes=false,true\n\
         familyInfo.meanUnits=2.0\nrules.askWithinS=10.0";
     let config = Config::read(&config(nested, &list(0, true, &[]))).expect("a whole configuration");
-    assert_eq!(config.settings, umbertray_setting_names::of_lines(lines));
+    assert_eq!(config.settings, umbertray_setting_names::from_lines(lines));
     assert_eq!(config.settings["op_types.0.repeats"], "deduplicated");
 }
 
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -8,8 +8,8 @@
 use umbertray_http::Limits;
 use umbertray_http::client;
 use umbertray_http::server::{Request, RequestEvent, RequestReader};
-use umbertray_http_api::list::{EndpointList, WatchEvent, WatchReader};
-use umbertray_http_api::{ClientId, Config, Core, Effect, Input, words};
+use umbertray_http_api::endpoint_list::{EndpointList, WatchEvent, WatchReader};
+use umbertray_http_api::{ClientId, Config, Core, Effect, Input, fields};
 
 const RECORDED: &str = include_str!("golden/http.txt");
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
@@ -101,11 +101,11 @@
 
 fn discovery(transcript: &mut String) {
     for (name, target) in [
-        ("discovery, list", words::ENDPOINT_LIST.to_string()),
-        ("discovery, watch", words::watch(7)),
-        ("store, load report", words::LOAD_REPORT_PATH.to_string()),
-        ("own, readiness", words::READY.to_string()),
-        ("own, liveness", words::LIVE.to_string()),
+        ("discovery, list", fields::ENDPOINT_LIST.to_string()),
+        ("discovery, watch", fields::watch(7)),
+        ("store, load report", fields::LOAD_REPORT_PATH.to_string()),
+        ("own, readiness", fields::READY.to_string()),
+        ("own, liveness", fields::LIVE.to_string()),
     ] {
         line(transcript, name, &client::request("GET", &target, "127.0.0.1:9", &[], b""));
     }
--- a/crates/http-api/tests/sizes.rs
+++ b/crates/http-api/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! The bytes of the platform's list and requests that docs/CAPACITY.md counts with.
 
-use umbertray_http_api::list::EndpointList;
+use umbertray_http_api::endpoint_list::EndpointList;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
--- a/crates/http-gateway/src/bounds.rs
+++ b/crates/http-gateway/src/bounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use umbertray_http::Limits;
-use umbertray_http_api::{Config, config, words};
+use umbertray_http_api::{Config, config, fields};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
 
 /// Parts of the descriptors for clients, for those that there is no room for until they have their answer, and for
@@ -64,13 +64,13 @@
             connection_idle: span("limits.conn_idle")?,
         });
         let memory = (told.limits.memory_mb * MEGABYTE) as usize;
-        let head = part(words::MAX_BODY, HEAD);
+        let head = part(fields::MAX_BODY, HEAD);
         let stores = part(told.limits.sockets, STORES);
         Ok(Bounds {
-            http: Limits { head, body: words::MAX_BODY },
-            answer: Limits { head, body: part(memory, ANSWER).max(words::MAX_BODY) },
+            http: Limits { head, body: fields::MAX_BODY },
+            answer: Limits { head, body: part(memory, ANSWER).max(fields::MAX_BODY) },
             answers: part(memory, ANSWERS),
-            ahead: part(words::MAX_BODY, AHEAD),
+            ahead: part(fields::MAX_BODY, AHEAD),
             list: part(memory, LIST),
             clients: part(told.limits.sockets, CLIENTS),
             rejected_clients: part(told.limits.sockets, TURNED_AWAY),
--- a/crates/http-gateway/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -13,7 +13,7 @@
 use umbertray_http::Malformed;
 use umbertray_http::connection::{CloseDemand, ConnectionState, Event, NextStep, Response, State};
 use umbertray_http::server::{self, Request, RequestEvent, RequestReader};
-use umbertray_http_api::{ClientId, FinalResponse, RequestError, words};
+use umbertray_http_api::{ClientId, FinalResponse, RequestError, fields};
 use umbertray_lifecycle::check::{check, observe};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
 use umbertray_lifecycle::limits::HOLD_UP;
@@ -21,7 +21,7 @@
 use umbertray_lifecycle::{Decision, Timeouts, request};
 use umbertray_socket::Socket;
 
-use crate::hub::Hub;
+use crate::event_loop::EventLoop;
 use crate::response::{refusal, refused, rendered};
 
 /// The status of a request that has the id of an open one.
@@ -39,7 +39,7 @@
 /// An op that waits for its answer. Hazard: an op whose client has left must not begin any more; whatever ends the
 /// wait before the answer, dropping this tells so.
 struct Op {
-    hub: Rc<Hub>,
+    hub: Rc<EventLoop>,
     /// As its client named it.
     id: Box<str>,
     /// When it was handed on, whole, and how long its client waits. Slow clients write for longer than that.
@@ -66,7 +66,7 @@
 }
 
 pub struct Client {
-    hub: Rc<Hub>,
+    hub: Rc<EventLoop>,
     id: u64,
     stream: Socket,
     demand_raised: Rc<Notify>,
@@ -99,7 +99,7 @@
 }
 
 impl Client {
-    pub fn new(hub: Rc<Hub>, id: u64, stream: Socket, reject: bool) -> Client {
+    pub fn new(hub: Rc<EventLoop>, id: u64, stream: Socket, reject: bool) -> Client {
         let demand_raised = Rc::new(Notify::new());
         hub.clients.insert(id, demand_raised.clone());
         let timeouts = &hub.bounds().timeouts;
@@ -362,8 +362,8 @@
 
     fn health(&self, request: &Request) -> Option<u16> {
         match (&*request.method, &*request.target) {
-            ("GET", words::READY) => Some(if self.hub.ready() { 200 } else { 503 }),
-            ("GET", words::LIVE) => Some(200),
+            ("GET", fields::READY) => Some(if self.hub.ready() { 200 } else { 503 }),
+            ("GET", fields::LIVE) => Some(200),
             _ => None,
         }
     }
@@ -438,12 +438,12 @@
     }
 }
 
-fn demand(hub: &Hub, id: u64) -> CloseDemand {
+fn demand(hub: &EventLoop, id: u64) -> CloseDemand {
     hub.clients.demand(id).max(if hub.closing() { CloseDemand::Graceful } else { CloseDemand::None })
 }
 
 /// Returns once a greater demand is made of a connection than it knows of.
-async fn raised(hub: Rc<Hub>, id: u64, demand_raised: Rc<Notify>, known: CloseDemand) {
+async fn raised(hub: Rc<EventLoop>, id: u64, demand_raised: Rc<Notify>, known: CloseDemand) {
     let mut phases = hub.phases();
     while demand(&hub, id) <= known {
         tokio::select! {
--- a/crates/http-gateway/src/hub.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -40,7 +40,7 @@
     written: Rc<Cell<bool>>,
 }
 
-pub struct Hub {
+pub struct EventLoop {
     core: RefCell<Core>,
     inputs: RefCell<Vec<Input>>,
     news: Notify,
@@ -61,11 +61,11 @@
     pub fetch: Notify,
 }
 
-impl Hub {
-    pub fn new(core: Core, clock: Clock, bounds: Bounds) -> Hub {
+impl EventLoop {
+    pub fn new(core: Core, clock: Clock, bounds: Bounds) -> EventLoop {
         let counters = Rc::new(Counters::default());
         let bounds = Rc::new(watch::channel(bounds).0);
-        Hub {
+        EventLoop {
             core: RefCell::new(core),
             inputs: RefCell::default(),
             news: Notify::new(),
@@ -179,13 +179,13 @@
         }
     }
 
-    fn turn(self: &Rc<Hub>) -> Result<(), String> {
+    fn turn(self: &Rc<EventLoop>) -> Result<(), String> {
         let inputs = self.inputs.take();
         let deeds = self.core.borrow_mut().handle(self.clock.now(), inputs);
         deeds.into_iter().try_for_each(|deed| self.perform(deed))
     }
 
-    fn perform(self: &Rc<Hub>, deed: Effect) -> Result<(), String> {
+    fn perform(self: &Rc<EventLoop>, deed: Effect) -> Result<(), String> {
         match deed {
             Effect::Respond { client, reply } => {
                 if let Some(answer) = self.answers.borrow_mut().remove(&client) {
@@ -246,7 +246,7 @@
 }
 
 /// Turns the core until it cannot go on.
-pub async fn run(hub: Rc<Hub>) -> Result<(), String> {
+pub async fn run(hub: Rc<EventLoop>) -> Result<(), String> {
     loop {
         hub.turn()?;
         let wake = hub.core.borrow().next_deadline();
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -7,7 +7,7 @@
 mod bounds;
 mod client;
 mod client_connections;
-mod hub;
+mod event_loop;
 mod listener;
 mod patience;
 mod response;
@@ -31,11 +31,11 @@
 use umbertray_socket::Socket;
 
 use crate::bounds::Bounds;
-use crate::hub::{Hub, Phase};
+use crate::event_loop::{EventLoop, Phase};
 use crate::watch::Source;
 
 #[derive(Debug, thiserror::Error)]
-pub enum NodeError {
+pub enum GatewayError {
     #[error("{}: {error}", file.display())]
     Unread { file: PathBuf, error: io::Error },
     #[error("{}: {error}", file.display())]
@@ -50,27 +50,27 @@
     Fatal(String),
 }
 
-pub fn read(file: &Path) -> Result<Config, NodeError> {
+pub fn read(file: &Path) -> Result<Config, GatewayError> {
     let text =
-        std::fs::read_to_string(file).map_err(|error| NodeError::Unread { file: file.into(), error })?;
-    Config::read(&text).map_err(|error| NodeError::Config { file: file.into(), error })
+        std::fs::read_to_string(file).map_err(|error| GatewayError::Unread { file: file.into(), error })?;
+    Config::read(&text).map_err(|error| GatewayError::Config { file: file.into(), error })
 }
 
 /// Runs one gateway until SIGTERM or SIGINT; to be awaited inside a `LocalSet`.
 /// `listening` is told the address once it listens.
-pub async fn run(file: PathBuf, listening: impl FnOnce(SocketAddr)) -> Result<(), NodeError> {
+pub async fn run(file: PathBuf, listening: impl FnOnce(SocketAddr)) -> Result<(), GatewayError> {
     // Danger: a signal that comes before this ends the process at once.
-    let mut hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(NodeError::Signals)?;
+    let mut hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signals)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(GatewayError::Signals)?;
     let mut config = read(&file)?;
     let clock = Clock::start();
-    let core = Core::start(&config, clock.now()).map_err(NodeError::Settings)?;
-    let bounds = Bounds::of(&config).map_err(NodeError::Settings)?;
-    let listen = |error| NodeError::Listen { address: config.listen, error };
+    let core = Core::start(&config, clock.now()).map_err(GatewayError::Settings)?;
+    let bounds = Bounds::of(&config).map_err(GatewayError::Settings)?;
+    let listen = |error| GatewayError::Listen { address: config.listen, error };
     let listener = TcpListener::bind(config.listen).await.map_err(listen)?;
     let address = listener.local_addr().map_err(listen)?;
-    let hub = Rc::new(Hub::new(core, clock, bounds));
+    let hub = Rc::new(EventLoop::new(core, clock, bounds));
     let (to_watch, source) = watched::channel(Source::of(&config));
     let dial = Socket::connect;
     let followed = watch::follow(dial, hub.clone(), source, config.known.version, config.seed);
@@ -80,14 +80,14 @@
     tokio::task::spawn_local(listener::accept(hub.clone(), listener));
     tracing::info!(name = config.name, listen = %address, discovery = %config.discovery, "serving");
     listening(address);
-    let mut turns = tokio::task::spawn_local(hub::run(hub.clone()));
+    let mut turns = tokio::task::spawn_local(event_loop::run(hub.clone()));
     let told_to_end = Notify::new();
     let mut stopped = std::pin::pin!(stop(&hub, &told_to_end));
     loop {
         tokio::select! {
             // What has come together is taken in this order: a drain goes by the configuration before it.
             biased;
-            ended = &mut turns => return ended.unwrap_or_else(|e| Err(e.to_string())).map_err(NodeError::Fatal),
+            ended = &mut turns => return ended.unwrap_or_else(|e| Err(e.to_string())).map_err(GatewayError::Fatal),
             () = &mut stopped => return Ok(()),
             _ = hangup.recv() => {
                 if let Err(error) = reconfigure(&file, &mut config, &hub, &to_watch) {
@@ -105,15 +105,15 @@
 fn reconfigure(
     file: &Path,
     config: &mut Config,
-    hub: &Hub,
+    hub: &EventLoop,
     to_watch: &watched::Sender<Source>,
-) -> Result<(), NodeError> {
+) -> Result<(), GatewayError> {
     let new = read(file)?;
     if (new.listen, &new.name, new.seed) != (config.listen, &config.name, config.seed) {
         tracing::warn!(listen = %new.listen, name = new.name, "listen, name and seed need a restart");
     }
     if (&new.settings, new.limits) != (&config.settings, config.limits) {
-        hub.reconfigure(&new).map_err(NodeError::Settings)?;
+        hub.reconfigure(&new).map_err(GatewayError::Settings)?;
     }
     let source = Source::of(&new);
     to_watch.send_if_modified(|held| std::mem::replace(held, source) != source);
@@ -126,7 +126,7 @@
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Tells the counts by reason at an interval, for as long as the gateway runs.
-async fn report_counters(hub: Rc<Hub>) {
+async fn report_counters(hub: Rc<EventLoop>) {
     let mut last = String::new();
     loop {
         sleep(COUNTERS_INTERVAL).await;
@@ -141,7 +141,7 @@
 /// Once told so, goes on serving for as long as what comes can still be answered before SIGKILL: nobody else serves
 /// these clients until the next run of this gateway. Then ends idle connections, and returns when all that was taken
 /// is answered.
-async fn stop(hub: &Hub, told: &Notify) {
+async fn stop(hub: &EventLoop, told: &Notify) {
     told.notified().await;
     let Timeouts { accept_until, retry_until, drain_deadline, response_write, drain_close, .. } =
         hub.bounds().timeouts;
--- a/crates/http-gateway/src/listener.rs
+++ b/crates/http-gateway/src/listener.rs
@@ -10,14 +10,14 @@
 use umbertray_socket::{AcceptError, accept_error};
 
 use crate::client::{Client, at_once};
-use crate::hub::{Hub, Phase};
+use crate::event_loop::{EventLoop, Phase};
 
 /// After a want of the system's the next try comes so much later.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// Takes new connections until the gateway closes. Hazard: those that the system has accepted by then are reset with
 /// the listener, their requests lost.
-pub async fn accept(hub: Rc<Hub>, listener: TcpListener) {
+pub async fn accept(hub: Rc<EventLoop>, listener: TcpListener) {
     let mut phases = hub.phases();
     for id in 0.. {
         let accepted = tokio::select! {
@@ -45,7 +45,7 @@
 }
 
 /// Waits for what a failed accept was for want of: trying at once would spin.
-async fn recover(hub: &Hub, error: AcceptError) {
+async fn recover(hub: &EventLoop, error: AcceptError) {
     let closed_one = error == AcceptError::Descriptors && hub.clients.make_room().await;
     match error {
         AcceptError::Transient => {}
--- a/crates/http-gateway/src/patience.rs
+++ b/crates/http-gateway/src/patience.rs
@@ -25,7 +25,7 @@
 
 use std::time::Duration;
 
-use umbertray_http_api::words::WATCH_HEARTBEAT_INTERVAL;
+use umbertray_http_api::fields::WATCH_HEARTBEAT_INTERVAL;
 
 /// An open watch has to bring a whole line in this time. Below 1 each sign of life comes too late. The quarter is for a
 /// path or a gateway that is late by 0.5 s; more of it is not left within the 6 s.
--- a/crates/http-gateway/src/response.rs
+++ b/crates/http-gateway/src/response.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use umbertray_http::Malformed;
 use umbertray_http::server;
-use umbertray_http_api::{FinalResponse, RequestError, words};
+use umbertray_http_api::{FinalResponse, RequestError, fields};
 
 pub fn refused(error: &Malformed) -> RequestError {
     RequestError { status: error.status(), message: error.to_string() }
@@ -17,7 +17,7 @@
         }
         FinalResponse::Rejected { retry_after } => {
             let seconds = format!("{:.3}", retry_after.as_secs_f64());
-            server::response(503, &[(words::RETRY_AFTER, seconds.as_bytes())], b"", close)
+            server::response(503, &[(fields::RETRY_AFTER, seconds.as_bytes())], b"", close)
         }
         FinalResponse::Failed => server::response(500, &[], b"", close),
     }
--- a/crates/http-gateway/src/store.rs
+++ b/crates/http-gateway/src/store.rs
@@ -15,7 +15,7 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 use umbertray_http::client::{self, ResponseReader};
-use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, words};
+use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, fields};
 use umbertray_lifecycle::attempt::told_time_holds;
 use umbertray_lifecycle::check::observe;
 use umbertray_lifecycle::reason::StoreCloseReason;
@@ -23,7 +23,7 @@
 use umbertray_socket::Socket;
 
 use crate::bounds::Bounds;
-use crate::hub::Hub;
+use crate::event_loop::EventLoop;
 
 #[derive(Default)]
 struct Pool {
@@ -224,7 +224,7 @@
 
 /// Sends one dispatch and waits for what comes back; `written` is set once its last byte is out.
 pub async fn call(
-    hub: &Rc<Hub>,
+    hub: &Rc<EventLoop>,
     call: AttemptId,
     store: StoreId,
     address: SocketAddr,
@@ -246,7 +246,7 @@
 }
 
 async fn carried(
-    hub: &Rc<Hub>,
+    hub: &Rc<EventLoop>,
     call: AttemptId,
     address: SocketAddr,
     due: tokio::time::Instant,
@@ -286,7 +286,7 @@
 }
 
 /// A process that was held up, or a store that reads slowly, may make the told time untrue.
-fn check_told_time(hub: &Hub, call: AttemptId, took: Duration) {
+fn check_told_time(hub: &EventLoop, call: AttemptId, took: Duration) {
     observe(&hub.counters, told_time_holds(took), |violation| {
         let id = hub.id(call).unwrap_or_default();
         tracing::warn!(id, op = call.op.0, ?took, %violation, "lifecycle rule violated");
@@ -300,7 +300,7 @@
     Some(())
 }
 
-async fn answer(hub: &Rc<Hub>, mut link: Link<'_>) -> (AttemptOutcome, Duration) {
+async fn answer(hub: &Rc<EventLoop>, mut link: Link<'_>) -> (AttemptOutcome, Duration) {
     let mut answers = ResponseReader::new(hub.bounds().answer);
     let mut room = Room::new(hub);
     let Some(stream) = &mut link.stream else { return (AttemptOutcome::NeverWritten, hub.clock.now()) };
@@ -346,7 +346,7 @@
 }
 
 /// Counts and tells why a connection to a store that was in use is closed.
-fn closed(hub: &Hub, link: &Link, reason: StoreCloseReason, detail: &dyn std::fmt::Display) {
+fn closed(hub: &EventLoop, link: &Link, reason: StoreCloseReason, detail: &dyn std::fmt::Display) {
     hub.counters.count(reason);
     tracing::debug!(store = %link.address, %reason, %detail, "store connection closed");
 }
@@ -359,13 +359,13 @@
 }
 
 impl Room {
-    fn new(hub: &Rc<Hub>) -> Room {
+    fn new(hub: &Rc<EventLoop>) -> Room {
         Room { held: hub.held.clone(), most: hub.bounds().answers, taken: 0 }
     }
 
     /// There is room for so many bytes. Those that any answer may have need none.
     fn holds(&mut self, size: usize) -> bool {
-        let more = size.saturating_sub(words::MAX_BODY).saturating_sub(self.taken);
+        let more = size.saturating_sub(fields::MAX_BODY).saturating_sub(self.taken);
         let held = self.held.load(Relaxed).saturating_add(more);
         let fits = more == 0 || held <= self.most;
         if fits {
@@ -398,11 +398,11 @@
 }
 
 /// Asks a store for its load.
-pub async fn probe(hub: &Rc<Hub>, address: SocketAddr) -> AttemptOutcome {
+pub async fn probe(hub: &Rc<EventLoop>, address: SocketAddr) -> AttemptOutcome {
     let written = Cell::new(false);
     let asked = timeout(hub.bounds().timeouts.connect, async {
         let mut link = hub.pools.link(address).await?;
-        let bytes = client::request("GET", words::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
+        let bytes = client::request("GET", fields::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
         write(&mut link, &bytes, &written).await?;
         Some(answer(hub, link).await.0)
     });
@@ -414,7 +414,7 @@
 }
 
 /// Looks after idle connections, for as long as the gateway runs: at an interval, and when the bounds change.
-pub async fn tidy(hub: Rc<Hub>) {
+pub async fn tidy(hub: Rc<EventLoop>) {
     let mut changes = hub.bounds_changes();
     loop {
         let sweep = sleep(hub.bounds().timeouts.store_sweep);
--- a/crates/http-gateway/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 use umbertray_http::client::{self, ResponseReader};
 use umbertray_http::{Limits, Malformed};
-use umbertray_http_api::list::{EndpointList, EndpointListError, WatchEvent, WatchReader};
-use umbertray_http_api::words;
+use umbertray_http_api::endpoint_list::{EndpointList, EndpointListError, WatchEvent, WatchReader};
+use umbertray_http_api::fields;
 use umbertray_http_api::{Config, Input};
 
-use crate::hub::Hub;
+use crate::event_loop::EventLoop;
 use crate::patience::{self, Failed, Failures};
 
 #[cfg(test)]
@@ -65,7 +65,7 @@
 
 /// What all attempts share.
 struct Watch {
-    hub: Rc<Hub>,
+    hub: Rc<EventLoop>,
     /// The version held, if the list held is known to be whole.
     held: Cell<Option<u64>>,
     /// Something came since the last failure.
@@ -116,7 +116,7 @@
 /// module asks, and so does the next after one that failed.
 pub async fn follow<S: AsyncRead + AsyncWrite + Unpin>(
     dial: impl AsyncFn(SocketAddr) -> io::Result<S>,
-    hub: Rc<Hub>,
+    hub: Rc<EventLoop>,
     mut source: watch::Receiver<Source>,
     known: u64,
     seed: u64,
@@ -279,7 +279,7 @@
 }
 
 impl Watch {
-    fn new(hub: Rc<Hub>) -> Watch {
+    fn new(hub: Rc<EventLoop>) -> Watch {
         Watch { hub, held: Cell::default(), heard: Cell::default(), opened: Cell::default() }
     }
 
@@ -336,7 +336,7 @@
         due: Due,
         stage: &Stage,
     ) -> Result<(), Broken> {
-        ask(stream, words::ENDPOINT_LIST, host, due).await?;
+        ask(stream, fields::ENDPOINT_LIST, host, due).await?;
         let mut answers =
             ResponseReader::new(Limits { body: self.hub.bounds().list, ..self.hub.bounds().http });
         let answer = loop {
@@ -358,7 +358,7 @@
         mut due: Due,
         stage: &Stage,
     ) -> Result<(), Broken> {
-        ask(stream, &words::watch(self.held.get().unwrap_or_default()), host, due).await?;
+        ask(stream, &fields::watch(self.held.get().unwrap_or_default()), host, due).await?;
         let mut answers = ResponseReader::new(Limits { body: usize::MAX, ..self.hub.bounds().http });
         let (mut lines, mut opened) = (WatchReader::new(self.hub.bounds().list), false);
         loop {
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -84,7 +84,7 @@
 
 /// A gateway's watch, and the discovery that it follows.
 struct World {
-    hub: Rc<Hub>,
+    hub: Rc<EventLoop>,
     dials: Rc<RefCell<Vec<(SocketAddr, Instant)>>>,
     acts: Rc<RefCell<VecDeque<Act>>>,
     /// When the first watch fell silent.
@@ -99,7 +99,7 @@
         let config = Config::read(CONFIG).expect("a whole configuration");
         let clock = Clock::start();
         let core = Core::start(&config, clock.now()).expect("it starts");
-        let hub = Rc::new(Hub::new(core, clock, Bounds::of(&config).expect("bounds")));
+        let hub = Rc::new(EventLoop::new(core, clock, Bounds::of(&config).expect("bounds")));
         let (dials, silent) = (Rc::<RefCell<Vec<_>>>::default(), Rc::<Cell<Option<Instant>>>::default());
         let acts = Rc::new(RefCell::new(VecDeque::from(acts.to_vec())));
         let (asks, dialed, next, since) = (hub.clone(), dials.clone(), acts.clone(), silent.clone());
@@ -202,7 +202,7 @@
             drip(stream, b"1\r\n{\r\n", 6, DRIP).await?;
         },
         Act::Alive(_) | Act::Unchanged | Act::Slow(_) => loop {
-            sleep(words::WATCH_HEARTBEAT_INTERVAL).await;
+            sleep(fields::WATCH_HEARTBEAT_INTERVAL).await;
             stream.write_all(chunk("").as_bytes()).await?;
         },
         _ => pending().await,
--- a/crates/nbd-gateway/src/budget.rs
+++ b/crates/nbd-gateway/src/budget.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use umbertray_admission::{Answer, Claim, Room};
+use umbertray_admission::{Admission, ByteBudget, VolumeShare};
 use umbertray_routing::settings::Bounds;
 use umbertray_routing::{BufferGuard, Settings};
 
@@ -17,7 +17,7 @@
 
 #[derive(Clone)]
 pub struct Budget {
-    room: Arc<Mutex<Room>>,
+    room: Arc<Mutex<ByteBudget>>,
     a_session: usize,
     clock: Clock,
 }
@@ -48,14 +48,14 @@
     fn drop(&mut self) {
         let now = self.budget.clock.now();
         if let Ok(mut room) = self.budget.room.lock() {
-            room.give_back(now, self.volume, self.bytes);
+            room.release(now, self.volume, self.bytes);
         }
     }
 }
 
 impl Budget {
     pub fn new(bounds: &Bounds, longest: Duration, clock: Clock) -> Budget {
-        let room = Arc::new(Mutex::new(Room::new(bounds.bytes as u64, longest)));
+        let room = Arc::new(Mutex::new(ByteBudget::new(bounds.bytes as u64, longest)));
         Budget { room, a_session: bounds.bytes_per_session / BLOCK, clock }
     }
 
@@ -71,15 +71,17 @@
         let blocks = (bytes as usize).div_ceil(BLOCK).max(1) as u32;
         let own = self.own.acquire_many_owned(blocks).await.ok()?;
         let plan = &settings.plans[settings.volumes.get(volume)?.plan];
-        let claim = Claim { weight: plan.weight, reserve: plan.reserve };
+        let claim = VolumeShare { weight: plan.weight, reserve: plan.reserve };
         let (now, bytes) = (self.budget.clock.now(), u64::from(blocks) * BLOCK as u64);
         let mut hasher = DefaultHasher::new();
         (self.session, now).hash(&mut hasher);
         let chance = hasher.finish() as f64 / u64::MAX as f64;
-        let answer = self.budget.room.lock().ok()?.ask(now, volume, claim, bytes, chance);
+        let answer = self.budget.room.lock().ok()?.request(now, volume, claim, bytes, chance);
         Some(match answer {
-            Answer::Held => Granted::Held(Arc::new(Grant { _own: own, budget: self.budget, volume, bytes })),
-            Answer::Away { retry_after } => Granted::Away(retry_after),
+            Admission::Granted => {
+                Granted::Held(Arc::new(Grant { _own: own, budget: self.budget, volume, bytes }))
+            }
+            Admission::Rejected { retry_after } => Granted::Away(retry_after),
         })
     }
 }
--- a/crates/nbd-gateway/src/changes.rs
+++ b/crates/nbd-gateway/src/changes.rs
@@ -7,12 +7,12 @@
 
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, watch};
-use umbertray_config_log::follow::{NotFollowed, Taken};
+use umbertray_config_log::follow::{AppliedVersion, FollowError};
 use umbertray_config_log::{Follower, Replica, acted};
 use umbertray_routing::{Input, Settings, SettingsChange};
 use umbertray_snapshot::Disk;
 
-use crate::relayed::Relayed;
+use crate::relayed::RelayedChanges;
 
 /// How often the folder is looked at.
 const EVERY: Duration = Duration::from_millis(20);
@@ -24,7 +24,7 @@
 const TOLD: usize = 256;
 
 /// The log of changes that a gateway follows, read up to the settings that it starts with.
-pub enum Changes {
+pub enum ChangeSource {
     /// In the writer's folder.
     Folder {
         folder: PathBuf,
@@ -33,7 +33,7 @@
         acted: Option<PathBuf>,
     },
     /// As relays tell of it.
-    Relays(Box<Relayed>),
+    Relays(Box<RelayedChanges>),
 }
 
 /// Writes down what is about to be acted on.
@@ -52,22 +52,22 @@
     pub to_hub: mpsc::Sender<Input>,
 }
 
-impl Changes {
+impl ChangeSource {
     /// The state that it starts with.
     pub fn at(&self) -> &Replica {
         match self {
-            Changes::Folder { follower, .. } => &follower.at,
-            Changes::Relays(relayed) => &relayed.at,
+            ChangeSource::Folder { follower, .. } => &follower.replica,
+            ChangeSource::Relays(relayed) => &relayed.at,
         }
     }
 
     /// Follows until the hub ends.
     pub(crate) async fn follow(self, told: Told) {
         match self {
-            Changes::Folder { folder, follower, acted } => {
-                Looks { disk: Disk::look(&folder), follower, acted }.follow(&told).await;
+            ChangeSource::Folder { folder, follower, acted } => {
+                Looks { disk: Disk::read_only(&folder), follower, acted }.follow(&told).await;
             }
-            Changes::Relays(relayed) => relayed.follow(&told).await,
+            ChangeSource::Relays(relayed) => relayed.follow(&told).await,
         }
     }
 }
@@ -95,17 +95,17 @@
 }
 
 impl Looks {
-    fn look(&mut self) -> Result<Vec<Taken>, NotFollowed> {
+    fn look(&mut self) -> Result<Vec<AppliedVersion>, FollowError> {
         let taken = self.follower.poll(&self.disk)?;
         if !taken.is_empty() {
-            note(self.acted.as_deref(), &self.follower.at);
+            note(self.acted.as_deref(), &self.follower.replica);
         }
         Ok(taken)
     }
 
     async fn follow(mut self, told: &Told) {
         let mut said = Seldom::default();
-        note(self.acted.as_deref(), &self.follower.at);
+        note(self.acted.as_deref(), &self.follower.replica);
         loop {
             let looked = tokio::task::spawn_blocking(move || {
                 let taken = self.look();
@@ -121,7 +121,7 @@
                     }
                 }
                 Err(error) if said.due() => {
-                    let version = self.follower.at.version.number;
+                    let version = self.follower.replica.version.number;
                     tracing::error!(%error, version, "log of changes not followed");
                 }
                 Err(_) => {}
@@ -136,7 +136,7 @@
 
 impl Told {
     /// All that was committed since the last time at once: the newest settings, and what any of the changes touched.
-    pub async fn tell(&self, taken: Vec<Taken>) -> Option<()> {
+    pub async fn tell(&self, taken: Vec<AppliedVersion>) -> Option<()> {
         let (mut figures, mut removed, mut volumes) = (false, 0, BTreeSet::new());
         for step in taken.iter().flat_map(|(_, steps)| steps) {
             match step {
--- a/crates/nbd-gateway/src/hub.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -12,13 +12,13 @@
 use umbertray_store_protocol::list::ToList;
 use umbertray_store_protocol::store::ToStore;
 
-use crate::keeper::Keeper;
 use crate::list::Service;
+use crate::snapshot_writer::SnapshotWriter;
 use crate::{link, list};
 use umbertray_clock::Clock;
 use umbertray_snapshot::Stamp;
 use umbertray_snapshot::decide::{EVERY, PROMISED};
-use umbertray_snapshot::folder::{self, Recalled};
+use umbertray_snapshot::folder::{self, LoadResult};
 
 /// A part of a reply on its way to its session.
 pub struct SessionReply {
@@ -27,12 +27,12 @@
     pub hold: BufferGuard,
 }
 
-pub enum ToHub {
+pub enum LoopEvent {
     Attach(SessionId, mpsc::UnboundedSender<SessionReply>),
     Input(Input),
     /// From the link of this generation to the store; what an earlier one still says is not heard.
     Link(StoreId, u64, Input),
-    /// The keeper has written, or failed to, what it was given.
+    /// The coordinator has written, or failed to, what it was given.
     Kept,
 }
 
@@ -42,14 +42,14 @@
     to_link: mpsc::UnboundedSender<(ToStore, Option<BufferGuard>)>,
 }
 
-pub struct Hub {
+pub struct EventLoop {
     core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
     /// The longest op timeout that was in force since the start: what is open may have it.
     longest_timeout: Duration,
     run: u64,
-    to_hub: mpsc::UnboundedSender<ToHub>,
+    to_hub: mpsc::UnboundedSender<LoopEvent>,
     to_list: mpsc::UnboundedSender<ToList>,
     /// Where the map is another service than the list.
     to_keeper: Option<mpsc::UnboundedSender<ToList>>,
@@ -57,9 +57,9 @@
     links: HashMap<StoreId, LinkEnd>,
     generation: u64,
     wake_at: Duration,
-    keeper: Option<Keeper>,
+    keeper: Option<SnapshotWriter>,
     /// What an earlier run saved, until the core has it.
-    recalled: Option<Recalled>,
+    recalled: Option<LoadResult>,
     /// The moment that the next save speaks of.
     saving: Option<Stamp>,
     save_at: Duration,
@@ -68,15 +68,15 @@
 /// So many messages are taken at a time; the module sees them as one moment.
 const TURN: usize = 128;
 
-impl Hub {
+impl EventLoop {
     pub fn new(
         core: Box<dyn RequestHandler>,
         clock: Clock,
         settings: Arc<Settings>,
         (list, keeper): (SocketAddr, Option<SocketAddr>),
         run: u64,
-        to_hub: mpsc::UnboundedSender<ToHub>,
-    ) -> Hub {
+        to_hub: mpsc::UnboundedSender<LoopEvent>,
+    ) -> EventLoop {
         let ask = |service, address| {
             let (to_service, from_hub) = mpsc::unbounded_channel();
             let patience = settings.connect_timeout;
@@ -85,7 +85,7 @@
         };
         let to_list = ask(Service::List, list);
         let to_keeper = keeper.map(|address| ask(Service::Keeper, address));
-        Hub {
+        EventLoop {
             core,
             clock,
             longest_timeout: settings.longest_timeout(),
@@ -105,15 +105,15 @@
         }
     }
 
-    /// Keeps state with a keeper, and recalls what it found.
-    pub fn keeping(self, keeper: Option<Keeper>, recalled: Option<Recalled>) -> Hub {
-        Hub { keeper, recalled, ..self }
+    /// Keeps state with a coordinator, and recalls what it found.
+    pub fn keeping(self, keeper: Option<SnapshotWriter>, recalled: Option<LoadResult>) -> EventLoop {
+        EventLoop { keeper, recalled, ..self }
     }
 
     /// Runs until told to stop and all is answered, at most the longest op timeout after that.
     pub async fn run(
         mut self,
-        mut from_all: mpsc::UnboundedReceiver<ToHub>,
+        mut from_all: mpsc::UnboundedReceiver<LoopEvent>,
         mut changed: mpsc::Receiver<Input>,
         mut stopping: watch::Receiver<bool>,
     ) -> Result<(), String> {
@@ -122,7 +122,7 @@
         let recalled = self
             .recalled
             .take()
-            .map(|recalled| Input::Restore { snapshot: recalled.saved, age: recalled.age.known() });
+            .map(|recalled| Input::Restore { snapshot: recalled.snapshot, age: recalled.age.known() });
         self.turn(recalled.into_iter().collect())?;
         loop {
             let wake_at = tokio::time::Instant::from_std(self.clock.instant(self.wake_at));
@@ -155,36 +155,39 @@
         }
     }
 
-    /// Asks the core what is to be saved, when it is time to and the keeper is idle: a slow disk is not waited for. The
+    /// Asks the core what is to be saved, when it is time to and the coordinator is idle: a slow disk is not waited for. The
     /// sweep wakes this loop often enough.
     fn save(&mut self) -> Result<(), String> {
         let now = self.clock.now();
-        if now < self.save_at || self.saving.is_some() || !self.keeper.as_ref().is_some_and(Keeper::idle) {
+        if now < self.save_at
+            || self.saving.is_some()
+            || !self.keeper.as_ref().is_some_and(SnapshotWriter::idle)
+        {
             return Ok(());
         }
         // The moment is taken first: what is kept is then never younger than it says.
-        self.saving = Some(folder::stamp());
+        self.saving = Some(folder::current_stamp());
         self.save_at = now + EVERY;
         self.turn(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
     }
 
-    fn heard(&mut self, message: ToHub) -> Option<Input> {
+    fn heard(&mut self, message: LoopEvent) -> Option<Input> {
         match message {
-            ToHub::Kept => {
-                self.keeper.iter_mut().for_each(Keeper::kept);
+            LoopEvent::Kept => {
+                self.keeper.iter_mut().for_each(SnapshotWriter::kept);
                 None
             }
-            ToHub::Attach(session, sender) => {
+            LoopEvent::Attach(session, sender) => {
                 self.sessions.insert(session, sender);
                 None
             }
-            ToHub::Input(input) => {
+            LoopEvent::Input(input) => {
                 if let Input::SessionClosed(session) = &input {
                     self.sessions.remove(session);
                 }
                 Some(input)
             }
-            ToHub::Link(store, generation, input) => {
+            LoopEvent::Link(store, generation, input) => {
                 self.links.get(&store).filter(|link| link.generation == generation)?;
                 if matches!(input, Input::StoreUnreachable { .. } | Input::StoreDisconnected { .. }) {
                     self.links.remove(&store);
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -6,13 +6,13 @@
 
 mod budget;
 mod changes;
-mod hub;
-mod keeper;
+mod event_loop;
 mod link;
 mod list;
 mod relayed;
 mod reply;
 mod session;
+mod snapshot_writer;
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,40 +26,40 @@
 use tokio::task::JoinHandle;
 use umbertray_routing::{Core, RequestHandler, Settings};
 
-pub use changes::Changes;
-pub use relayed::{PATIENCE, Relayed, RelayedError, Relays};
+pub use changes::ChangeSource;
+pub use relayed::{PATIENCE, RelaySource, RelayedChanges, RelayedError};
 pub use umbertray_clock::Clock;
 pub use umbertray_config_log::acted::read as acted;
 
 /// Where a gateway listens and whom it asks.
-pub struct Options {
+pub struct GatewayOptions {
     /// Where NBD clients connect; port 0 lets the system choose.
     pub listen: Vec<SocketAddr>,
     /// The list of stores.
-    pub list: SocketAddr,
-    /// The keeper of the map; absent: the list's service has the directory of extents too.
-    pub keeper: Option<SocketAddr>,
+    pub endpoint_list: SocketAddr,
+    /// The coordinator of the map; absent: the list's service has the directory of extents too.
+    pub coordinator: Option<SocketAddr>,
     /// Chance within the module, and whose state a folder holds; two gateways must not share one.
     pub seed: u64,
     /// Where state is kept over restarts, if anywhere.
     pub state: Option<PathBuf>,
     /// The log of changes that it follows, if any, read up to the settings that it starts with.
-    pub changes: Option<Changes>,
+    pub changes: Option<ChangeSource>,
 }
 
 /// A gateway at work. Dropping it ends its tasks at once, as a kill would.
-pub struct Running {
+pub struct RunningGateway {
     pub addresses: Vec<SocketAddr>,
     stop: watch::Sender<bool>,
     hub: JoinHandle<Result<(), String>>,
     present: Arc<ArcSwap<Settings>>,
-    acted: watch::Receiver<u64>,
+    applied_version: watch::Receiver<u64>,
     accepting: Vec<JoinHandle<()>>,
     /// Changes go on being followed while what is open is answered.
     following: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningGateway {
     /// Stops listening, refuses what is new, and returns when all that is open has its final answer, or when the
     /// longest op timeout has passed.
     pub async fn stop(mut self) -> Result<(), String> {
@@ -79,14 +79,14 @@
             .collect()
     }
 
-    /// It has ended, as [`Running::ended`] tells.
-    pub fn is_over(&self) -> bool {
+    /// It has ended, as [`RunningGateway::ended`] tells.
+    pub fn has_ended(&self) -> bool {
         self.hub.is_finished()
     }
 
     /// The version of the log of changes that it acts on, and each that it acts on later; 0 where it follows none.
-    pub fn acted(&self) -> watch::Receiver<u64> {
-        self.acted.clone()
+    pub fn applied_version(&self) -> watch::Receiver<u64> {
+        self.applied_version.clone()
     }
 
     /// Returns when the gateway cannot go on.
@@ -95,7 +95,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGateway {
     fn drop(&mut self) {
         self.accepting.iter().chain(&self.following).for_each(JoinHandle::abort);
         self.hub.abort();
@@ -103,7 +103,7 @@
 }
 
 /// Starts a gateway on the present runtime.
-pub async fn start(settings: Arc<Settings>, options: Options) -> io::Result<Running> {
+pub async fn start(settings: Arc<Settings>, options: GatewayOptions) -> io::Result<RunningGateway> {
     let clock = Clock::start();
     let core = Core::new(settings.clone(), options.seed, clock.now());
     start_hosting(Box::new(core), clock, settings, options).await
@@ -114,18 +114,25 @@
     core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
-    options: Options,
-) -> io::Result<Running> {
+    options: GatewayOptions,
+) -> io::Result<RunningGateway> {
     let (to_hub, from_all) = mpsc::unbounded_channel();
     let (stop, stopping) = watch::channel(false);
     // A run's number is never used again, or a store would take its dispatches for those of the run before.
     let run = clock.now().as_nanos() as u64 ^ options.seed.rotate_left(32);
     let (to_changes, changed) = mpsc::channel(1);
-    let keeping =
-        options.state.and_then(|folder| keeper::open(&folder, options.seed, &settings, to_hub.clone()));
+    let keeping = options
+        .state
+        .and_then(|folder| snapshot_writer::open(&folder, options.seed, &settings, to_hub.clone()));
     let (keeper, recalled) = keeping.unzip();
-    let hub =
-        hub::Hub::new(core, clock, settings.clone(), (options.list, options.keeper), run, to_hub.clone());
+    let hub = event_loop::EventLoop::new(
+        core,
+        clock,
+        settings.clone(),
+        (options.endpoint_list, options.coordinator),
+        run,
+        to_hub.clone(),
+    );
     let hub = hub.keeping(keeper, recalled.flatten());
     let present = Arc::new(ArcSwap::new(settings.clone()));
     let (removing, removed) = watch::channel(0);
@@ -154,7 +161,7 @@
     }
     drop(shared);
     let hub = tokio::spawn(hub.run(from_all, changed, stopping));
-    Ok(Running { addresses, stop, hub, present, acted, accepting, following })
+    Ok(RunningGateway { addresses, stop, hub, present, applied_version: acted, accepting, following })
 }
 
 /// At the bound on sessions nothing is accepted; clients wait in the system's backlog.
--- a/crates/nbd-gateway/src/link.rs
+++ b/crates/nbd-gateway/src/link.rs
@@ -12,7 +12,7 @@
 use umbertray_store_protocol::store::{FromStore, ToStore};
 use umbertray_store_protocol::{Message, next_frame};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 use umbertray_clock::Clock;
 use umbertray_socket::{ReadHalf, Socket, WriteHalf};
 
@@ -28,7 +28,7 @@
     pub run: u64,
     pub connect_timeout: Duration,
     pub clock: Clock,
-    pub to_hub: mpsc::UnboundedSender<ToHub>,
+    pub to_hub: mpsc::UnboundedSender<LoopEvent>,
 }
 
 type FromHub = mpsc::UnboundedReceiver<(ToStore, Option<BufferGuard>)>;
@@ -58,7 +58,7 @@
     }
 
     fn say(&self, input: Input) {
-        _ = self.to_hub.send(ToHub::Link(self.store, self.generation, input));
+        _ = self.to_hub.send(LoopEvent::Link(self.store, self.generation, input));
     }
 
     async fn open(&self, address: SocketAddr) -> io::Result<(Socket, BytesMut, Input)> {
--- a/crates/nbd-gateway/src/list.rs
+++ b/crates/nbd-gateway/src/list.rs
@@ -1,4 +1,4 @@
-//! The connections to the list of stores and to the keeper of the map: made when there is something to ask.
+//! The connections to the list of stores and to the coordinator of the map: made when there is something to ask.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::{Message, next_frame};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// Whom a connection leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// The list, and with it the directory of extents where there is no keeper.
+    /// The list, and with it the directory of extents where there is no coordinator.
     List,
     Keeper,
 }
 
-/// The newest run of a keeper that was heard of. Danger: one that stood still while another took over, and wakes, still
+/// The newest run of a coordinator that was heard of. Danger: one that stood still while another took over, and wakes, still
 /// says what it knew.
 #[derive(Default)]
 struct Term(u64);
@@ -46,7 +46,7 @@
     run: u64,
     connect_timeout: Duration,
     mut from_hub: mpsc::UnboundedReceiver<ToList>,
-    to_hub: mpsc::UnboundedSender<ToHub>,
+    to_hub: mpsc::UnboundedSender<LoopEvent>,
 ) {
     let mut term = Term::default();
     while let Some(first) = from_hub.recv().await {
@@ -68,7 +68,7 @@
         while from_hub.try_recv().is_ok() {}
         let lost =
             if service == Service::List { Input::ListDisconnected } else { Input::CoordinatorDisconnected };
-        if to_hub.send(ToHub::Input(lost)).is_err() {
+        if to_hub.send(LoopEvent::Input(lost)).is_err() {
             return;
         }
     }
@@ -86,7 +86,7 @@
     first: ToList,
     term: &mut Term,
     from_hub: &mut mpsc::UnboundedReceiver<ToList>,
-    to_hub: &mpsc::UnboundedSender<ToHub>,
+    to_hub: &mpsc::UnboundedSender<LoopEvent>,
 ) -> io::Result<()> {
     let (mut reader, mut writer) = stream.into_split();
     let mut input = BytesMut::new();
@@ -105,7 +105,7 @@
             if let FromList::Welcome { term: heard } = &message {
                 term.heard(*heard)?;
             }
-            _ = to_hub.send(ToHub::Input(Input::FromList(message)));
+            _ = to_hub.send(LoopEvent::Input(Input::FromList(message)));
         }
     }
 }
--- a/crates/nbd-gateway/src/session.rs
+++ b/crates/nbd-gateway/src/session.rs
@@ -18,7 +18,7 @@
 use umbertray_routing::{BufferGuard, Input, Request, RequestId, SessionId, Settings};
 
 use crate::budget::{Budget, Granted, Part};
-use crate::hub::{SessionReply, ToHub};
+use crate::event_loop::{LoopEvent, SessionReply};
 use crate::link::consume;
 use crate::reply::{self, Replies};
 use umbertray_clock::Clock;
@@ -43,7 +43,7 @@
     pub budget: Budget,
     pub settings: Arc<Settings>,
     pub clock: Clock,
-    pub to_hub: mpsc::UnboundedSender<ToHub>,
+    pub to_hub: mpsc::UnboundedSender<LoopEvent>,
     pub stopping: watch::Receiver<bool>,
 }
 
@@ -135,9 +135,9 @@
         queued: 0,
         shared,
     };
-    _ = running.shared.to_hub.send(ToHub::Attach(id, to_session));
+    _ = running.shared.to_hub.send(LoopEvent::Attach(id, to_session));
     let ended = running.talk(&mut from_hub).await;
-    _ = running.shared.to_hub.send(ToHub::Input(Input::SessionClosed(id)));
+    _ = running.shared.to_hub.send(LoopEvent::Input(Input::SessionClosed(id)));
     match ended {
         Ok(why) => tracing::info!(session = id.0, %peer, why, "session closed"),
         Err(error) => tracing::warn!(session = id.0, %peer, %error, "session closed"),
@@ -312,7 +312,7 @@
             started_at: begun,
             hold,
         };
-        _ = self.shared.to_hub.send(ToHub::Input(Input::Request(request)));
+        _ = self.shared.to_hub.send(LoopEvent::Input(Input::Request(request)));
     }
 
     fn part(&mut self, SessionReply { tag, part, hold }: SessionReply) {
--- a/crates/nbd-gateway/src/keeper.rs
+++ b/crates/nbd-gateway/src/snapshot_writer.rs
@@ -7,16 +7,16 @@
 
 use tokio::sync::mpsc;
 use umbertray_routing::{Settings, Snapshot};
-use umbertray_snapshot::folder::{self, Folder, GROWN, Recalled};
-use umbertray_snapshot::{Disk, Note, Stamp, Unusable};
+use umbertray_snapshot::folder::{self, FILE_BYTES, LoadResult, SnapshotStore};
+use umbertray_snapshot::{Disk, FolderError, LoadNote, Stamp};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// How long the end of the gateway waits for what is being written.
 const LAST: Duration = Duration::from_secs(1);
 
 /// The hub's end of it: at most one save is with the thread.
-pub struct Keeper {
+pub struct SnapshotWriter {
     to_thread: Option<blocking::SyncSender<(Duration, Stamp, Snapshot)>>,
     thread: Option<JoinHandle<()>>,
     writing: bool,
@@ -34,14 +34,15 @@
     folder: &Path,
     seed: u64,
     settings: &Settings,
-    to_hub: mpsc::UnboundedSender<ToHub>,
-) -> Option<(Keeper, Option<Recalled>)> {
+    to_hub: mpsc::UnboundedSender<LoopEvent>,
+) -> Option<(SnapshotWriter, Option<LoadResult>)> {
     let opened = Disk::open(folder).map_err(|error| match error.kind() {
-        std::io::ErrorKind::WouldBlock => Unusable::Locked,
+        std::io::ErrorKind::WouldBlock => FolderError::Locked,
         _ => error.into(),
     });
-    let opened =
-        opened.and_then(|disk| Folder::open(Box::new(disk), seed, digest(settings), folder::stamp(), GROWN));
+    let opened = opened.and_then(|disk| {
+        SnapshotStore::open(Box::new(disk), seed, digest(settings), folder::current_stamp(), FILE_BYTES)
+    });
     let place = folder.display();
     let (folder, recalled, notes) = match opened {
         Ok(opened) => opened,
@@ -52,29 +53,29 @@
     };
     for note in notes {
         match note {
-            Note::Fresh => tracing::info!(folder = %place, "state is fresh"),
+            LoadNote::NoSnapshot => tracing::info!(folder = %place, "state is fresh"),
             note => tracing::warn!(folder = %place, ?note, "state not wholly believed"),
         }
     }
     if let Some(recalled) = &recalled {
-        let (stores, volumes) = (recalled.saved.stores.len(), recalled.saved.volumes.len());
+        let (stores, volumes) = (recalled.snapshot.stores.len(), recalled.snapshot.volumes.len());
         tracing::info!(folder = %place, stores, volumes, age = ?recalled.age, "state recalled");
     }
-    Some((Keeper::start(folder, to_hub), recalled))
+    Some((SnapshotWriter::start(folder, to_hub), recalled))
 }
 
-impl Keeper {
-    fn start(mut folder: Folder, to_hub: mpsc::UnboundedSender<ToHub>) -> Keeper {
+impl SnapshotWriter {
+    fn start(mut folder: SnapshotStore, to_hub: mpsc::UnboundedSender<LoopEvent>) -> SnapshotWriter {
         let (to_thread, from_hub) = blocking::sync_channel::<(Duration, Stamp, Snapshot)>(1);
         let thread = std::thread::spawn(move || {
             for (now, stamp, saved) in from_hub {
                 if let Err(error) = folder.save(now, stamp, saved) {
                     tracing::warn!(%error, "state not saved");
                 }
-                _ = to_hub.send(ToHub::Kept);
+                _ = to_hub.send(LoopEvent::Kept);
             }
         });
-        Keeper { to_thread: Some(to_thread), thread: Some(thread), writing: false }
+        SnapshotWriter { to_thread: Some(to_thread), thread: Some(thread), writing: false }
     }
 
     pub fn idle(&self) -> bool {
@@ -91,7 +92,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for SnapshotWriter {
     /// Lets the last save be finished, but does not wait for a disk that hangs.
     fn drop(&mut self) {
         self.to_thread = None;
@@ -109,14 +110,14 @@
     use std::io;
     use std::time::Instant;
 
-    use umbertray_snapshot::Layer;
+    use umbertray_snapshot::Storage;
 
     use super::*;
 
     /// A disk whose first sync never comes back.
     struct Hangs(blocking::Sender<()>);
 
-    impl Layer for Hangs {
+    impl Storage for Hangs {
         fn names(&self) -> io::Result<Vec<String>> {
             Ok(Vec::new())
         }
@@ -150,15 +151,16 @@
     fn a_disk_that_hangs_costs_freshness_and_nothing_else() {
         let (hanging, hangs) = blocking::channel();
         let (folder, ..) =
-            Folder::open(Box::new(Hangs(hanging)), 1, 2, folder::stamp(), GROWN).expect("an empty folder");
+            SnapshotStore::open(Box::new(Hangs(hanging)), 1, 2, folder::current_stamp(), FILE_BYTES)
+                .expect("an empty folder");
         let (to_hub, mut from_keeper) = mpsc::unbounded_channel();
-        let mut keeper = Keeper::start(folder, to_hub);
+        let mut keeper = SnapshotWriter::start(folder, to_hub);
         let began = Instant::now();
-        keeper.keep(Duration::from_secs(1), folder::stamp(), Snapshot::default());
+        keeper.keep(Duration::from_secs(1), folder::current_stamp(), Snapshot::default());
         hangs.recv().expect("it came to the sync");
         assert!(!keeper.idle(), "nothing more is asked of it");
-        keeper.keep(Duration::from_secs(2), folder::stamp(), Snapshot::default());
-        keeper.keep(Duration::from_secs(3), folder::stamp(), Snapshot::default());
+        keeper.keep(Duration::from_secs(2), folder::current_stamp(), Snapshot::default());
+        keeper.keep(Duration::from_secs(3), folder::current_stamp(), Snapshot::default());
         assert!(began.elapsed() < Duration::from_secs(1) && from_keeper.try_recv().is_err());
         let began = Instant::now();
         drop(keeper);
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -10,14 +10,16 @@
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbertray_config::{Changes as Source, Upstream};
+use umbertray_config::{ChangeSource as Source, Upstream};
 use umbertray_config_log::change::Change;
 use umbertray_config_log::guard::GUARDS;
-use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
-use umbertray_config_log::{Tail, Told};
-use umbertray_nbd_gateway::{Changes, Options, Relayed, RelayedError, Relays, Running};
-use umbertray_relay::{RelayError, Running as Relay};
+use umbertray_config_log::{FolderReader, Update};
+use umbertray_nbd_gateway::{
+    ChangeSource, GatewayOptions, RelaySource, RelayedChanges, RelayedError, RunningGateway,
+};
+use umbertray_relay::{RelayError, RunningRelay as Relay};
 use umbertray_snapshot::Disk;
 use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, Position, ToUpstream, digest};
 use umbertray_store_protocol::{Message, next_frame};
@@ -61,7 +63,7 @@
     pub fn begin(folder: &Path) -> Writer {
         let folder = folder.join("log");
         let disk = Disk::open(&folder).expect("nobody else has it");
-        let log = Log::open(Box::new(disk), GROWN).expect("a log");
+        let log = Log::open(Box::new(disk), SEGMENT_BYTES).expect("a log");
         let mut writer = Writer { folder, log };
         let document = umbertray_config::read("shared.star", SHARED.into()).expect("right");
         let wanted = Configuration::of_calls(&document.calls());
@@ -119,9 +121,9 @@
     upstream(name, relay.address)
 }
 
-pub fn relay_options(name: &str, changes: Source) -> umbertray_relay::Options {
+pub fn relay_options(name: &str, changes: Source) -> umbertray_relay::RelayOptions {
     let (name, zone) = (name.into(), "z".into());
-    umbertray_relay::Options { listen: any_port(), name, zone, changes, folder: None, seed: 1 }
+    umbertray_relay::RelayOptions { listen: any_port(), name, zone, changes, folder: None, seed: 1 }
 }
 
 /// One that reads the writer's folder.
@@ -135,7 +137,7 @@
     let starting = async {
         loop {
             let changes = Source::Folder(folder.display().to_string());
-            let options = umbertray_relay::Options { listen, ..relay_options(name, changes) };
+            let options = umbertray_relay::RelayOptions { listen, ..relay_options(name, changes) };
             match umbertray_relay::start(options).await {
                 Err(RelayError::Listen { .. }) => tokio::time::sleep(Duration::from_millis(5)).await,
                 started => return started.expect("it starts"),
@@ -147,42 +149,42 @@
 
 /// One that follows others.
 pub async fn hop(name: &str, upstreams: Vec<Upstream>, vouch: usize) -> Relay {
-    let changes = Source::Relays { upstreams, vouch };
+    let changes = Source::Relays { upstreams, quorum: vouch };
     umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
 }
 
-pub fn relays(name: &str, upstreams: Vec<Upstream>, vouch: usize) -> Relays {
+pub fn relays(name: &str, upstreams: Vec<Upstream>, vouch: usize) -> RelaySource {
     let (name, zone, patience) = (name.into(), "z".into(), Duration::from_secs(30));
-    Relays { name, zone, upstreams, vouch, seed: 1, patience, state: None }
+    RelaySource { name, zone, upstreams, quorum: vouch, seed: 1, patience, state: None }
 }
 
-pub async fn try_gateway(relays: Relays) -> Result<Running, RelayedError> {
+pub async fn try_gateway(relays: RelaySource) -> Result<RunningGateway, RelayedError> {
     let state = relays.state.clone();
-    let relayed = Relayed::start(relays).await?;
+    let relayed = RelayedChanges::start(relays).await?;
     let document = umbertray_config::read("shared.star", SHARED.into()).expect("right");
     let settings = relayed.at.version.settings(&document.settings);
-    let options = Options {
+    let options = GatewayOptions {
         listen: vec![any_port()],
-        list: SocketAddr::from(([127, 0, 0, 1], 1)),
-        keeper: None,
+        endpoint_list: SocketAddr::from(([127, 0, 0, 1], 1)),
+        coordinator: None,
         seed: 1,
         state,
-        changes: Some(Changes::Relays(Box::new(relayed))),
+        changes: Some(ChangeSource::Relays(Box::new(relayed))),
     };
     Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("it listens"))
 }
 
-pub async fn gateway(relays: Relays) -> Running {
+pub async fn gateway(relays: RelaySource) -> RunningGateway {
     try_gateway(relays).await.unwrap_or_else(|error| panic!("{error}; the log:\n{}", lines().join("\n")))
 }
 
-pub async fn acts_on(gateway: &Running, version: u64) {
-    let mut acted = gateway.acted();
+pub async fn acts_on(gateway: &RunningGateway, version: u64) {
+    let mut acted = gateway.applied_version();
     let acting = acted.wait_for(|acted| *acted >= version);
     within(&format!("acting on version {version}"), acting).await.expect("it runs");
 }
 
-pub fn has(gateway: &Running, volume: &str) -> bool {
+pub fn has(gateway: &RunningGateway, volume: &str) -> bool {
     gateway.exports().iter().any(|known| known == volume)
 }
 
@@ -198,15 +200,15 @@
 
 /// What the folder holds: the state that its newest segment begins with, and its newest position.
 pub fn held(folder: &Path) -> Held {
-    let (_, told) = Tail::open(&Disk::look(folder)).expect("a log");
-    let at = |told: &Told| Position { version: told.version(), hash: told.hash() };
-    let Some(Told::Whole(head)) = told.first() else { panic!("a checkpoint comes first") };
+    let (_, told) = FolderReader::open(&Disk::read_only(folder)).expect("a log");
+    let at = |told: &Update| Position { version: told.version(), hash: told.hash() };
+    let Some(Update::Checkpoint(head)) = told.first() else { panic!("a checkpoint comes first") };
     let length = head.checkpoint.len() as u32;
     let checkpoint = Checkpoint { at: at(&told[0]), digest: digest(&head.checkpoint), length };
     let bytes = Bytes::copy_from_slice(&head.checkpoint);
     let entries = told.iter().filter_map(|told| match told {
-        Told::Entry(entry) => Some((at(told), entry.body.clone())),
-        Told::Whole(_) => None,
+        Update::Entry(entry) => Some((at(told), entry.body.clone())),
+        Update::Checkpoint(_) => None,
     });
     Held { checkpoint, bytes, head: told.last().map(at).expect("something"), entries: entries.collect() }
 }
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -1,6 +1,6 @@
 //! Relays that do what they are to, die, come back, or follow each other.
 
-use umbertray_config::Changes as Source;
+use umbertray_config::ChangeSource as Source;
 use umbertray_nbd_gateway::RelayedError;
 use umbertray_relay::{RelayError, client};
 
@@ -67,7 +67,7 @@
             acts_on(gateway, version).await;
         }
         tops.insert(place, back(name, address, &writer.folder).await);
-        let mut carried = tops[place].carried.clone();
+        let mut carried = tops[place].relayed_version.clone();
         within("it carries again", carried.wait_for(|carried| *carried == version)).await.expect("it runs");
     }
 }
@@ -80,7 +80,7 @@
     let old = writer.copy(&folder.join("old"));
     let tops = [top("s1", &writer.folder).await, top("s2", &writer.folder).await];
     let state = folder.join("state");
-    let mine = |upstreams| umbertray_nbd_gateway::Relays {
+    let mine = |upstreams| umbertray_nbd_gateway::RelaySource {
         state: Some(state.clone()),
         ..relays("sg", upstreams, 2)
     };
@@ -92,7 +92,7 @@
     let_go(&state).await;
     // Nobody is there, and it starts.
     let alone = gateway(mine(upstreams)).await;
-    assert_eq!((*alone.acted().borrow(), has(&alone, "kept")), (version, true));
+    assert_eq!((*alone.applied_version().borrow(), has(&alone, "kept")), (version, true));
     drop(alone);
     let_go(&state).await;
     // All are there, and carry a log that was put back.
@@ -105,7 +105,7 @@
     }
     let addresses = tops.each_ref().map(|top| top.address);
     drop(tops);
-    assert_eq!((*returned.acted().borrow(), has(&returned, "kept")), (version, true));
+    assert_eq!((*returned.applied_version().borrow(), has(&returned, "kept")), (version, true));
     // They have the right one again: it goes on from where it is.
     let mut tops = Vec::new();
     for (name, listen) in ["s1", "s2"].into_iter().zip(addresses) {
@@ -121,8 +121,8 @@
     let patience = std::time::Duration::from_secs(2);
     let tops = [top("s1", &old).await, top("s2", &old).await];
     let upstreams = vec![of("s1", &tops[0]), of("s2", &tops[1])];
-    let refused = try_gateway(umbertray_nbd_gateway::Relays { patience, ..mine(upstreams) }).await;
-    assert!(matches!(refused, Err(RelayedError::Unheard { vouch: 2, .. })));
+    let refused = try_gateway(umbertray_nbd_gateway::RelaySource { patience, ..mine(upstreams) }).await;
+    assert!(matches!(refused, Err(RelayedError::NoQuorum { vouch: 2, .. })));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -131,26 +131,26 @@
     let folder = folder("loops");
     let writer = Writer::begin(&folder);
     // An upstream that is itself, by name and by address.
-    let named = Source::Relays { upstreams: vec![upstream("me", any_port())], vouch: 1 };
+    let named = Source::Relays { upstreams: vec![upstream("me", any_port())], quorum: 1 };
     let refused = umbertray_relay::start(relay_options("me", named)).await;
     assert!(refused.is_err_and(|error| error.to_string().contains("\"me\" follows itself")));
     let held = std::net::TcpListener::bind(any_port()).expect("a port");
     let address = held.local_addr().expect("bound");
     drop(held);
-    let same = Source::Relays { upstreams: vec![upstream("other", address)], vouch: 1 };
-    let options = umbertray_relay::Options { listen: address, ..relay_options("me", same) };
+    let same = Source::Relays { upstreams: vec![upstream("other", address)], quorum: 1 };
+    let options = umbertray_relay::RelayOptions { listen: address, ..relay_options("me", same) };
     let refused = umbertray_relay::start(options).await;
-    assert!(matches!(refused, Err(RelayError::Unsound(_))));
+    assert!(matches!(refused, Err(RelayError::Config(_))));
     // Two that follow each other: the one above the other does not take from it.
     let top = top("l0", &writer.folder).await;
     let held = std::net::TcpListener::bind(any_port()).expect("a port");
     let address = held.local_addr().expect("bound");
     drop(held);
     let low = hop("l2", vec![upstream("l1", address)], 1).await;
-    let both = Source::Relays { upstreams: vec![of("l2", &low), of("l0", &top)], vouch: 1 };
-    let options = umbertray_relay::Options { listen: address, ..relay_options("l1", both) };
+    let both = Source::Relays { upstreams: vec![of("l2", &low), of("l0", &top)], quorum: 1 };
+    let options = umbertray_relay::RelayOptions { listen: address, ..relay_options("l1", both) };
     let _high = umbertray_relay::start(options).await.expect("the port is free");
-    let mut carried = low.carried.clone();
+    let mut carried = low.relayed_version.clone();
     within("the low one has it by the high one", carried.wait_for(|carried| *carried == 1))
         .await
         .expect("it runs");
@@ -168,13 +168,13 @@
     let addresses = [tops[0].address, tops[1].address];
     let starts = async || {
         let named = ["o1", "o2"].iter().zip(addresses).map(|(name, at)| upstream(name, at));
-        let changes = Source::Relays { upstreams: named.collect(), vouch: 2 };
+        let changes = Source::Relays { upstreams: named.collect(), quorum: 2 };
         let folder = Some(folder.join("hop"));
-        let options = umbertray_relay::Options { folder, ..relay_options("o3", changes) };
+        let options = umbertray_relay::RelayOptions { folder, ..relay_options("o3", changes) };
         umbertray_relay::start(options).await.expect("it starts")
     };
-    let carries = async |relay: &umbertray_relay::Running| {
-        let mut carried = relay.carried.clone();
+    let carries = async |relay: &umbertray_relay::RunningRelay| {
+        let mut carried = relay.relayed_version.clone();
         within("it carries", carried.wait_for(|carried| *carried == version)).await.expect("it runs");
     };
     carries(&starts().await).await;
@@ -184,7 +184,7 @@
     }
     let again = starts().await;
     // It has heard the old state, and does not put it in force: all that it ever does is the newer one.
-    let mut carried = again.carried.clone();
+    let mut carried = again.relayed_version.clone();
     let seen = tokio::spawn(async move {
         let mut seen = Vec::new();
         while carried.changed().await.is_ok() {
--- a/crates/nbd-gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/lies.rs
@@ -106,11 +106,11 @@
         let upstreams = vec![upstream(name, address), far(of("f1", &tops[0])), far(of("f2", &tops[1]))];
         let gateway = gateway(relays(&format!("{name}-g"), upstreams, 2)).await;
         said(&[("peer", &address.to_string()), ("reason", reason)]).await;
-        let before = *gateway.acted().borrow();
+        let before = *gateway.applied_version().borrow();
         let version = writer.adds(&format!("after-{name}"));
         assert!(before < version, "{name}: acted on {before}");
         acts_on(&gateway, version).await;
-        assert_eq!(*gateway.acted().borrow(), version, "{name}");
+        assert_eq!(*gateway.applied_version().borrow(), version, "{name}");
         serving.abort();
     }
 }
@@ -142,7 +142,7 @@
     assert!(has(&sure, "more") && !has(&sure, "forged"), "{:?}", sure.exports());
     // What a single voice could do: it goes on from what it holds, and the liar's history follows on that.
     let state = folder.join("trusting");
-    let trusting = |upstreams| umbertray_nbd_gateway::Relays {
+    let trusting = |upstreams| umbertray_nbd_gateway::RelaySource {
         state: Some(state.clone()),
         ..relays("trusting", upstreams, 1)
     };
--- a/crates/relay/src/carry.rs
+++ b/crates/relay/src/carry.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use tokio::sync::{mpsc, watch};
-use umbertray_config_log::{Told, acted};
+use umbertray_config_log::{Update, acted};
 
 /// Where a relay writes down what it has carried, if anywhere, and whom it tells.
 #[derive(Clone)]
@@ -15,7 +15,7 @@
 
 impl Carried {
     /// Danger: to be called before any of it is told on. Otherwise a crash in between would let the next run tell of less.
-    pub fn write(&self, last: &Told) {
+    pub fn write(&self, last: &Update) {
         let written = self
             .folder
             .as_deref()
@@ -25,13 +25,13 @@
         }
     }
 
-    pub fn told(&self, last: &Told) {
+    pub fn told(&self, last: &Update) {
         self.version.send_replace(last.version());
     }
 }
 
 /// Puts in force what upstreams tell.
-pub async fn carry(carried: Carried, mut told: mpsc::Receiver<Vec<Told>>, in_force: mpsc::Sender<u64>) {
+pub async fn carry(carried: Carried, mut told: mpsc::Receiver<Vec<Update>>, in_force: mpsc::Sender<u64>) {
     while let Some(mut batch) = told.recv().await {
         let Some(last) = batch.pop() else { continue };
         let writer = carried.clone();
--- a/crates/relay/src/client.rs
+++ b/crates/relay/src/client.rs
@@ -15,15 +15,15 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum StatusError {
     #[error("the relay at {address} does not answer: {error}; see whether it runs, and ask again")]
-    Silent { address: SocketAddr, error: io::Error },
+    Unreachable { address: SocketAddr, error: io::Error },
     #[error("the relay at {address} says something else than was asked: is it a relay of this version?")]
-    Strange { address: SocketAddr },
+    UnexpectedReply { address: SocketAddr },
 }
 
 /// Where a relay stands, and what all below it have acted on.
-pub async fn status(address: SocketAddr) -> Result<Status, AskError> {
+pub async fn status(address: SocketAddr) -> Result<Status, StatusError> {
     let asked = async {
         let mut stream = connect(address).await?;
         stream.write_all(&ToUpstream::Status.frame()).await?;
@@ -40,8 +40,8 @@
     };
     let asked = tokio::time::timeout(PATIENCE, asked).await;
     let asked = asked.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    match asked.map_err(|error| AskError::Silent { address, error })? {
+    match asked.map_err(|error| StatusError::Unreachable { address, error })? {
         FromUpstream::Status(status) => Ok(status),
-        _ => Err(AskError::Strange { address }),
+        _ => Err(StatusError::UnexpectedReply { address }),
     }
 }
--- a/crates/relay/src/hub.rs
+++ b/crates/relay/src/event_loop.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use umbertray_clock::Clock;
 use umbertray_config::Upstream;
-use umbertray_config_log::Told;
-use umbertray_config_log::chain::{self, Head};
+use umbertray_config_log::Update;
+use umbertray_config_log::chain::{self, SegmentHeader};
 use umbertray_control_plane::ConnectionId;
 use umbertray_control_plane::relay::{
     Action, DisconnectReason, Entry, Event, HEARTBEAT, RelayEvent, RelayNode, TICK,
@@ -19,7 +19,7 @@
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::{FromUpstream, Position, Status, ToUpstream};
 
-use crate::MOST_FOLLOWERS;
+use crate::MAX_FOLLOWERS;
 use crate::link::{self, Ear, Ended};
 
 /// Messages on their way to the hub; the connections wait beyond it.
@@ -31,18 +31,18 @@
 /// The next connection is accepted so long after one could not be: out of descriptors, most likely.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
 
-pub enum ToHub {
+pub enum LoopEvent {
     Event(Event),
-    Folder(Vec<Told>),
+    Folder(Vec<Update>),
 }
 
 /// What the owner of a hub holds of it.
 pub struct Ends {
     /// What is to be put in force, in order.
-    pub told: mpsc::Receiver<Vec<Told>>,
+    pub told: mpsc::Receiver<Vec<Update>>,
     /// Up to which version it is.
     pub in_force: mpsc::Sender<u64>,
-    pub folder: mpsc::Sender<ToHub>,
+    pub folder: mpsc::Sender<LoopEvent>,
 }
 
 enum Peer {
@@ -56,7 +56,7 @@
     task: AbortHandle,
 }
 
-pub struct Hub {
+pub struct EventLoop {
     node: RelayNode,
     clock: Clock,
     upstreams: Vec<SocketAddr>,
@@ -66,24 +66,24 @@
     /// All connections, also those that are being closed.
     tasks: JoinSet<()>,
     accepted: u64,
-    to_hub: mpsc::Sender<ToHub>,
-    from_all: mpsc::Receiver<ToHub>,
+    to_hub: mpsc::Sender<LoopEvent>,
+    from_all: mpsc::Receiver<LoopEvent>,
     /// To be in force with what comes before it is.
-    built: Vec<Told>,
+    built: Vec<Update>,
     /// To be put in force, and not given out yet.
-    pending: Vec<Told>,
+    pending: Vec<Update>,
     pending_bytes: usize,
-    to_owner: mpsc::Sender<Vec<Told>>,
+    to_owner: mpsc::Sender<Vec<Update>>,
     in_force: mpsc::Receiver<u64>,
 }
 
-impl Hub {
-    pub fn new(node: RelayNode, upstreams: &[Upstream], listener: Option<TcpListener>) -> (Hub, Ends) {
+impl EventLoop {
+    pub fn new(node: RelayNode, upstreams: &[Upstream], listener: Option<TcpListener>) -> (EventLoop, Ends) {
         let (to_hub, from_all) = mpsc::channel(TO_HUB);
         let (to_owner, told) = mpsc::channel(1);
         let (told_back, in_force) = mpsc::channel(1);
         let ends = Ends { told, in_force: told_back, folder: to_hub.clone() };
-        let hub = Hub {
+        let hub = EventLoop {
             node,
             clock: Clock::start(),
             upstreams: upstreams.iter().map(|upstream| upstream.address).collect(),
@@ -109,7 +109,7 @@
         let to_owner = self.to_owner.clone();
         let (mut messages, mut accept_at) = (Vec::with_capacity(TURN), Instant::now());
         loop {
-            let accepting = self.listener.is_some() && self.tasks.len() < MOST_FOLLOWERS;
+            let accepting = self.listener.is_some() && self.tasks.len() < MAX_FOLLOWERS;
             // Each of these that another branch cancels has taken nothing: a message, connection or place stays where it was.
             tokio::select! {
                 _ = ticks.tick() => self.handle(Event::Tick),
@@ -137,14 +137,14 @@
         }
     }
 
-    fn heard(&mut self, message: ToHub) {
+    fn heard(&mut self, message: LoopEvent) {
         match message {
-            ToHub::Folder(told) => folder_events(told).into_iter().for_each(|event| self.handle(event)),
-            ToHub::Event(Event::FromFollower { link, frame: ToUpstream::Status }) => {
+            LoopEvent::Folder(told) => folder_events(told).into_iter().for_each(|event| self.handle(event)),
+            LoopEvent::Event(Event::FromFollower { link, frame: ToUpstream::Status }) => {
                 let status = FromUpstream::Status(self.status());
                 self.act(Action::SendFollower { link, frame: status });
             }
-            ToHub::Event(event) => {
+            LoopEvent::Event(event) => {
                 let link = link_of(&event);
                 if link.is_none_or(|link| self.links.contains_key(&link)) {
                     if let (Some(link), Event::Disconnected(_) | Event::FollowerDisconnected(_)) =
@@ -192,19 +192,24 @@
                 }
             }
             Action::LoadCheckpoint { at: Position { version, hash }, checkpoint } => {
-                let head = Head { version, hash, checkpoint: checkpoint.to_vec(), done: VecDeque::new() };
-                self.give(Told::Whole(head), checkpoint.len());
+                let head = SegmentHeader {
+                    version,
+                    hash,
+                    checkpoint: checkpoint.to_vec(),
+                    completed: VecDeque::new(),
+                };
+                self.give(Update::Checkpoint(head), checkpoint.len());
             }
             Action::AppendEntry(Entry { at: Position { version, hash }, body }) => {
                 let entry = chain::Entry { version, hash, body: body.to_vec() };
-                self.give(Told::Entry(entry), body.len());
+                self.give(Update::Entry(entry), body.len());
             }
             Action::Commit(_) => self.pending.append(&mut self.built),
             Action::Log(note) => say(note),
         }
     }
 
-    fn give(&mut self, told: Told, bytes: usize) {
+    fn give(&mut self, told: Update, bytes: usize) {
         self.built.push(told);
         self.pending_bytes += bytes;
     }
@@ -230,14 +235,14 @@
         let task = self.tasks.spawn(async move {
             let ended = match link::connect(address).await {
                 Ok(stream) => {
-                    _ = to_hub.send(ToHub::Event(Event::Connected(link))).await;
+                    _ = to_hub.send(LoopEvent::Event(Event::Connected(link))).await;
                     let heard = |frame| Event::FromUpstream { link, frame };
                     link::run(stream, unsent, Ear { link, peer: address, to_hub: &to_hub }, heard).await
                 }
                 Err(error) => error.into(),
             };
             ended.say(address);
-            _ = to_hub.send(ToHub::Event(Event::Disconnected(link))).await;
+            _ = to_hub.send(LoopEvent::Event(Event::Disconnected(link))).await;
         });
         self.links.insert(link, Link { address, peer: Peer::Upstream(to_peer), task });
     }
@@ -252,7 +257,7 @@
             let ear = Ear { link, peer: address, to_hub: &to_hub };
             let ended = link::run(stream, unsent, ear, asked).await;
             ended.say(address);
-            _ = to_hub.send(ToHub::Event(Event::FollowerDisconnected(link))).await;
+            _ = to_hub.send(LoopEvent::Event(Event::FollowerDisconnected(link))).await;
         });
         self.links.insert(link, Link { address, peer: Peer::Follower(to_peer), task });
         self.handle(Event::FollowerConnected(link));
@@ -296,13 +301,15 @@
 }
 
 /// Entries between two checkpoints are one event.
-fn folder_events(told: Vec<Told>) -> Vec<Event> {
+fn folder_events(told: Vec<Update>) -> Vec<Event> {
     let mut events = Vec::new();
     for told in told {
         let at = Position { version: told.version(), hash: told.hash() };
         match told {
-            Told::Whole(head) => events.push(Event::FolderCheckpoint { at, bytes: head.checkpoint.into() }),
-            Told::Entry(entry) => {
+            Update::Checkpoint(head) => {
+                events.push(Event::FolderCheckpoint { at, bytes: head.checkpoint.into() })
+            }
+            Update::Entry(entry) => {
                 let entry = Entry { at, body: entry.body.into() };
                 match events.last_mut() {
                     Some(Event::FolderEntries(entries)) => entries.push(entry),
--- a/crates/relay/src/folder.rs
+++ b/crates/relay/src/folder.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc;
-use umbertray_config_log::follow::NotFollowed;
-use umbertray_config_log::{Tail, Told};
+use umbertray_config_log::follow::FollowError;
+use umbertray_config_log::{FolderReader, Update};
 use umbertray_snapshot::Disk;
 
 use crate::carry::Carried;
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// How often the folder is looked at.
 const EVERY: Duration = Duration::from_millis(20);
@@ -20,15 +20,15 @@
 /// Where it is in the folder, or the folder not read yet.
 struct Look {
     disk: Disk,
-    tail: Option<Tail>,
+    tail: Option<FolderReader>,
 }
 
 impl Look {
-    fn look(&mut self) -> Result<Vec<Told>, NotFollowed> {
+    fn look(&mut self) -> Result<Vec<Update>, FollowError> {
         match &mut self.tail {
             Some(tail) => tail.poll(&self.disk),
             None => {
-                let (tail, told) = Tail::open(&self.disk)?;
+                let (tail, told) = FolderReader::open(&self.disk)?;
                 self.tail = Some(tail);
                 Ok(told)
             }
@@ -38,8 +38,8 @@
 
 /// Tells the hub of all that is safely committed there, written down as carried before, until the hub ends. A folder that
 /// hangs holds a thread of those for blocking work, and none of the runtime's own.
-pub async fn follow(folder: PathBuf, carried: Carried, to_hub: mpsc::Sender<ToHub>) {
-    let mut look = Look { disk: Disk::look(&folder), tail: None };
+pub async fn follow(folder: PathBuf, carried: Carried, to_hub: mpsc::Sender<LoopEvent>) {
+    let mut look = Look { disk: Disk::read_only(&folder), tail: None };
     let mut said: Option<Instant> = None;
     loop {
         let writer = carried.clone();
@@ -56,7 +56,7 @@
             Ok(told) => {
                 if let Some(last) = told.last() {
                     carried.told(last);
-                    if to_hub.send(ToHub::Folder(told)).await.is_err() {
+                    if to_hub.send(LoopEvent::Folder(told)).await.is_err() {
                         return;
                     }
                 }
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -15,7 +15,7 @@
 use umbertray_store_protocol::changes::MAX_PART;
 use umbertray_store_protocol::{Malformed, Message, next_frame};
 
-use crate::hub::ToHub;
+use crate::event_loop::LoopEvent;
 
 /// Frames said to a peer and not sent yet, at most, whatever their bytes.
 const UNSENT: usize = 8192;
@@ -89,7 +89,7 @@
 pub struct Ear<'a> {
     pub link: ConnectionId,
     pub peer: SocketAddr,
-    pub to_hub: &'a mpsc::Sender<ToHub>,
+    pub to_hub: &'a mpsc::Sender<LoopEvent>,
 }
 
 /// Moves frames both ways until either way ends, or the hub has let go of its end and all that it said is sent. Where the hub
@@ -151,12 +151,12 @@
             },
             Err(error) => {
                 Ended::Frame(error).say(ear.peer);
-                _ = ear.to_hub.send(ToHub::Event(Event::Malformed(ear.link))).await;
+                _ = ear.to_hub.send(LoopEvent::Event(Event::Malformed(ear.link))).await;
                 // Nothing more is read; the hub closes it, with a word of why.
                 return std::future::pending().await;
             }
         };
-        if ear.to_hub.send(ToHub::Event(heard)).await.is_err() {
+        if ear.to_hub.send(LoopEvent::Event(heard)).await.is_err() {
             return Ended::Closed;
         }
     }
--- a/crates/routing/src/core.rs
+++ b/crates/routing/src/core.rs
@@ -530,7 +530,7 @@
                 self.read_part(store, number, offset, length, |offset| ReplyPart::Hole { offset, length });
             }
             FromStore::AttemptResult(answer) => self.answered(store, answer, at),
-            // To a keeper; this gateway gives no orders.
+            // To a coordinator; this gateway gives no orders.
             FromStore::OrderReply { .. } => {}
             // A link's own sign of life: it tells the time.
             FromStore::Healthy { token: 0, clock, .. } => self.read_clock(store, clock),
@@ -717,7 +717,7 @@
         self.flush_at(op, &shards);
     }
 
-    /// What is known goes on being served; new places and moves wait for the keeper.
+    /// What is known goes on being served; new places and moves wait for the coordinator.
     fn map_lost(&mut self) {
         self.unmapped = true;
         let flushes = self.places.flushes();
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -93,7 +93,7 @@
     FromList(FromList),
     /// The connection to the list broke or could not be made.
     ListDisconnected,
-    /// The same of the keeper's, where another service than the list has the map.
+    /// The same of the coordinator's, where another service than the list has the map.
     CoordinatorDisconnected,
     /// These settings hold from now on, and this is what changed; the places of what was there stay. What a long change
     /// does may come in parts, each with the settings that hold after all of it.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
-use umbertray_nbd_gateway::{Clock, Options, Running};
+use umbertray_nbd_gateway::{Clock, GatewayOptions, RunningGateway};
 use umbertray_routing::{Core, Input, Output, RequestHandler, Settings};
 use umbertray_store_protocol::list::{EndpointState, FromList};
 
@@ -16,7 +16,7 @@
 
 /// Reads a gateway's script as the program does.
 pub type Prepare = dyn Fn(PathBuf) -> Prepared + Send + Sync;
-type Prepared = Pin<Box<dyn Future<Output = Result<(Arc<Settings>, Options), String>> + Send>>;
+type Prepared = Pin<Box<dyn Future<Output = Result<(Arc<Settings>, GatewayOptions), String>> + Send>>;
 
 /// A gateway has acted on a version: its core has taken it in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -124,7 +124,7 @@
 
 struct Member {
     file: PathBuf,
-    running: Option<Running>,
+    running: Option<RunningGateway>,
     counts: Arc<Counts>,
 }
 
@@ -197,7 +197,7 @@
             linked: of(&member.counts.linked),
             refused: of(&member.counts.refused),
             version: of(&member.counts.version),
-            over: member.running.as_ref().is_none_or(Running::is_over),
+            over: member.running.as_ref().is_none_or(RunningGateway::has_ended),
         };
         self.members.iter().map(seen).collect()
     }
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -16,7 +16,7 @@
 pub const MOST_RELAYS: u32 = 16;
 /// Descriptors that a process has besides those that grow with the fleet.
 const OWN: u64 = 64;
-/// Of a gateway besides its links: listener, list, keeper, state folder's lock, what it reads from.
+/// Of a gateway besides its links: listener, list, coordinator, state folder's lock, what it reads from.
 const A_GATEWAY: u64 = 6;
 
 /// Bytes held by what is there, to refuse by. Trials of `umbertray scale` on a busy machine of 8 cores, rounded up: 20 hollow
@@ -156,7 +156,7 @@
     // At the worst moment a gateway is connected to every relay, and a relay to every gateway.
     let relays = u64::from(relays::processes(plan.relays));
     let a_gateway = answering + A_GATEWAY + relays;
-    // Each store has its listener, a link from each gateway, and one from the keeper where it gives orders.
+    // Each store has its listener, a link from each gateway, and one from the coordinator where it gives orders.
     let a_store = gateways + 2;
     let needs = [
         ("gateway", a_gateway),
@@ -174,7 +174,7 @@
     let workers = hollow.div_ceil(in_worker);
     let store_processes = answering.div_ceil(in_store_process);
     let links = answering * gateways;
-    // Itself, the list and the keeper.
+    // Itself, the list and the coordinator.
     let processes = workers + store_processes + relays + u64::from(plan.real) + 3;
     if processes > u64::from(limits.processes) {
         let need = u32::try_from(processes).unwrap_or(u32::MAX);
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use umbertray_config_log::guard::GUARDS;
-use umbertray_config_log::log::{GROWN, Log};
+use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::{Change, Configuration, Edit, Key, Kind};
 use umbertray_routing::Settings;
 use umbertray_snapshot::Disk;
@@ -101,7 +101,7 @@
         let document = umbertray_config::read("scale.star", shared(plan))
             .map_err(|problems| failed(problems.iter().map(|problem| format!("{problem}\n")).collect()))?;
         let disk = Disk::open(folder).map_err(|error| failed(error.to_string()))?;
-        let log = Log::open(Box::new(disk), GROWN).map_err(|error| failed(error.to_string()))?;
+        let log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(|error| failed(error.to_string()))?;
         let mut writer = Writer { log };
         let first = Configuration::of_calls(&document.calls());
         writer.commit(writer.log.head().configuration.diff(&first))?;
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -31,7 +31,7 @@
 #[test]
 fn a_plan_with_room_says_what_it_needs() {
     let small = demand(&plan(3, 8, Some(8)), &LIMITS).expect("there is room");
-    // This process, list, keeper, a real gateway, a worker, a process of stores.
+    // This process, list, coordinator, a real gateway, a worker, a process of stores.
     assert_eq!((small.processes, small.workers, small.store_processes, small.answering), (6, 1, 1, 8));
     let large = demand(&plan(1700, 1000, None), &LIMITS).expect("with few that answer");
     assert!(large.answering >= 8 && large.descriptors <= LIMITS.descriptors && large.bytes <= LIMITS.bytes);
--- a/crates/setting-names/src/lib.rs
+++ b/crates/setting-names/src/lib.rs
@@ -62,7 +62,7 @@
 }
 
 /// Settings told as paths of steps joined by dots, with their values, in our words.
-pub fn settings<'a>(told: impl IntoIterator<Item = (&'a str, &'a str)>) -> Settings {
+pub fn from_pairs<'a>(told: impl IntoIterator<Item = (&'a str, &'a str)>) -> Settings {
     let ours = |(path, value): (&str, &str)| {
         let path = path.split('.').map(step).collect::<Vec<_>>().join(".");
         let known = path.ends_with(".repeats") || path == "discovery";
@@ -73,6 +73,6 @@
 }
 
 /// Settings as lines of a path and a value; lines without a value are skipped.
-pub fn of_lines(lines: &str) -> Settings {
-    settings(lines.lines().filter_map(|line| line.split_once('=')))
+pub fn from_lines(lines: &str) -> Settings {
+    from_pairs(lines.lines().filter_map(|line| line.split_once('=')))
 }
--- a/crates/snapshot/src/change.rs
+++ b/crates/snapshot/src/change.rs
@@ -14,24 +14,24 @@
 
 /// What differs from the entry before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct SnapshotDelta {
     pub at: Stamp,
     /// How long all floors hold from then on, those of volumes that are not named too.
-    pub promised: Duration,
-    pub stores: Part<StoreRecord>,
-    pub volumes: Part<VolumeRecord>,
+    pub promise_duration: Duration,
+    pub stores: DeltaPart<StoreRecord>,
+    pub volumes: DeltaPart<VolumeRecord>,
 }
 
 /// New or otherwise than before, and there no more (by lasting id).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part<T> {
+pub struct DeltaPart<T> {
     pub set: Vec<T>,
-    pub gone: Vec<u64>,
+    pub removed: Vec<u64>,
 }
 
 /// What a reader of the file would believe: entries put together.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Picture {
+pub struct CurrentSnapshot {
     at: Stamp,
     promised: Duration,
     stores: BTreeMap<u64, StoreRecord>,
@@ -96,43 +96,43 @@
 }
 
 /// What a reader of `earlier` must be told to know `now`.
-fn between<T: Known>(earlier: &BTreeMap<u64, T>, now: Vec<T>) -> Part<T> {
+fn between<T: Known>(earlier: &BTreeMap<u64, T>, now: Vec<T>) -> DeltaPart<T> {
     let now = by_id(now);
     let gone = earlier.keys().filter(|id| !now.contains_key(id)).copied().collect();
     let told = |known: &T| !earlier.get(&known.id()).is_some_and(|earlier| known.covered_by(earlier));
-    Part { set: now.into_values().filter(told).collect(), gone }
+    DeltaPart { set: now.into_values().filter(told).collect(), removed: gone }
 }
 
-fn apply<T: Known>(part: Part<T>, to: &mut BTreeMap<u64, T>) {
-    part.gone.iter().for_each(|id| _ = to.remove(id));
+fn apply<T: Known>(part: DeltaPart<T>, to: &mut BTreeMap<u64, T>) {
+    part.removed.iter().for_each(|id| _ = to.remove(id));
     to.extend(by_id(part.set));
 }
 
-impl Picture {
-    pub fn new(entry: Entry) -> Picture {
+impl CurrentSnapshot {
+    pub fn new(entry: Entry) -> CurrentSnapshot {
         let Entry { at, saved: Snapshot { stores, volumes, promise_duration: promised } } = entry;
-        Picture { at, promised, stores: by_id(stores), volumes: by_id(volumes) }
+        CurrentSnapshot { at, promised, stores: by_id(stores), volumes: by_id(volumes) }
     }
 
     /// What is to be written so that a reader of this picture knows what is known at `at`, or near enough.
-    pub fn change(&self, at: Stamp, saved: Snapshot) -> Change {
+    pub fn change(&self, at: Stamp, saved: Snapshot) -> SnapshotDelta {
         let stores = between(&self.stores, saved.stores);
-        Change {
+        SnapshotDelta {
             at,
-            promised: saved.promise_duration,
+            promise_duration: saved.promise_duration,
             stores,
             volumes: between(&self.volumes, saved.volumes),
         }
     }
 
-    pub fn apply(&mut self, change: Change) {
-        (self.at, self.promised) = (change.at, change.promised);
+    pub fn apply(&mut self, change: SnapshotDelta) {
+        (self.at, self.promised) = (change.at, change.promise_duration);
         apply(change.stores, &mut self.stores);
         apply(change.volumes, &mut self.volumes);
     }
 
     pub fn entry(self) -> Entry {
-        let Picture { at, promised, stores, volumes } = self;
+        let CurrentSnapshot { at, promised, stores, volumes } = self;
         let (stores, volumes) = (stores.into_values().collect(), volumes.into_values().collect());
         Entry { at, saved: Snapshot { stores, volumes, promise_duration: promised } }
     }
@@ -183,7 +183,7 @@
     #[test]
     fn a_reader_never_promises_more_and_is_never_far_off() {
         fn keeps(history: Vec<Vec<u32>>) -> bool {
-            let mut picture = Picture::new(Entry { at: stamp(0), saved: Snapshot::default() });
+            let mut picture = CurrentSnapshot::new(Entry { at: stamp(0), saved: Snapshot::default() });
             history.iter().zip(1..).all(|(words, n)| {
                 let mut words = words.clone();
                 words.truncate(12);
@@ -222,10 +222,12 @@
     #[test]
     fn what_stays_as_it_was_costs_nothing_and_its_promise_is_renewed() {
         let words: Vec<u32> = (0..100).map(|n| n * 0x0123_4567).collect();
-        let mut picture = Picture::new(Entry { at: stamp(1), saved: drawn(&words) });
+        let mut picture = CurrentSnapshot::new(Entry { at: stamp(1), saved: drawn(&words) });
         let change = picture.change(stamp(2), drawn(&words));
         assert!(
-            change.stores.set.is_empty() && change.volumes.set.is_empty() && change.volumes.gone.is_empty()
+            change.stores.set.is_empty()
+                && change.volumes.set.is_empty()
+                && change.volumes.removed.is_empty()
         );
         picture.apply(change);
         assert_eq!(picture.entry(), Entry { at: stamp(2), saved: drawn(&words) });
--- a/crates/snapshot/src/decide.rs
+++ b/crates/snapshot/src/decide.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::format::{Bad, Head, Read};
+use crate::format::{FileHeader, FormatError, ParsedFile};
 
 /// A moment, by clocks that outlive the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,14 +22,14 @@
 pub enum Age {
     Known(Duration),
     /// The clocks cannot be trusted: as old as can be.
-    VeryOld,
+    Unknown,
 }
 
 impl Age {
     pub fn known(self) -> Option<Duration> {
         match self {
             Age::Known(age) => Some(age),
-            Age::VeryOld => None,
+            Age::Unknown => None,
         }
     }
 }
@@ -46,34 +46,34 @@
     } else {
         passed(then.wall, now.wall).filter(|age| *age <= OTHER_BOOT)
     };
-    passed.map_or(Age::VeryOld, Age::Known)
+    passed.map_or(Age::Unknown, Age::Known)
 }
 
 /// Something an operator should know of what was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
-    Fresh,
-    NotBelieved {
+pub enum LoadNote {
+    NoSnapshot,
+    Rejected {
         file: String,
-        why: Bad,
+        why: FormatError,
     },
     /// What was being written when the process or machine died.
-    Torn {
+    TornWrite {
         file: String,
         bytes: usize,
     },
     OtherSettings,
-    VeryOld,
+    UnknownAge,
 }
 
 /// What may be done with a folder.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Finding {
+pub enum FolderState {
     /// Believe this, if anything; write from this generation on.
-    Use {
-        read: Option<Box<Read>>,
+    Usable {
+        read: Option<Box<ParsedFile>>,
         next: u64,
-        notes: Vec<Note>,
+        notes: Vec<LoadNote>,
     },
     Foreign {
         found: u64,
@@ -85,18 +85,22 @@
 }
 
 /// A file's name, its generation by that name, and what is in it.
-pub type Found = (String, u64, Result<Read, Bad>);
+pub type FoundFile = (String, u64, Result<ParsedFile, FormatError>);
 
 /// Looks through the files, newest generation first: the first that is whole is believed. A folder of another gateway, or with
 /// a newer version's file, is left alone.
-pub fn find(files: Vec<Found>, gateway: u64, digest: u64) -> Finding {
+pub fn find(files: Vec<FoundFile>, gateway: u64, digest: u64) -> FolderState {
     let mut files = files;
     files.sort_by_key(|(_, generation, _)| std::cmp::Reverse(*generation));
     let next = files.first().map_or(1, |(_, generation, _)| generation + 1);
     for (file, _, found) in &files {
         match found {
-            Ok(read) if read.head.gateway != gateway => return Finding::Foreign { found: read.head.gateway },
-            Err(Bad::Newer(version)) => return Finding::Newer { file: file.clone(), version: *version },
+            Ok(read) if read.head.gateway != gateway => {
+                return FolderState::Foreign { found: read.head.gateway };
+            }
+            Err(FormatError::NewerVersion(version)) => {
+                return FolderState::Newer { file: file.clone(), version: *version };
+            }
             _ => {}
         }
     }
@@ -105,32 +109,32 @@
         match found {
             // A file under another generation's name was put there by hand: its place in time is not known.
             Ok(read) if read.head.generation != generation => {
-                notes.push(Note::NotBelieved { file, why: Bad::Head });
+                notes.push(LoadNote::Rejected { file, why: FormatError::NoHeader });
             }
             Ok(read) => {
-                if read.torn > 0 {
-                    notes.push(Note::Torn { file, bytes: read.torn });
+                if read.torn_bytes > 0 {
+                    notes.push(LoadNote::TornWrite { file, bytes: read.torn_bytes });
                 }
                 if read.head.digest != digest {
-                    notes.push(Note::OtherSettings);
+                    notes.push(LoadNote::OtherSettings);
                 }
-                return Finding::Use { read: Some(Box::new(read)), next, notes };
+                return FolderState::Usable { read: Some(Box::new(read)), next, notes };
             }
-            Err(why) => notes.push(Note::NotBelieved { file, why }),
+            Err(why) => notes.push(LoadNote::Rejected { file, why }),
         }
     }
     if notes.is_empty() {
-        notes.push(Note::Fresh);
+        notes.push(LoadNote::NoSnapshot);
     }
-    Finding::Use { read: None, next, notes }
+    FolderState::Usable { read: None, next, notes }
 }
 
 /// What to do with the next entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Write {
+pub enum WriteDecision {
     Append,
     /// A new generation, with this number.
-    Anew(u64),
+    NewFile(u64),
     /// Not before it is time to try again.
     Wait,
 }
@@ -142,8 +146,8 @@
 
 /// When to write where: bounded in size, and slower after failures.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub head: Head,
+pub struct WritePolicy {
+    pub head: FileHeader,
     /// Bytes in the present file; absent: there is none that may be appended to.
     size: Option<usize>,
     /// A file grows to so many bytes before a new one is begun.
@@ -164,29 +168,29 @@
 const FIRST_WAIT: Duration = Duration::from_secs(1);
 const MOST_WAIT: Duration = Duration::from_secs(60);
 
-impl Plan {
-    pub fn new(head: Head, most_grown: usize) -> Plan {
+impl WritePolicy {
+    pub fn new(head: FileHeader, most_grown: usize) -> WritePolicy {
         let (paid_until, wait_until) = (Duration::ZERO, Duration::ZERO);
-        Plan { head, size: None, most_grown, base: 0, failures: 0, paid_until, wait_until }
+        WritePolicy { head, size: None, most_grown, base: 0, failures: 0, paid_until, wait_until }
     }
 
-    pub fn next(&self, now: Duration) -> Write {
+    pub fn next(&self, now: Duration) -> WriteDecision {
         match self.size {
-            _ if now < self.wait_until => Write::Wait,
+            _ if now < self.wait_until => WriteDecision::Wait,
             // As much again as its first entry, or a large state would be written whole again and again.
-            Some(size) if size < self.most_grown.max(2 * self.base) => Write::Append,
+            Some(size) if size < self.most_grown.max(2 * self.base) => WriteDecision::Append,
             // The first file is the generation that was planned; others follow.
-            Some(_) => Write::Anew(self.head.generation + 1),
-            None => Write::Anew(self.head.generation),
+            Some(_) => WriteDecision::NewFile(self.head.generation + 1),
+            None => WriteDecision::NewFile(self.head.generation),
         }
     }
 
-    pub fn written(&mut self, now: Duration, what: Write, bytes: usize) {
+    pub fn written(&mut self, now: Duration, what: WriteDecision, bytes: usize) {
         self.failures = 0;
         self.paid_until = self.paid_until.max(now) + Duration::from_secs_f64(bytes as f64 / RATE);
         self.wait_until = self.paid_until.saturating_sub(AHEAD);
         match what {
-            Write::Anew(generation) => {
+            WriteDecision::NewFile(generation) => {
                 (self.head.generation, self.size, self.base) = (generation, Some(bytes), bytes);
             }
             _ => self.size = self.size.map(|size| size + bytes),
@@ -224,37 +228,47 @@
             Age::Known(Duration::from_micros(5)),
             "the wall jumped"
         );
-        assert_eq!(aged(stamp(101 * HOUR, 1, HOUR - 5)), Age::VeryOld, "since boot went backwards");
+        assert_eq!(aged(stamp(101 * HOUR, 1, HOUR - 5)), Age::Unknown, "since boot went backwards");
         assert_eq!(aged(stamp(101 * HOUR, 2, 9)), Age::Known(Duration::from_micros(HOUR)));
-        assert_eq!(aged(stamp(99 * HOUR, 2, 9)), Age::VeryOld, "the wall went backwards");
-        assert_eq!(aged(stamp(130 * HOUR, 2, 9)), Age::VeryOld, "over a day on another boot");
+        assert_eq!(aged(stamp(99 * HOUR, 2, 9)), Age::Unknown, "the wall went backwards");
+        assert_eq!(aged(stamp(130 * HOUR, 2, 9)), Age::Unknown, "over a day on another boot");
         assert_eq!(age(stamp(5, 0, 7), stamp(9, 0, 1)), Age::Known(Duration::from_micros(4)), "boot unknown");
     }
 
     #[test]
     fn failures_begin_a_new_file_ever_later_and_success_ends_that() {
-        let mut plan = Plan::new(Head { gateway: 1, digest: 2, generation: 5 }, 4 << 20);
+        let mut plan = WritePolicy::new(FileHeader { gateway: 1, digest: 2, generation: 5 }, 4 << 20);
         let second = Duration::from_secs(1);
-        assert_eq!(plan.next(Duration::ZERO), Write::Anew(5));
-        plan.written(Duration::ZERO, Write::Anew(5), 100);
-        assert_eq!(plan.next(second), Write::Append);
+        assert_eq!(plan.next(Duration::ZERO), WriteDecision::NewFile(5));
+        plan.written(Duration::ZERO, WriteDecision::NewFile(5), 100);
+        assert_eq!(plan.next(second), WriteDecision::Append);
         plan.failed(second);
-        assert_eq!((plan.next(second), plan.next(2 * second)), (Write::Wait, Write::Anew(6)));
+        assert_eq!(
+            (plan.next(second), plan.next(2 * second)),
+            (WriteDecision::Wait, WriteDecision::NewFile(6))
+        );
         plan.failed(2 * second);
-        assert_eq!((plan.next(3 * second), plan.next(4 * second)), (Write::Wait, Write::Anew(7)));
-        plan.written(4 * second, Write::Anew(7), 100);
-        plan.written(5 * second, Write::Append, 12 << 20);
+        assert_eq!(
+            (plan.next(3 * second), plan.next(4 * second)),
+            (WriteDecision::Wait, WriteDecision::NewFile(7))
+        );
+        plan.written(4 * second, WriteDecision::NewFile(7), 100);
+        plan.written(5 * second, WriteDecision::Append, 12 << 20);
         assert_eq!(
             plan.next(7 * second),
-            Write::Wait,
+            WriteDecision::Wait,
             "twelve mebibytes take six seconds, three of them ahead"
         );
-        assert_eq!(plan.next(8 * second), Write::Anew(8));
-        plan.written(20 * second, Write::Anew(8), 5 << 20);
-        assert_eq!(plan.next(21 * second), Write::Append, "a large state is not written whole each time");
-        plan.written(21 * second, Write::Append, 6 << 20);
-        assert_eq!(plan.next(30 * second), Write::Anew(9));
+        assert_eq!(plan.next(8 * second), WriteDecision::NewFile(8));
+        plan.written(20 * second, WriteDecision::NewFile(8), 5 << 20);
+        assert_eq!(
+            plan.next(21 * second),
+            WriteDecision::Append,
+            "a large state is not written whole each time"
+        );
+        plan.written(21 * second, WriteDecision::Append, 6 << 20);
+        assert_eq!(plan.next(30 * second), WriteDecision::NewFile(9));
         (0..20).for_each(|_| plan.failed(8 * second));
-        assert_eq!(plan.next(8 * second + MOST_WAIT), Write::Anew(28));
+        assert_eq!(plan.next(8 * second + MOST_WAIT), WriteDecision::NewFile(28));
     }
 }
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use umbertray_routing::Snapshot;
 
-use crate::change::{Change, Picture};
+use crate::change::{CurrentSnapshot, SnapshotDelta};
 use crate::decide::Stamp;
 use crate::older;
 
@@ -17,12 +17,12 @@
 pub const VERSION: u16 = 2;
 
 /// No record is longer, bytes; nor does a reader take more of a file than so many.
-pub const MOST_RECORD: usize = 64 << 20;
-pub const MOST_FILE: usize = 256 << 20;
+pub const MAX_RECORD_BYTES: usize = 64 << 20;
+pub const MAX_FILE_BYTES: usize = 256 << 20;
 
 /// Whose file it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct FileHeader {
     pub gateway: u64,
     /// Of the settings: floors of other limits mean nothing.
     pub digest: u64,
@@ -38,34 +38,34 @@
 
 /// What follows the head: all that is known first, then what changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Item {
-    Whole(Entry),
-    Change(Change),
+pub enum FileRecord {
+    Snapshot(Entry),
+    Change(SnapshotDelta),
 }
 
 /// Why a file, or what follows in it, is not believed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum FormatError {
     #[error("not a state file")]
-    Magic,
+    NotASnapshot,
     #[error("format version {0}, newer than {VERSION}")]
-    Newer(u16),
+    NewerVersion(u16),
     #[error("no whole head")]
-    Head,
+    NoHeader,
     #[error("no whole entry")]
     Empty,
 }
 
 /// A file as read: its head, what its whole entries come to, and how many bytes after them are not whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Read {
-    pub head: Head,
+pub struct ParsedFile {
+    pub head: FileHeader,
     pub entry: Entry,
     pub entries: usize,
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
-pub fn opening() -> Vec<u8> {
+pub fn file_opening() -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend(VERSION.to_le_bytes());
     out
@@ -76,8 +76,8 @@
 }
 
 /// A record's bytes; nothing where it would be longer than a reader takes.
-pub fn record(value: &impl Serialize) -> Option<Vec<u8>> {
-    let payload = postcard::to_stdvec(value).ok().filter(|payload| payload.len() <= MOST_RECORD)?;
+pub fn encode_record(value: &impl Serialize) -> Option<Vec<u8>> {
+    let payload = postcard::to_stdvec(value).ok().filter(|payload| payload.len() <= MAX_RECORD_BYTES)?;
     let length = (payload.len() as u32).to_le_bytes();
     let mut out = length.to_vec();
     out.extend(sum(length, &payload).to_le_bytes());
@@ -86,11 +86,11 @@
 }
 
 /// Takes the next whole record off `bytes`; nothing where it is not whole, and then `bytes` stays.
-pub fn next<T: DeserializeOwned>(bytes: &mut &[u8]) -> Option<T> {
+pub fn next_record<T: DeserializeOwned>(bytes: &mut &[u8]) -> Option<T> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (crc, rest) = rest.split_first_chunk::<4>()?;
     let size = u32::from_le_bytes(*length) as usize;
-    let (payload, rest) = rest.split_at_checked(size).filter(|_| size <= MOST_RECORD)?;
+    let (payload, rest) = rest.split_at_checked(size).filter(|_| size <= MAX_RECORD_BYTES)?;
     if sum(*length, payload) != u32::from_le_bytes(*crc) {
         return None;
     }
@@ -99,31 +99,31 @@
     Some(value)
 }
 
-pub fn read(bytes: &[u8]) -> Result<Read, Bad> {
-    let bytes = bytes.strip_prefix(MAGIC).ok_or(Bad::Magic)?;
-    let (version, mut bytes) = bytes.split_first_chunk::<2>().ok_or(Bad::Head)?;
+pub fn parse_file(bytes: &[u8]) -> Result<ParsedFile, FormatError> {
+    let bytes = bytes.strip_prefix(MAGIC).ok_or(FormatError::NotASnapshot)?;
+    let (version, mut bytes) = bytes.split_first_chunk::<2>().ok_or(FormatError::NoHeader)?;
     let version = u16::from_le_bytes(*version);
     match version {
         1..=VERSION => {}
-        newer if newer > VERSION => return Err(Bad::Newer(newer)),
-        _ => return Err(Bad::Magic),
+        newer if newer > VERSION => return Err(FormatError::NewerVersion(newer)),
+        _ => return Err(FormatError::NotASnapshot),
     }
-    let head: Head = next(&mut bytes).ok_or(Bad::Head)?;
+    let head: FileHeader = next_record(&mut bytes).ok_or(FormatError::NoHeader)?;
     let (mut picture, mut entries) = (None, 0);
     loop {
         let rest = bytes;
         let item = match version {
-            1 => next::<older::Entry1>(&mut bytes).map(|entry| Item::Whole(entry.into())),
-            _ => next::<Item>(&mut bytes),
+            1 => next_record::<older::Entry1>(&mut bytes).map(|entry| FileRecord::Snapshot(entry.into())),
+            _ => next_record::<FileRecord>(&mut bytes),
         };
         match (item, &mut picture) {
-            (Some(Item::Whole(entry)), _) => picture = Some(Picture::new(entry)),
-            (Some(Item::Change(change)), Some(picture)) => picture.apply(change),
+            (Some(FileRecord::Snapshot(entry)), _) => picture = Some(CurrentSnapshot::new(entry)),
+            (Some(FileRecord::Change(change)), Some(picture)) => picture.apply(change),
             // A change of nothing means nothing: what it stands on is missing.
-            (Some(Item::Change(_)), None) => return Err(Bad::Empty),
+            (Some(FileRecord::Change(_)), None) => return Err(FormatError::Empty),
             (None, _) => {
-                let entry = picture.ok_or(Bad::Empty)?.entry();
-                return Ok(Read { head, entry, entries, torn: rest.len() });
+                let entry = picture.ok_or(FormatError::Empty)?.entry();
+                return Ok(ParsedFile { head, entry, entries, torn_bytes: rest.len() });
             }
         }
         entries += 1;
--- a/crates/snapshot/src/layer.rs
+++ b/crates/snapshot/src/layer.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 /// A folder of small files. Nothing is safe before it is synced: bytes by `sync`, names by `sync_folder`.
-pub trait Layer: Send {
+pub trait Storage: Send {
     fn names(&self) -> io::Result<Vec<String>>;
     /// At most so many bytes.
     fn read(&self, name: &str, most: usize) -> io::Result<Vec<u8>>;
     /// So many bytes from there on, or fewer where the file ends.
-    fn read_on(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
+    fn read_from(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
         let bytes = self.read(name, (from as usize).saturating_add(most))?;
         Ok(bytes.get(from as usize..).unwrap_or_default().to_vec())
     }
@@ -74,7 +74,7 @@
     }
 
     /// Opens a folder to look at, whoever writes in it.
-    pub fn look(folder: &Path) -> Disk {
+    pub fn read_only(folder: &Path) -> Disk {
         Disk { folder: folder.into(), _lock: None }
     }
 
@@ -83,7 +83,7 @@
     }
 }
 
-impl Layer for Disk {
+impl Storage for Disk {
     fn names(&self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.folder)?;
         entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
@@ -95,7 +95,7 @@
         Ok(bytes)
     }
 
-    fn read_on(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
+    fn read_from(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
         let mut file = File::open(self.path(name))?;
         file.seek(SeekFrom::Start(from))?;
         let mut bytes = Vec::new();
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -13,14 +13,14 @@
 mod older;
 pub mod sim;
 
-pub use decide::{Age, Note, Stamp};
-pub use folder::{Folder, Recalled};
-pub use format::{Head, VERSION};
-pub use layer::{Disk, Layer};
+pub use decide::{Age, LoadNote, Stamp};
+pub use folder::{LoadResult, SnapshotStore};
+pub use format::{FileHeader, VERSION};
+pub use layer::{Disk, Storage};
 
 /// Why a folder cannot be used. The gateway starts without it.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum FolderError {
     #[error("another process works in the folder")]
     Locked,
     #[error("the folder is that of another gateway ({found:#x}, this one is {ours:#x})")]
--- a/crates/snapshot/src/sim.rs
+++ b/crates/snapshot/src/sim.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use crate::layer::Layer;
+use crate::layer::Storage;
 
 #[derive(Clone, Debug, Default)]
 struct File {
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StorageFault {
     /// The machine stops at this step.
     Crash,
     /// The step fails, as on a full or read-only disk; for a sync, what was to be synced is dropped.
@@ -32,7 +32,7 @@
     /// Names changed since the last sync of the folder, in order: each may or may not be on the disk.
     unsynced: Vec<(String, Option<usize>)>,
     step: u64,
-    trouble: BTreeMap<u64, Trouble>,
+    trouble: BTreeMap<u64, StorageFault>,
     crashed: bool,
     /// What each file had in the page cache when the machine stopped.
     at_crash: Vec<Vec<u8>>,
@@ -40,11 +40,11 @@
 
 /// Cloning shares the disk.
 #[derive(Clone, Debug, Default)]
-pub struct SimDisk {
+pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
 }
 
-impl SimDisk {
+impl SimulatedDisk {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -54,7 +54,7 @@
         self.state().step
     }
 
-    pub fn trouble(&self, step: u64, trouble: Trouble) {
+    pub fn trouble(&self, step: u64, trouble: StorageFault) {
         self.state().trouble.insert(step, trouble);
     }
 
@@ -63,18 +63,18 @@
     }
 
     /// What any process could read at the crash, synced or not.
-    pub fn seen(&self) -> SimDisk {
+    pub fn seen(&self) -> SimulatedDisk {
         let state = self.state();
         let files = state.files.iter().enumerate().map(|(n, file)| {
             let written = state.at_crash.get(n).unwrap_or(&file.written).clone();
             File { synced: written.clone(), written }
         });
         let seen = State { files: files.collect(), names: state.names.clone(), ..State::default() };
-        SimDisk { state: Arc::new(Mutex::new(seen)) }
+        SimulatedDisk { state: Arc::new(Mutex::new(seen)) }
     }
 
     /// The disk as it is found after a crash, what was not synced drawn by the seed.
-    pub fn after_crash(&self, seed: u64) -> SimDisk {
+    pub fn after_crash(&self, seed: u64) -> SimulatedDisk {
         let state = self.state();
         let draw = |what: (&str, usize)| {
             let mut hasher = DefaultHasher::new();
@@ -108,7 +108,7 @@
             File { synced: bytes.clone(), written: bytes }
         });
         let found = State { files: files.collect(), synced_names: names.clone(), names, ..State::default() };
-        SimDisk { state: Arc::new(Mutex::new(found)) }
+        SimulatedDisk { state: Arc::new(Mutex::new(found)) }
     }
 
     fn step(&self) -> io::Result<MutexGuard<'_, State>> {
@@ -119,12 +119,12 @@
         state.step += 1;
         let step = state.step;
         match state.trouble.get(&step) {
-            Some(Trouble::Crash) => {
+            Some(StorageFault::Crash) => {
                 state.crashed = true;
                 state.at_crash = state.files.iter().map(|file| file.written.clone()).collect();
                 Err(io::Error::other("the machine stops"))
             }
-            Some(Trouble::Fail) => Err(io::ErrorKind::StorageFull.into()),
+            Some(StorageFault::Fail) => Err(io::ErrorKind::StorageFull.into()),
             None => Ok(state),
         }
     }
@@ -145,7 +145,7 @@
     }
 }
 
-impl Layer for SimDisk {
+impl Storage for SimulatedDisk {
     fn names(&self) -> io::Result<Vec<String>> {
         Ok(self.state().names.keys().cloned().collect())
     }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -5,13 +5,13 @@
 use quickcheck::{Gen, QuickCheck};
 use umbertray_routing::Snapshot;
 use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
-use umbertray_snapshot::change::Picture;
-use umbertray_snapshot::decide::{Age, Note, Stamp};
-use umbertray_snapshot::folder::Folder;
-use umbertray_snapshot::format::{self, Entry, Head, Item, Read};
-use umbertray_snapshot::layer::Layer;
-use umbertray_snapshot::sim::{SimDisk, Trouble};
-use umbertray_snapshot::{Disk, Unusable};
+use umbertray_snapshot::change::CurrentSnapshot;
+use umbertray_snapshot::decide::{Age, LoadNote, Stamp};
+use umbertray_snapshot::folder::SnapshotStore;
+use umbertray_snapshot::format::{self, Entry, FileHeader, FileRecord, ParsedFile};
+use umbertray_snapshot::layer::Storage;
+use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
+use umbertray_snapshot::{Disk, FolderError};
 
 /// Files grow to so little that a history has several generations.
 const GROWN: usize = 1024;
@@ -35,15 +35,15 @@
     (floor / 1000.0) as u64
 }
 
-fn open(disk: &SimDisk) -> (Folder, u64, Vec<Note>) {
+fn open(disk: &SimulatedDisk) -> (SnapshotStore, u64, Vec<LoadNote>) {
     let (folder, recalled, notes) =
-        Folder::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN).expect("a usable folder");
-    let n = recalled.map_or(0, |recalled| number(&recalled.saved));
+        SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN).expect("a usable folder");
+    let n = recalled.map_or(0, |recalled| number(&recalled.snapshot));
     (folder, n, notes)
 }
 
 /// Saves entries of these sizes, a new file begun now and then by their growth; the last that was said to be safe.
-fn history(disk: &SimDisk, sizes: &[u16], first: u64) -> u64 {
+fn history(disk: &SimulatedDisk, sizes: &[u16], first: u64) -> u64 {
     let (mut folder, ..) = open(disk);
     let (mut now, mut safe) = (Duration::ZERO, 0);
     for (n, size) in sizes.iter().enumerate() {
@@ -65,11 +65,11 @@
 fn after_a_crash_at_any_step_what_was_promised_is_there() {
     fn keeps(sizes: Vec<u16>, seed: u64) -> bool {
         let sizes = &sizes[..sizes.len().min(8)];
-        let whole = SimDisk::default();
+        let whole = SimulatedDisk::default();
         history(&whole, sizes, 1);
         (1..=whole.steps()).all(|step| {
-            let disk = SimDisk::default();
-            disk.trouble(step, Trouble::Crash);
+            let disk = SimulatedDisk::default();
+            disk.trouble(step, StorageFault::Crash);
             let safe = history(&disk, sizes, 1);
             let found = disk.after_crash(seed ^ step);
             let (_, n, _) = open(&found);
@@ -78,7 +78,7 @@
                 return false;
             }
             // And life goes on from there, through another crash.
-            found.trouble(found.steps() + 1 + step % 4, Trouble::Crash);
+            found.trouble(found.steps() + 1 + step % 4, StorageFault::Crash);
             let later = history(&found, &[1, 1], 100);
             let (_, again, _) = open(&found.after_crash(seed));
             again == later
@@ -96,8 +96,8 @@
 fn a_step_that_fails_never_pretends() {
     fn keeps(sizes: Vec<u16>, at: u8, seed: u64) -> bool {
         let sizes = &sizes[..sizes.len().min(8)];
-        let disk = SimDisk::default();
-        (0..3).for_each(|n| disk.trouble(u64::from(at % 20) + n * 5, Trouble::Fail));
+        let disk = SimulatedDisk::default();
+        (0..3).for_each(|n| disk.trouble(u64::from(at % 20) + n * 5, StorageFault::Fail));
         let safe = history(&disk, sizes, 1);
         let (_, n, _) = open(&disk.after_crash(seed));
         n >= safe
@@ -111,20 +111,21 @@
 #[test]
 fn a_promise_is_believed_once_and_only_if_it_could_be_taken_out() {
     let kept = || {
-        let disk = SimDisk::default();
+        let disk = SimulatedDisk::default();
         assert_eq!(history(&disk, &[1], 7), 7);
         disk
     };
-    let promised = |disk: &SimDisk| {
-        let opened = Folder::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN).expect("a usable folder");
-        opened.1.map(|recalled| (recalled.saved.promise_duration, recalled.age))
+    let promised = |disk: &SimulatedDisk| {
+        let opened =
+            SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN).expect("a usable folder");
+        opened.1.map(|recalled| (recalled.snapshot.promise_duration, recalled.age))
     };
     let age = Age::Known(Duration::from_micros(993));
     let disk = kept();
     assert_eq!(promised(&disk), Some((Duration::from_secs(2), age)));
     assert_eq!(promised(&disk), Some((Duration::ZERO, age)), "the run before may have drawn it");
     // Four steps take it out; after any of them fails or the machine stops it is not believed, or never again.
-    for trouble in [Trouble::Fail, Trouble::Crash] {
+    for trouble in [StorageFault::Fail, StorageFault::Crash] {
         for step in 1..=4 {
             let disk = kept();
             disk.trouble(disk.steps() + step, trouble);
@@ -137,13 +138,16 @@
 }
 
 fn file(gateway: u64, digest: u64, generation: u64, n: u64) -> Vec<u8> {
-    let mut bytes = format::opening();
-    bytes.extend(format::record(&Head { gateway, digest, generation }).expect("small"));
-    bytes.extend(format::record(&Item::Whole(Entry { at: stamp(n), saved: saved(n, 0) })).expect("small"));
+    let mut bytes = format::file_opening();
+    bytes.extend(format::encode_record(&FileHeader { gateway, digest, generation }).expect("small"));
+    bytes.extend(
+        format::encode_record(&FileRecord::Snapshot(Entry { at: stamp(n), saved: saved(n, 0) }))
+            .expect("small"),
+    );
     bytes
 }
 
-fn put(disk: &mut SimDisk, generation: u64, bytes: &[u8]) {
+fn put(disk: &mut SimulatedDisk, generation: u64, bytes: &[u8]) {
     disk.write(&format!("state-{generation:020}.umb"), bytes).expect("no trouble");
 }
 
@@ -151,32 +155,32 @@
 fn flipped_cut_zeroed_and_swapped_files_give_the_older_state_or_none() {
     let good = file(1, 2, 2, 9);
     for at in 0..good.len() {
-        let mut disk = SimDisk::default();
+        let mut disk = SimulatedDisk::default();
         put(&mut disk, 1, &file(1, 2, 1, 5));
         let mut bad = good.clone();
         bad[at] ^= 1 << (at % 8);
         put(&mut disk, 2, &bad);
-        match Folder::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN) {
+        match SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(1000), GROWN) {
             Ok((_, recalled, notes)) => {
-                let n = recalled.map(|recalled| number(&recalled.saved));
+                let n = recalled.map(|recalled| number(&recalled.snapshot));
                 assert!(n == Some(5) && !notes.is_empty(), "bit in byte {at}: {n:?} {notes:?}");
             }
             // A flipped bit of the version makes it look newer: then it is left alone.
-            Err(Unusable::Newer { .. }) => assert!((6..8).contains(&at)),
+            Err(FolderError::Newer { .. }) => assert!((6..8).contains(&at)),
             Err(other) => panic!("{other}"),
         }
-        let mut disk = SimDisk::default();
+        let mut disk = SimulatedDisk::default();
         put(&mut disk, 1, &file(1, 2, 1, 5));
         put(&mut disk, 2, &good[..at]);
         assert_eq!(open(&disk).1, 5, "cut at {at}");
     }
-    let mut disk = SimDisk::default();
+    let mut disk = SimulatedDisk::default();
     let mut tail = good.clone();
     tail.extend([0; 5000]);
     put(&mut disk, 2, &tail);
     let (_, n, notes) = open(&disk);
-    assert!(n == 9 && matches!(&notes[..], [Note::Torn { bytes: 5000, .. }]), "{notes:?}");
-    let mut disk = SimDisk::default();
+    assert!(n == 9 && matches!(&notes[..], [LoadNote::TornWrite { bytes: 5000, .. }]), "{notes:?}");
+    let mut disk = SimulatedDisk::default();
     put(&mut disk, 1, &file(1, 2, 2, 9));
     put(&mut disk, 2, &file(1, 2, 1, 5));
     assert_eq!(open(&disk).1, 0, "neither is under its own name");
@@ -184,27 +188,28 @@
 
 #[test]
 fn other_gateways_files_and_newer_ones_are_left_alone() {
-    let mut disk = SimDisk::default();
+    let mut disk = SimulatedDisk::default();
     put(&mut disk, 1, &file(8, 2, 1, 5));
-    let opened = Folder::open(Box::new(disk.clone()), 1, 2, stamp(9), GROWN);
-    assert!(matches!(opened.err(), Some(Unusable::Foreign { found: 8, ours: 1 })));
-    let mut disk = SimDisk::default();
+    let opened = SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(9), GROWN);
+    assert!(matches!(opened.err(), Some(FolderError::Foreign { found: 8, ours: 1 })));
+    let mut disk = SimulatedDisk::default();
     let mut future = file(1, 2, 1, 5);
     future[6] = 3;
     put(&mut disk, 1, &future);
-    let opened = Folder::open(Box::new(disk.clone()), 1, 2, stamp(9), GROWN);
-    assert!(matches!(opened.err(), Some(Unusable::Newer { version: 3, .. })));
+    let opened = SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(9), GROWN);
+    assert!(matches!(opened.err(), Some(FolderError::Newer { version: 3, .. })));
     assert_eq!(disk.read("state-00000000000000000001.umb", 1 << 20).expect("there"), future);
 }
 
 #[test]
 fn changed_settings_keep_what_was_learned_and_drop_what_was_promised() {
-    let mut disk = SimDisk::default();
+    let mut disk = SimulatedDisk::default();
     put(&mut disk, 1, &file(1, 3, 1, 5));
-    let (_, recalled, notes) = Folder::open(Box::new(disk), 1, 2, stamp(9), GROWN).expect("a usable folder");
+    let (_, recalled, notes) =
+        SnapshotStore::open(Box::new(disk), 1, 2, stamp(9), GROWN).expect("a usable folder");
     let recalled = recalled.expect("believed");
-    assert_eq!((recalled.saved.promise_duration, number(&recalled.saved)), (Duration::ZERO, 5));
-    assert_eq!((recalled.age, notes), (Age::Known(Duration::from_micros(4)), vec![Note::OtherSettings]));
+    assert_eq!((recalled.snapshot.promise_duration, number(&recalled.snapshot)), (Duration::ZERO, 5));
+    assert_eq!((recalled.age, notes), (Age::Known(Duration::from_micros(4)), vec![LoadNote::OtherSettings]));
 }
 
 /// Files of each version, kept as data: later versions must go on reading them.
@@ -219,17 +224,17 @@
         vec![store(4, "127.0.0.1:700", 2, 1, 3, Some(learned)), store(5, "[::1]:701", 3, 2, 1, None)];
     let volumes = vec![VolumeRecord { volume: 6, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 }];
     let saved = Snapshot { stores, volumes, promise_duration: Duration::from_secs(2) };
-    let head = Head { gateway: 1, digest: 2, generation: 1 };
-    let read = |bytes| format::read(bytes).expect("a whole file");
+    let head = FileHeader { gateway: 1, digest: 2, generation: 1 };
+    let read = |bytes| format::parse_file(bytes).expect("a whole file");
     let entry = Entry { at: stamp(6), saved };
-    let expected = Read { head: head.clone(), entry: entry.clone(), entries: 2, torn: 0 };
+    let expected = ParsedFile { head: head.clone(), entry: entry.clone(), entries: 2, torn_bytes: 0 };
     assert_eq!(read(include_bytes!("version-1-stores.umb")), expected);
-    let mut bytes = format::opening();
-    let mut picture = Picture::new(Entry { at: stamp(5), saved: Snapshot::default() });
+    let mut bytes = format::file_opening();
+    let mut picture = CurrentSnapshot::new(Entry { at: stamp(5), saved: Snapshot::default() });
     let change = picture.change(stamp(6), entry.saved.clone());
-    bytes.extend(format::record(&head).expect("small"));
-    bytes.extend(format::record(&Item::Whole(picture.clone().entry())).expect("small"));
-    bytes.extend(format::record(&Item::Change(change.clone())).expect("small"));
+    bytes.extend(format::encode_record(&head).expect("small"));
+    bytes.extend(format::encode_record(&FileRecord::Snapshot(picture.clone().entry())).expect("small"));
+    bytes.extend(format::encode_record(&FileRecord::Change(change.clone())).expect("small"));
     picture.apply(change);
     assert_eq!(read(include_bytes!("version-2.umb")), expected);
     assert_eq!(bytes[..], include_bytes!("version-2.umb")[..], "this text writes version 2 to the byte");
@@ -238,8 +243,8 @@
 #[test]
 fn a_file_of_version_1_is_read() {
     let bytes = include_bytes!("version-1.umb");
-    let read = format::read(bytes).expect("version 1");
-    assert_eq!(read.head, Head { gateway: 1, digest: 2, generation: 1 });
+    let read = format::parse_file(bytes).expect("version 1");
+    assert_eq!(read.head, FileHeader { gateway: 1, digest: 2, generation: 1 });
     let volume = VolumeRecord { volume: 5, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 };
     let saved =
         Snapshot { stores: Vec::new(), volumes: vec![volume], promise_duration: Duration::from_secs(2) };
@@ -252,7 +257,8 @@
     _ = std::fs::remove_dir_all(&folder);
     let disk = Disk::open(&folder).expect("a folder");
     assert_eq!(Disk::open(&folder).err().map(|error| error.kind()), Some(std::io::ErrorKind::WouldBlock));
-    let (mut first, ..) = Folder::open(Box::new(disk), 1, 2, stamp(1), GROWN).expect("a usable folder");
+    let (mut first, ..) =
+        SnapshotStore::open(Box::new(disk), 1, 2, stamp(1), GROWN).expect("a usable folder");
     for (n, size) in [(1, 0), (2, 60), (3, 60)] {
         let now = Duration::from_secs(100 * n);
         assert!(first.save(now, stamp(n), saved(n, size)).expect("a working disk"));
@@ -260,6 +266,7 @@
     drop(first);
     let disk = Disk::open(&folder).expect("unlocked again");
     assert_eq!(disk.names().expect("there").len(), 3, "two generations and the lock");
-    let (_, recalled, _) = Folder::open(Box::new(disk), 1, 2, stamp(9), GROWN).expect("a usable folder");
-    assert_eq!(number(&recalled.expect("believed").saved), 3);
+    let (_, recalled, _) =
+        SnapshotStore::open(Box::new(disk), 1, 2, stamp(9), GROWN).expect("a usable folder");
+    assert_eq!(number(&recalled.expect("believed").snapshot), 3);
 }
--- a/crates/socket/src/lib.rs
+++ b/crates/socket/src/lib.rs
@@ -34,7 +34,7 @@
 }
 
 /// Does a call again for as long as it is interrupted.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -63,17 +63,17 @@
 
     /// Reads what is there; `WouldBlock` where nothing is.
     pub fn try_read(&self, to: &mut [u8]) -> io::Result<usize> {
-        uninterrupted(|| self.0.try_read(to))
+        retry_interrupted(|| self.0.try_read(to))
     }
 
     /// Reads what is there behind what the buffer holds; `WouldBlock` where nothing is.
     pub fn try_read_buf(&self, to: &mut impl BufMut) -> io::Result<usize> {
-        uninterrupted(|| self.0.try_read_buf(to))
+        retry_interrupted(|| self.0.try_read_buf(to))
     }
 
     /// Writes what the system takes of the slices; `WouldBlock` where it takes nothing.
     pub fn try_write_vectored(&self, from: &[io::IoSlice<'_>]) -> io::Result<usize> {
-        uninterrupted(|| self.0.try_write_vectored(from))
+        retry_interrupted(|| self.0.try_write_vectored(from))
     }
 
     /// Waits until there is something to read.
@@ -100,7 +100,7 @@
 fn poll_read(stream: &TcpStream, context: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(context))?;
-        match uninterrupted(|| stream.try_read(to.initialize_unfilled())) {
+        match retry_interrupted(|| stream.try_read(to.initialize_unfilled())) {
             Ok(read) => {
                 to.advance(read);
                 return Poll::Ready(Ok(()));
@@ -119,7 +119,7 @@
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(context))?;
-        match uninterrupted(|| write(stream)) {
+        match retry_interrupted(|| write(stream)) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             written => return Poll::Ready(written),
         }
--- a/crates/socket/tests/errors.rs
+++ b/crates/socket/tests/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use nix::errno::Errno;
-use umbertray_socket::{AcceptError, accept_error, is_local, uninterrupted};
+use umbertray_socket::{AcceptError, accept_error, is_local, retry_interrupted};
 
 #[test]
 fn errors_of_accept_are_sorted_by_what_helps() {
@@ -35,7 +35,7 @@
 #[test]
 fn an_interrupted_call_is_done_again() {
     let mut left = 3;
-    let done = uninterrupted(|| {
+    let done = retry_interrupted(|| {
         left -= 1;
         if left > 0 { Err(io::ErrorKind::Interrupted.into()) } else { Ok(left) }
     });
--- a/crates/store-protocol/src/lib.rs
+++ b/crates/store-protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The wire between gateways and stores, and that of the list and directory service. docs/store-wire.md is its page.
+//! The wire between gateways and stores, and that of the list and directory service. docs/store-protocol.md is its page.
 //!
 //! A frame is a length (u32, of what follows), a kind (u8) and the kind's fields; numbers are big-endian. Nothing
 //! here opens a socket: [`next_frame`] takes frames off a buffer, [`Message::put`] writes them.
--- a/crates/store-protocol/src/list.rs
+++ b/crates/store-protocol/src/list.rs
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FromList {
-    /// Who speaks: a later run of the keeper has a higher term; a list without map has 0.
+    /// Who speaks: a later run of the coordinator has a higher term; a list without map has 0.
     Welcome {
         term: u64,
     },
--- a/crates/store-protocol/src/orders.rs
+++ b/crates/store-protocol/src/orders.rs
@@ -1,4 +1,4 @@
-//! What a keeper has a store do for a move of a range. Each order may come again, and its repeat changes nothing more.
+//! What a coordinator has a store do for a move of a range. Each order may come again, and its repeat changes nothing more.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
--- a/crates/store-protocol/src/store.rs
+++ b/crates/store-protocol/src/store.rs
@@ -74,7 +74,7 @@
     HealthCheck {
         token: u64,
     },
-    /// A keeper's, for the move of this number: refused where the store has heard of a later term.
+    /// A coordinator's, for the move of this number: refused where the store has heard of a later term.
     Order {
         token: u64,
         term: u64,
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -72,7 +72,7 @@
     assert_eq!(ToList::Claim { token, volume, extent, shard: 4 }.frame().len(), page("claim"));
     assert_eq!(FromList::Location { token, place }.frame().len(), page("place"));
     assert_eq!(ToList::Hello { run: 1 }.frame().len(), page("hello"));
-    assert_eq!(FromList::Welcome { term: 1 }.frame().len(), page("welcome of list or keeper"));
+    assert_eq!(FromList::Welcome { term: 1 }.frame().len(), page("welcome of list or coordinator"));
 }
 
 #[test]
