--- a/crates/config-log/src/chain.rs
+++ b/crates/config-log/src/chain.rs
@@ -251,7 +251,7 @@
 
 impl HashChain {
     /// Opens the newest segment of a folder that no other writer has; in a folder without one, the first is begun with
-    /// this checkpoint. Nothing found is written to before [`settle`](Chain::settle).
+    /// this checkpoint. Nothing found is written to before [`recover`](HashChain::recover).
     pub fn open<T: FromEntry>(
         layer: Box<dyn Storage>,
         kind: &'static LogFormat,
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -1,6 +1,6 @@
 //! Following the log, from its folder or as others tell of it: what is safely committed, in order, and never back.
 //!
-//! [`Tail`] reads a folder and knows nothing of what entries mean; [`Replica`] acts on what it is told, wherever that came
+//! [`FolderReader`] reads a folder and knows nothing of what entries mean; [`Replica`] acts on what it is told, wherever that came
 //! from; [`Follower`] is both.
 
 use std::collections::VecDeque;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Plain data in, plain data out; no I/O, no clock, no chance. `map` holds ranges with their epochs, `fence` what a store
 //! makes of orders and epochs, `moves` one move as a state machine, `state` what outlives a run of the coordinator and the records that change it, `core` puts them together
-//! behind [`Core::handle`]. A step is: decide, log, sync, act; outputs come in that order.
+//! behind [`Coordinator::handle`]. A step is: decide, log, sync, act; outputs come in that order.
 
 mod core;
 pub mod fence;
--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -2,7 +2,7 @@
 //! without I/O, clock or chance of its own. Relays and gateways are the same node; a gateway has no followers.
 //!
 //! Danger, the invariant: a node acts on an entry, or adopts a checkpoint, only where as many of its upstreams as
-//! [`Origin::Upstreams::vouch`] says have told it the same hash at the same version (by chain, for an entry; with the same
+//! [`Origin::Upstreams::quorum`] says have told it the same hash at the same version (by chain, for an entry; with the same
 //! digest, for a checkpoint). The chain alone proves nothing of an entry that is new: whoever knows the newest hash can
 //! chain a forged change to it. So up to `vouch - 1` relays that lie, wherever they stand, can delay and do no more:
 //! the first honest node to act on what no writer wrote would have needed an honest one that did before it. docs/relays.md
@@ -132,7 +132,7 @@
     },
     /// Bytes came over a connection of either kind that are no frame of its direction; it is answered by [`Action::Close`].
     Malformed(ConnectionId),
-    /// What [`Action::Enforce`] told is in force up to here; it counts as acted on from now.
+    /// What [`Action::Commit`] told is in force up to here; it counts as acted on from now.
     Applied(u64),
     /// [`TICK`] is over.
     Tick,
@@ -155,7 +155,7 @@
         link: ConnectionId,
         frame: ToUpstream,
     },
-    /// The owner ends a follower whose unsent bytes pass [`MOST_UNSENT`].
+    /// The owner ends a follower whose unsent bytes pass [`MAX_UNSENT`].
     SendFollower {
         link: ConnectionId,
         frame: FromUpstream,
@@ -169,7 +169,7 @@
     /// The next change, to be built on what was given before; not in force yet.
     AppendEntry(Entry),
     /// All that was given up to here is to be in force now. Danger: a gateway writes the position down, for sure, before it
-    /// acts, and gives it to [`Node::new`] after a restart.
+    /// acts, and gives it to [`RelayNode::new`] after a restart.
     Commit(Position),
     /// For the log.
     Log(RelayEvent),
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,5 +1,5 @@
 //! The coordinator: one process that holds the map of where data lies and sees moves through. It moves bytes, keeps the log and
-//! time; what it says and orders is decided by [`umbertray_control_plane::Core`].
+//! time; what it says and orders is decided by [`umbertray_control_plane::Coordinator`].
 //!
 //! One task owns the core (`hub`), one each peer's connection (`peers`), one the list of stores (`stores`), one each link to a
 //! store. What is logged is synced before what follows it is said or ordered (`log`).
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -92,7 +92,7 @@
     SettingsChanged(Settings),
     /// This gateway ends: each op is to have its final answer by then.
     ShuttingDown(Duration),
-    /// Time has passed up to what [`Core::wake`] told.
+    /// Time has passed up to what [`Core::next_deadline`] told.
     TimerExpired,
 }
 
@@ -121,7 +121,7 @@
         client: ClientId,
         reply: FinalResponse,
     },
-    /// To be sent to the store now; [`Core::begin`] gives the bytes once a connection stands.
+    /// To be sent to the store now; [`Core::start_attempt`] gives the bytes once a connection stands.
     StartAttempt {
         call: AttemptId,
         store: StoreId,
@@ -329,7 +329,7 @@
         self.clients.len()
     }
 
-    /// When to come back with [`Input::Woken`] at the latest.
+    /// When to come back with [`Input::TimerExpired`] at the latest.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.first().map(|(at, _)| *at)
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// A whole answer; the names and values of fields are the caller's own or were read by [`Requests`] or
-/// [`crate::client::Answers`], so that they hold no end of line.
+/// A whole answer; the names and values of fields are the caller's own or were read by [`RequestReader`] or
+/// [`crate::client::ResponseReader`], so that they hold no end of line.
 pub fn response(status: u16, fields: &[(&str, &[u8])], body: &[u8], close: bool) -> Bytes {
     let mut bytes = BytesMut::with_capacity(192 + body.len());
     bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,6 +1,6 @@
 //! Relays: processes that carry the log of changes from the writer's folder to gateways and other relays, and a gateway's end
 //! of it. They move bytes and keep time; whom to follow, when to leave and what to send is decided by
-//! [`umbertray_control_plane::relay::Node`]. docs/relaying.md is the operators' page.
+//! [`umbertray_control_plane::relay::RelayNode`]. docs/relaying.md is the operators' page.
 //!
 //! One task owns the node (`hub`), one each connection (`link`), one the folder (`folder`), one what is put in force
 //! (`carry`). They talk through bounded channels; what a peer does not read or say in time ends its connection.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -101,7 +101,7 @@
         settings: Arc<Settings>,
         steps: Vec<SettingsChange>,
     },
-    /// What is known is to be saved; the answer is [`Output::Save`]. Its floors hold for so long.
+    /// What is known is to be saved; the answer is [`Output::SaveSnapshot`]. Its floors hold for so long.
     TakeSnapshot {
         promise_duration: Duration,
     },
@@ -110,7 +110,7 @@
         snapshot: Snapshot,
         age: Option<Duration>,
     },
-    /// The time asked for by the last [`Output::Wake`] has come.
+    /// The time asked for by the last [`Output::SetTimer`] has come.
     TimerExpired,
 }
 
