--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -12,7 +12,7 @@
 use umbertray::scheduler::Scheduler;
 use umbertray_http::Headers;
 use umbertray_http::{client, server};
-use umbertray_lifecycle::attempt::{self, AttemptStart, Repeats, RequestStatus, StoreStatus};
+use umbertray_lifecycle::attempt::{self, AttemptStart, Idempotency, RequestStatus, StoreStatus};
 use umbertray_lifecycle::reason::{DenialReason, RetryReason};
 
 use crate::boot_timestamp::{BootTimestamp, StampClock};
@@ -184,7 +184,7 @@
 
 impl Store {
     fn status(&self, drain_grace: Duration) -> StoreStatus {
-        StoreStatus { gone: self.state == StoreState::Gone, drains_since: self.left_at, drain_grace }
+        StoreStatus { is_gone: self.state == StoreState::Gone, draining_since: self.left_at, drain_grace }
     }
 }
 
@@ -237,15 +237,15 @@
 
 /// What the settings say of running an op type twice. Stores remember the mark of one for a span, and tell its end apart
 /// by a tick of the settings.
-fn repeats(settings: &Settings, op_type: usize) -> Repeats {
+fn repeats(settings: &Settings, op_type: usize) -> Idempotency {
     match settings.get(&format!("op_types.{op_type}.repeats")).map(String::as_str) {
-        Some("replayable") => Repeats::Always,
+        Some("replayable") => Idempotency::Idempotent,
         Some("deduplicated") => {
             let remembered =
                 duration_setting(settings, &format!("op_types.{op_type}.dedup_span")).unwrap_or_default();
-            Repeats::Within(remembered.saturating_sub(duration_setting(settings, "tick").unwrap_or_default()))
+            Idempotency::DeduplicatedFor(remembered.saturating_sub(duration_setting(settings, "tick").unwrap_or_default()))
         }
-        _ => Repeats::Never,
+        _ => Idempotency::NotIdempotent,
     }
 }
 
@@ -363,10 +363,10 @@
         let store = self.stores.get(&out.store).ok_or(DenialReason::StoreGone)?;
         attempt::may_begin(&AttemptStart {
             now,
-            until: out.until,
+            deadline: out.until,
             request: if door.ended { RequestStatus::Ended } else { RequestStatus::Open },
             store: store.status(self.grace),
-            repeats: repeats(&self.settings, door.ask.op_type),
+            idempotency: repeats(&self.settings, door.ask.op_type),
             may_have_run_since: door.ran_at,
         })?;
         out.begun_at = Some(now);
@@ -655,7 +655,7 @@
     match returned {
         AttemptOutcome::Response(_) => match outcome(returned) {
             Outcome::Succeeded => None,
-            Outcome::Rejected => Some(RetryReason::TurnedAway),
+            Outcome::Rejected => Some(RetryReason::Rejected),
             _ => Some(RetryReason::StoreError),
         },
         AttemptOutcome::NeverWritten => Some(RetryReason::NotSent),
--- a/crates/http-gateway/src/bounds.rs
+++ b/crates/http-gateway/src/bounds.rs
@@ -57,7 +57,7 @@
         let targets = settings.keys().filter(|name| name.ends_with(".target_latency"));
         let targets = targets.map(|name| span(name)).collect::<Result<Vec<_>, _>>()?;
         let shortest = *targets.iter().min().ok_or(missing)?;
-        let timeouts = Timeouts::of(&SettingsTimes {
+        let timeouts = Timeouts::from_settings(&SettingsTimes {
             longest_deadline: longest,
             shortest_objective: shortest,
             connect_timeout: span("limits.connect_timeout")?,
--- a/crates/http-gateway/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -402,7 +402,7 @@
                 rendered(&FinalResponse::Rejected { retry_after: self.hub.bounds().retry_after }, last)
             }
             (Response::RequestTimeout, _) => {
-                self.observe("", connection::may_have_waited(self.entered_reading.elapsed()));
+                self.observe("", connection::bad_client_wait_holds(self.entered_reading.elapsed()));
                 let what = "the request did not come whole in its time".into();
                 self.refusal(&RequestError { status: 408, message: what }, RefusalReason::RequestReadTimeout)
             }
--- a/crates/http-gateway/src/store.rs
+++ b/crates/http-gateway/src/store.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 use umbertray_http::client::{self, ResponseReader};
 use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, fields};
-use umbertray_lifecycle::attempt::told_time_holds;
+use umbertray_lifecycle::attempt::propagated_deadline_holds;
 use umbertray_lifecycle::check::observe;
 use umbertray_lifecycle::reason::StoreCloseReason;
 use umbertray_lifecycle::{Counters, Decision, store_connection};
@@ -287,7 +287,7 @@
 
 /// A process that was held up, or a store that reads slowly, may make the told time untrue.
 fn check_told_time(hub: &EventLoop, call: AttemptId, took: Duration) {
-    observe(&hub.counters, told_time_holds(took), |violation| {
+    observe(&hub.counters, propagated_deadline_holds(took), |violation| {
         let id = hub.id(call).unwrap_or_default();
         tracing::warn!(id, op = call.op.0, ?took, %violation, "lifecycle rule violated");
     });
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -19,22 +19,22 @@
 
 /// What the settings say of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum Idempotency {
     /// It may run any number of times.
-    Always,
+    Idempotent,
     /// Stores recognise a repeat for so long after the first.
-    Within(Duration),
+    DeduplicatedFor(Duration),
     /// It must not run twice.
-    Never,
+    NotIdempotent,
 }
 
 /// How this gateway knows the store of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreStatus {
     /// The list has it as gone, or not at all.
-    pub gone: bool,
+    pub is_gone: bool,
     /// When this gateway was notified that it drains.
-    pub drains_since: Option<Duration>,
+    pub draining_since: Option<Duration>,
     /// How long it may be sent to after that, by the settings.
     pub drain_grace: Duration,
 }
@@ -44,10 +44,10 @@
 pub struct AttemptStart {
     pub now: Duration,
     /// Until when the attempt may take.
-    pub until: Duration,
+    pub deadline: Duration,
     pub request: RequestStatus,
     pub store: StoreStatus,
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     /// When the first attempt of the request that may have run began.
     pub may_have_run_since: Option<Duration>,
 }
@@ -62,8 +62,8 @@
 pub fn may_begin(start: &AttemptStart) -> Decision<DenialReason> {
     request_open(start.request)?;
     may_run_again(start)?;
-    store_takes(&start.store, start.now)?;
-    if start.now < start.until { Ok(()) } else { Err(DenialReason::DeadlineOver) }
+    store_accepts(&start.store, start.now)?;
+    if start.now < start.deadline { Ok(()) } else { Err(DenialReason::DeadlineOver) }
 }
 
 fn request_open(request: RequestStatus) -> Decision<DenialReason> {
@@ -76,10 +76,10 @@
 
 fn may_run_again(start: &AttemptStart) -> Decision<DenialReason> {
     let Some(since) = start.may_have_run_since else { return Ok(()) };
-    let may = match start.repeats {
-        Repeats::Always => true,
-        Repeats::Within(window) => start.now < since + window,
-        Repeats::Never => false,
+    let may = match start.idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::DeduplicatedFor(window) => start.now < since + window,
+        Idempotency::NotIdempotent => false,
     };
     if may { Ok(()) } else { Err(DenialReason::MayHaveRun) }
 }
@@ -93,16 +93,16 @@
 /// Whether the time told to a store was still true when the request's last byte was written, so long after it was told.
 ///
 /// Invariant: at most what the client has left, with the slack of the operators' terms.
-pub fn told_time_holds(written_after: Duration) -> Decision<Violation> {
+pub fn propagated_deadline_holds(written_after: Duration) -> Decision<Violation> {
     if written_after <= TIME_LEFT_SLACK { Ok(()) } else { Err(Violation::TimeLeftOverstated) }
 }
 
 /// Whether a store may still be sent to.
-pub fn store_takes(store: &StoreStatus, now: Duration) -> Decision<DenialReason> {
-    if store.gone {
+pub fn store_accepts(store: &StoreStatus, now: Duration) -> Decision<DenialReason> {
+    if store.is_gone {
         return Err(DenialReason::StoreGone);
     }
-    match store.drains_since {
+    match store.draining_since {
         Some(since) if now >= since + usable_drain_grace(store.drain_grace) => {
             Err(DenialReason::DrainGraceOver)
         }
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -57,6 +57,6 @@
 /// Whether half a request may have been kept waiting for so long, from its first byte to its error or close.
 ///
 /// Invariant: the standing page's limit for bad clients. Behind an open request the limit begins with its response.
-pub fn may_have_waited(waited: Duration) -> Decision<Violation> {
+pub fn bad_client_wait_holds(waited: Duration) -> Decision<Violation> {
     if waited <= BAD_CLIENT_LIMIT { Ok(()) } else { Err(Violation::BadClientKeptWaiting) }
 }
--- a/crates/lifecycle/src/counters.rs
+++ b/crates/lifecycle/src/counters.rs
@@ -17,7 +17,7 @@
     }
 
     /// How often a reason was counted.
-    pub fn of<R: Reason>(&self, reason: R) -> u64 {
+    pub fn get<R: Reason>(&self, reason: R) -> u64 {
         self.counts().get(&(R::CATEGORY, reason.name())).copied().unwrap_or_default()
     }
 
--- a/crates/lifecycle/src/reason.rs
+++ b/crates/lifecycle/src/reason.rs
@@ -109,8 +109,8 @@
     RetryReason in Retry {
         /// No connection came up, or not all of the request was written.
         NotSent = "not_sent",
-        /// The store turned it away unrun.
-        TurnedAway = "turned_away",
+        /// The store rejected it without running it.
+        Rejected = "rejected",
         /// The store answered with an error: it may have run.
         StoreError = "store_error",
         /// The connection ended after the last byte: it may have run.
@@ -150,7 +150,7 @@
         /// It was idle for too long.
         IdleTimeout = "idle_timeout",
         /// It ended, or bytes came on it, with nothing asked.
-        Spoilt = "spoilt",
+        UnexpectedData = "unexpected_data",
         /// Its descriptor was needed for another store.
         Evicted = "evicted",
         /// The store is gone, or at another address.
--- a/crates/lifecycle/src/store_connection.rs
+++ b/crates/lifecycle/src/store_connection.rs
@@ -14,7 +14,7 @@
     if idle_for >= idle_timeout {
         return Err(StoreCloseReason::IdleTimeout);
     }
-    if readable { Err(StoreCloseReason::Spoilt) } else { Ok(()) }
+    if readable { Err(StoreCloseReason::UnexpectedData) } else { Ok(()) }
 }
 
 /// Whether an idle connection has been silent for long enough to be used again. Hazard: a second answer to the request
--- a/crates/lifecycle/src/timeouts.rs
+++ b/crates/lifecycle/src/timeouts.rs
@@ -12,7 +12,7 @@
 pub const BAD_CLIENT_WAIT: Duration = BAD_CLIENT_LIMIT.saturating_sub(HOLD_UP).saturating_sub(HOLD_UP);
 
 /// How long half a message is waited for, where this much of the longest deadline is the wish.
-pub fn half_message(wish: Duration) -> Duration {
+pub fn bounded_wait(wish: Duration) -> Duration {
     wish.min(BAD_CLIENT_WAIT)
 }
 
@@ -83,9 +83,9 @@
 
 impl Timeouts {
     /// The waits under these settings.
-    pub fn of(times: &SettingsTimes) -> Timeouts {
+    pub fn from_settings(times: &SettingsTimes) -> Timeouts {
         let request_read = times.longest_deadline.mul_f64(REQUEST_READ);
-        let bounded = half_message;
+        let bounded = bounded_wait;
         let objective = |ratio: f64| times.shortest_objective.mul_f64(ratio);
         let idle = times.connection_idle.mul_f64(IDLE);
         let kill_after = times.longest_deadline.min(KILL_AFTER_AT_MOST);
--- a/crates/lifecycle/tests/rules.rs
+++ b/crates/lifecycle/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray_lifecycle::attempt::{self, AttemptStart, Repeats, RequestStatus, StoreStatus};
+use umbertray_lifecycle::attempt::{self, AttemptStart, Idempotency, RequestStatus, StoreStatus};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
 use umbertray_lifecycle::limits::HOLD_UP;
 use umbertray_lifecycle::reason::{CloseReason, DenialReason, StoreCloseReason, Violation};
@@ -14,20 +14,20 @@
 
 const START: AttemptStart = AttemptStart {
     now: ms(10_000),
-    until: ms(10_500),
+    deadline: ms(10_500),
     request: RequestStatus::Open,
-    store: StoreStatus { gone: false, drains_since: None, drain_grace: ms(1000) },
-    repeats: Repeats::Never,
+    store: StoreStatus { is_gone: false, draining_since: None, drain_grace: ms(1000) },
+    idempotency: Idempotency::NotIdempotent,
     may_have_run_since: None,
 };
 
 fn drains(since: Duration) -> AttemptStart {
-    AttemptStart { store: StoreStatus { drains_since: Some(since), ..START.store }, ..START }
+    AttemptStart { store: StoreStatus { draining_since: Some(since), ..START.store }, ..START }
 }
 
 #[test]
 fn an_attempt_begins_only_while_it_is_wanted_and_harmless() {
-    let again = |repeats| AttemptStart { repeats, may_have_run_since: Some(ms(9_000)), ..START };
+    let again = |repeats| AttemptStart { idempotency: repeats, may_have_run_since: Some(ms(9_000)), ..START };
     let cases = [
         ("first", START, Ok(())),
         ("ended", AttemptStart { request: RequestStatus::Ended, ..START }, Err(DenialReason::RequestEnded)),
@@ -36,14 +36,14 @@
             AttemptStart { request: RequestStatus::ClientGone, ..START },
             Err(DenialReason::ClientGone),
         ),
-        ("its time over", AttemptStart { now: START.until, ..START }, Err(DenialReason::DeadlineOver)),
-        ("may have run", again(Repeats::Never), Err(DenialReason::MayHaveRun)),
-        ("recognised", again(Repeats::Within(ms(1001))), Ok(())),
-        ("forgotten", again(Repeats::Within(ms(1000))), Err(DenialReason::MayHaveRun)),
-        ("harmless again", again(Repeats::Always), Ok(())),
+        ("its time over", AttemptStart { now: START.deadline, ..START }, Err(DenialReason::DeadlineOver)),
+        ("may have run", again(Idempotency::NotIdempotent), Err(DenialReason::MayHaveRun)),
+        ("recognised", again(Idempotency::DeduplicatedFor(ms(1001))), Ok(())),
+        ("forgotten", again(Idempotency::DeduplicatedFor(ms(1000))), Err(DenialReason::MayHaveRun)),
+        ("harmless again", again(Idempotency::Idempotent), Ok(())),
         (
             "store gone",
-            AttemptStart { store: StoreStatus { gone: true, ..START.store }, ..START },
+            AttemptStart { store: StoreStatus { is_gone: true, ..START.store }, ..START },
             Err(DenialReason::StoreGone),
         ),
         ("store drains", drains(ms(9_500)), Ok(())),
@@ -84,7 +84,7 @@
 fn an_idle_connection_to_a_store_is_used_again_only_fresh_and_silent() {
     let reuse = |idle, readable| store_connection::may_reuse(ms(idle), ms(100), readable);
     assert_eq!(reuse(99, false), Ok(()));
-    assert_eq!(reuse(99, true), Err(StoreCloseReason::Spoilt));
+    assert_eq!(reuse(99, true), Err(StoreCloseReason::UnexpectedData));
     assert_eq!(reuse(100, false), Err(StoreCloseReason::IdleTimeout));
 }
 
@@ -99,7 +99,7 @@
     check::observe(&counters, Err(Violation::AnsweredLate), |violation| logged.push(violation));
     check::observe(&counters, Ok(()), |violation| logged.push(violation));
     assert_eq!(logged, [Violation::AnsweredLate]);
-    assert_eq!(counters.of(CloseReason::IdleTimeout), 2);
+    assert_eq!(counters.get(CloseReason::IdleTimeout), 2);
     let told = "close.idle_timeout=2 store_close.idle_timeout=1 violation.answered_late=1";
     assert_eq!(counters.to_string(), told);
 }
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -27,7 +27,7 @@
 #[test]
 fn bad_clients_wait_within_the_limit_with_a_hold_up_on_either_side() {
     for settings in all_settings() {
-        let timeouts = Timeouts::of(&settings);
+        let timeouts = Timeouts::from_settings(&settings);
         let owed = [
             timeouts.request_read,
             timeouts.first_request_rejecting,
@@ -43,7 +43,7 @@
 #[test]
 fn all_is_answered_and_closed_before_sigkill() {
     for settings in all_settings() {
-        let timeouts = Timeouts::of(&settings);
+        let timeouts = Timeouts::from_settings(&settings);
         let killed = settings.longest_deadline.min(KILL_AFTER_AT_MOST) + KILL_MARGIN;
         assert!(timeouts.drain_deadline + timeouts.drain_close < killed, "{settings:?}");
         assert!(timeouts.retry_until <= timeouts.drain_deadline, "{settings:?}");
@@ -54,7 +54,7 @@
 #[test]
 fn idle_connections_to_stores_are_closed_before_the_store_does() {
     for settings in all_settings() {
-        let timeouts = Timeouts::of(&settings);
+        let timeouts = Timeouts::from_settings(&settings);
         assert!(timeouts.store_idle + timeouts.store_sweep < settings.connection_idle, "{settings:?}");
         assert!(timeouts.store_sweep > Duration::ZERO, "{settings:?}");
     }
--- a/crates/nbd-gateway/src/session.rs
+++ b/crates/nbd-gateway/src/session.rs
@@ -50,7 +50,7 @@
 impl Shared {
     /// How long a negotiation or half a request may take, by the settings in force.
     fn half_message_timeout(&self) -> Duration {
-        timeouts::half_message(self.present.load().longest_timeout())
+        timeouts::bounded_wait(self.present.load().longest_timeout())
     }
 }
 
