--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -243,7 +243,9 @@
         Some("deduplicated") => {
             let remembered =
                 duration_setting(settings, &format!("op_types.{op_type}.dedup_span")).unwrap_or_default();
-            Idempotency::DeduplicatedFor(remembered.saturating_sub(duration_setting(settings, "tick").unwrap_or_default()))
+            Idempotency::DeduplicatedFor(
+                remembered.saturating_sub(duration_setting(settings, "tick").unwrap_or_default()),
+            )
         }
         _ => Idempotency::NotIdempotent,
     }
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -6,7 +6,7 @@
 use crate::limits::{HOLD_UP, TIME_LEFT_SLACK};
 use crate::reason::{DenialReason, Violation};
 
-/// Where the request of an attempt stands.
+/// State of the request that an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
     /// Its client waits for the final answer.
@@ -17,48 +17,55 @@
     ClientGone,
 }
 
-/// What the settings say of running a request twice.
+/// Whether the settings allow a request to be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// Any number of executions has the effect of one.
     Idempotent,
-    /// Stores recognise a repeat for so long after the first.
+    /// Stores recognise and discard a repeat within this window after the first execution.
     DeduplicatedFor(Duration),
-    /// It must not run twice.
+    /// A second execution would be a second effect.
     NotIdempotent,
 }
 
-/// How this gateway knows the store of an attempt.
+/// What this gateway knows of the store that an attempt goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreStatus {
-    /// The list has it as gone, or not at all.
+    /// The endpoint list marks it as gone, or does not name it.
     pub is_gone: bool,
-    /// When this gateway was notified that it drains.
+    /// When this gateway was notified that the store is draining.
     pub draining_since: Option<Duration>,
-    /// How long it may be sent to after that, by the settings.
+    /// How long after that notification the settings allow attempts.
     pub drain_grace: Duration,
 }
 
-/// All that decides whether an attempt may begin. Times are on one monotonic clock.
+/// Input of [`may_begin`]. All times are on one monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
+    /// The present.
     pub now: Duration,
-    /// Until when the attempt may take.
+    /// End of the attempt's time.
     pub deadline: Duration,
+    /// State of the request.
     pub request: RequestStatus,
+    /// State of the store.
     pub store: StoreStatus,
+    /// Whether the request may be executed again.
     pub idempotency: Idempotency,
-    /// When the first attempt of the request that may have run began.
+    /// Start of the first attempt of this request that may have been executed.
     pub may_have_run_since: Option<Duration>,
 }
 
 /// Whether the first byte of an attempt may be written now.
 ///
 /// Invariant: no attempt for a request that has ended or whose client has gone (rule 1), none that may be a second
-/// effect (rule 2), none to a store past its grace (rule 3). Source: the protocol page, "The rules on sockets".
+/// effect (rule 2), none to a store past its drain grace (rule 3). Source: the protocol page, "The rules on sockets".
 ///
-/// Hazard: its connection may come up late, and the settings, the list and the client change, after the attempt was
+/// Hazard: the connection may come up late; settings, endpoint list and client may have changed since the attempt was
 /// decided on.
+///
+/// # Errors
+/// The reason why the attempt must not begin.
 pub fn may_begin(start: &AttemptStart) -> Decision<DenialReason> {
     request_open(start.request)?;
     may_run_again(start)?;
@@ -84,20 +91,29 @@
     if may { Ok(()) } else { Err(DenialReason::MayHaveRun) }
 }
 
-/// How much of the grace of a store that drains may be used. Hazard: the process may be held up between this decision
-/// and the first byte, and the grace has to cover that (standing page, "More than these days").
+/// The part of a drain grace in which an attempt may begin.
+///
+/// Hazard: the process may be held up between this decision and the first byte, and the grace has to cover that
+/// (standing page, "More than these days").
 pub fn usable_drain_grace(grace: Duration) -> Duration {
     grace.saturating_sub(HOLD_UP)
 }
 
-/// Whether the time told to a store was still true when the request's last byte was written, so long after it was told.
+/// Whether the deadline propagated to a store still held when the last byte of the request was written, `written_after`
+/// it was computed.
 ///
-/// Invariant: at most what the client has left, with the slack of the operators' terms.
+/// Invariant: a store is never told more time than its client has left, within the slack of the operators' terms.
+///
+/// # Errors
+/// [`Violation::TimeLeftOverstated`] if the write took longer than that slack.
 pub fn propagated_deadline_holds(written_after: Duration) -> Decision<Violation> {
     if written_after <= TIME_LEFT_SLACK { Ok(()) } else { Err(Violation::TimeLeftOverstated) }
 }
 
-/// Whether a store may still be sent to.
+/// Whether a store may still be sent attempts.
+///
+/// # Errors
+/// The store is gone, or its drain grace is over.
 pub fn store_accepts(store: &StoreStatus, now: Duration) -> Decision<DenialReason> {
     if store.is_gone {
         return Err(DenialReason::StoreGone);
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -6,9 +6,10 @@
 use crate::limits::BAD_CLIENT_LIMIT;
 use crate::reason::Violation;
 
-/// What is owed on a connection, so that neither it nor its process may end over it.
+/// What this side still owes on a connection before it may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Obligation {
+    /// Nothing.
     None,
     /// A whole request was read: its final response is owed.
     Response,
@@ -16,14 +17,14 @@
     LingeringClose,
 }
 
-/// What a connection's peer does.
+/// Observed state of a connection's peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Peer {
-    /// It is there, as far as is known.
+    /// Connected, as far as is known.
     Open,
     /// It has closed or reset the connection.
     Closed,
-    /// It does not read what is written, for the time that it has for it.
+    /// It did not read what was written within its time.
     NotReading,
 }
 
@@ -32,6 +33,9 @@
 /// Invariant: a request that was read whole gets its final response, unless its client has closed or does not read it
 /// (rule 1). Source: the protocol page, "The rules on sockets"; the operators' terms: a request read and then closed
 /// with no answer is lost, on new connections too.
+///
+/// # Errors
+/// [`Violation::ClosedOwingResponse`].
 pub fn may_close(obligation: Obligation, peer: Peer) -> Decision<Violation> {
     match (obligation, peer) {
         (Obligation::Response, Peer::Open) => Err(Violation::ClosedOwingResponse),
@@ -41,22 +45,28 @@
 
 /// Whether a connection may be closed for the descriptor that another one needs.
 ///
-/// Invariant: the same as of [`may_close`]; and what is evicted already is not chosen again.
+/// Invariant: that of [`may_close`]; a connection that is being evicted already is not chosen again.
 pub fn may_evict(obligation: Obligation, evicted_already: bool) -> bool {
     obligation != Obligation::Response && !evicted_already
 }
 
 /// Whether a process may end with these connections open, once its drain is over.
 ///
-/// Invariant: all that was read is answered before the exit. Source: the protocol page, "Figures".
+/// Invariant: every request that was read is answered before the exit. Source: the protocol page, "Figures".
+///
+/// # Errors
+/// [`Violation::ExitOwingResponse`].
 pub fn may_exit(obligations: impl IntoIterator<Item = Obligation>) -> Decision<Violation> {
     let owed = obligations.into_iter().any(|obligation| obligation == Obligation::Response);
     if owed { Err(Violation::ExitOwingResponse) } else { Ok(()) }
 }
 
-/// Whether half a request may have been kept waiting for so long, from its first byte to its error or close.
+/// Whether a client that stopped within a request got its error or close in time, `waited` after the first byte.
 ///
 /// Invariant: the standing page's limit for bad clients. Behind an open request the limit begins with its response.
+///
+/// # Errors
+/// [`Violation::BadClientKeptWaiting`].
 pub fn bad_client_wait_holds(waited: Duration) -> Decision<Violation> {
     if waited <= BAD_CLIENT_LIMIT { Ok(()) } else { Err(Violation::BadClientKeptWaiting) }
 }
--- a/crates/lifecycle/src/counters.rs
+++ b/crates/lifecycle/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts by reason, for logs at an interval, at a signal and at the end; never on a wire.
+//! Counters by reason, logged at an interval, on a signal and at exit; never sent on a wire.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use crate::reason::{Category, Reason};
 
-/// How often each reason came up. Its size is bounded: names are those of the program's own enums.
+/// Occurrences of each reason. Bounded in size: the names are those of the program's own enums.
 #[derive(Debug, Default)]
 pub struct Counters(Mutex<BTreeMap<(Category, &'static str), u64>>);
 
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,6 +1,6 @@
 //! The lifecycle rules of a gateway process: whether something may be sent, repeated, closed, evicted or started now.
 //!
-//! Pure functions over plain data; no I/O, no clock, no chance. All times are monotonic spans. A rule returns
+//! Pure functions over plain data; no I/O, no clock, no randomness. All times are monotonic spans. A rule returns
 //! [`Decision`]: allowed, or denied with a typed reason that the log lines and the [`Counters`] share.
 
 pub mod attempt;
@@ -17,5 +17,5 @@
 pub use reason::{Category, Reason};
 pub use timeouts::{SettingsTimes, Timeouts};
 
-/// What a rule decides: go on, or do not, and why.
+/// Result of a rule: allowed, or denied with a reason.
 pub type Decision<R> = Result<(), R>;
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that the operators' pages state in seconds. Each is a span of real time and names its page; no setting
-//! stretches one.
+//! Limits that the operators' pages state in seconds. Each is a duration of real time and names its page; no setting
+//! extends one.
 
 use std::time::Duration;
 
--- a/crates/lifecycle/src/store_connection.rs
+++ b/crates/lifecycle/src/store_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to stores: when an idle one may be used again.
+//! Pooled connections to stores: when an idle one may be used again.
 
 use std::time::Duration;
 
@@ -10,6 +10,9 @@
 /// Invariant: no request is written to a connection that its store has closed, may close at any moment, or on which bytes
 /// came that nobody asked for. Source: the protocol page, "Gateways to stores": a store closes a connection that has been
 /// idle for the settings' time; a request written to it from then on ends as a reset.
+///
+/// # Errors
+/// The reason why the connection has to be closed.
 pub fn may_reuse(idle_for: Duration, idle_timeout: Duration, readable: bool) -> Decision<StoreCloseReason> {
     if idle_for >= idle_timeout {
         return Err(StoreCloseReason::IdleTimeout);
--- a/crates/lifecycle/src/timeouts.rs
+++ b/crates/lifecycle/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! Every wait of the platform's front, from the settings in force and the limits that the pages state in seconds.
+//! Every wait of the HTTP gateway, derived from the settings in force and the limits that the pages state in seconds.
 //!
 //! A wait is a ratio to a setting, and never longer than what a page leaves for it. A limit of the page counts from
 //! what a peer did to what it sees: the process may be held up once before it reads the clock that starts the wait and
@@ -11,9 +11,9 @@
 /// The most that a wait may take whose end a bad client is owed.
 pub const BAD_CLIENT_WAIT: Duration = BAD_CLIENT_LIMIT.saturating_sub(HOLD_UP).saturating_sub(HOLD_UP);
 
-/// How long half a message is waited for, where this much of the longest deadline is the wish.
-pub fn bounded_wait(wish: Duration) -> Duration {
-    wish.min(BAD_CLIENT_WAIT)
+/// The wait for the rest of a message whose first bytes have come: `wanted`, within the limit for bad clients.
+pub fn bounded_wait(wanted: Duration) -> Duration {
+    wanted.min(BAD_CLIENT_WAIT)
 }
 
 /// Against the longest deadline: the time for a request to come whole, for a response to be read, and for a new
@@ -39,12 +39,16 @@
 /// Against the time until an idle connection to a store is closed: how often it is looked at.
 const SWEEP: f64 = 0.5;
 
-/// The spans of the settings that waits are made of.
+/// Durations from the settings that waits are derived from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsTimes {
+    /// Longest deadline of any operation type.
     pub longest_deadline: Duration,
+    /// Shortest latency objective of any operation type.
     pub shortest_objective: Duration,
+    /// Time for a connection to a store to come up.
     pub connect_timeout: Duration,
+    /// Time after which peers close an idle connection.
     pub connection_idle: Duration,
 }
 
@@ -85,18 +89,17 @@
     /// The waits under these settings.
     pub fn from_settings(times: &SettingsTimes) -> Timeouts {
         let request_read = times.longest_deadline.mul_f64(REQUEST_READ);
-        let bounded = bounded_wait;
         let objective = |ratio: f64| times.shortest_objective.mul_f64(ratio);
         let idle = times.connection_idle.mul_f64(IDLE);
         let kill_after = times.longest_deadline.min(KILL_AFTER_AT_MOST);
         let drain_deadline = kill_after + KILL_MARGIN.mul_f64(DRAIN_DEADLINE);
         let last_accept = drain_deadline.saturating_sub(objective(LAST_ACCEPT));
         Timeouts {
-            request_read: bounded(request_read),
+            request_read: bounded_wait(request_read),
             first_request: request_read,
-            first_request_rejecting: bounded(times.connect_timeout),
-            response_write: bounded(request_read),
-            linger: bounded(times.longest_deadline.mul_f64(LINGER)),
+            first_request_rejecting: bounded_wait(times.connect_timeout),
+            response_write: bounded_wait(request_read),
+            linger: bounded_wait(times.longest_deadline.mul_f64(LINGER)),
             client_idle: idle,
             store_idle: idle,
             store_sweep: times.connect_timeout.min(idle.mul_f64(SWEEP)),
--- a/crates/lifecycle/tests/rules.rs
+++ b/crates/lifecycle/tests/rules.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_attempt_begins_only_while_it_is_wanted_and_harmless() {
+fn attempt_may_begin_only_for_open_request_to_accepting_store() {
     let again = |repeats| AttemptStart { idempotency: repeats, may_have_run_since: Some(ms(9_000)), ..START };
     let cases = [
         ("first", START, Ok(())),
@@ -55,7 +55,7 @@
 
 /// A process that was held up between its decision and its first byte sent to stores past their grace.
 #[test]
-fn the_grace_of_a_draining_store_covers_a_hold_up() {
+fn drain_grace_is_shortened_by_a_hold_up() {
     let grace = START.store.drain_grace;
     for late in [HOLD_UP, HOLD_UP / 2, Duration::ZERO] {
         let notified = START.now + late - grace;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_connection_closes_only_owing_nothing_to_a_client_that_is_there() {
+fn connection_owing_response_to_open_peer_may_not_close() {
     for obligation in [Obligation::None, Obligation::Response, Obligation::LingeringClose] {
         for peer in [Peer::Open, Peer::Closed, Peer::NotReading] {
             let owes = obligation == Obligation::Response && peer == Peer::Open;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_idle_connection_to_a_store_is_used_again_only_fresh_and_silent() {
+fn idle_store_connection_is_reused_only_if_fresh_and_silent() {
     let reuse = |idle, readable| store_connection::may_reuse(ms(idle), ms(100), readable);
     assert_eq!(reuse(99, false), Ok(()));
     assert_eq!(reuse(99, true), Err(StoreCloseReason::UnexpectedData));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn reasons_are_counted_by_category_and_name() {
+fn counters_count_reasons_by_category_and_name() {
     let counters = Counters::default();
     [CloseReason::IdleTimeout, CloseReason::IdleTimeout]
         .into_iter()
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn bad_clients_wait_within_the_limit_with_a_hold_up_on_either_side() {
+fn bad_client_waits_leave_a_hold_up_on_either_side_of_the_limit() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
         let owed = [
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn all_is_answered_and_closed_before_sigkill() {
+fn drain_ends_before_sigkill() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
         let killed = settings.longest_deadline.min(KILL_AFTER_AT_MOST) + KILL_MARGIN;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn idle_connections_to_stores_are_closed_before_the_store_does() {
+fn idle_store_connections_close_before_the_store_closes_them() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
         assert!(timeouts.store_idle + timeouts.store_sweep < settings.connection_idle, "{settings:?}");
--- a/crates/setting-names/src/lib.rs
+++ b/crates/setting-names/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operators' words for settings, and ours: one table for every wire that tells settings.
+//! Translation of setting names from the operators' wires to the names that this project uses: one table for all wires.
 
 use umbertray::interface::Settings;
 
+/// Names on the wire that differ from this project's by more than their case.
 const NAMES: &[(&str, &str)] = &[
     ("capDepth", "limit_burst"),
     ("capSlack", "limit_slack"),
@@ -34,6 +35,7 @@
     ("worthFactor", "price"),
 ];
 
+/// Values of idempotency and discovery settings on the wire, and this project's.
 const VALUES: &[(&str, &str)] = &[
     ("free", "replayable"),
     ("guarded", "deduplicated"),
@@ -42,37 +44,40 @@
     ("subscribe", "asked"),
 ];
 
-/// One step of a path: from the table, else its own words in snake case without the mark of seconds.
-fn step(wire: &str) -> String {
-    if let Some((_, ours)) = NAMES.iter().find(|(name, _)| *name == wire) {
-        return (*ours).into();
+/// Translates one step of a path: by the table, otherwise to snake case without the suffix for seconds.
+fn translate_step(wire: &str) -> String {
+    if let Some((_, translated)) = NAMES.iter().find(|(name, _)| *name == wire) {
+        return (*translated).into();
     }
     let bare = match wire.strip_suffix('S') {
-        Some(head) if head.ends_with(|c: char| c.is_ascii_lowercase()) => head,
+        Some(head) if head.ends_with(|letter: char| letter.is_ascii_lowercase()) => head,
         _ => wire,
     };
-    let mut ours = String::with_capacity(bare.len() + 4);
-    for c in bare.chars() {
-        if c.is_ascii_uppercase() {
-            ours.push('_');
+    let mut translated = String::with_capacity(bare.len() + 4);
+    for letter in bare.chars() {
+        if letter.is_ascii_uppercase() {
+            translated.push('_');
         }
-        ours.push(c.to_ascii_lowercase());
+        translated.push(letter.to_ascii_lowercase());
     }
-    ours
+    translated
 }
 
-/// Settings told as paths of steps joined by dots, with their values, in our words.
-pub fn from_pairs<'a>(told: impl IntoIterator<Item = (&'a str, &'a str)>) -> Settings {
-    let ours = |(path, value): (&str, &str)| {
-        let path = path.split('.').map(step).collect::<Vec<_>>().join(".");
-        let known = path.ends_with(".repeats") || path == "discovery";
-        let renamed = VALUES.iter().find(|(wire, _)| known && *wire == value);
-        (path, renamed.map_or(value, |(_, ours)| ours).to_string())
-    };
-    told.into_iter().map(ours).collect()
+/// Translates one setting.
+fn translate((path, value): (&str, &str)) -> (String, String) {
+    let path = path.split('.').map(translate_step).collect::<Vec<_>>().join(".");
+    let has_translated_values = path.ends_with(".repeats") || path == "discovery";
+    let translated = VALUES.iter().find(|(wire, _)| has_translated_values && *wire == value);
+    let value = translated.map_or(value, |(_, translated)| translated);
+    (path, value.to_string())
+}
+
+/// Translates settings given as paths, whose steps are joined by dots, and their values.
+pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Settings {
+    pairs.into_iter().map(translate).collect()
 }
 
-/// Settings as lines of a path and a value; lines without a value are skipped.
+/// Translates settings given as lines `path=value`; lines without `=` are skipped.
 pub fn from_lines(lines: &str) -> Settings {
     from_pairs(lines.lines().filter_map(|line| line.split_once('=')))
 }
--- a/crates/socket/src/errors.rs
+++ b/crates/socket/src/errors.rs
@@ -4,16 +4,16 @@
 
 use nix::errno::Errno;
 
-/// What an error of accept(2) says.
+/// What an error of accept(2) calls for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
     /// The connection was lost, or the call interrupted: the next one may be accepted at once.
     Transient,
-    /// This process is out of descriptors: one of its own has to be closed.
+    /// This process has no descriptor left: one of its own has to be closed.
     Descriptors,
-    /// The system is out of descriptors, buffers or memory: closing one of this process's own is no help, time has to pass.
+    /// The system has no descriptors, buffers or memory left: closing a descriptor does not help, the caller has to wait.
     System,
-    /// The listener is of no further use.
+    /// The listener cannot be used any more.
     Fatal,
 }
 
@@ -21,7 +21,7 @@
     error.raw_os_error().map(Errno::from_raw)
 }
 
-/// Sorts an error of accept(2), by its page's sections "Error handling" and "Errors".
+/// Classifies an error of accept(2) by its manual page, sections "Error handling" and "Errors".
 pub fn accept_error(error: &io::Error) -> AcceptError {
     use Errno::{
         ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM,
@@ -38,7 +38,7 @@
     }
 }
 
-/// A failure to connect that is this machine's own and may be over in a moment: it says nothing of the peer.
+/// Whether a failure to connect is this machine's own and may be transient, so that it says nothing of the peer.
 pub fn is_local(error: &io::Error) -> bool {
     use Errno::{EADDRNOTAVAIL, EAGAIN, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
     matches!(errno(error), Some(EADDRNOTAVAIL | ENETUNREACH | ENOBUFS | ENOMEM | EMFILE | ENFILE | EAGAIN))
--- a/crates/socket/src/lib.rs
+++ b/crates/socket/src/lib.rs
@@ -20,8 +20,8 @@
 pub use errors::{AcceptError, accept_error, is_local};
 pub use halves::{ReadHalf, WriteHalf};
 
-/// After a failure to connect that is this machine's own, the next try comes so much later.
-const CONNECT_AGAIN: Duration = Duration::from_millis(5);
+/// Wait before a connect is retried after a failure of this machine's own.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// A connected TCP socket.
 #[derive(Debug)]
@@ -33,7 +33,10 @@
     }
 }
 
-/// Does a call again for as long as it is interrupted.
+/// Repeats a system call for as long as it is interrupted (EINTR).
+///
+/// # Errors
+/// Any other error of the call.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -45,53 +48,77 @@
 
 impl Socket {
     /// Connects. Failures of this machine's own (no address, buffer or descriptor for the moment) say nothing of the peer and
-    /// are tried again; the caller's time-out ends that. Cancellation closes what has come up.
+    /// are retried until the caller's timeout cancels this. Cancellation closes a connection that has come up.
+    ///
+    /// # Errors
+    /// The peer refused the connection or could not be reached.
     pub async fn connect(address: SocketAddr) -> io::Result<Socket> {
         loop {
             match TcpStream::connect(address).await {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_local(&error) => tokio::time::sleep(CONNECT_AGAIN).await,
+                Err(error) if is_local(&error) => tokio::time::sleep(CONNECT_RETRY_DELAY).await,
                 connected => return connected.map(Socket),
             }
         }
     }
 
-    /// Small writes go out at once.
+    /// Disables Nagle's algorithm: small writes are sent at once.
+    ///
+    /// # Errors
+    /// The system refused the option.
     pub fn set_nodelay(&self, nodelay: bool) -> io::Result<()> {
         self.0.set_nodelay(nodelay)
     }
 
-    /// Reads what is there; `WouldBlock` where nothing is.
+    /// Reads what has arrived.
+    ///
+    /// # Errors
+    /// `WouldBlock` if nothing has arrived; otherwise the connection is broken.
     pub fn try_read(&self, to: &mut [u8]) -> io::Result<usize> {
         retry_interrupted(|| self.0.try_read(to))
     }
 
-    /// Reads what is there behind what the buffer holds; `WouldBlock` where nothing is.
+    /// Reads what has arrived and appends it to the buffer.
+    ///
+    /// # Errors
+    /// `WouldBlock` if nothing has arrived; otherwise the connection is broken.
     pub fn try_read_buf(&self, to: &mut impl BufMut) -> io::Result<usize> {
         retry_interrupted(|| self.0.try_read_buf(to))
     }
 
-    /// Writes what the system takes of the slices; `WouldBlock` where it takes nothing.
+    /// Writes as much of the slices as the system accepts.
+    ///
+    /// # Errors
+    /// `WouldBlock` if it accepts nothing; otherwise the connection is broken.
     pub fn try_write_vectored(&self, from: &[io::IoSlice<'_>]) -> io::Result<usize> {
         retry_interrupted(|| self.0.try_write_vectored(from))
     }
 
-    /// Waits until there is something to read.
+    /// Waits until there is something to read. Cancel safe.
+    ///
+    /// # Errors
+    /// The runtime is shutting down.
     pub async fn readable(&self) -> io::Result<()> {
         self.0.readable().await
     }
 
-    /// Waits until something can be written.
+    /// Waits until something can be written. Cancel safe.
+    ///
+    /// # Errors
+    /// The runtime is shutting down.
     pub async fn writable(&self) -> io::Result<()> {
         self.0.writable().await
     }
 
-    /// Waits for what it is interested in.
+    /// Waits until the socket is ready for any of the interest. Cancel safe.
+    ///
+    /// # Errors
+    /// The runtime is shutting down.
     pub async fn ready(&self, interest: Interest) -> io::Result<()> {
         self.0.ready(interest).await.map(drop)
     }
 
-    /// The two directions, for two tasks.
+    /// Splits the socket into its two directions, for two tasks.
     pub fn into_split(self) -> (ReadHalf, WriteHalf) {
         halves::split(self.0)
     }
@@ -105,7 +132,7 @@
                 to.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            // It was not ready after all, and is no longer taken for that.
+            // The call cleared the readiness that was wrong; wait for the next.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
@@ -136,34 +163,75 @@
     }
 }
 
-impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        poll_write(&self.0, context, |stream| stream.try_write(from))
-    }
+/// The parts in which the types that write differ; [`impl_async_write`] has what they share.
+trait WriteSide {
+    fn stream(&self) -> &TcpStream;
+    fn poll_shut_down(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>>;
+}
 
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-        from: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        poll_write(&self.0, context, |stream| stream.try_write_vectored(from))
+/// Implements `AsyncWrite` for a [`WriteSide`]. Nothing is buffered here, so that a flush has nothing to do.
+macro_rules! impl_async_write {
+    ($writer:ty) => {
+        impl AsyncWrite for $writer {
+            fn poll_write(
+                self: Pin<&mut Self>,
+                context: &mut Context<'_>,
+                from: &[u8],
+            ) -> Poll<io::Result<usize>> {
+                poll_write(self.stream(), context, |stream| stream.try_write(from))
+            }
+
+            fn poll_write_vectored(
+                self: Pin<&mut Self>,
+                context: &mut Context<'_>,
+                from: &[io::IoSlice<'_>],
+            ) -> Poll<io::Result<usize>> {
+                poll_write(self.stream(), context, |stream| stream.try_write_vectored(from))
+            }
+
+            fn is_write_vectored(&self) -> bool {
+                true
+            }
+
+            fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+                Poll::Ready(Ok(()))
+            }
+
+            fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+                self.poll_shut_down(context)
+            }
+        }
+    };
+}
+
+impl WriteSide for Socket {
+    fn stream(&self) -> &TcpStream {
+        &self.0
     }
 
-    fn is_write_vectored(&self) -> bool {
-        true
+    fn poll_shut_down(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(context)
     }
+}
 
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
+impl WriteSide for WriteHalf {
+    fn stream(&self) -> &TcpStream {
+        self.stream()
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_shutdown(context)
+    fn poll_shut_down(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(self.shut_down())
     }
 }
 
-/// Accepts the next connection. Those that their client gave up meanwhile, and calls that fail for the moment, are passed
-/// over; what is returned is a want of descriptors or memory, or a listener that is of no further use. Cancellation safe.
+impl_async_write!(Socket);
+impl_async_write!(WriteHalf);
+
+/// Accepts the next connection, past those that their client abandoned meanwhile and calls that failed transiently. Cancel
+/// safe.
+///
+/// # Errors
+/// Descriptors or memory are exhausted, or the listener cannot be used any more: [`accept_error`] tells which.
 pub async fn accept(listener: &TcpListener) -> io::Result<(Socket, SocketAddr)> {
     loop {
         match listener.accept().await {
--- a/crates/socket/tests/errors.rs
+++ b/crates/socket/tests/errors.rs
@@ -6,7 +6,7 @@
 use umbertray_socket::{AcceptError, accept_error, is_local, retry_interrupted};
 
 #[test]
-fn errors_of_accept_are_sorted_by_what_helps() {
+fn accept_errors_are_classified_by_remedy() {
     let transient =
         vec![Errno::ECONNABORTED, Errno::EINTR, Errno::ENETDOWN, Errno::EPROTO, Errno::EHOSTUNREACH];
     let cases = [
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn failures_to_connect_are_told_apart_by_whose_they_are() {
+fn connect_failures_are_local_or_of_the_peer() {
     for error in [Errno::EADDRNOTAVAIL, Errno::ENETUNREACH, Errno::ENOBUFS, Errno::EMFILE] {
         assert!(is_local(&io::Error::from(error)), "{error}");
     }
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_interrupted_call_is_done_again() {
+fn interrupted_call_is_retried() {
     let mut left = 3;
     let done = retry_interrupted(|| {
         left -= 1;
