--- a/crates/http-api/src/fields.rs
+++ b/crates/http-api/src/fields.rs
@@ -1,38 +1,54 @@
-//! The platform's words on the wire, each once.
+//! Names and constants of the platform's wire, each once. Source: the protocol page.
 
-/// Fields of requests and answers.
+use std::time::Duration;
+
+/// Header field: the request id.
 pub const REQUEST_ID: &str = "X-Correlation-Id";
-/// The mark of a deduplicated op, by which stores tell a repeat.
+/// Header field: the idempotency key of a deduplicated operation, by which stores recognise a retry.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
+/// Header field: the plan of the volume.
 pub const PLAN: &str = "X-Qos-Policy";
+/// Header field: how long the client still waits, milliseconds.
 pub const TIME_LEFT: &str = "X-Time-Left-Ms";
+/// Header field: where the data lies and what the operation costs.
 pub const PLACEMENT: &str = "X-Placement";
+/// Header field of a response: percent of its plan's rate that the volume used everywhere.
 pub const PLAN_RATE_USED: &str = "X-Iops-Used";
+/// Header field of a response: units that the shard served for the volume through other gateways.
 pub const UNITS_ELSEWHERE: &str = "X-Rho";
+/// Header field of a response: the store's load report.
 pub const LOAD_REPORT: &str = "X-Backend-Load";
+/// Header field of a response: `1` where the request was not executed.
 pub const NOT_EXECUTED: &str = "X-Unprocessed";
+/// Header field of a rejection: seconds after which a retry is worthwhile.
 pub const RETRY_AFTER: &str = "Retry-After";
 
-/// Parts of a placement.
+/// Part of a placement: cost of the operation.
 pub const UNITS: &str = "units";
+/// Part of a placement: the shard that holds the data.
 pub const SHARD: &str = "shard";
+/// Part of a placement: number of gateways that the volume's operations come through.
 pub const GATEWAYS: &str = "hosts";
+/// The shard of a new object.
 pub const NEW_OBJECT: &str = "-1";
 
-/// Paths.
+/// Path of a gateway's readiness check.
 pub const READY: &str = "/health/ready";
+/// Path of a gateway's liveness check.
 pub const LIVE: &str = "/health/live";
+/// Path of a store's load report.
 pub const LOAD_REPORT_PATH: &str = "/stats";
+/// Path of the endpoint list at discovery.
 pub const ENDPOINT_LIST: &str = "/registry/instances";
 
-/// Every body holds at most so many bytes.
+/// Longest body of a request or response, bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Hex digits of a volume, a piece of data and an id.
+/// Hex digits of a volume, a key and a request id.
 pub const HEX_DIGITS: usize = 16;
-/// How often a watch shows a sign of life.
-pub const WATCH_HEARTBEAT_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
+/// Interval of heartbeats on a watch.
+pub const WATCH_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where changes after a version of the list are told as they come.
+/// Path of a watch on the endpoint list, for changes after a version.
 pub fn watch(after: u64) -> String {
     format!("{ENDPOINT_LIST}?watch=1&after={after}")
 }
--- /dev/null
+++ b/crates/http-api/src/pending.rs
@@ -0,0 +1,143 @@
+//! Open operations: who waits for each, and its attempts in flight.
+
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+use umbertray::interface::{OpId, StoreId};
+use umbertray_lifecycle::reason::RetryReason;
+
+use crate::messages::{AttemptId, ClientId};
+use crate::request::ClientRequest;
+
+/// An attempt that has not ended.
+pub(crate) struct InFlightAttempt {
+    /// Number of the operation's attempts before this one.
+    pub(crate) number: u32,
+    /// The store that it goes to.
+    pub(crate) store: StoreId,
+    /// When the scheduler decided on it.
+    pub(crate) decided_at: Duration,
+    /// When it times out.
+    pub(crate) deadline: Duration,
+    /// When its bytes were handed out to be written.
+    pub(crate) started_at: Option<Duration>,
+}
+
+/// An operation, from its arrival until its final response is sent and no attempt of it is in flight.
+pub(crate) struct PendingRequest {
+    /// Who waits for the final response.
+    pub(crate) client: ClientId,
+    /// The operation.
+    pub(crate) request: ClientRequest,
+    /// Attempts that have not ended.
+    pub(crate) in_flight: Vec<InFlightAttempt>,
+    /// Attempts decided on so far.
+    pub(crate) attempts: u32,
+    /// Start of the first attempt that may have been executed.
+    pub(crate) may_have_run_since: Option<Duration>,
+    /// How the attempt that ended last did.
+    pub(crate) last_outcome: Option<RetryReason>,
+    /// It has its final response, or its client has disconnected.
+    pub(crate) has_ended: bool,
+}
+
+impl PendingRequest {
+    fn new(client: ClientId, request: ClientRequest) -> PendingRequest {
+        PendingRequest {
+            client,
+            request,
+            in_flight: Vec::new(),
+            attempts: 0,
+            may_have_run_since: None,
+            last_outcome: None,
+            has_ended: false,
+        }
+    }
+
+    /// An attempt in flight, by its number.
+    pub(crate) fn attempt_mut(&mut self, number: u32) -> Option<&mut InFlightAttempt> {
+        self.in_flight.iter_mut().find(|attempt| attempt.number == number)
+    }
+
+    /// Takes an attempt that has ended off the record.
+    pub(crate) fn finish_attempt(&mut self, number: u32) -> Option<InFlightAttempt> {
+        let position = self.in_flight.iter().position(|attempt| attempt.number == number)?;
+        Some(self.in_flight.swap_remove(position))
+    }
+
+    /// Adds an attempt and returns its number.
+    pub(crate) fn add_attempt(&mut self, store: StoreId, now: Duration, deadline: Duration) -> u32 {
+        let number = self.attempts;
+        self.attempts += 1;
+        let started_at = None;
+        self.in_flight.push(InFlightAttempt { number, store, decided_at: now, deadline, started_at });
+        number
+    }
+}
+
+/// All open operations.
+///
+/// Invariant: `clients` and `request_ids` have an entry for each operation that has not ended, and for no other.
+#[derive(Default)]
+pub(crate) struct PendingRequests {
+    requests: HashMap<OpId, PendingRequest>,
+    clients: HashMap<ClientId, OpId>,
+    request_ids: BTreeSet<Box<str>>,
+    next_op: u32,
+}
+
+impl PendingRequests {
+    /// Whether an operation that has not ended has this request id.
+    pub(crate) fn has_request_id(&self, id: &str) -> bool {
+        self.request_ids.contains(id)
+    }
+
+    /// Number of operations without their final response.
+    pub(crate) fn open(&self) -> usize {
+        self.clients.len()
+    }
+
+    /// The operation that a client waits for.
+    pub(crate) fn op_of(&self, client: ClientId) -> Option<OpId> {
+        self.clients.get(&client).copied()
+    }
+
+    pub(crate) fn get(&self, op: OpId) -> Option<&PendingRequest> {
+        self.requests.get(&op)
+    }
+
+    pub(crate) fn get_mut(&mut self, op: OpId) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&op)
+    }
+
+    /// A new id for an operation.
+    pub(crate) fn allocate_id(&mut self) -> OpId {
+        let id = OpId(self.next_op);
+        self.next_op = self.next_op.wrapping_add(1);
+        id
+    }
+
+    /// Adds an operation under its id.
+    pub(crate) fn add(&mut self, id: OpId, client: ClientId, request: ClientRequest) {
+        self.request_ids.insert(request.id.clone());
+        self.clients.insert(client, id);
+        self.requests.insert(id, PendingRequest::new(client, request));
+    }
+
+    /// Ends an operation: it has its final response, or nobody waits for one. Returns its attempts in flight. The record goes
+    /// once there are none.
+    pub(crate) fn end(&mut self, op: OpId) -> Vec<AttemptId> {
+        let Some(pending) = self.requests.get_mut(&op) else { return Vec::new() };
+        if !pending.has_ended {
+            pending.has_ended = true;
+            self.request_ids.remove(&pending.request.id);
+            self.clients.remove(&pending.client);
+        }
+        let in_flight = pending.in_flight.iter().map(|attempt| AttemptId { op, attempt: attempt.number });
+        let in_flight: Vec<AttemptId> = in_flight.collect();
+        if in_flight.is_empty() {
+            self.requests.remove(&op);
+        }
+        in_flight
+    }
+}
--- a/crates/http-api/src/request.rs
+++ b/crates/http-api/src/request.rs
@@ -1,4 +1,4 @@
-//! A request read and checked: what it asks, in our words, or why it is refused.
+//! Client requests: read and checked, they are operations; otherwise the client gets an error.
 
 use std::time::Duration;
 
@@ -6,106 +6,118 @@
 use umbertray::interface::Settings;
 use umbertray_http::server::Request;
 
+use crate::active_settings::SettingsError;
 use crate::config::duration_setting;
 use crate::fields;
 use crate::stable_positions;
 
-/// An op as its client asked for it. What goes to a store is written anew from these parts.
+/// An operation as its client asked for it. What is sent to a store is written anew from these parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
+    /// The request id, hexadecimal.
     pub id: Box<str>,
-    /// As its client wrote it.
+    /// As the client wrote it; absent: the client sent none.
     pub idempotency_key: Option<Bytes>,
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: Box<str>,
+    /// Body of the request.
     pub body: Bytes,
+    /// Position of the operation type in the settings.
     pub op_type: usize,
+    /// Position of the plan in the settings.
     pub plan: usize,
+    /// The volume.
     pub volume: u64,
-    /// 0: none.
+    /// The piece of data, by which operations are ordered; 0: none.
     pub key: u64,
-    /// How long the client waits, counted from the request's first byte.
+    /// How long the client waits, from the request's first byte.
     pub time_left: Duration,
+    /// Cost of the operation.
     pub units: f64,
-    /// Absent: a new object.
+    /// The shard that holds the data; absent: a new object.
     pub shard: Option<u32>,
+    /// Number of gateways that the volume's operations come through.
     pub gateways: f64,
 }
 
-/// A request that is no op, and the status that its client gets.
+/// A request that is no operation, and the response that its client gets.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{message}")]
 pub struct RequestError {
+    /// HTTP status.
     pub status: u16,
+    /// What is wrong.
     pub message: String,
 }
 
-fn refused<T>(status: u16, what: impl Into<String>) -> Result<T, RequestError> {
-    Err(RequestError { status, message: what.into() })
+fn error<T>(status: u16, message: impl Into<String>) -> Result<T, RequestError> {
+    Err(RequestError { status, message: message.into() })
 }
 
-/// What requests may name, by the settings.
-pub struct Names {
-    /// In their places; without a name those that are no more.
-    op_types: Vec<(Option<String>, Duration)>,
+/// An operation type that requests may name.
+struct OpTypeName {
+    /// Absent for a type that was removed and keeps its position.
+    name: Option<String>,
+    deadline: Duration,
+}
+
+/// What requests may name, by the settings. Positions in the lists are those of the settings.
+pub(crate) struct RequestNames {
+    op_types: Vec<OpTypeName>,
+    /// Absent for a plan that was removed and keeps its position.
     plans: Vec<Option<String>>,
     shards: Option<u32>,
-    most_units: Option<f64>,
+    max_units: Option<f64>,
+}
+
+/// The operation type, volume and key in a request's path.
+struct RequestPath {
+    op_type: usize,
+    volume: u64,
+    key: u64,
+}
+
+/// Where a request's data lies and what it costs, as its client says.
+struct Placement {
+    units: f64,
+    shard: Option<u32>,
+    gateways: f64,
 }
 
-impl Names {
-    pub fn of(settings: &Settings) -> Result<Names, String> {
+impl RequestNames {
+    pub(crate) fn from_settings(settings: &Settings) -> Result<RequestNames, SettingsError> {
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
-        let count =
-            |list: &str| stable_positions::count(settings, list).ok_or_else(|| format!("{list}.count"));
-        let named = |list: &str, i: usize| {
-            let gone = settings.get(&format!("{list}.{i}.gone")).is_some_and(|gone| gone == "true");
-            let name = format!("{list}.{i}.name");
-            Ok(Some(settings.get(&name).cloned().ok_or(name)?).filter(|_| !gone))
-        };
-        let op_type = |i: usize| {
-            let timeout = format!("op_types.{i}.op_timeout");
-            let patience = duration_setting(settings, &timeout);
-            Ok((named("op_types", i)?, patience.ok_or(timeout)?))
-        };
-        let plan = |i: usize| named("plans", i);
-        Ok(Names {
-            op_types: (0..count("op_types")?).map(op_type).collect::<Result<_, String>>()?,
-            plans: (0..count("plans")?).map(plan).collect::<Result<_, String>>()?,
-            shards: number("stores.slots_total").map(|n| n as u32).filter(|n| *n > 0),
-            most_units: number("stores.max_units").filter(|n| *n > 0.0),
+        let op_types = (0..count(settings, "op_types")?).map(|position| op_type_name(settings, position));
+        let op_types = op_types.collect::<Result<_, _>>()?;
+        let plans = (0..count(settings, "plans")?).map(|position| listed_name(settings, "plans", position));
+        Ok(RequestNames {
+            op_types,
+            plans: plans.collect::<Result<_, _>>()?,
+            shards: number("stores.slots_total").map(|shards| shards as u32).filter(|shards| *shards > 0),
+            max_units: number("stores.max_units").filter(|units| *units > 0.0),
         })
     }
 
-    pub fn ask(&self, request: &Request) -> Result<ClientRequest, RequestError> {
-        let method = match &*request.method {
-            "PUT" => "PUT",
-            "GET" if request.body.is_empty() => "GET",
-            "GET" => return refused(400, "a GET with a body"),
-            other => return refused(405, format!("method {other}")),
-        };
-        let (op_type, volume, key) = self.path(&request.target)?;
-        let plan = text(request, fields::PLAN)?;
-        let Some(plan) = self.plans.iter().position(|own| own.as_deref() == Some(plan)) else {
-            return refused(400, format!("{}: no plan of this name", fields::PLAN));
-        };
-        let id = text(request, fields::REQUEST_ID)?;
+    /// Reads a request as an operation.
+    pub(crate) fn parse(&self, request: &Request) -> Result<ClientRequest, RequestError> {
+        let method = method(request)?;
+        let RequestPath { op_type, volume, key } = self.path(&request.target)?;
+        let plan = self.plan(header(request, fields::PLAN)?)?;
+        let id = header(request, fields::REQUEST_ID)?;
         if hex(id).is_none() {
-            return refused(400, format!("{}: not {} hex digits", fields::REQUEST_ID, fields::HEX_DIGITS));
+            let message = format!("{}: not {} hex digits", fields::REQUEST_ID, fields::HEX_DIGITS);
+            return error(400, message);
         }
-        let Ok(mark) = request.headers.one(fields::IDEMPOTENCY_KEY) else {
-            return refused(400, format!("{} stands more than once", fields::IDEMPOTENCY_KEY));
+        let Ok(idempotency_key) = request.headers.one(fields::IDEMPOTENCY_KEY) else {
+            return error(400, format!("{} stands more than once", fields::IDEMPOTENCY_KEY));
         };
-        let left = text(request, fields::TIME_LEFT)?;
-        let digits = !left.is_empty() && left.bytes().all(|byte| byte.is_ascii_digit());
-        let Some(left) = left.parse().ok().filter(|left| digits && *left > 0) else {
-            return refused(400, format!("{}: not a whole number of milliseconds", fields::TIME_LEFT));
-        };
-        let (units, shard, gateways) = self.placement(text(request, fields::PLACEMENT)?)?;
+        let time_left = time_left(header(request, fields::TIME_LEFT)?)?;
+        let Placement { units, shard, gateways } = self.placement(header(request, fields::PLACEMENT)?)?;
         Ok(ClientRequest {
             id: id.into(),
-            idempotency_key: mark.map(Bytes::copy_from_slice),
+            idempotency_key: idempotency_key.map(Bytes::copy_from_slice),
             method,
             target: request.target.clone(),
             body: request.body.clone(),
@@ -113,71 +125,130 @@
             plan,
             volume,
             key,
-            time_left: Duration::from_millis(left).min(self.op_types[op_type].1),
+            time_left: time_left.min(self.op_types[op_type].deadline),
             units,
             shard,
             gateways,
         })
     }
 
+    fn plan(&self, name: &str) -> Result<usize, RequestError> {
+        match self.plans.iter().position(|plan| plan.as_deref() == Some(name)) {
+            Some(plan) => Ok(plan),
+            None => error(400, format!("{}: no plan of this name", fields::PLAN)),
+        }
+    }
+
     /// Strictly `/op-type/volume/key`, with a query or without.
-    fn path(&self, target: &str) -> Result<(usize, u64, u64), RequestError> {
+    fn path(&self, target: &str) -> Result<RequestPath, RequestError> {
         let path = target.split_once('?').map_or(target, |(path, _)| path);
         let mut steps = path.split('/');
         let steps = [steps.next(), steps.next(), steps.next(), steps.next(), steps.next()];
         let [Some(""), Some(op_type), Some(volume), Some(key), None] = steps else {
-            return refused(404, "the path is not /op-type/volume/key");
+            return error(404, "the path is not /op-type/volume/key");
         };
-        let Some(op_type) = self.op_types.iter().position(|(name, _)| name.as_deref() == Some(op_type))
-        else {
-            return refused(404, "the path names no op type");
+        let known = self.op_types.iter().position(|known| known.name.as_deref() == Some(op_type));
+        let Some(op_type) = known else {
+            return error(404, "the path names no op type");
         };
         let Some((volume, key)) = hex(volume).zip(hex(key)) else {
-            return refused(404, format!("volume and key are not {} hex digits each", fields::HEX_DIGITS));
+            return error(404, format!("volume and key are not {} hex digits each", fields::HEX_DIGITS));
         };
-        Ok((op_type, volume, key))
+        Ok(RequestPath { op_type, volume, key })
     }
 
-    fn placement(&self, text: &str) -> Result<(f64, Option<u32>, f64), RequestError> {
-        let part = |name: &str| {
-            let mut own = text.split(',').filter_map(|part| part.trim().split_once('='));
-            own.find(|(own, _)| *own == name).map(|(_, value)| value)
-        };
-        let wrong =
-            |name: &str| refused(400, format!("{}: {name} is missing or not to be had", fields::PLACEMENT));
-        let number = |name: &str| part(name).and_then(|text| text.parse::<f64>().ok());
-        let units = number(fields::UNITS).filter(|n| n.is_finite() && *n > 0.0);
-        let Some(units) = units.filter(|n| self.most_units.is_none_or(|most| *n <= most)) else {
-            return wrong(fields::UNITS);
+    fn placement(&self, text: &str) -> Result<Placement, RequestError> {
+        let units = placement_number(text, fields::UNITS).filter(|units| *units > 0.0);
+        let Some(units) = units.filter(|units| self.max_units.is_none_or(|max| *units <= max)) else {
+            return placement_error(fields::UNITS);
         };
-        let Some(gateways) = number(fields::GATEWAYS).filter(|n| n.is_finite() && *n >= 1.0) else {
-            return wrong(fields::GATEWAYS);
-        };
-        let shard = match part(fields::SHARD) {
+        let gateways = placement_number(text, fields::GATEWAYS).filter(|gateways| *gateways >= 1.0);
+        let Some(gateways) = gateways else { return placement_error(fields::GATEWAYS) };
+        let shard = match placement_part(text, fields::SHARD) {
             Some(fields::NEW_OBJECT) => None,
-            Some(text) => {
-                let shard = text.parse().ok().filter(|n| self.shards.is_none_or(|all| *n < all));
-                let Some(shard) = shard else { return wrong(fields::SHARD) };
-                Some(shard)
-            }
-            None => return wrong(fields::SHARD),
+            Some(shard) => Some(self.shard(shard)?),
+            None => return placement_error(fields::SHARD),
         };
-        Ok((units, shard, gateways))
+        Ok(Placement { units, shard, gateways })
+    }
+
+    fn shard(&self, text: &str) -> Result<u32, RequestError> {
+        let shard = text.parse().ok();
+        match shard.filter(|shard| self.shards.is_none_or(|shards| *shard < shards)) {
+            Some(shard) => Ok(shard),
+            None => placement_error(fields::SHARD),
+        }
     }
 }
 
-fn text<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
+fn count(settings: &Settings, list: &str) -> Result<usize, SettingsError> {
+    let count = stable_positions::count(settings, list);
+    count.ok_or_else(|| SettingsError::Setting(format!("{list}.count")))
+}
+
+/// The name at a position of a list; absent if it was removed.
+fn listed_name(settings: &Settings, list: &str, position: usize) -> Result<Option<String>, SettingsError> {
+    let is_removed = settings.get(&format!("{list}.{position}.gone")).is_some_and(|gone| gone == "true");
+    let setting = format!("{list}.{position}.name");
+    match settings.get(&setting) {
+        Some(name) => Ok(Some(name.clone()).filter(|_| !is_removed)),
+        None => Err(SettingsError::Setting(setting)),
+    }
+}
+
+fn op_type_name(settings: &Settings, position: usize) -> Result<OpTypeName, SettingsError> {
+    let setting = format!("op_types.{position}.op_timeout");
+    let deadline = duration_setting(settings, &setting);
+    let name = listed_name(settings, "op_types", position)?;
+    Ok(OpTypeName { name, deadline: deadline.ok_or(SettingsError::Setting(setting))? })
+}
+
+fn method(request: &Request) -> Result<&'static str, RequestError> {
+    match &*request.method {
+        "PUT" => Ok("PUT"),
+        "GET" if request.body.is_empty() => Ok("GET"),
+        "GET" => error(400, "a GET with a body"),
+        other => error(405, format!("method {other}")),
+    }
+}
+
+/// Milliseconds, as decimal digits alone.
+fn time_left(text: &str) -> Result<Duration, RequestError> {
+    let is_decimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    match text.parse().ok().filter(|millis| is_decimal && *millis > 0) {
+        Some(millis) => Ok(Duration::from_millis(millis)),
+        None => error(400, format!("{}: not a whole number of milliseconds", fields::TIME_LEFT)),
+    }
+}
+
+/// The value of a part `name=value` of a placement.
+fn placement_part<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+    let mut parts = text.split(',').filter_map(|part| part.trim().split_once('='));
+    parts.find(|(part, _)| *part == name).map(|(_, value)| value)
+}
+
+fn placement_number(text: &str, name: &str) -> Option<f64> {
+    let number = placement_part(text, name)?.parse::<f64>().ok();
+    number.filter(|number| number.is_finite())
+}
+
+fn placement_error<T>(part: &str) -> Result<T, RequestError> {
+    error(400, format!("{}: {part} is missing or not to be had", fields::PLACEMENT))
+}
+
+/// The value of a field that must stand once.
+fn header<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
     match request.headers.one(name) {
         Ok(Some(value)) => match std::str::from_utf8(value) {
             Ok(value) => Ok(value.trim()),
-            Err(_) => refused(400, format!("{name} is not text")),
+            Err(_) => error(400, format!("{name} is not text")),
         },
-        Ok(None) => refused(400, format!("{name} is missing")),
-        Err(_) => refused(400, format!("{name} stands more than once")),
+        Ok(None) => error(400, format!("{name} is missing")),
+        Err(_) => error(400, format!("{name} stands more than once")),
     }
 }
 
 fn hex(text: &str) -> Option<u64> {
-    let digits = text.len() == fields::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+    let is_hex = text.len() == fields::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
--- a/crates/http-api/src/stable_positions.rs
+++ b/crates/http-api/src/stable_positions.rs
@@ -1,57 +1,65 @@
-//! Settings that change in service, with op types and plans in the places that the module knows them by.
+//! Positions of operation types and plans in the settings, which stay the same when settings change in service.
+//!
+//! Hazard: open operations and the scheduler know types and plans by their positions. At another's position, an operation
+//! that must not be executed twice would be, and a limit would fill at another plan's rate.
 
 use umbertray::interface::Settings;
 
+/// The lists whose entries keep their positions.
 const LISTS: [&str; 2] = ["op_types", "plans"];
 
-/// The settings told, with each op type and plan at the place that its name has in those held, and new ones behind. Who
-/// is no more keeps its place and figures, marked as gone. Danger: ops that are open are known by these places; by
-/// another's figures a once-only op would be sent twice, and a limit be filled at another's rate.
-pub fn in_places(held: &Settings, told: &Settings) -> Settings {
-    let listed = |path: &str| LISTS.iter().any(|list| below(path, list).is_some());
-    let others = told.iter().filter(|(path, _)| !listed(path));
-    let mut placed: Settings = others.map(|(path, value)| (path.clone(), value.clone())).collect();
-    for list in LISTS {
-        let (before, now) = (names(held, list), names(told, list));
-        for (place, name) in before.iter().enumerate() {
-            match now.iter().position(|told| told == name) {
-                Some(at) => copy(told, list, at, &mut placed, place),
-                None => {
-                    copy(held, list, place, &mut placed, place);
-                    placed.insert(format!("{list}.{place}.gone"), "true".into());
-                }
+/// `new` with each operation type and plan at the position that its name has in `current`; names that are new follow. A name
+/// that `new` lacks keeps its position and its values, marked as gone.
+pub(crate) fn with_stable_positions(current: &Settings, new: &Settings) -> Settings {
+    let is_listed = |path: &str| LISTS.iter().any(|list| below(path, list).is_some());
+    let others = new.iter().filter(|(path, _)| !is_listed(path));
+    let mut result: Settings = others.map(|(path, value)| (path.clone(), value.clone())).collect();
+    LISTS.iter().for_each(|list| position_list(current, new, list, &mut result));
+    result
+}
+
+fn position_list(current: &Settings, new: &Settings, list: &str, result: &mut Settings) {
+    let current_names = names(current, list);
+    let new_names = names(new, list);
+    for (position, name) in current_names.iter().enumerate() {
+        match new_names.iter().position(|new| new == name) {
+            Some(from) => copy(new, list, from, result, position),
+            None => {
+                copy(current, list, position, result, position);
+                result.insert(format!("{list}.{position}.gone"), "true".into());
             }
         }
-        let new: Vec<usize> = (0..now.len()).filter(|at| !before.contains(&now[*at])).collect();
-        for (n, at) in new.iter().enumerate() {
-            copy(told, list, *at, &mut placed, before.len() + n);
-        }
-        placed.insert(format!("{list}.count"), (before.len() + new.len()).to_string());
     }
-    placed
+    let added: Vec<usize> =
+        (0..new_names.len()).filter(|from| !current_names.contains(&new_names[*from])).collect();
+    for (offset, from) in added.iter().enumerate() {
+        copy(new, list, *from, result, current_names.len() + offset);
+    }
+    result.insert(format!("{list}.count"), (current_names.len() + added.len()).to_string());
 }
 
-/// What follows a step at the head of a path.
+/// The rest of a path after its first step.
 fn below<'a>(path: &'a str, step: &str) -> Option<&'a str> {
     path.strip_prefix(step)?.strip_prefix('.')
 }
 
-/// How many of a list settings tell of.
-pub fn count(settings: &Settings, list: &str) -> Option<usize> {
+/// The number of entries of a list.
+pub(crate) fn count(settings: &Settings, list: &str) -> Option<usize> {
     settings.get(&format!("{list}.count"))?.parse().ok()
 }
 
-/// Those of a list by their names, in their places.
+/// Names of a list's entries by position.
 fn names<'a>(settings: &'a Settings, list: &str) -> Vec<&'a str> {
-    let name = |place| settings.get(&format!("{list}.{place}.name")).map_or("", String::as_str);
+    let name = |position| settings.get(&format!("{list}.{position}.name")).map_or("", String::as_str);
     (0..count(settings, list).unwrap_or_default()).map(name).collect()
 }
 
-fn copy(from: &Settings, list: &str, at: usize, to: &mut Settings, place: usize) {
-    let step = at.to_string();
+/// Copies all values of a list's entry to another position.
+fn copy(from: &Settings, list: &str, from_position: usize, to: &mut Settings, to_position: usize) {
+    let step = from_position.to_string();
     for (path, value) in from {
         if let Some(field) = below(path, list).and_then(|rest| below(rest, &step)) {
-            to.insert(format!("{list}.{place}.{field}"), value.clone());
+            to.insert(format!("{list}.{to_position}.{field}"), value.clone());
         }
     }
 }
--- a/crates/http-api/tests/boot_timestamp.rs
+++ b/crates/http-api/tests/boot_timestamp.rs
@@ -15,7 +15,7 @@
 const SEEN: [(u64, u64); 5] = [(0, 40), (39, 41), (43, 45), (44, 60), (100, 103)];
 
 #[test]
-fn no_store_is_taken_for_older_than_it_is_however_wrong_the_clock() {
+fn wrong_wall_clock_never_overstates_age_of_start() {
     for off in [-3600, -30, -1, 0, 1, 30, 3600] {
         let own = |truth: u64| Duration::from_secs(((TRUTH + truth) as i64 + off) as u64);
         let mut clock = StampClock::default();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_stamp_from_the_future_makes_no_other_store_warm_while_the_clock_here_is_right() {
+fn future_stamp_with_right_clock_makes_no_other_store_warm() {
     let own = |truth: u64| Duration::from_secs(TRUTH + truth);
     let mut clock = StampClock::default();
     clock.see(stamp(TRUTH + 3600), own(10));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_start_long_before_the_newest_is_old_from_the_first_list_on() {
+fn start_long_before_newest_stamp_is_old_from_first_list() {
     let own = |truth: u64| Duration::from_secs(TRUTH + truth);
     let mut clock = StampClock::default();
     clock.see(stamp(TRUTH + 60), own(61));
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -99,12 +99,12 @@
         let ask = self.core.check(request).expect("a request that is an op");
         self.clients += 1;
         let client = ClientId(self.clients);
-        let deeds = self.tell(vec![Input::Request { client, ask, begun: self.now }]);
+        let deeds = self.tell(vec![Input::Request { client, request: ask, started_at: self.now }]);
         (client, deeds)
     }
 
     fn returned(&mut self, call: AttemptId, returned: AttemptOutcome) -> Vec<Effect> {
-        self.tell(vec![Input::AttemptFinished { call, returned, at: self.now }])
+        self.tell(vec![Input::AttemptFinished { attempt: call, outcome: returned, finished_at: self.now }])
     }
 }
 
@@ -156,7 +156,7 @@
 
 fn sent(deeds: &[Effect]) -> Vec<(AttemptId, SocketAddr)> {
     let send = |deed: &Effect| match deed {
-        Effect::StartAttempt { call, address, .. } => Some((*call, *address)),
+        Effect::StartAttempt { attempt: call, address, .. } => Some((*call, *address)),
         _ => None,
     };
     deeds.iter().filter_map(send).collect()
@@ -164,7 +164,7 @@
 
 fn answers(deeds: &[Effect]) -> Vec<(ClientId, FinalResponse)> {
     let answer = |deed: &Effect| match deed {
-        Effect::Respond { client, reply } => Some((*client, reply.clone())),
+        Effect::Respond { client, response: reply } => Some((*client, reply.clone())),
         _ => None,
     };
     deeds.iter().filter_map(answer).collect()
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn settings_in_both_forms_make_the_same_map() {
+fn nested_and_flat_settings_become_the_same_map() {
     let nested = r#"{"discovery":"subscribe","failureDomains":["hall a","b,c"],"groupSize":3,
         "profiles":[{"name":"x y","promiseS":0.25,"effect":"guarded","stream":false}],
         "familyInfo":{"writes":[false,true],"meanUnits":2.0},"rules":{"askWithinS":10.0}}"#;
@@ -188,10 +188,10 @@
 }
 
 #[test]
-fn what_is_missing_or_unreadable_is_named() {
+fn missing_or_unreadable_configuration_is_named_in_error() {
     let whole = config(SETTINGS, &list(1, true, &[]));
     let said = |from: &str, to: &str| match Config::read(&whole.replace(from, to)) {
-        Ok(config) => Core::start(&config, START).err().expect("it must not start"),
+        Ok(config) => Core::start(&config, START).err().expect("it must not start").to_string(),
         Err(error) => error.to_string(),
     };
     assert!(said(r#""seed":"#, r#""sead":"#).contains("`seed`"));
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_request_is_read_strictly() {
+fn malformed_request_is_rejected_with_status() {
     let good = fields("00000000000000ab", "units=2,shard=0,hosts=2");
     let status = |method, target, fields: &[(&str, &str)], body| {
         refusal(&request(method, target, fields, body)).status
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn an_id_is_of_one_open_request_at_a_time() {
+fn duplicate_id_of_open_request_is_rejected() {
     let mut world = World::new();
     let (_, deeds) = world.ask(&look(7));
     assert_eq!(world.core.check(&look(7)).expect_err("an open one has it").status, 409);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_store_gets_what_was_checked_and_a_client_gets_the_stores_body() {
+fn attempt_carries_checked_request_and_response_carries_store_body() {
     let mut world = World::new();
     let target = "/order/00000000000000aa/00000000000000bb?x=1&y";
     let mut told = fields("00000000000000AB", "units=2,shard=1,hosts=2").to_vec();
@@ -293,7 +293,7 @@
     assert!(seen.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
     let deeds = world.returned(call, ok());
     let acked = FinalResponse::Succeeded {
-        kind: Some(Bytes::from_static(b"own/kind")),
+        content_type: Some(Bytes::from_static(b"own/kind")),
         body: Bytes::from_static(b"body"),
     };
     assert_eq!(answers(&deeds), [(client, acked)]);
@@ -302,7 +302,7 @@
 
 /// For each way a dispatch can come back: whether an op that may run again is sent again, and what a once-only gets.
 #[test]
-fn outcomes_tell_apart_what_never_ran_from_what_may_have() {
+fn outcomes_distinguish_not_executed_from_maybe_executed() {
     let full = || answer("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     let over = || answer("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     let busy = || answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn an_op_that_nothing_comes_back_for_is_answered_in_its_time() {
+fn operation_without_outcome_is_answered_by_its_deadline() {
     let mut world = World::new();
     let (client, _) = world.ask(&look(1));
     let early = world.pass(ms(700));
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn each_op_is_answered_before_the_gateway_ends() {
+fn shutdown_answers_every_open_operation_in_time() {
     let mut world = World::new();
     let (first, _) = world.ask(&order(1));
     let end = world.now + ms(300);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn a_late_return_ends_the_record_and_says_nothing() {
+fn late_outcome_after_final_response_has_no_effect() {
     let mut world = World::new();
     let (_, deeds) = world.ask(&look(1));
     world.pass(ms(900));
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn a_client_that_left_gets_nothing_and_its_dispatch_does_not_begin() {
+fn disconnected_client_gets_no_response_and_its_attempt_does_not_start() {
     let mut world = World::new();
     let (client, deeds) = world.ask(&look(1));
     world.tell(vec![Input::ClientDisconnected(client)]);
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_dispatch_that_waited_does_not_begin_at_a_store_that_is_left() {
+fn attempt_to_store_past_drain_grace_does_not_start() {
     let mut world = World::new();
     let read = |text: String| EndpointList::read(text.as_bytes()).expect("a list");
     let (_, first) = world.ask(&look(1));
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_start_on_the_list_is_a_start_on_the_modules_clock() {
+fn boot_timestamp_is_converted_to_scheduler_clock() {
     let mut world = World::new();
     world.pass(ms(2000));
     let started = (world.now - ms(500)).as_millis() as u64;
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn settings_that_change_are_taken_and_wrong_ones_are_not() {
+fn valid_new_settings_apply_and_invalid_ones_change_nothing() {
     let mut world = World::new();
     let read =
         |text: &str| Config::read(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
@@ -474,7 +474,7 @@
 /// The module knows op types and plans by their places: whatever order a new file has them in, what is open must stay
 /// what it was, or a once-only op would be sent twice.
 #[test]
-fn op_types_and_plans_stay_in_their_places_when_settings_change() {
+fn changed_settings_keep_positions_of_op_types_and_plans() {
     let read =
         |text: &str| Config::read(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
     let look_type = r#"{"name":"look","promiseS":0.2,"deadlineS":1.0,"effect":"free","gain":3.0}"#;
@@ -512,7 +512,7 @@
 
 /// Each dispatch of a deduplicated op was sent without the mark that tells stores of a repeat.
 #[test]
-fn the_mark_of_an_op_goes_with_each_of_its_dispatches_as_it_came() {
+fn idempotency_key_goes_with_every_attempt_unchanged() {
     let marked = SETTINGS
         .replace(r#""effect":"single_shot""#, r#""effect":"guarded","dedupScope":"all","windowS":5.0"#);
     let mut world = World::with(&marked, &[entry("s0", 0, "ready", 0)]);
@@ -555,7 +555,7 @@
 
 /// Rule 2: it began when stores had forgotten the mark.
 #[test]
-fn a_further_dispatch_does_not_begin_once_its_mark_is_forgotten() {
+fn retry_past_deduplication_window_does_not_start() {
     for (wait, expected) in [(400, Ok(())), (500, Err(DenialReason::MayHaveRun))] {
         let (mut world, second) = decided_again(MARKED);
         world.now += ms(wait);
@@ -570,7 +570,7 @@
 
 /// Rule 2: the settings of the moment decide, not those that it was decided by.
 #[test]
-fn a_further_dispatch_does_not_begin_once_its_op_type_may_run_once_only() {
+fn retry_of_type_that_became_not_idempotent_does_not_start() {
     let (mut world, second) = decided_again(MARKED);
     assert!(world.core.start_attempt(second, world.now).is_ok());
     let (mut world, second) = decided_again(MARKED);
@@ -581,13 +581,13 @@
 
 /// What a client that has left asked for is called off, wherever it is; what was written whole stays out.
 #[test]
-fn what_is_out_for_a_client_that_left_is_withheld() {
+fn disconnected_client_cancels_unwritten_attempts() {
     let mut world = World::new();
     let (client, deeds) = world.ask(&order(1));
     let (call, _) = sent(&deeds)[0];
     assert_eq!(world.core.client(call), Some(client));
     let deeds = world.tell(vec![Input::ClientDisconnected(client)]);
-    assert!(deeds.contains(&Effect::CancelUnlessWritten { call }), "{deeds:?}");
+    assert!(deeds.contains(&Effect::CancelUnlessWritten { attempt: call }), "{deeds:?}");
     assert_eq!(world.core.client(call), None);
     assert_eq!(world.core.start_attempt(call, world.now), Err(DenialReason::RequestEnded));
     // That this gateway called it off tells nothing of its store: the next goes there at once.
@@ -622,7 +622,7 @@
 }
 
 #[test]
-fn zones_that_settings_do_not_name_are_told_apart() {
+fn unnamed_zones_get_distinct_numbers() {
     assert_eq!(sent_on(["near", "near"], r#"["a","b"]"#), 1);
     assert_eq!(sent_on(["near", "far"], r#"["a","b"]"#), 0, "rule 2: two zones that have no name");
     assert_eq!(sent_on(["a", "b"], r#"["b","a"]"#), 0, "rule 2: stores listed before zones were told anew");
@@ -630,7 +630,7 @@
 
 /// One word that this version does not know must not hide from it what else the list tells.
 #[test]
-fn a_state_that_is_not_known_is_told_and_its_store_left() {
+fn unknown_store_state_is_logged_and_treated_as_gone() {
     let mut world = World::new();
     let entries = [entry("s0", 0, "asleep", 0), entry("s1", 1, "ready", 0), entry("s2", 0, "ready", 0)];
     let told = EndpointList::read(list(2, true, &entries).as_bytes()).expect("the rest is a list");
@@ -643,7 +643,7 @@
 }
 
 #[test]
-fn lists_are_read_however_they_are_cut_and_their_faults_are_placed() {
+fn split_lists_are_read_and_malformed_ones_are_located() {
     let text = format!(
         "{}\n\n{}\r\n",
         list(4, true, &[entry("s0", 0, "ready", 5)]),
@@ -653,7 +653,7 @@
         let (mut lines, mut read) = (WatchReader::new(1 << 20), Vec::new());
         for part in text.as_bytes().chunks(step) {
             lines.bytes.extend_from_slice(part);
-            while let Some(line) = lines.line().expect("well formed") {
+            while let Some(line) = lines.next_event().expect("well formed") {
                 read.push(line);
             }
         }
@@ -671,18 +671,18 @@
     assert!(wrong("{\"rev\":1").contains("line 1"));
     let mut endless = WatchReader::new(1 << 20);
     endless.bytes.extend_from_slice(&vec![b'a'; (1 << 20) + 1]);
-    assert!(endless.line().is_err());
+    assert!(endless.next_event().is_err());
 }
 
 /// Lists may come indented, on a watch too; it was taken for unreadable, and all was asked for anew each time.
 #[test]
-fn an_object_of_a_watch_may_stand_on_several_lines() {
+fn indented_watch_object_is_read_as_one_event() {
     let text = "{\n  \"rev\": 7, \"all\": false,\n  \"targets\": [\n    {\"uid\": \"a}\\\"\", \"endpoint\": \"127.0.0.1:1\",\n     \"state\": \"gone\"}\n  ]\n}\n\n{\"rev\":8,\"all\":true,\"targets\":[]}\n";
     for piece in [1, 3, text.len()] {
         let (mut lines, mut read) = (WatchReader::new(1 << 20), Vec::new());
         for bytes in text.as_bytes().chunks(piece) {
             lines.bytes.extend_from_slice(bytes);
-            while let Some(line) = lines.line().expect("it can be read") {
+            while let Some(line) = lines.next_event().expect("it can be read") {
                 read.push(line);
             }
         }
@@ -693,12 +693,12 @@
     }
     let mut broken = WatchReader::new(1 << 20);
     broken.bytes.extend_from_slice(b"{\"rev\": \"never closed\n{}\n");
-    assert!(broken.line().is_err(), "a text that is not closed on its line ends the search");
+    assert!(broken.next_event().is_err(), "a text that is not closed on its line ends the search");
 }
 
 /// What discovery had before a process began counts from its first moment on, and an earlier one may have heard of it.
 #[test]
-fn a_drain_that_the_first_list_of_a_process_tells_has_no_grace_left() {
+fn drain_in_first_list_of_process_has_no_grace() {
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
     let told = |version, state| {
         Input::EndpointList(
@@ -726,7 +726,7 @@
 
 /// A drain that was missed counts as told although it did not come: heard of after a silence, its grace may be over.
 #[test]
-fn a_drain_that_is_heard_of_after_a_silence_has_no_grace_left() {
+fn drain_heard_after_watch_silence_has_no_grace() {
     for silent in [false, true] {
         let mut world = World::new();
         world.tell(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -50,9 +50,9 @@
     let now = START + Duration::from_secs(2);
     core.handle(now, vec![]);
     let ask = core.check(request).expect("an operation");
-    let deeds = core.handle(now, vec![Input::Request { client: ClientId(1), ask, begun: now }]);
+    let deeds = core.handle(now, vec![Input::Request { client: ClientId(1), request: ask, started_at: now }]);
     let sent = deeds.iter().find_map(|deed| match deed {
-        Effect::StartAttempt { call, .. } => Some(*call),
+        Effect::StartAttempt { attempt: call, .. } => Some(*call),
         _ => None,
     });
     core.start_attempt(sent.expect("an attempt"), now).expect("it may begin")
@@ -94,7 +94,7 @@
     }
     let (mut core, example) = (core(), request("GET", READ, &fields, ""));
     let ask = core.check(&example).expect("an operation");
-    core.handle(START, vec![Input::Request { client: ClientId(1), ask, begun: START }]);
+    core.handle(START, vec![Input::Request { client: ClientId(1), request: ask, started_at: START }]);
     let refused = core.check(&example).expect_err("its id is taken");
     transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
 }
@@ -143,7 +143,7 @@
     lines.bytes.extend_from_slice(whole.as_bytes());
     lines.bytes.extend_from_slice(b"{\"rev\":10,\"all\":false,\"targets\":[]}\n{\"rev\":11}\n");
     for _ in 0..4 {
-        let text = match lines.line() {
+        let text = match lines.next_event() {
             Ok(Some(WatchEvent::Heartbeat)) => "heartbeat".to_string(),
             Ok(Some(WatchEvent::List(list))) => list_text(&list),
             Ok(None) => "nothing whole".to_string(),
--- a/crates/http-api/tests/sizes.rs
+++ b/crates/http-api/tests/sizes.rs
@@ -26,7 +26,7 @@
 
 /// An entry of a warm store with short names; a comma stands between two.
 #[test]
-fn the_list_has_the_bytes_that_the_page_counts_with() {
+fn endpoint_list_size_matches_capacity_page() {
     let entry = page("entry of the list, platform, short names");
     assert_eq!(list(2).len() - list(1).len(), entry);
     let whole = list(4000);
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -98,7 +98,7 @@
     /// this one way to change; what a request, an attempt or a drain was promised when it began keeps its time.
     pub fn reconfigure(&self, config: &Config) -> Result<(), String> {
         let bounds = Bounds::of(config)?;
-        self.core.borrow_mut().reconfigure(config.settings.clone())?;
+        self.core.borrow_mut().reconfigure(&config.settings).map_err(|error| error.to_string())?;
         self.bounds.send_replace(bounds);
         self.news.notify_one();
         Ok(())
@@ -119,7 +119,7 @@
         let client = ClientId(self.next_client.replace(self.next_client.get() + 1));
         let (answer, answered) = oneshot::channel();
         self.answers.borrow_mut().insert(client, answer);
-        self.post(Input::Request { client, ask, begun });
+        self.post(Input::Request { client, request: ask, started_at: begun });
         (client, answered)
     }
 
@@ -187,40 +187,44 @@
 
     fn perform(self: &Rc<EventLoop>, deed: Effect) -> Result<(), String> {
         match deed {
-            Effect::Respond { client, reply } => {
+            Effect::Respond { client, response: reply } => {
                 if let Some(answer) = self.answers.borrow_mut().remove(&client) {
                     // A client that left meanwhile has told so itself.
                     _ = answer.send(reply);
                 }
             }
-            Effect::StartAttempt { call, store, address, until } => {
+            Effect::StartAttempt { attempt: call, store, address, deadline: until } => {
                 let written = Rc::new(Cell::new(false));
                 let (hub, done) = (self.clone(), written.clone());
                 let task = tokio::task::spawn_local(async move {
                     let (returned, at) = store::call(&hub, call, store, address, until, &done).await;
                     hub.work.borrow_mut().remove(&call);
-                    hub.post(Input::AttemptFinished { call, returned, at });
+                    hub.post(Input::AttemptFinished { attempt: call, outcome: returned, finished_at: at });
                 });
                 self.work.borrow_mut().insert(call, Work { task: task.abort_handle(), written });
             }
-            Effect::Cancel { call } => {
+            Effect::Cancel { attempt: call } => {
                 if let Some(Work { task, written }) = self.work.borrow_mut().remove(&call) {
                     task.abort();
                     let returned =
                         if written.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverWritten };
-                    self.post(Input::AttemptFinished { call, returned, at: self.clock.now() });
+                    self.post(Input::AttemptFinished {
+                        attempt: call,
+                        outcome: returned,
+                        finished_at: self.clock.now(),
+                    });
                 }
             }
-            Effect::CancelUnlessWritten { call } => {
+            Effect::CancelUnlessWritten { attempt: call } => {
                 let mut work = self.work.borrow_mut();
                 if let Entry::Occupied(entry) = work.entry(call)
                     && !entry.get().written.get()
                 {
                     entry.remove().task.abort();
                     self.post(Input::AttemptFinished {
-                        call,
-                        returned: AttemptOutcome::Withheld,
-                        at: self.clock.now(),
+                        attempt: call,
+                        outcome: AttemptOutcome::Withheld,
+                        finished_at: self.clock.now(),
                     });
                 }
             }
@@ -228,7 +232,7 @@
                 let hub = self.clone();
                 tokio::task::spawn_local(async move {
                     let returned = store::probe(&hub, address).await;
-                    hub.post(Input::HealthChecked { store, returned });
+                    hub.post(Input::HealthChecked { store, outcome: returned });
                 });
             }
             Effect::CloseIdleConnections { address } => {
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -65,7 +65,8 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(GatewayError::Signals)?;
     let mut config = read(&file)?;
     let clock = Clock::start();
-    let core = Core::start(&config, clock.now()).map_err(GatewayError::Settings)?;
+    let core =
+        Core::start(&config, clock.now()).map_err(|error| GatewayError::Settings(error.to_string()))?;
     let bounds = Bounds::of(&config).map_err(GatewayError::Settings)?;
     let listen = |error| GatewayError::Listen { address: config.listen, error };
     let listener = TcpListener::bind(config.listen).await.map_err(listen)?;
--- a/crates/http-gateway/src/response.rs
+++ b/crates/http-gateway/src/response.rs
@@ -11,7 +11,7 @@
 
 pub fn rendered(reply: &FinalResponse, close: bool) -> Bytes {
     match reply {
-        FinalResponse::Succeeded { kind, body } => {
+        FinalResponse::Succeeded { content_type: kind, body } => {
             let kind = kind.as_ref().map(|kind| ("Content-Type", &kind[..]));
             server::response(200, kind.as_slice(), body, close)
         }
--- a/crates/http-gateway/src/response/tests.rs
+++ b/crates/http-gateway/src/response/tests.rs
@@ -16,10 +16,13 @@
 fn responses_match_recorded_bytes() {
     let mut transcript = String::new();
     let replies = [
-        ("succeeded", FinalResponse::Succeeded { kind: None, body: Bytes::from_static(b"body") }),
+        ("succeeded", FinalResponse::Succeeded { content_type: None, body: Bytes::from_static(b"body") }),
         (
             "succeeded, typed",
-            FinalResponse::Succeeded { kind: Some(Bytes::from_static(b"own/kind")), body: Bytes::new() },
+            FinalResponse::Succeeded {
+                content_type: Some(Bytes::from_static(b"own/kind")),
+                body: Bytes::new(),
+            },
         ),
         ("rejected", FinalResponse::Rejected { retry_after: Duration::from_millis(250) }),
         ("failed", FinalResponse::Failed),
--- a/crates/http-gateway/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -388,7 +388,7 @@
     /// Tells whether any came whole.
     fn lines(&self, lines: &mut WatchReader) -> Result<bool, Broken> {
         let mut any = false;
-        while let Some(line) = lines.line()? {
+        while let Some(line) = lines.next_event()? {
             self.heard.set(true);
             if let WatchEvent::List(list) = line {
                 self.told(list)?;
