--- a/crates/cli/tests/platform/common.rs
+++ b/crates/cli/tests/platform/common.rs
@@ -183,7 +183,7 @@
     pub async fn answer(&mut self) -> Option<Response> {
         let read = async {
             loop {
-                if let Some(answer) = self.answers.answer().expect("a whole answer") {
+                if let Some(answer) = self.answers.response().expect("a whole answer") {
                     return Some(answer);
                 }
                 if !matches!(self.stream.read_buf(&mut self.answers.bytes).await, Ok(1..)) {
--- a/crates/cli/tests/platform/store_endings.rs
+++ b/crates/cli/tests/platform/store_endings.rs
@@ -24,7 +24,7 @@
 impl Peer {
     async fn request(&mut self) -> Option<Request> {
         loop {
-            if let Ok(RequestEvent::Request(request)) = self.requests.request() {
+            if let Ok(RequestEvent::Request(request)) = self.requests.next_event() {
                 self.taken.send_modify(|taken| *taken += 1);
                 return Some(request);
             }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -98,7 +98,7 @@
 async fn attend(mut stream: TcpStream, connection: u64, book: Arc<watch::Sender<Vec<Seen>>>, script: Script) {
     let mut requests = RequestReader::new(LIMITS);
     loop {
-        let request = match requests.request() {
+        let request = match requests.next_event() {
             Ok(RequestEvent::Request(request)) => request,
             Ok(_) => {
                 if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) {
@@ -211,7 +211,7 @@
 ) {
     let mut requests = RequestReader::new(LIMITS);
     loop {
-        let request = match requests.request() {
+        let request = match requests.next_event() {
             Ok(RequestEvent::Request(request)) => request,
             Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
             _ => return,
--- a/crates/fault-tests/src/soak/client.rs
+++ b/crates/fault-tests/src/soak/client.rs
@@ -174,7 +174,7 @@
 /// The next whole answer; nothing once the connection has ended.
 async fn answer(kept: &mut Kept) -> Option<Response> {
     loop {
-        if let Some(answer) = kept.answers.answer().ok()? {
+        if let Some(answer) = kept.answers.response().ok()? {
             return Some(answer);
         }
         if !matches!(kept.stream.read_buf(&mut kept.answers.bytes).await, Ok(1..)) {
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -112,7 +112,7 @@
     let mut reader = RequestReader::new(LIMITS);
     let fields: Vec<_> = fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect();
     reader.bytes.extend_from_slice(&client::request(method, target, "x", &fields, body.as_bytes()));
-    match reader.request() {
+    match reader.next_event() {
         Ok(RequestEvent::Request(request)) => request,
         other => panic!("{other:?}"),
     }
@@ -141,7 +141,7 @@
 fn answer(text: &str) -> AttemptOutcome {
     let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(text.as_bytes());
-    AttemptOutcome::Response(reader.answer().expect("well formed").expect("whole"))
+    AttemptOutcome::Response(reader.response().expect("well formed").expect("whole"))
 }
 
 fn ok() -> AttemptOutcome {
@@ -284,7 +284,7 @@
     let bytes = world.core.start_attempt(call, world.now + ms(100)).expect("still wanted");
     let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(&bytes);
-    let Ok(RequestEvent::Request(seen)) = reader.request() else { panic!("our own request is read") };
+    let Ok(RequestEvent::Request(seen)) = reader.next_event() else { panic!("our own request is read") };
     assert_eq!((&*seen.method, &*seen.target, &seen.body[..]), ("PUT", target, &b"data"[..]));
     assert_eq!(seen.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
     let left =
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -34,7 +34,7 @@
     let fields: Vec<_> = fields.iter().map(|(name, value)| (*name, value.as_bytes())).collect();
     let mut requests = RequestReader::new(LIMITS);
     requests.bytes.extend_from_slice(&client::request(method, target, "x", &fields, body.as_bytes()));
-    match requests.request() {
+    match requests.next_event() {
         Ok(RequestEvent::Request(request)) => request,
         other => panic!("{other:?}"),
     }
--- a/crates/http-gateway/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -150,7 +150,7 @@
     fn on(&mut self, event: Event) -> NextStep {
         self.state.raise_demand(self.demand());
         let before = self.state.state();
-        let step = self.state.on(event);
+        let step = self.state.on_event(event);
         self.owed_before = before.obligation();
         self.peer = match event {
             Event::PeerClosed => Peer::Closed,
@@ -241,7 +241,7 @@
             return event;
         }
         loop {
-            if self.requests.begun() && !matches!(self.state.state(), State::ReadingRequest { .. }) {
+            if self.requests.has_begun() && !matches!(self.state.state(), State::ReadingRequest { .. }) {
                 return Event::PartialRead;
             }
             let (mut changes, reading) = (self.hub.bounds_changes(), self.state.state());
@@ -275,7 +275,7 @@
 
     async fn parsed(&mut self) -> Option<Event> {
         loop {
-            match self.ahead.take().unwrap_or_else(|| self.requests.request()) {
+            match self.ahead.take().unwrap_or_else(|| self.requests.next_event()) {
                 Ok(RequestEvent::More) => return None,
                 Ok(RequestEvent::Continue) => _ = self.write(Bytes::from_static(server::CONTINUE)).await,
                 Ok(RequestEvent::Request(request)) => {
@@ -293,7 +293,7 @@
 
     /// Reads what there is; false once the client has gone.
     async fn fill(&mut self) -> bool {
-        let fresh = !self.requests.begun();
+        let fresh = !self.requests.has_begun();
         self.requests.bytes.reserve(self.hub.bounds().http.head / 2);
         let read = self.stream.read_buf(&mut self.requests.bytes).await;
         if fresh {
@@ -331,7 +331,7 @@
 
     /// Hazard: what is behind an error cannot be told to be a request; it is kept as it was found.
     fn answered(&mut self) -> Event {
-        let ahead = self.ahead.take().unwrap_or_else(|| self.requests.request());
+        let ahead = self.ahead.take().unwrap_or_else(|| self.requests.next_event());
         let more = matches!(ahead, Ok(RequestEvent::Request(_)));
         self.ahead = (ahead != Ok(RequestEvent::More)).then_some(ahead);
         Event::ResponseReady { more }
--- a/crates/http-gateway/src/response/tests.rs
+++ b/crates/http-gateway/src/response/tests.rs
@@ -50,7 +50,7 @@
     for text in malformed {
         let mut requests = RequestReader::new(Limits { head: 256, body: 1024 });
         requests.bytes.extend_from_slice(text.as_bytes());
-        let error = requests.request().expect_err(text);
+        let error = requests.next_event().expect_err(text);
         line(&mut transcript, "malformed", &refusal(&refused(&error)));
     }
     for status in [200, 503] {
--- a/crates/http-gateway/src/store.rs
+++ b/crates/http-gateway/src/store.rs
@@ -309,16 +309,16 @@
         let read = stream.read_buf(&mut answers.bytes).await;
         let at = hub.clock.now();
         let (read, ended) = match read {
-            Ok(1..) => (answers.answer(), false),
-            Ok(0) => (answers.closed(), true),
+            Ok(1..) => (answers.response(), false),
+            Ok(0) => (answers.on_close(), true),
             Err(error) => {
                 closed(hub, &link, StoreCloseReason::AnswerBroken, &error);
                 return (AttemptOutcome::Broken, at);
             }
         };
-        if !room.holds(answers.size()) {
+        if !room.holds(answers.known_body_size()) {
             hub.counters.count(StoreCloseReason::AnswerTooLarge);
-            tracing::warn!(store = %link.address, size = answers.size(), reason = %StoreCloseReason::AnswerTooLarge, "no room for an answer");
+            tracing::warn!(store = %link.address, size = answers.known_body_size(), reason = %StoreCloseReason::AnswerTooLarge, "no room for an answer");
             return (AttemptOutcome::Broken, at);
         }
         match read {
--- a/crates/http-gateway/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -340,7 +340,7 @@
         let mut answers =
             ResponseReader::new(Limits { body: self.hub.bounds().list, ..self.hub.bounds().http });
         let answer = loop {
-            if let Some(answer) = answers.answer()? {
+            if let Some(answer) = answers.response()? {
                 break answer;
             }
             read(stream, &mut answers, due, stage).await?;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,18 +1,22 @@
-//! Bodies: where they end (section 6), and chunks (section 7.1).
+//! Bodies of messages: their framing (section 6) and the chunked coding (section 7.1).
 
 use bytes::{Buf, BytesMut};
 
 use crate::Malformed;
 
-/// The longest line of a chunk's size with its extensions, and of all trailer fields.
-const LONGEST_LINE: usize = 256;
-const LONGEST_TRAILER: usize = 4096;
+/// Longest line of a chunk's size with its extensions, bytes.
+const MAX_CHUNK_LINE: usize = 256;
+/// Longest trailer section, bytes.
+const MAX_TRAILER: usize = 4096;
 
+/// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
+    /// After this many bytes.
     Length(u64),
+    /// By the chunked transfer coding.
     Chunked,
-    /// Up to the end of its connection.
+    /// At the end of the connection.
     UntilClose,
 }
 
@@ -27,11 +31,12 @@
     Done,
 }
 
-/// Takes a body off the bytes as they come.
+/// Decodes one body as its bytes come.
 #[derive(Debug)]
 pub struct Decoder(State);
 
 impl Decoder {
+    /// A decoder at the start of a body.
     pub fn new(framing: Framing) -> Decoder {
         Decoder(match framing {
             Framing::Length(length) => State::Length(length),
@@ -40,29 +45,34 @@
         })
     }
 
-    /// The connection has ended in good order; true if that ends the body. A reset does not.
-    pub(crate) fn closed(&mut self) -> bool {
+    /// The connection was closed without a reset; true if that ends the body.
+    pub(crate) fn on_close(&mut self) -> bool {
         let ends = self.0 == State::UntilClose;
         self.0 = if ends { State::Done } else { self.0 };
         ends
     }
 
-    /// What is still to come for sure.
-    pub(crate) fn left(&self) -> usize {
+    /// How many bytes must still come, as far as is known.
+    pub(crate) fn known_remaining(&self) -> usize {
         match self.0 {
-            State::Length(left) | State::ChunkData(left) => usize::try_from(left).unwrap_or(usize::MAX),
+            State::Length(remaining) | State::ChunkData(remaining) => {
+                usize::try_from(remaining).unwrap_or(usize::MAX)
+            }
             _ => 0,
         }
     }
 
-    /// Moves what there is of the body; true once it is whole.
+    /// Moves what has come of the body from `bytes` to `body`; true once it is whole.
+    ///
+    /// # Errors
+    /// A malformed chunk or trailer.
     pub fn decode(&mut self, bytes: &mut BytesMut, body: &mut BytesMut) -> Result<bool, Malformed> {
         loop {
             self.0 = match self.0 {
                 State::Done | State::Length(0) => return Ok(true),
-                State::Length(left) => match moved(bytes, body, left) {
+                State::Length(remaining) => match move_bytes(bytes, body, remaining) {
                     0 => return Ok(false),
-                    n => State::Length(left - n),
+                    count => State::Length(remaining - count),
                 },
                 State::UntilClose => {
                     body.unsplit(bytes.split());
@@ -73,13 +83,13 @@
                         bytes.advance(used);
                         if size == 0 { State::Trailer(0) } else { State::ChunkData(size) }
                     }
-                    Ok(httparse::Status::Partial) if bytes.len() <= LONGEST_LINE => return Ok(false),
+                    Ok(httparse::Status::Partial) if bytes.len() <= MAX_CHUNK_LINE => return Ok(false),
                     _ => return Err(Malformed::Chunk),
                 },
                 State::ChunkData(0) => State::ChunkEnd,
-                State::ChunkData(left) => match moved(bytes, body, left) {
+                State::ChunkData(remaining) => match move_bytes(bytes, body, remaining) {
                     0 => return Ok(false),
-                    n => State::ChunkData(left - n),
+                    count => State::ChunkData(remaining - count),
                 },
                 State::ChunkEnd if bytes.len() < 2 => return Ok(false),
                 State::ChunkEnd if bytes.starts_with(b"\r\n") => {
@@ -87,17 +97,8 @@
                     State::ChunkSize
                 }
                 State::ChunkEnd => return Err(Malformed::Chunk),
-                State::Trailer(seen) => match bytes.iter().position(|byte| *byte == b'\n') {
-                    Some(end) => {
-                        let blank = bytes[..end].trim_ascii().is_empty();
-                        bytes.advance(end + 1);
-                        match blank {
-                            true => State::Done,
-                            false if seen + end > LONGEST_TRAILER => return Err(Malformed::Chunk),
-                            false => State::Trailer(seen + end),
-                        }
-                    }
-                    None if bytes.len() > LONGEST_TRAILER => return Err(Malformed::Chunk),
+                State::Trailer(seen) => match take_trailer_line(bytes, seen)? {
+                    Some(state) => state,
                     None => return Ok(false),
                 },
             }
@@ -105,10 +106,26 @@
     }
 }
 
-/// Moves up to `left` bytes and tells how many.
-fn moved(bytes: &mut BytesMut, body: &mut BytesMut, left: u64) -> u64 {
-    let n = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-    body.extend_from_slice(&bytes[..n]);
-    bytes.advance(n);
-    n as u64
+/// Takes a line of the trailer section off the bytes, `seen` bytes of which went before; nothing until the line is whole.
+fn take_trailer_line(bytes: &mut BytesMut, seen: usize) -> Result<Option<State>, Malformed> {
+    let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
+        return if bytes.len() > MAX_TRAILER { Err(Malformed::Chunk) } else { Ok(None) };
+    };
+    let is_blank = bytes[..end].trim_ascii().is_empty();
+    bytes.advance(end + 1);
+    if is_blank {
+        return Ok(Some(State::Done));
+    }
+    if seen + end > MAX_TRAILER {
+        return Err(Malformed::Chunk);
+    }
+    Ok(Some(State::Trailer(seen + end)))
+}
+
+/// Moves up to `remaining` bytes and returns how many.
+fn move_bytes(bytes: &mut BytesMut, body: &mut BytesMut, remaining: u64) -> u64 {
+    let count = bytes.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
+    body.extend_from_slice(&bytes[..count]);
+    bytes.advance(count);
+    count as u64
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,45 +1,51 @@
-//! One client's connection from its first byte to its end, as states: what is owed in each, and what is done next. No
-//! sockets and no clock; whoever moves the bytes does one [`NextStep`] at a time and tells the [`Event`] it ended with.
+//! A client's connection at a server as a state machine: what is owed in each state, and the next step. No sockets and no
+//! clock; the caller does one [`NextStep`] at a time and reports the [`Event`] that it ended with.
 //!
-//! A connection has one way to its end: its sending is shut, what still comes is passed over for a bounded time, then it
-//! is closed. Danger: a close over unread bytes resets the connection and can take an answer with it.
+//! Every connection ends the same way: sending is shut down, what still comes is discarded for a bounded time, then it is
+//! closed. Hazard: a close over unread bytes resets the connection and can take a response with it.
 
 pub use umbertray_lifecycle::connection::Obligation;
 use umbertray_lifecycle::reason::CloseReason;
 
-/// Who demands that a connection closes; a greater demand holds over a smaller one.
+/// How urgently a connection has to close; a greater demand overrides a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CloseDemand {
+    /// Not at all.
     None,
     /// The listener closes: a connection that is idle after a response has to end.
     Graceful,
-    /// The process ends: so has one with no whole request by now.
+    /// The process ends: so has one that has sent no whole request by now.
     Immediate,
-    /// The same, and another connection waits for its descriptor.
+    /// The same, and another connection waits for the descriptor.
     ForCapacity,
 }
 
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// No whole request has come yet. Hazard: its client is about to send one, and may find no listener any more.
+    /// No whole request has come yet. Hazard: the client is about to send one, and may find no listener any more.
     AwaitingFirstRequest,
     /// Between requests.
     Idle,
     /// Part of a request was read.
     ReadingRequest {
+        /// Whether a request was served on this connection before.
         served_before: bool,
     },
     /// A whole request was read: its response is owed.
     AwaitingResponse {
+        /// Whether the client accepts another response on this connection.
         persists: bool,
     },
-    /// A response is being written, the last one or not.
+    /// A response is being written.
     WritingResponse {
+        /// Whether it is the last on this connection.
         last: bool,
     },
     /// Sending is shut down. What was written is owed until the client has closed or its time is over; what still
     /// comes is discarded.
     LingeringClose,
+    /// At its end.
     Closed,
 }
 
@@ -56,65 +62,77 @@
     }
 }
 
+/// How a step ended, or what interrupted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A whole request was read: an op, or one that needs no store.
+    /// A whole request was read.
     RequestRead {
+        /// Whether it is an operation, which needs a store.
         op: bool,
+        /// Whether the client accepts another response on this connection.
         persists: bool,
     },
     /// Bytes were read that are no whole request yet.
     PartialRead,
     /// Bytes were read that are no request, or the request cannot be served.
     RequestRefused,
-    /// No bytes were there to read.
+    /// There were no bytes to read.
     NothingRead,
     /// The client has closed or reset its connection.
     PeerClosed,
-    /// The response is there; whether a whole request was read behind this one.
+    /// The response is there.
     ResponseReady {
+        /// Whether a whole request was read behind this one.
         more: bool,
     },
+    /// The response was written.
     Written,
     /// The client does not read what is written.
     WriteFailed,
     /// The [`CloseDemand`] has changed.
     DemandChanged,
-    /// The time for the step is over.
+    /// The step timed out.
     TimedOut,
 }
 
+/// Which response is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Response {
-    /// To the request that was read.
+    /// That of the request that was read.
     Own,
-    /// What is wrong with what was read.
+    /// An error that says what is wrong with what was read.
     Refusal,
     /// The request did not come whole in its time.
     RequestTimeout,
-    /// Try again, elsewhere or later.
+    /// A rejection: the client may retry elsewhere or later.
     Rejection,
 }
 
+/// What the caller does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NextStep {
     /// Read, for a time, until a close is demanded.
     Read,
-    /// Read what is there already.
+    /// Read only what has come already.
     ReadAvailable,
-    /// Hand the request on, and wait for its response or for the client's close.
+    /// Forward the request, and wait for its response or for the client's close.
     AwaitResponse,
+    /// Write a response.
     Write {
+        /// Which one.
         response: Response,
+        /// Whether it is the last on this connection.
         last: bool,
     },
     /// Shut down sending, and discard what comes, for a time.
     LingeringClose,
-    /// The client of the request that was handed on has closed: cancel it, and close.
+    /// The client of the request that was forwarded has closed: cancel it, and close.
     CancelRequest,
+    /// Close.
     Close,
 }
 
+/// The state machine of one connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionState {
     state: State,
@@ -124,8 +142,8 @@
 }
 
 impl ConnectionState {
-    /// Why a connection comes to its end by a step that was taken from the state before on this event. Nothing where it
-    /// does not, and for the steps that follow the first one towards the end.
+    /// Why a connection ends by the step that was taken from the state `before` on this event. Nothing where it does not
+    /// end, and for the steps that follow the first one towards the end.
     pub fn close_reason(&self, before: State, event: Event, step: NextStep) -> Option<CloseReason> {
         let demanded = || match self.demand {
             _ if self.rejecting => Some(CloseReason::NoCapacity),
@@ -155,35 +173,38 @@
         }
     }
 
-    /// A new connection; [`NextStep::Read`] is first.
+    /// A new connection, to be rejected or not; [`NextStep::Read`] is first.
     pub fn new(rejecting: bool) -> ConnectionState {
         ConnectionState { state: State::AwaitingFirstRequest, demand: CloseDemand::None, rejecting }
     }
 
+    /// The present state.
     pub fn state(&self) -> State {
         self.state
     }
 
+    /// The greatest demand so far.
     pub fn demand(&self) -> CloseDemand {
         self.demand
     }
 
+    /// What is owed on the connection.
     pub fn obligation(&self) -> Obligation {
         self.state.obligation()
     }
 
-    /// What is demanded from now on; [`Event::DemandChanged`] follows where somebody waits for it.
+    /// Raises the demand; [`Event::DemandChanged`] follows where a step waits for it.
     pub fn raise_demand(&mut self, demand: CloseDemand) {
         self.demand = self.demand.max(demand);
     }
 
-    /// What is to be done after this.
-    pub fn on(&mut self, event: Event) -> NextStep {
+    /// Takes an event and returns the next step.
+    pub fn on_event(&mut self, event: Event) -> NextStep {
         match (self.state, event) {
             (State::AwaitingResponse { .. }, Event::PeerClosed) => self.finish(NextStep::CancelRequest),
             (_, Event::PeerClosed | Event::WriteFailed) => self.finish(NextStep::Close),
             (State::AwaitingFirstRequest | State::Idle | State::ReadingRequest { .. }, event) => {
-                self.without_request(event)
+                self.on_event_without_request(event)
             }
             (State::AwaitingResponse { persists }, Event::ResponseReady { more }) => {
                 let last = !persists || !more && (self.rejecting || self.demand > CloseDemand::None);
@@ -205,8 +226,8 @@
         }
     }
 
-    /// Between a whole request and the next.
-    fn without_request(&mut self, event: Event) -> NextStep {
+    /// An event while no whole request is open.
+    fn on_event_without_request(&mut self, event: Event) -> NextStep {
         match (self.state, event) {
             (_, Event::RequestRead { op, persists }) => self.await_response(op, persists),
             (_, Event::RequestRefused) => self.write(Response::Refusal, true),
@@ -219,24 +240,24 @@
                 };
                 self.next_read()
             }
-            // Danger: another request may have come by now.
+            // Hazard: another request may have come by now.
             (State::Idle, Event::TimedOut) => NextStep::ReadAvailable,
             (State::Idle, Event::NothingRead) => self.shut_down(),
             (State::AwaitingFirstRequest, Event::TimedOut) if !self.rejecting => self.shut_down(),
             (State::ReadingRequest { .. }, Event::TimedOut) => self.write(Response::RequestTimeout, true),
-            // Danger: the rest may be on its way. Who has an answer does not send it in vain.
+            // Hazard: the rest may be on its way; a client that gets a response does not send it in vain.
             (_, Event::TimedOut | Event::NothingRead) => self.write(Response::Rejection, true),
             _ => self.next_read(),
         }
     }
 
     fn next_read(&self) -> NextStep {
-        let least = if self.state == State::Idle { CloseDemand::Graceful } else { CloseDemand::Immediate };
-        if self.demand >= least { NextStep::ReadAvailable } else { NextStep::Read }
+        let minimum = if self.state == State::Idle { CloseDemand::Graceful } else { CloseDemand::Immediate };
+        if self.demand >= minimum { NextStep::ReadAvailable } else { NextStep::Read }
     }
 
     fn await_response(&mut self, op: bool, persists: bool) -> NextStep {
-        // Who has asked in time has time to read its answer, like any other.
+        // A client that sent its request in time has time to read the response, like any other.
         self.demand = self.demand.min(CloseDemand::Immediate);
         if op && self.rejecting {
             return self.write(Response::Rejection, true);
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,44 +1,48 @@
-//! Heads of both sides, by `httparse`.
+//! Heads of requests and responses, parsed by `httparse`.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::Framing;
 use crate::{Limits, Malformed};
 
-/// More fields than this are refused.
-pub(crate) const MOST_FIELDS: usize = 64;
+/// Most fields that a head may have.
+pub(crate) const MAX_FIELDS: usize = 64;
 
-/// The fields of a head in the order they came.
+/// The fields of a head, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Headers(Vec<(Box<str>, Bytes)>);
 
-/// A field that may stand once stands more often.
+/// A field that may occur once occurs more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateField;
 
 impl Headers {
-    pub(crate) fn of(fields: &[httparse::Header]) -> Headers {
-        Headers(fields.iter().map(|f| (f.name.into(), Bytes::copy_from_slice(f.value))).collect())
+    pub(crate) fn from_parsed(fields: &[httparse::Header]) -> Headers {
+        Headers(fields.iter().map(|field| (field.name.into(), Bytes::copy_from_slice(field.value))).collect())
     }
 
+    /// All values of a field, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.0.iter().filter(move |(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
-    /// The value of a field that may stand once.
+    /// The value of a field that may occur once.
+    ///
+    /// # Errors
+    /// It occurs more than once.
     pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, DuplicateField> {
         let mut all = self.all(name);
         let first = all.next();
         if all.next().is_some() { Err(DuplicateField) } else { Ok(first) }
     }
 
-    /// Whether a field that is a list (RFC 9110, 5.6.1) holds the word.
-    pub(crate) fn lists(&self, name: &str, word: &str) -> bool {
+    /// Whether a field that is a list (RFC 9110, 5.6.1) contains the word.
+    pub(crate) fn list_contains(&self, name: &str, word: &str) -> bool {
         let words = self.all(name).flat_map(|value| value.split(|byte| *byte == b','));
         words.into_iter().any(|own| own.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 
-    /// Section 6.3: how long the body is; absent: the head does not say.
+    /// The framing of the body (section 6.3); absent: the head does not say.
     pub(crate) fn framing(&self) -> Result<Option<Framing>, Malformed> {
         let coded = self.all("Transfer-Encoding").next().is_some();
         let mut lengths = self.all("Content-Length");
@@ -52,7 +56,7 @@
                 (true, false) => Err(Malformed::Coding),
             };
         };
-        // Danger: whoever believes the other of the two sees another request behind this one (section 11.2).
+        // Hazard: a reader that goes by the other of the two sees another request behind this one (section 11.2).
         if coded {
             return Err(Malformed::LengthAndCoding);
         }
@@ -61,13 +65,13 @@
         length.map(|length| Some(Framing::Length(length))).ok_or(Malformed::Length)
     }
 
-    /// Section 9.3: whether the connection is of use after this message.
+    /// Whether the connection can be used after this message (section 9.3).
     pub(crate) fn persists(&self, minor: u8) -> bool {
-        minor >= 1 && !self.lists("Connection", "close")
+        minor >= 1 && !self.list_contains("Connection", "close")
     }
 }
 
-/// Takes a head off the bytes once it is whole; `parse` tells its length.
+/// Takes a head off the bytes once it is whole; `parse` returns its length.
 pub(crate) fn take<T>(
     bytes: &mut BytesMut,
     limits: Limits,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,108 +1,128 @@
-//! The server's side: requests off the bytes of a connection, answers onto it.
+//! The server's side: reads requests, encodes responses.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::body::{Decoder, Framing};
 use crate::{Headers, Limits, Malformed, head};
 
+/// A whole request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
+    /// The method.
     pub method: Box<str>,
+    /// The request target: path and query.
     pub target: Box<str>,
+    /// The fields.
     pub headers: Headers,
+    /// The body, decoded.
     pub body: Bytes,
     /// The client will send more on this connection.
     pub persists: bool,
 }
 
-/// What can be had of the bytes so far.
+/// What the bytes so far amount to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
     /// More bytes are needed.
     More,
-    /// The client waits to be told to send its body (RFC 9110, 10.1.1).
+    /// The client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
     Continue,
+    /// A whole request.
     Request(Request),
 }
 
-struct Partial {
+/// A request whose head has come.
+struct PartialRequest {
     request: Request,
     decoder: Decoder,
     body: BytesMut,
-    expects: bool,
+    expects_continue: bool,
 }
 
-/// Reads the requests of one connection, one after the other.
+/// Reads the requests of one connection, one after another.
 pub struct RequestReader {
     limits: Limits,
-    partial: Option<Partial>,
-    /// What has come and was not taken yet.
+    partial: Option<PartialRequest>,
+    /// Bytes that were received and not read yet.
     pub bytes: BytesMut,
 }
 
 impl RequestReader {
+    /// A reader at the start of a connection.
     pub fn new(limits: Limits) -> RequestReader {
         RequestReader { limits, partial: None, bytes: BytesMut::new() }
     }
 
-    /// Part of a request has come.
-    pub fn begun(&self) -> bool {
+    /// Whether part of a request has come.
+    pub fn has_begun(&self) -> bool {
         self.partial.is_some() || !self.bytes.is_empty()
     }
 
-    /// After an error nothing behind it can be told to be a request: the connection is to be closed.
-    pub fn request(&mut self) -> Result<RequestEvent, Malformed> {
+    /// Reads on.
+    ///
+    /// # Errors
+    /// The bytes are no request, or one that exceeds the limits. Nothing behind them can be read: the connection has to be
+    /// closed.
+    pub fn next_event(&mut self) -> Result<RequestEvent, Malformed> {
         if self.partial.is_none() {
-            self.partial = self.begin()?;
+            self.partial = self.take_head()?;
         }
         let Some(partial) = &mut self.partial else { return Ok(RequestEvent::More) };
-        let whole = partial.decoder.decode(&mut self.bytes, &mut partial.body)?;
+        let is_whole = partial.decoder.decode(&mut self.bytes, &mut partial.body)?;
         if partial.body.len() > self.limits.body {
             return Err(Malformed::BodyTooLong(self.limits.body));
         }
-        if !whole {
-            let told = std::mem::take(&mut partial.expects) && partial.body.is_empty();
-            return Ok(if told { RequestEvent::Continue } else { RequestEvent::More });
+        if !is_whole {
+            let send_continue = std::mem::take(&mut partial.expects_continue) && partial.body.is_empty();
+            return Ok(if send_continue { RequestEvent::Continue } else { RequestEvent::More });
         }
-        let Some(Partial { mut request, body, .. }) = self.partial.take() else {
+        let Some(PartialRequest { mut request, body, .. }) = self.partial.take() else {
             return Ok(RequestEvent::More);
         };
         request.body = body.freeze();
         Ok(RequestEvent::Request(request))
     }
 
-    fn begin(&mut self) -> Result<Option<Partial>, Malformed> {
+    fn take_head(&mut self) -> Result<Option<PartialRequest>, Malformed> {
         let head = head::take(&mut self.bytes, self.limits, |bytes| {
-            let mut fields = [httparse::EMPTY_HEADER; head::MOST_FIELDS];
+            let mut fields = [httparse::EMPTY_HEADER; head::MAX_FIELDS];
             let mut head = httparse::Request::new(&mut fields);
             let httparse::Status::Complete(length) = head.parse(bytes)? else { return Ok(None) };
-            let headers = Headers::of(head.headers);
-            let (method, target) = (head.method.unwrap_or_default(), head.path.unwrap_or_default());
-            Ok(Some((length, (method.into(), target.into(), headers, head.version.unwrap_or_default()))))
+            let headers = Headers::from_parsed(head.headers);
+            let request = Request {
+                method: head.method.unwrap_or_default().into(),
+                target: head.path.unwrap_or_default().into(),
+                persists: headers.persists(head.version.unwrap_or_default()),
+                headers,
+                body: Bytes::new(),
+            };
+            Ok(Some((length, (request, head.version.unwrap_or_default()))))
         })?;
-        let Some((method, target, headers, minor)) = head else { return Ok(None) };
-        // Section 3.2; a request of HTTP/1.0 need not name one.
-        let host = headers.all("Host").count();
-        if host > 1 || host == 0 && minor >= 1 {
+        let Some((request, minor_version)) = head else { return Ok(None) };
+        let headers = &request.headers;
+        // Section 3.2; a request of HTTP/1.0 need not have one.
+        let hosts = headers.all("Host").count();
+        if hosts > 1 || hosts == 0 && minor_version >= 1 {
             return Err(Malformed::Host);
         }
         let framing = headers.framing()?.unwrap_or(Framing::Length(0));
         if matches!(framing, Framing::Length(length) if length > self.limits.body as u64) {
             return Err(Malformed::BodyTooLong(self.limits.body));
         }
-        if minor == 0 && framing == Framing::Chunked {
+        if minor_version == 0 && framing == Framing::Chunked {
             return Err(Malformed::Coding);
         }
-        let (persists, expects) = (headers.persists(minor), headers.lists("Expect", "100-continue"));
-        let request = Request { method, target, headers, body: Bytes::new(), persists };
-        Ok(Some(Partial { request, decoder: Decoder::new(framing), body: BytesMut::new(), expects }))
+        let expects_continue = headers.list_contains("Expect", "100-continue");
+        let decoder = Decoder::new(framing);
+        Ok(Some(PartialRequest { request, decoder, body: BytesMut::new(), expects_continue }))
     }
 }
 
+/// The interim response for [`RequestEvent::Continue`].
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Section 15 of RFC 9110, as far as this project answers so.
-fn reason(status: u16) -> &'static str {
+/// Reason phrases (RFC 9110, 15) of the statuses that this project responds with.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -122,7 +142,7 @@
 }
 
 impl Malformed {
-    /// The status of the answer to a request that is so.
+    /// The status of the response to such a request.
     pub fn status(&self) -> u16 {
         match self {
             Malformed::HeadTooLong(_) => 431,
@@ -134,12 +154,12 @@
     }
 }
 
-/// A whole answer; the names and values of fields are the caller's own or were read by [`RequestReader`] or
-/// [`crate::client::ResponseReader`], so that they hold no end of line.
+/// Encodes a response. Names and values of the fields are the caller's own or were read by [`RequestReader`] or
+/// [`crate::client::ResponseReader`], so that they hold no line end.
 pub fn response(status: u16, fields: &[(&str, &[u8])], body: &[u8], close: bool) -> Bytes {
     let mut bytes = BytesMut::with_capacity(192 + body.len());
-    bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
-    crate::client::fields(&mut bytes, fields, body.len());
+    bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
+    crate::client::encode_fields(&mut bytes, fields, body.len());
     if close {
         bytes.extend_from_slice(b"Connection: close\r\n");
     }
--- a/crates/http/tests/connection.rs
+++ b/crates/http/tests/connection.rs
@@ -217,7 +217,7 @@
                 steps.push(Step::Tell(Event::WriteFailed));
             }
             NextStep::LingeringClose if self.can_read() => {
-                steps.extend([Step::Read, Step::Tell(Event::TimedOut)])
+                steps.extend([Step::Read, Step::Tell(Event::TimedOut)]);
             }
             NextStep::LingeringClose => {
                 steps.push(Step::Tell(Event::TimedOut));
@@ -334,7 +334,7 @@
 
     fn planted(&mut self, state: State, event: Event) -> NextStep {
         let before = self.serving.clone();
-        let todo = self.serving.on(event);
+        let todo = self.serving.on_event(event);
         match (self.plant, state, todo) {
             (Plant::ClosedWhileBusy, State::AwaitingResponse { .. }, _) if event == Event::DemandChanged => {
                 NextStep::Close
@@ -350,7 +350,7 @@
                 if event == (Event::ResponseReady { more: true }) =>
             {
                 self.serving = before;
-                self.serving.on(Event::ResponseReady { more: false })
+                self.serving.on_event(Event::ResponseReady { more: false })
             }
             (Plant::RoomKeptThoughAsked, _, _) if before.demand() == CloseDemand::ForCapacity => {
                 self.serving.raise_demand(CloseDemand::ForCapacity);
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn every_order_of_events_around_an_end_owes_nothing() {
+fn every_order_of_events_ends_without_owed_response() {
     let mut states = 0;
     for rejecting in [false, true] {
         for persists in [true, false] {
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn planted_bugs_are_found() {
+fn planted_faults_are_detected() {
     for (plant, property) in [
         (Plant::ClosedWhileBusy, Property::NoneLost),
         (Plant::HandedOnAfterTheShutdown, Property::NothingAfterTheShutdown),
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -30,7 +30,7 @@
     let (mut reader, mut whole) = (RequestReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
-        while let RequestEvent::Request(request) = reader.request()? {
+        while let RequestEvent::Request(request) = reader.next_event()? {
             whole.push(request);
         }
     }
@@ -41,7 +41,7 @@
     let (mut reader, mut whole) = (ResponseReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
-        while let Some(answer) = reader.answer()? {
+        while let Some(answer) = reader.response()? {
             whole.push(answer);
         }
     }
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn requests_in_single_bytes_are_read_as_they_are() {
+fn requests_split_into_single_bytes_are_read_unchanged() {
     let whole = requests(&single_bytes(REQUESTS)).expect("well formed");
     let told: Vec<_> = whole.iter().map(|r| (&*r.method, &*r.target, &r.body[..], r.persists)).collect();
     let expected: [(&str, &str, &[u8], bool); 4] = [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn answers_in_single_bytes_are_read_as_they_are() {
+fn responses_split_into_single_bytes_are_read_unchanged() {
     let whole = answers(&single_bytes(ANSWERS)).expect("well formed");
     let told: Vec<_> = whole.iter().map(|a| (a.head.status, &a.body[..], a.head.persists)).collect();
     assert_eq!(told, [(200, &b"abc"[..], true), (503, &b"no"[..], true), (204, &b""[..], false)]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn lengths_that_two_readers_could_take_differently_are_refused() {
+fn ambiguous_body_length_is_malformed() {
     for length in ["", "-1", "+5", "5, 5", "5 5", "0x5", "1e3", "99999999999999999999", " "] {
         assert_eq!(with(&format!("Content-Length: {length}")), Malformed::Length, "{length:?}");
     }
@@ -115,16 +115,16 @@
 }
 
 #[test]
-fn nothing_behind_a_refused_head_is_read_as_a_request() {
+fn bytes_behind_malformed_head_are_not_read() {
     let mut reader = RequestReader::new(LIMITS);
     let hidden = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
                   GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     reader.bytes.extend_from_slice(hidden.as_bytes());
-    assert_eq!(reader.request(), Err(Malformed::LengthAndCoding));
+    assert_eq!(reader.next_event(), Err(Malformed::LengthAndCoding));
 }
 
 #[test]
-fn heads_are_bounded_and_checked() {
+fn head_over_limit_or_malformed_is_rejected() {
     assert_eq!(
         refused(&format!("GET /{} HTTP/1.1\r\nHost: x\r\n\r\n", "a".repeat(1024))),
         Malformed::HeadTooLong(1024)
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn chunks_are_bounded_and_checked() {
+fn chunk_over_limit_or_malformed_is_rejected() {
     let chunked = |chunks: &str| {
         refused(&format!("PUT /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}"))
     };
@@ -165,33 +165,39 @@
     assert_eq!(chunked(&format!("0\r\n{}", "T: 1\r\n".repeat(1000))), Malformed::Chunk);
 }
 
-fn spoilt(answer: &str) -> Malformed {
+fn malformed_response(answer: &str) -> Malformed {
     answers(&[answer.as_bytes().to_vec()]).expect_err(answer)
 }
 
 #[test]
-fn answers_that_cannot_be_told_whole_are_refused() {
+fn response_of_ambiguous_end_is_malformed() {
     assert_eq!(
-        spoilt("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"),
+        malformed_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"),
         Malformed::Length
     );
     assert_eq!(
-        spoilt("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        malformed_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
         Malformed::LengthAndCoding
     );
     assert_eq!(
-        spoilt(&format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "a".repeat(513))),
+        malformed_response(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}",
+            "a".repeat(513)
+        )),
         Malformed::BodyTooLong(512)
     );
-    assert_eq!(spoilt(&"HTTP/1.1 100 Continue\r\n\r\n".repeat(9)), Malformed::Interim);
-    assert_eq!(spoilt("HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"), Malformed::Interim);
-    assert_eq!(spoilt(&format!("HTTP/1.1 200 {}", "x".repeat(1024))), Malformed::HeadTooLong(1024));
-    assert!(matches!(spoilt("noise noise noise\r\n"), Malformed::Head(_) | Malformed::Version));
+    assert_eq!(malformed_response(&"HTTP/1.1 100 Continue\r\n\r\n".repeat(9)), Malformed::Interim);
+    assert_eq!(malformed_response("HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n"), Malformed::Interim);
+    assert_eq!(
+        malformed_response(&format!("HTTP/1.1 200 {}", "x".repeat(1024))),
+        Malformed::HeadTooLong(1024)
+    );
+    assert!(matches!(malformed_response("noise noise noise\r\n"), Malformed::Head(_) | Malformed::Version));
 }
 
 /// It was refused, whole or not: its op was lost. Before its connection has ended in good order it is no answer.
 #[test]
-fn an_answer_without_a_length_is_whole_at_the_end_of_its_connection_and_not_before() {
+fn response_without_length_ends_at_close_only() {
     for (text, whole) in [
         ("HTTP/1.1 200 OK\r\n\r\nuntil the end", Some("until the end")),
         ("HTTP/1.0 200 OK\r\n\r\n", Some("")),
@@ -203,37 +209,37 @@
         let mut reader = ResponseReader::new(LIMITS);
         for byte in text.bytes() {
             reader.bytes.extend_from_slice(&[byte]);
-            assert_eq!(reader.answer(), Ok(None), "{text}");
+            assert_eq!(reader.response(), Ok(None), "{text}");
         }
-        let answer = reader.closed().expect("well formed");
+        let answer = reader.on_close().expect("well formed");
         assert_eq!(answer.as_ref().map(|answer| &answer.body[..]), whole.map(str::as_bytes), "{text}");
     }
     let endless = format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(513));
-    assert_eq!(spoilt(&endless), Malformed::BodyTooLong(512));
+    assert_eq!(malformed_response(&endless), Malformed::BodyTooLong(512));
 }
 
 #[test]
-fn what_is_behind_an_answer_stays_in_sight() {
+fn bytes_behind_response_stay_in_buffer() {
     let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab");
-    assert!(reader.answer().expect("well formed").is_some());
+    assert!(reader.response().expect("well formed").is_some());
     assert_eq!(reader.bytes, BytesMut::from(&b"b"[..]));
 }
 
 #[test]
-fn a_client_that_waits_to_be_told_is_told_once() {
+fn expecting_client_gets_continue_once() {
     let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(
         b"PUT /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n",
     );
-    assert_eq!(reader.request(), Ok(RequestEvent::Continue));
-    assert_eq!(reader.request(), Ok(RequestEvent::More));
+    assert_eq!(reader.next_event(), Ok(RequestEvent::Continue));
+    assert_eq!(reader.next_event(), Ok(RequestEvent::More));
     reader.bytes.extend_from_slice(b"a");
-    assert!(matches!(reader.request(), Ok(RequestEvent::Request(request)) if &request.body[..] == b"a"));
+    assert!(matches!(reader.next_event(), Ok(RequestEvent::Request(request)) if &request.body[..] == b"a"));
 }
 
 #[test]
-fn what_is_written_reads_back() {
+fn encoded_message_is_read_back() {
     let bytes = client::request("PUT", "/a?b", "x:1", &[("X-Own", b"7")], b"body");
     let read = requests(&[bytes.to_vec()]).expect("our own");
     assert_eq!((&*read[0].target, &read[0].body[..]), ("/a?b", &b"body"[..]));
