--- /dev/null
+++ b/crates/routing/src/core/mod.rs
@@ -0,0 +1,221 @@
+//! The routing core: it hosts one scheduler and holds one record an open request, one a fragment and one an attempt.
+//!
+//! Its methods are grouped by concern: `requests` cuts requests into fragments, `results` completes them, `attempts` sends
+//! them to stores, `stores` takes what stores say, `directory` what the endpoint list and the map say, and `relocation`
+//! resumes what a store rejected with a stale epoch.
+
+mod attempts;
+mod directory;
+mod relocation;
+mod requests;
+mod results;
+mod stores;
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+use std::time::Duration;
+
+use umbertray::interface::{Action, Event, Outcome, VolumeId};
+use umbertray::scheduler::Scheduler;
+use umbertray_store_protocol::list::ToList;
+use umbertray_store_protocol::store::ToStore;
+use umbertray_store_protocol::volume_id;
+
+use self::attempts::StoreReply;
+use crate::fragment::{AttemptStatus, Fragment, FragmentState, InFlightAttempt, OpenRequest};
+use crate::locations::Locations;
+use crate::reply::FinalResult;
+use crate::restore::{self, PendingRestore};
+use crate::settings::{Settings, SettingsChange};
+use crate::store_membership::StoreMembership;
+use crate::timers::{Timer, Timers};
+use crate::{Input, Output, RequestHandler, RequestId};
+
+/// Routes requests to stores around one scheduler.
+///
+/// Invariant: each open request has a record in `requests`, each of its fragments one in `fragments`, each attempt that has
+/// not ended one in `attempts`; a fragment's record goes once it is finished and nothing of it is in flight.
+pub struct Core {
+    settings: Arc<Settings>,
+    /// Lasting ids of the volumes, by index.
+    volumes: Vec<u64>,
+    scheduler: Scheduler,
+    now: Duration,
+    stores: StoreMembership,
+    locations: Locations,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    fragments: HashMap<u32, Fragment>,
+    attempts: HashMap<u64, InFlightAttempt>,
+    timers: Timers,
+    /// Open queries to the directory will be sent again by a timer that is set.
+    retry_scheduled: bool,
+    /// The map of extents cannot be queried.
+    map_unavailable: bool,
+    /// How long the tokens reserved by the snapshot that is being taken hold.
+    promise_duration: Duration,
+    pending_restore: Option<PendingRestore>,
+    next_fragment: u32,
+    next_sequence: u64,
+    next_attempt: u64,
+    /// Events for the scheduler, of the present turn.
+    events: Vec<Event>,
+    /// Outputs of the present turn.
+    outputs: Vec<Output>,
+}
+
+impl RequestHandler for Core {
+    fn open_requests(&self) -> usize {
+        self.requests.len()
+    }
+
+    fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output> {
+        self.now = now.max(self.now);
+        inputs.into_iter().for_each(|input| self.on_input(input));
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            self.on_timer(timer);
+        }
+        // Applying an action may bring events of its own.
+        while !self.events.is_empty() {
+            let events = std::mem::take(&mut self.events);
+            let actions = self.scheduler.handle(self.now, events);
+            actions.into_iter().for_each(|action| self.apply_action(action));
+        }
+        if let Some(at) = self.timers.next_request() {
+            self.outputs.push(Output::SetTimer(at));
+        }
+        std::mem::take(&mut self.outputs)
+    }
+}
+
+impl Core {
+    /// A core at the gateway's start; `now` is on a clock whose zero lies before any store's start.
+    pub fn new(settings: Arc<Settings>, seed: u64, now: Duration) -> Core {
+        let start = Event::Start { seed, settings: settings.scheduler_settings() };
+        Core {
+            volumes: settings.volumes.iter().map(|volume| volume_id(&volume.name)).collect(),
+            scheduler: Scheduler::default(),
+            now,
+            stores: StoreMembership::default(),
+            locations: Locations::new(settings.bounds.locations),
+            requests: BTreeMap::new(),
+            fragments: HashMap::new(),
+            attempts: HashMap::new(),
+            timers: Timers::default(),
+            retry_scheduled: false,
+            map_unavailable: false,
+            promise_duration: Duration::ZERO,
+            pending_restore: None,
+            next_fragment: 0,
+            next_sequence: 0,
+            next_attempt: 0,
+            events: vec![start],
+            outputs: Vec::new(),
+            settings,
+        }
+    }
+
+    fn on_input(&mut self, input: Input) {
+        match input {
+            Input::Request(request) => self.on_request(request),
+            Input::SessionClosed(session) => self.on_session_closed(session),
+            Input::StoreConnected { store, lasting, shard, clock } => {
+                self.on_store_connected(store, lasting, shard, clock);
+            }
+            Input::StoreUnreachable { store } | Input::StoreDisconnected { store } => {
+                self.on_store_disconnected(store);
+            }
+            Input::FromStore { store, message, at } => self.on_store_message(store, message, at),
+            Input::FromList(message) => self.on_list_message(message),
+            Input::ListDisconnected => self.on_list_failed(),
+            Input::CoordinatorDisconnected => self.on_coordinator_disconnected(),
+            Input::SettingsChanged { settings, steps } => self.on_settings_changed(settings, &steps),
+            Input::TakeSnapshot { promise_duration } => {
+                self.promise_duration = promise_duration;
+                self.events.push(Event::TakeSnapshot { promise_duration });
+            }
+            Input::Restore { snapshot, age } => {
+                let (event, pending) = PendingRestore::new(self.now, snapshot, age, &self.volumes);
+                self.events.push(event);
+                self.pending_restore = Some(pending);
+            }
+            Input::TimerExpired => self.timers.on_expired(),
+        }
+    }
+
+    /// Open requests go on as they came: their time, kind and volume do not change. The scheduler hears of figures before it
+    /// hears of volumes that go by them.
+    fn on_settings_changed(&mut self, settings: Arc<Settings>, changes: &[SettingsChange]) {
+        let new_volumes = settings.volumes.iter().skip(self.volumes.len());
+        self.volumes.extend(new_volumes.map(|volume| volume_id(&volume.name)));
+        let has_new_figures =
+            |change: &SettingsChange| matches!(change, SettingsChange::Figures | SettingsChange::Plan(_));
+        if changes.iter().any(has_new_figures) {
+            self.events.push(Event::SettingsChanged { settings: settings.scheduler_settings() });
+        }
+        for change in changes {
+            let SettingsChange::Volume(index) = change else { continue };
+            let Some(volume) = settings.volumes.get(*index) else { continue };
+            self.events.push(Event::VolumeMoved {
+                volume: VolumeId(*index as u32),
+                plan: volume.plan,
+                gateways: f64::from(volume.gateways),
+            });
+        }
+        self.settings = settings;
+    }
+
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Scheduler(token) => self.events.push(Event::Timer { token }),
+            Timer::Attempt(number) => {
+                // What was never sent has not run; what was sent may still run, but not past its fence in time.
+                let attempt = self.attempts.get(&number);
+                let is_unsent = attempt.is_none_or(|attempt| attempt.status != AttemptStatus::Sent);
+                let outcome = if is_unsent { Outcome::ConnectFailed } else { Outcome::TimedOut };
+                self.finish_attempt(number, outcome, StoreReply::default());
+            }
+            Timer::Fragment(id) => match self.fragments.get(&id).map(|fragment| fragment.state) {
+                // The directory has not said where the data lies. Nothing was sent: a retry does no harm.
+                Some(FragmentState::Locating) => {
+                    self.complete(id, FinalResult::Rejected { retry_after: Duration::ZERO });
+                }
+                Some(FragmentState::Answered(_)) => self.deliver_result(id),
+                Some(FragmentState::Scheduled | FragmentState::Finished) | None => {}
+            },
+            Timer::RetryQueries => {
+                self.retry_scheduled = false;
+                let queries = self.locations.open_queries();
+                queries.into_iter().for_each(|query| self.send_query(query));
+            }
+            Timer::ForgetStores => {
+                let gone_before = self.now.saturating_sub(self.gone_store_retention());
+                let forgotten = self.stores.forget(gone_before).into_iter();
+                self.outputs.extend(forgotten.map(|store| Output::DisconnectStore { store }));
+            }
+        }
+    }
+
+    fn apply_action(&mut self, action: Action) {
+        match action {
+            Action::StartAttempt { op, store, timeout } => self.start_attempt(op.0, store, timeout),
+            Action::Reject { op, retry_after } => self.complete(op.0, FinalResult::Rejected { retry_after }),
+            Action::Fail { op } => self.complete(op.0, FinalResult::Failed),
+            Action::Cancel { op, attempt } => self.cancel_attempt(op.0, attempt),
+            Action::SetTimer { token, at } => self.timers.set(at, Timer::Scheduler(token)),
+            Action::WatchEndpoints => self.send_query(ToList::Watch),
+            Action::FetchEndpoints => self.send_query(ToList::Fetch),
+            Action::Snapshot { stores, volumes } => {
+                let endpoint_list = self.stores.endpoint_list(self.now);
+                let snapshot =
+                    restore::snapshot(endpoint_list, stores, volumes, &self.volumes, self.promise_duration);
+                self.outputs.push(Output::SaveSnapshot(snapshot));
+            }
+            Action::CheckHealth { store } => {
+                let message = ToStore::HealthCheck { token: self.now.as_micros() as u64 };
+                self.outputs.push(Output::ToStore { store, message, hold: None });
+            }
+            Action::Log(text) => self.outputs.push(Output::Log(text)),
+            Action::Fatal(text) => self.outputs.push(Output::Fatal(text)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/core/results.rs
@@ -0,0 +1,89 @@
+//! Results: a fragment's final result, and the final reply that the results of a request's fragments add up to.
+
+use bytes::Bytes;
+use umbertray_store_protocol::store::{DataRange, OperationKind};
+
+use super::Core;
+use crate::extent_span::ExtentSpan;
+use crate::fragment::{AttemptStatus, FragmentState};
+use crate::reply::{FinalResult, FragmentResult, combine};
+use crate::timers::Timer;
+use crate::{Output, ReplyPart, RequestId};
+
+impl Core {
+    /// A fragment has its final result, which is delivered once nothing of the fragment can undo what comes after it.
+    ///
+    /// Hazard: an attempt of an abandoned write may still run. Once notified, the client writes anew, perhaps through another
+    /// gateway, and the late attempt would undo that. The result waits until the fence in time has passed, which is before
+    /// the client's own time is up. Earlier attempts of a write that succeeded were superseded by the one that did.
+    pub(super) fn complete(&mut self, id: u32, result: FinalResult) {
+        let Some(fragment) = self.fragments.get_mut(&id) else { return };
+        if !matches!(fragment.state, FragmentState::Locating | FragmentState::Scheduled) {
+            return;
+        }
+        fragment.state = FragmentState::Answered(result);
+        let in_flight = fragment.attempts.iter().filter_map(|number| self.attempts.get(number));
+        let sent = in_flight.filter(|attempt| attempt.status == AttemptStatus::Sent);
+        let sent_until = sent.map(|attempt| attempt.deadline).max();
+        let may_run_until = fragment.may_run_until().max(sent_until).filter(|at| *at > self.now);
+        let must_wait = fragment.kind.writes() && result != FinalResult::Succeeded;
+        match may_run_until.filter(|_| must_wait) {
+            Some(at) => self.timers.set(at, Timer::Fragment(id)),
+            None => self.deliver_result(id),
+        }
+    }
+
+    /// Adds a fragment's result to its request, and replies once all fragments have theirs.
+    pub(super) fn deliver_result(&mut self, id: u32) {
+        let Some(fragment) = self.fragments.get_mut(&id) else { return };
+        let FragmentState::Answered(result) = fragment.state else { return };
+        fragment.state = FragmentState::Finished;
+        fragment.data = Bytes::new();
+        let request_id = fragment.request;
+        let may_have_run = fragment.may_have_run_since.is_some();
+        self.remove_if_finished(id);
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        request.open_fragments -= 1;
+        request.results.push(FragmentResult { result, may_have_run });
+        if request.open_fragments == 0 {
+            self.send_final_reply(request_id);
+        }
+    }
+
+    fn send_final_reply(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        let idempotency = self.settings.op_types[request.op_type].idempotency;
+        let result = combine(request.results.iter().copied(), idempotency);
+        if result == FinalResult::Succeeded && request.kind == OperationKind::Status {
+            let ranges = request.data_ranges.into_values().flatten().collect();
+            let hold = request.buffer_guard.clone();
+            self.outputs.push(Output::Reply { id, part: ReplyPart::DataRanges(ranges), hold });
+        }
+        let hold = request.buffer_guard;
+        self.outputs.push(Output::Reply { id, part: ReplyPart::Final(result), hold });
+    }
+
+    pub(super) fn remove_if_finished(&mut self, id: u32) {
+        let fragment = self.fragments.get(&id);
+        if fragment
+            .is_some_and(|fragment| fragment.state == FragmentState::Finished && fragment.in_flight == 0)
+        {
+            self.fragments.remove(&id);
+        }
+    }
+
+    /// Sends a part of a reply, if the request is open.
+    pub(super) fn reply(&mut self, id: RequestId, part: ReplyPart) {
+        if let Some(request) = self.requests.get(&id) {
+            self.outputs.push(Output::Reply { id, part, hold: request.buffer_guard.clone() });
+        }
+    }
+
+    /// Records which parts of a span hold data, for the reply to a status request.
+    pub(super) fn record_data_ranges(&mut self, id: RequestId, span: ExtentSpan, ranges: Vec<DataRange>) {
+        let offset = self.volume_offset(span.extent, span.offset);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.data_ranges.insert(offset, ranges);
+        }
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,23 +1,23 @@
-//! From requests to ops and back, free of I/O, clock and chance: plain data in, plain data out.
+//! Routing of requests to stores: plain data in, plain data out; no I/O, no clock, no randomness.
 //!
-//! [`Core`] hosts one decision module. It splits a request at extent borders into pieces, finds where each lies,
-//! hands each to the module as an op, carries the module's actions to the stores and the stores' answers back, and
-//! gives every request its one final answer. It decides nothing that the module decides; what it must decide itself
-//! (fences, places, what goes on where a range has moved, when an answer may go out) stands in modules of its own: `fence`,
-//! `places`, `stale`, `verdict`.
+//! [`Core`] hosts one scheduler. It cuts a request at the borders of extents into fragments, locates each, hands each to the
+//! scheduler as an operation, carries the scheduler's attempts to the stores and their results back, and gives every request
+//! its one final reply. It decides nothing that the scheduler decides; what it has to decide itself (fences, locations, what
+//! resumes where a range has moved, when a reply may be sent) stands in modules of its own: `fence`, `locations`,
+//! `stale_epoch`, `reply`.
 
 mod core;
+mod extent_span;
 mod fence;
-mod members;
-mod piece;
-mod places;
-mod recall;
+mod fragment;
+mod locations;
+mod reply;
+mod restore;
 pub mod saved;
 pub mod settings;
-mod split;
-mod stale;
+mod stale_epoch;
+mod store_membership;
 mod timers;
-mod verdict;
 
 use std::any::Any;
 use std::net::SocketAddr;
@@ -29,144 +29,182 @@
 use umbertray_store_protocol::store::{DataRange, FromStore, OperationKind, ToStore};
 
 pub use self::core::Core;
+pub use reply::FinalResult;
 pub use saved::Snapshot;
 pub use settings::{Settings, SettingsChange};
 pub use umbertray::interface::StoreId;
-pub use verdict::FinalResult;
 
-/// A client's session at this gateway; never used twice in a run.
+/// A client's session at this gateway. An id is never used twice in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// A request: its session and the client's own mark, unique among the session's open ones.
+/// A request: its session and the client's cookie, unique among the session's open requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub SessionId, pub u64);
 
-/// Kept for as long as anything of a request is: whoever counts the bytes held learns of the end by its drop.
+/// Held for as long as anything of a request is: its drop tells the owner of the buffers that they are free.
 pub type BufferGuard = Arc<dyn Any + Send + Sync>;
 
-/// What a client asks of a volume.
+/// A client's request to a volume.
 #[derive(Clone)]
 pub struct Request {
+    /// Its id.
     pub id: RequestId,
     /// Index of the volume in the settings.
     pub volume: usize,
+    /// What it asks for.
     pub kind: OperationKind,
     /// Bytes from the volume's start; the range lies within the volume.
     pub offset: u64,
+    /// Bytes.
     pub length: u32,
-    /// Safe on the stores' medium before the answer.
+    /// Whether it must be on stable storage before the reply.
     pub durable: bool,
     /// A write's data.
     pub data: Bytes,
     /// When its first byte was read: the client's time counts from here.
     pub started_at: Duration,
+    /// Its buffers.
     pub hold: BufferGuard,
 }
 
-/// What happened.
+/// Something that happened.
 pub enum Input {
+    /// A client's request was read.
     Request(Request),
-    /// The client is gone: nobody waits for its answers.
+    /// The client is gone: nobody waits for its replies.
     SessionClosed(SessionId),
-    /// A connection to the store stands, and the store has said who it is.
+    /// A connection to a store is up, and the store has identified itself.
     StoreConnected {
+        /// The store that was to be connected.
         store: StoreId,
+        /// The lasting id that it has told.
         lasting: u64,
+        /// The shard that it has told.
         shard: u32,
+        /// Its clock, microseconds.
         clock: u64,
     },
-    /// No connection to the store could be made; nothing was sent.
+    /// No connection to a store could be made; nothing was sent.
     StoreUnreachable {
+        /// The store.
         store: StoreId,
     },
-    /// The connection broke; what was out on it may have run.
+    /// A connection broke; what was sent on it may have run.
     StoreDisconnected {
+        /// The store.
         store: StoreId,
     },
-    /// What a store said, and when it came: what then waited in this gateway is not the store's doing.
+    /// A message from a store.
     FromStore {
+        /// The store.
         store: StoreId,
+        /// The message.
         message: FromStore,
+        /// When it was received: time that it then waited in this gateway is not the store's latency.
         at: Duration,
     },
+    /// A message from the list and directory service.
     FromList(FromList),
-    /// The connection to the list broke or could not be made.
+    /// The connection to the list service broke or could not be made.
     ListDisconnected,
-    /// The same of the coordinator's, where another service than the list has the map.
+    /// The same of the coordinator, where it has the map of extents.
     CoordinatorDisconnected,
-    /// These settings hold from now on, and this is what changed; the places of what was there stay. What a long change
-    /// does may come in parts, each with the settings that hold after all of it.
+    /// New settings. A long change may come in parts, each with the settings that hold after all of it.
     SettingsChanged {
+        /// The settings from now on; indices of plans and volumes stay.
         settings: Arc<Settings>,
+        /// What changed.
         steps: Vec<SettingsChange>,
     },
-    /// What is known is to be saved; the answer is [`Output::SaveSnapshot`]. Its floors hold for so long.
+    /// Take a snapshot, returned by [`Output::SaveSnapshot`].
     TakeSnapshot {
+        /// How long the tokens that it reserves hold.
         promise_duration: Duration,
     },
-    /// What an earlier run saved, and how long ago, if that can be told. Said once, before all else.
+    /// The snapshot of an earlier run. Comes once, first.
     Restore {
+        /// The snapshot.
         snapshot: Snapshot,
+        /// How old it is, if that is known.
         age: Option<Duration>,
     },
-    /// The time asked for by the last [`Output::SetTimer`] has come.
+    /// The time of the last [`Output::SetTimer`] has come.
     TimerExpired,
 }
 
 /// A part of a request's reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplyPart {
-    /// Read data; offsets are bytes from the volume's start. Parts of a reply never overlap.
+    /// Read data. Parts of a reply never overlap.
     Data {
+        /// Bytes from the volume's start.
         offset: u64,
+        /// The data.
         data: Bytes,
     },
+    /// A range of a read that is all zeros.
     Hole {
+        /// Bytes from the volume's start.
         offset: u64,
+        /// Bytes.
         length: u32,
     },
-    /// The whole range asked about, in order.
+    /// The reply to a status request: its whole range, in order.
     DataRanges(Vec<DataRange>),
-    /// The one final answer; nothing follows it.
+    /// The final result; nothing follows it.
     Final(FinalResult),
 }
 
-/// What a gateway's loop hosts: [`Core`], or something that it is measured against.
+/// What a gateway's event loop hosts: [`Core`], or a stand-in that it is measured against.
 pub trait RequestHandler: Send + 'static {
-    /// Takes what happened at `now` and returns what is to be done, in order.
+    /// Takes everything that happened up to `now` and returns what to do about it, in order.
     fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output>;
 
-    /// Requests without their final answer.
+    /// Number of requests without their final reply.
     fn open_requests(&self) -> usize;
 }
 
-/// What is to be done, in order.
+/// Something that the caller must do.
 pub enum Output {
+    /// Send a part of a reply.
     Reply {
+        /// The request.
         id: RequestId,
+        /// The part.
         part: ReplyPart,
+        /// To be held until the part is sent.
         hold: BufferGuard,
     },
-    /// Connect to a store; say `Linked` or `NotLinked`.
+    /// Connect to a store; [`Input::StoreConnected`] or [`Input::StoreUnreachable`] follows.
     ConnectStore {
+        /// The store.
         store: StoreId,
+        /// Where it listens.
         address: SocketAddr,
     },
-    /// Close the connection to a store, if one stands; nothing need be said.
+    /// Close the connection to a store, if one is up. No input follows.
     DisconnectStore {
+        /// The store.
         store: StoreId,
     },
+    /// Send a message to a store.
     ToStore {
+        /// The store.
         store: StoreId,
+        /// The message.
         message: ToStore,
+        /// To be held until the message is sent.
         hold: Option<BufferGuard>,
     },
+    /// Send a message to the list and directory service.
     ToList(ToList),
+    /// Save a snapshot.
     SaveSnapshot(Snapshot),
-    /// Say `Woken` at this time; replaces what was asked for before.
+    /// Report [`Input::TimerExpired`] at this time, in place of the time of an earlier request.
     SetTimer(Duration),
+    /// Log a line.
     Log(String),
-    /// The module cannot run; the text says why.
+    /// The scheduler cannot run, and why.
     Fatal(String),
 }
--- /dev/null
+++ b/crates/routing/src/restore.rs
@@ -0,0 +1,169 @@
+//! Conversion between the scheduler's snapshots and the saved ones, and when a restored one applies.
+//!
+//! How far restored figures are believed is the scheduler's decision. Here is only what they apply to: a store's to the same
+//! incarnation of the same store, a volume's to the volume of that lasting id, and a saved endpoint list to the time without
+//! a list.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use umbertray::interface::{Endpoint, Event, StoreId, StoreSnapshot, VolumeId, VolumeSnapshot};
+use umbertray_store_protocol::list::{EndpointState, ListedStore};
+
+use crate::saved::{LearnedFigures, Snapshot, StoreRecord, VolumeRecord};
+
+/// What of a snapshot is still to be restored.
+pub(crate) struct PendingRestore {
+    /// By lasting id; those whose figures were restored are gone from it.
+    stores: HashMap<u64, StoreRecord>,
+    endpoint_list: Option<Vec<StoreRecord>>,
+    volumes: HashMap<u64, VolumeId>,
+    /// How old the snapshot was when it was loaded, if that is known, and when that was.
+    age: Option<Duration>,
+    loaded_at: Duration,
+}
+
+impl PendingRestore {
+    /// Splits a snapshot into what the scheduler restores at once and what waits for an endpoint list.
+    pub(crate) fn new(
+        now: Duration,
+        snapshot: Snapshot,
+        age: Option<Duration>,
+        volumes: &[u64],
+    ) -> (Event, PendingRestore) {
+        let volumes: HashMap<u64, VolumeId> =
+            volumes.iter().zip(0..).map(|(lasting_id, id)| (*lasting_id, VolumeId(id))).collect();
+        let restored = snapshot.volumes.into_iter().filter_map(|record| volume_snapshot(&record, &volumes));
+        let event = Event::Restore {
+            age,
+            promise_duration: snapshot.promise_duration,
+            stores: Vec::new(),
+            volumes: restored.collect(),
+        };
+        let endpoint_list = Some(snapshot.stores.clone()).filter(|list| !list.is_empty());
+        let stores = snapshot.stores.into_iter().map(|store| (store.store, store)).collect();
+        (event, PendingRestore { stores, endpoint_list, volumes, age, loaded_at: now })
+    }
+
+    fn age(&self, now: Duration) -> Option<Duration> {
+        self.age.map(|age| age + now.saturating_sub(self.loaded_at))
+    }
+
+    /// Restores what was learned of the stores that a list names, in the incarnation that they were known in. The saved list is
+    /// of no use any more.
+    pub(crate) fn on_list(
+        &mut self,
+        now: Duration,
+        listed: &[ListedStore],
+        endpoints: &[Endpoint],
+    ) -> Option<Event> {
+        let age = self.age(now);
+        self.endpoint_list = None;
+        let mut stores = Vec::new();
+        for (listed, endpoint) in listed.iter().zip(endpoints) {
+            let Some(saved) = self.stores.remove(&listed.store) else { continue };
+            if saved.incarnation != listed.incarnation {
+                continue;
+            }
+            let Some(learned) = saved.learned else { continue };
+            stores.push(self.store_snapshot(endpoint.store, learned));
+        }
+        if stores.is_empty() {
+            return None;
+        }
+        Some(Event::Restore { age, promise_duration: Duration::ZERO, stores, volumes: Vec::new() })
+    }
+
+    fn store_snapshot(&self, store: StoreId, learned: LearnedFigures) -> StoreSnapshot {
+        let known = |(volume, time): (u64, f64)| Some((*self.volumes.get(&volume)?, time));
+        StoreSnapshot {
+            store,
+            latency: learned.latency,
+            concurrency_limit: learned.concurrency_limit,
+            virtual_times: learned.virtual_times.into_iter().filter_map(known).collect(),
+        }
+    }
+
+    /// Takes the saved endpoint list, once.
+    ///
+    /// Hazard: a store may have restarted since it was saved, and be cold. The worst is assumed: each started right after the
+    /// save, or just now where its age is not known.
+    pub(crate) fn take_saved_list(&mut self, now: Duration) -> Option<Vec<ListedStore>> {
+        let age = self.age(now).unwrap_or_default().as_micros() as u64;
+        let listed = |saved: StoreRecord| ListedStore {
+            store: saved.store,
+            address: saved.address,
+            shard: saved.shard,
+            zone: saved.zone,
+            state: saved_state(saved.state),
+            // No incarnation of its own: what a list says of the store's start replaces this one.
+            incarnation: u64::MAX,
+            age: Some(age),
+        };
+        Some(self.endpoint_list.take()?.into_iter().map(listed).collect())
+    }
+}
+
+fn volume_snapshot(record: &VolumeRecord, ids: &HashMap<u64, VolumeId>) -> Option<VolumeSnapshot> {
+    Some(VolumeSnapshot {
+        volume: *ids.get(&record.volume)?,
+        rate: record.rate,
+        reported_rate: record.reported_rate,
+        reserved_tokens: record.reserved_tokens,
+    })
+}
+
+/// The state of a saved store, by its number on the wire.
+fn saved_state(number: u8) -> EndpointState {
+    match number {
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
+        _ => EndpointState::Gone,
+    }
+}
+
+/// The snapshot to save: the endpoint list and what the scheduler has learned, with lasting ids in place of small ones.
+pub(crate) fn snapshot(
+    endpoint_list: impl Iterator<Item = (StoreId, ListedStore)>,
+    stores: Vec<StoreSnapshot>,
+    volumes: Vec<VolumeSnapshot>,
+    lasting_ids: &[u64],
+    promise_duration: Duration,
+) -> Snapshot {
+    let lasting_id = |volume: VolumeId| lasting_ids.get(volume.0 as usize).copied();
+    let mut learned: HashMap<StoreId, LearnedFigures> = HashMap::new();
+    for store in stores {
+        let known = |(volume, time)| Some((lasting_id(volume)?, time));
+        let figures = LearnedFigures {
+            latency: store.latency,
+            concurrency_limit: store.concurrency_limit,
+            virtual_times: store.virtual_times.into_iter().filter_map(known).collect(),
+        };
+        learned.insert(store.store, figures);
+    }
+    let store_record = |(id, listed): (StoreId, ListedStore)| StoreRecord {
+        store: listed.store,
+        address: listed.address,
+        shard: listed.shard,
+        zone: listed.zone,
+        state: listed.state as u8,
+        incarnation: listed.incarnation,
+        learned: learned.remove(&id),
+    };
+    let volume_record = |volume: VolumeSnapshot| {
+        Some(VolumeRecord {
+            volume: lasting_id(volume.volume)?,
+            rate: volume.rate,
+            reported_rate: volume.reported_rate,
+            reserved_tokens: volume.reserved_tokens,
+        })
+    };
+    Snapshot {
+        stores: endpoint_list.map(store_record).collect(),
+        volumes: volumes.into_iter().filter_map(volume_record).collect(),
+        promise_duration,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -1,38 +1,38 @@
-//! What is to be looked at when.
+//! The core's timers, of which the caller keeps one: the next that is due.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The module's own.
-    Module(u64),
-    /// A dispatch's time is up.
-    Dispatch(u64),
-    /// A piece without a place, or with an answer that waits for its fences, is due.
-    Piece(u32),
-    /// Questions that the directory has not answered are asked again.
-    AskAgain,
-    /// Stores long gone are forgotten.
-    Forget,
+    /// The scheduler's, by its token.
+    Scheduler(u64),
+    /// An attempt's time is up.
+    Attempt(u64),
+    /// A fragment that is not located, or whose result waits for its fences, is due.
+    Fragment(u32),
+    /// Queries that the directory has not answered are sent again.
+    RetryQueries,
+    /// Stores that have been gone for long are forgotten.
+    ForgetStores,
 }
 
 #[derive(Default)]
 pub(crate) struct Timers {
     set: BTreeSet<(Duration, Timer)>,
-    told: Option<Duration>,
+    requested: Option<Duration>,
 }
 
 impl Timers {
-    pub fn set(&mut self, at: Duration, timer: Timer) {
+    pub(crate) fn set(&mut self, at: Duration, timer: Timer) {
         self.set.insert((at, timer));
     }
 
-    pub fn unset(&mut self, at: Duration, timer: Timer) {
+    pub(crate) fn unset(&mut self, at: Duration, timer: Timer) {
         self.set.remove(&(at, timer));
     }
 
-    pub fn due(&mut self, now: Duration) -> Option<Timer> {
+    pub(crate) fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let (at, _) = self.set.first()?;
         if *at > now {
             return None;
@@ -40,17 +40,17 @@
         self.set.pop_first().map(|(_, timer)| timer)
     }
 
-    /// The next time to wake at, if it differs from what was told last.
-    pub fn wake(&mut self) -> Option<Duration> {
+    /// The time to request of the caller's timer, if it differs from the last request.
+    pub(crate) fn next_request(&mut self) -> Option<Duration> {
         let next = self.set.first().map(|(at, _)| *at);
-        if next == self.told {
+        if next == self.requested {
             return None;
         }
-        self.told = next;
+        self.requested = next;
         next
     }
 
-    pub fn woken(&mut self) {
-        self.told = None;
+    pub(crate) fn on_expired(&mut self) {
+        self.requested = None;
     }
 }
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -65,18 +65,7 @@
         max_retry_after: ms(500),
         connect_timeout: ms(100),
         tick: ms(2),
-        rules: Rules {
-            capacity: None,
-            drain_grace: ms(500),
-            slow_start_from: 0.5,
-            slow_start_duration: ms(2000),
-            slow_start_multiple: 2.0,
-            slow_start_window: ms(500),
-            slow_start_units: 50.0,
-            order_pause: ms(100),
-            retry_budget: None,
-            poll_within: ms(1000),
-        },
+        rules: rules(),
         bounds: Bounds {
             sessions: 10,
             requests_per_session: 100,
@@ -88,6 +77,21 @@
     }
 }
 
+fn rules() -> Rules {
+    Rules {
+        capacity: None,
+        drain_grace: ms(500),
+        slow_start_from: 0.5,
+        slow_start_duration: ms(2000),
+        slow_start_multiple: 2.0,
+        slow_start_window: ms(500),
+        slow_start_units: 50.0,
+        order_pause: ms(100),
+        retry_budget: None,
+        poll_within: ms(1000),
+    }
+}
+
 struct Asked {
     work: OperationKind,
     offset: u64,
@@ -382,7 +386,8 @@
 }
 
 #[test]
-fn each_request_has_one_final_answer_in_time_and_each_extent_one_place() {
+fn every_request_gets_one_final_result_and_every_extent_one_location() {
+    #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands generated values over by value")]
     fn keeps(steps: Vec<u16>) -> bool {
         day(&steps).sides.iter().all(|side| {
             let answered = |asked: &Asked| asked.closed != asked.answer.is_some();
@@ -396,7 +401,7 @@
 }
 
 #[test]
-fn racing_first_writes_leave_one_place_and_the_loser_follows_it() {
+fn racing_first_writes_agree_on_one_location() {
     let mut world = World::new();
     world.ask(0, OperationKind::Write, 0, 1);
     world.ask(1, OperationKind::Write, 0, 1);
@@ -416,7 +421,7 @@
 }
 
 #[test]
-fn a_write_given_up_is_not_answered_while_it_may_still_run() {
+fn abandoned_write_is_not_answered_before_its_fence() {
     let mut world = World::new();
     world.ask(0, OperationKind::Write, 0, 1);
     (0..2).for_each(|_| world.directory(0));
@@ -433,7 +438,7 @@
 }
 
 #[test]
-fn a_further_dispatch_voids_the_ones_that_may_still_run() {
+fn retry_supersedes_attempts_of_unknown_outcome() {
     let mut world = World::new();
     world.ask(0, OperationKind::Write, 0, 1);
     (0..2).for_each(|_| world.directory(0));
@@ -448,7 +453,7 @@
 /// Found by a rehearsal: with the list down for 0.8 s each failed question asked all others again, and when the list came
 /// back a drain was learned of 1.4 s late, behind the questions.
 #[test]
-fn a_directory_that_fails_is_not_asked_ever_more() {
+fn failing_directory_gets_no_growing_number_of_queries() {
     let mut world = World::new();
     (0..10).for_each(|extent| world.ask(0, OperationKind::Write, extent * 2, 1));
     let mut asked = 0;
@@ -466,7 +471,7 @@
 }
 
 #[test]
-fn a_core_that_recalls_links_to_the_stores_it_knew_without_a_list() {
+fn restored_core_connects_to_saved_stores_without_a_list() {
     let mut world = World::new();
     world.tell(0, vec![Input::TakeSnapshot { promise_duration: ms(2000) }]);
     let saved = world.sides[0].saved.take().expect("told at once");
