--- a/crates/http-gateway/src/client.rs
+++ b/crates/http-gateway/src/client.rs
@@ -28,7 +28,7 @@
 const DUPLICATE_ID: u16 = 409;
 
 /// What is there already.
-pub async fn at_once<T>(future: impl Future<Output = T>) -> Option<T> {
+pub async fn if_ready<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
         value = unconstrained(future) => Some(value),
@@ -38,93 +38,95 @@
 
 /// An op that waits for its answer. Hazard: an op whose client has left must not begin any more; whatever ends the
 /// wait before the answer, dropping this tells so.
-struct Op {
-    hub: Rc<EventLoop>,
+struct PendingOp {
+    event_loop: Rc<EventLoop>,
     /// As its client named it.
     id: Box<str>,
     /// When it was handed on, whole, and how long its client waits. Slow clients write for longer than that.
-    taken_at: Instant,
-    left: Duration,
+    submitted_at: Instant,
+    time_left: Duration,
     client: ClientId,
-    answer: oneshot::Receiver<FinalResponse>,
+    response: oneshot::Receiver<FinalResponse>,
 }
 
-impl Drop for Op {
+impl Drop for PendingOp {
     fn drop(&mut self) {
-        if !self.answer.is_terminated() {
-            self.hub.left(self.client);
+        if !self.response.is_terminated() {
+            self.event_loop.client_disconnected(self.client);
         }
     }
 }
 
 /// What [`Response::Own`] or [`Response::Refusal`] will say.
-enum Own {
+enum OwnResponse {
     Nothing,
     Health(u16),
-    Reply(FinalResponse),
-    Refused(RequestError, RefusalReason),
+    Final(FinalResponse),
+    Error(RequestError, RefusalReason),
 }
 
-pub struct Client {
-    hub: Rc<EventLoop>,
+pub struct ClientConnection {
+    event_loop: Rc<EventLoop>,
     id: u64,
     stream: Socket,
     demand_raised: Rc<Notify>,
     state: ConnectionState,
     requests: RequestReader,
     /// What was found behind a request before its answer was written.
-    ahead: Option<Result<RequestEvent, Malformed>>,
+    read_ahead: Option<Result<RequestEvent, Malformed>>,
     /// The request that was read whole, until it is handed on.
     request: Option<Request>,
-    op: Option<Op>,
-    own: Own,
+    op: Option<PendingOp>,
+    own_response: OwnResponse,
     /// When the first byte of the request that is next, or now open, was read.
-    begun: Duration,
+    request_started_at: Duration,
     /// When the state it is in began, when the last part of a request began to be waited for, and when the time for the
     /// state is over.
-    entered: Instant,
-    entered_reading: Instant,
-    until: Instant,
+    state_since: Instant,
+    reading_since: Instant,
+    state_deadline: Instant,
     /// What was owed before the last step, and what the client did at it.
     owed_before: Obligation,
     peer: Peer,
     /// Why the connection comes to its end, once it does.
-    closing: Option<CloseReason>,
+    close_reason: Option<CloseReason>,
 }
 
-impl Drop for Client {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.hub.clients.remove(self.id);
+        self.event_loop.clients.remove(self.id);
     }
 }
 
-impl Client {
-    pub fn new(hub: Rc<EventLoop>, id: u64, stream: Socket, reject: bool) -> Client {
+impl ClientConnection {
+    pub fn new(event_loop: Rc<EventLoop>, id: u64, stream: Socket, reject: bool) -> ClientConnection {
         let demand_raised = Rc::new(Notify::new());
-        hub.clients.insert(id, demand_raised.clone());
-        let timeouts = &hub.bounds().timeouts;
-        let entered = Instant::now();
-        let until = entered + if reject { timeouts.first_request_rejecting } else { timeouts.first_request };
-        let (state, requests) = (ConnectionState::new(reject), RequestReader::new(hub.bounds().http));
-        let (ahead, request, op, own, begun) = (None, None, None, Own::Nothing, Duration::ZERO);
-        Client {
-            hub,
+        event_loop.clients.insert(id, demand_raised.clone());
+        let timeouts = &event_loop.limits().timeouts;
+        let state_since = Instant::now();
+        let state_deadline =
+            state_since + if reject { timeouts.first_request_rejecting } else { timeouts.first_request };
+        let (state, requests) = (ConnectionState::new(reject), RequestReader::new(event_loop.limits().http));
+        let (read_ahead, request, op, own_response, request_started_at) =
+            (None, None, None, OwnResponse::Nothing, Duration::ZERO);
+        ClientConnection {
+            event_loop,
             id,
             stream,
             demand_raised,
             state,
             requests,
-            ahead,
+            read_ahead,
             request,
             op,
-            own,
-            begun,
-            entered,
-            entered_reading: entered,
-            until,
+            own_response,
+            request_started_at,
+            state_since,
+            reading_since: state_since,
+            state_deadline,
             owed_before: Obligation::None,
             peer: Peer::Open,
-            closing: None,
+            close_reason: None,
         }
     }
 
@@ -139,9 +141,9 @@
                 NextStep::LingeringClose => self.linger().await,
                 NextStep::CancelRequest => {
                     drop(self.op.take());
-                    return self.closed();
+                    return self.on_closed();
                 }
-                NextStep::Close => return self.closed(),
+                NextStep::Close => return self.on_closed(),
             };
             step = self.on(event);
         }
@@ -157,19 +159,21 @@
             Event::WriteFailed => Peer::NotReading,
             _ => Peer::Open,
         };
-        let (state, bounds, now) = (self.state.state(), self.hub.bounds(), Instant::now());
+        let (state, bounds, now) = (self.state.state(), self.event_loop.limits(), Instant::now());
         if state != before {
-            self.entered = now;
+            self.state_since = now;
             if matches!(state, State::ReadingRequest { .. }) {
-                self.entered_reading = now;
+                self.reading_since = now;
             }
             match state {
-                State::Idle => self.until = now + bounds.timeouts.client_idle,
-                State::ReadingRequest { served_before: true } => self.until = self.request_read_until(now),
-                State::LingeringClose => self.until = now + bounds.timeouts.linger,
+                State::Idle => self.state_deadline = now + bounds.timeouts.client_idle,
+                State::ReadingRequest { served_before: true } => {
+                    self.state_deadline = self.request_read_deadline(now)
+                }
+                State::LingeringClose => self.state_deadline = now + bounds.timeouts.linger,
                 // The first request has the time that runs already, where that is shorter.
                 State::ReadingRequest { served_before: false } => {
-                    self.until = self.until.min(self.request_read_until(now))
+                    self.state_deadline = self.state_deadline.min(self.request_read_deadline(now))
                 }
                 State::AwaitingFirstRequest
                 | State::AwaitingResponse { .. }
@@ -180,84 +184,86 @@
         if state != before {
             tracing::debug!(connection = self.id, from = ?before, to = ?state, on = ?event, "connection state");
         }
-        self.closing = self.closing.or_else(|| self.state.close_reason(before, event, step));
-        self.hub.clients.update(self.id, &self.state, state != before);
+        self.close_reason = self.close_reason.or_else(|| self.state.close_reason(before, event, step));
+        self.event_loop.clients.update(self.id, &self.state, state != before);
         step
     }
 
     /// Until when the request has to be whole whose first byte has been read. Hazard: it may have been read long ago,
     /// behind a request that was open; what its client has sent since may still be on its way through a window that
     /// was shut.
-    fn request_read_until(&self, now: Instant) -> Instant {
-        let begun = self.hub.clock.instant(self.begun);
-        (begun + self.hub.bounds().timeouts.request_read).max(now + HOLD_UP)
+    fn request_read_deadline(&self, now: Instant) -> Instant {
+        let begun = self.event_loop.clock.instant(self.request_started_at);
+        (begun + self.event_loop.limits().timeouts.request_read).max(now + HOLD_UP)
     }
 
     /// An idle connection goes by the bounds in force, one without a request by the stricter ones. A request that has
     /// begun keeps its time.
-    fn bounds_changed(&mut self, state: State) {
-        let Timeouts { client_idle, first_request, .. } = self.hub.bounds().timeouts;
+    fn on_limits_changed(&mut self, state: State) {
+        let Timeouts { client_idle, first_request, .. } = self.event_loop.limits().timeouts;
         match state {
-            State::Idle => self.until = self.entered + client_idle,
-            State::AwaitingFirstRequest => self.until = self.until.min(self.entered + first_request),
+            State::Idle => self.state_deadline = self.state_since + client_idle,
+            State::AwaitingFirstRequest => {
+                self.state_deadline = self.state_deadline.min(self.state_since + first_request)
+            }
             _ => {}
         }
     }
 
     /// Counts and tells why the connection closes, and checks that it may.
-    fn closed(&self) {
-        let reason = self.closing.unwrap_or(CloseReason::PeerClosed);
+    fn on_closed(&self) {
+        let reason = self.close_reason.unwrap_or(CloseReason::PeerClosed);
         self.check(connection::may_close(self.owed_before, self.peer));
-        self.hub.counters.count(reason);
+        self.event_loop.counters.count(reason);
         tracing::debug!(connection = self.id, %reason, "connection closed");
     }
 
     fn check(&self, decision: Decision<Violation>) {
-        check(&self.hub.counters, decision, |violation| {
+        check(&self.event_loop.counters, decision, |violation| {
             tracing::error!(connection = self.id, %violation, "lifecycle rule violated");
         });
     }
 
     fn observe(&self, id: &str, decision: Decision<Violation>) {
-        observe(&self.hub.counters, decision, |violation| {
+        observe(&self.event_loop.counters, decision, |violation| {
             tracing::warn!(connection = self.id, id, %violation, "lifecycle rule violated");
         });
     }
 
-    fn refusal(&self, refused: &RequestError, reason: RefusalReason) -> Bytes {
-        self.hub.counters.count(reason);
+    fn error_response(&self, refused: &RequestError, reason: RefusalReason) -> Bytes {
+        self.event_loop.counters.count(reason);
         let RequestError { status, message: what } = refused;
         tracing::debug!(connection = self.id, status, what, %reason, "request refused");
         refusal(refused)
     }
 
     fn demand(&self) -> CloseDemand {
-        demand(&self.hub, self.id)
+        demand(&self.event_loop, self.id)
     }
 
     /// Waits for a request. Cancelled nowhere: bytes that `fill` has read are in `requests` by then.
     async fn read(&mut self) -> Event {
-        if let Some(event) = self.parsed().await {
+        if let Some(event) = self.next_request().await {
             return event;
         }
         loop {
             if self.requests.has_begun() && !matches!(self.state.state(), State::ReadingRequest { .. }) {
                 return Event::PartialRead;
             }
-            let (mut changes, reading) = (self.hub.bounds_changes(), self.state.state());
-            let (until, demand_raised) = (self.until, self.demand_raised.clone());
-            let raised = raised(self.hub.clone(), self.id, demand_raised, self.state.demand());
+            let (mut changes, reading) = (self.event_loop.limits_changes(), self.state.state());
+            let (until, demand_raised) = (self.state_deadline, self.demand_raised.clone());
+            let raised = greater_demand(self.event_loop.clone(), self.id, demand_raised, self.state.demand());
             tokio::select! {
                 biased;
-                filled = timeout_at(until.into(), self.fill()) => match filled {
+                filled = timeout_at(until.into(), self.read_some()) => match filled {
                     Ok(true) => {}
                     Ok(false) => return Event::PeerClosed,
                     Err(_) => return Event::TimedOut,
                 },
                 () = raised => return Event::DemandChanged,
-                _ = changes.changed() => self.bounds_changed(reading),
+                _ = changes.changed() => self.on_limits_changed(reading),
             }
-            if let Some(event) = self.parsed().await {
+            if let Some(event) = self.next_request().await {
                 return event;
             }
         }
@@ -266,25 +272,25 @@
     /// What has come by now and was not read yet.
     async fn read_available(&mut self) -> Event {
         yield_now().await;
-        match at_once(self.fill()).await {
+        match if_ready(self.read_some()).await {
             None => Event::NothingRead,
             Some(false) => Event::PeerClosed,
-            Some(true) => self.parsed().await.unwrap_or(Event::PartialRead),
+            Some(true) => self.next_request().await.unwrap_or(Event::PartialRead),
         }
     }
 
-    async fn parsed(&mut self) -> Option<Event> {
+    async fn next_request(&mut self) -> Option<Event> {
         loop {
-            match self.ahead.take().unwrap_or_else(|| self.requests.next_event()) {
+            match self.read_ahead.take().unwrap_or_else(|| self.requests.next_event()) {
                 Ok(RequestEvent::More) => return None,
                 Ok(RequestEvent::Continue) => _ = self.write(Bytes::from_static(server::CONTINUE)).await,
                 Ok(RequestEvent::Request(request)) => {
-                    let (op, persists) = (self.health(&request).is_none(), request.persists);
+                    let (op, persists) = (self.health_status(&request).is_none(), request.persists);
                     self.request = Some(request);
                     return Some(Event::RequestRead { op, persists });
                 }
                 Err(error) => {
-                    self.own = Own::Refused(refused(&error), RefusalReason::Malformed);
+                    self.own_response = OwnResponse::Error(refused(&error), RefusalReason::Malformed);
                     return Some(Event::RequestRefused);
                 }
             }
@@ -292,12 +298,12 @@
     }
 
     /// Reads what there is; false once the client has gone.
-    async fn fill(&mut self) -> bool {
+    async fn read_some(&mut self) -> bool {
         let fresh = !self.requests.has_begun();
-        self.requests.bytes.reserve(self.hub.bounds().http.head / 2);
+        self.requests.bytes.reserve(self.event_loop.limits().http.head / 2);
         let read = self.stream.read_buf(&mut self.requests.bytes).await;
         if fresh {
-            self.begun = self.hub.clock.now();
+            self.request_started_at = self.event_loop.clock.now();
         }
         matches!(read, Ok(1..))
     }
@@ -305,64 +311,71 @@
     /// Hands the request on and waits for its answer, or for its client's end.
     async fn await_response(&mut self) -> Event {
         if let Some(request) = self.request.take()
-            && let Some(event) = self.hand_on(&request)
+            && let Some(event) = self.submit(&request)
         {
             return event;
         }
-        let Some(mut op) = self.op.take() else { return self.answered() };
+        let Some(mut op) = self.op.take() else { return self.response_ready() };
         let reply = tokio::select! {
             biased;
             // The op is put back for who tells that its client left.
-            () = self.gone() => None,
-            reply = &mut op.answer => Some(reply),
+            () = self.client_disconnected() => None,
+            reply = &mut op.response => Some(reply),
         };
         let Some(reply) = reply else {
             self.op = Some(op);
             return Event::PeerClosed;
         };
-        let took = self.hub.clock.now().saturating_sub(self.begun);
+        let took = self.event_loop.clock.now().saturating_sub(self.request_started_at);
         // Hazard: without a word from the core it may have run.
         let reply = reply.unwrap_or(FinalResponse::Failed);
         tracing::debug!(connection = self.id, id = %op.id, client = ?op.client, ?took, %reply, "answered");
-        self.observe(&op.id, request::answered_in_time(op.taken_at.elapsed(), op.left));
-        self.own = Own::Reply(reply);
-        self.answered()
+        self.observe(&op.id, request::answered_in_time(op.submitted_at.elapsed(), op.time_left));
+        self.own_response = OwnResponse::Final(reply);
+        self.response_ready()
     }
 
     /// Hazard: what is behind an error cannot be told to be a request; it is kept as it was found.
-    fn answered(&mut self) -> Event {
-        let ahead = self.ahead.take().unwrap_or_else(|| self.requests.next_event());
+    fn response_ready(&mut self) -> Event {
+        let ahead = self.read_ahead.take().unwrap_or_else(|| self.requests.next_event());
         let more = matches!(ahead, Ok(RequestEvent::Request(_)));
-        self.ahead = (ahead != Ok(RequestEvent::More)).then_some(ahead);
+        self.read_ahead = (ahead != Ok(RequestEvent::More)).then_some(ahead);
         Event::ResponseReady { more }
     }
 
     /// What becomes of a request at once, if it needs no store.
-    fn hand_on(&mut self, request: &Request) -> Option<Event> {
-        if let Some(status) = self.health(request) {
-            self.own = Own::Health(status);
-            return Some(self.answered());
+    fn submit(&mut self, request: &Request) -> Option<Event> {
+        if let Some(status) = self.health_status(request) {
+            self.own_response = OwnResponse::Health(status);
+            return Some(self.response_ready());
         }
-        let ask = match self.hub.check(request) {
+        let ask = match self.event_loop.check(request) {
             Ok(ask) => ask,
             Err(refused) => {
                 let duplicate = refused.status == DUPLICATE_ID;
                 let reason =
                     if duplicate { RefusalReason::DuplicateId } else { RefusalReason::NotAnOperation };
-                self.own = Own::Refused(refused, reason);
+                self.own_response = OwnResponse::Error(refused, reason);
                 return Some(Event::RequestRefused);
             }
         };
         let (id, target, shard, left) = (ask.id.clone(), &request.target, ask.shard, ask.time_left);
-        let (client, answer) = self.hub.ask(ask, self.begun);
-        tracing::debug!(connection = self.id, id, ?client, %target, shard, ?left, phase = ?self.hub.phase(), "taken");
-        self.op = Some(Op { hub: self.hub.clone(), id, taken_at: Instant::now(), left, client, answer });
+        let (client, answer) = self.event_loop.submit(ask, self.request_started_at);
+        tracing::debug!(connection = self.id, id, ?client, %target, shard, ?left, phase = ?self.event_loop.phase(), "taken");
+        self.op = Some(PendingOp {
+            event_loop: self.event_loop.clone(),
+            id,
+            submitted_at: Instant::now(),
+            time_left: left,
+            client,
+            response: answer,
+        });
         None
     }
 
-    fn health(&self, request: &Request) -> Option<u16> {
+    fn health_status(&self, request: &Request) -> Option<u16> {
         match (&*request.method, &*request.target) {
-            ("GET", fields::READY) => Some(if self.hub.ready() { 200 } else { 503 }),
+            ("GET", fields::READY) => Some(if self.event_loop.is_ready() { 200 } else { 503 }),
             ("GET", fields::LIVE) => Some(200),
             _ => None,
         }
@@ -371,9 +384,9 @@
     /// Returns when the client has gone. What it sends meanwhile is read ahead up to a bound; beyond that only the end
     /// of its connection is waited for, which shows although there is more to be read: tokio's interest in what is
     /// urgent is woken by that, and not by bytes.
-    async fn gone(&mut self) {
-        while self.requests.bytes.len() < self.hub.bounds().ahead {
-            if !self.fill().await {
+    async fn client_disconnected(&mut self) {
+        while self.requests.bytes.len() < self.event_loop.limits().read_ahead {
+            if !self.read_some().await {
                 return;
             }
         }
@@ -381,35 +394,38 @@
     }
 
     async fn write(&mut self, bytes: Bytes) -> Event {
-        let write = timeout(self.hub.bounds().timeouts.response_write, self.stream.write_all(&bytes));
+        let write = timeout(self.event_loop.limits().timeouts.response_write, self.stream.write_all(&bytes));
         let written = match self.state.demand() {
             // Others wait for its room; so few bytes go out at once, unless it has not read what it had before.
-            CloseDemand::ForCapacity => at_once(write).await,
+            CloseDemand::ForCapacity => if_ready(write).await,
             _ => Some(write.await),
         };
         if matches!(written, Some(Ok(Ok(())))) { Event::Written } else { Event::WriteFailed }
     }
 
     async fn respond(&mut self, response: Response, last: bool) -> Event {
-        let own = std::mem::replace(&mut self.own, Own::Nothing);
+        let own = std::mem::replace(&mut self.own_response, OwnResponse::Nothing);
         let bytes = match (response, own) {
             (Response::Rejection, _) => {
-                let draining = self.closing == Some(CloseReason::Draining);
+                let draining = self.close_reason == Some(CloseReason::Draining);
                 let reason = if draining { RefusalReason::Draining } else { RefusalReason::NoCapacity };
-                self.hub.counters.count(reason);
-                let (open, demand) = (self.hub.clients.len(), self.state.demand());
+                self.event_loop.counters.count(reason);
+                let (open, demand) = (self.event_loop.clients.len(), self.state.demand());
                 tracing::debug!(connection = self.id, open, ?demand, %reason, "request refused");
-                rendered(&FinalResponse::Rejected { retry_after: self.hub.bounds().retry_after }, last)
+                rendered(&FinalResponse::Rejected { retry_after: self.event_loop.limits().retry_after }, last)
             }
             (Response::RequestTimeout, _) => {
-                self.observe("", connection::bad_client_wait_holds(self.entered_reading.elapsed()));
+                self.observe("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
                 let what = "the request did not come whole in its time".into();
-                self.refusal(&RequestError { status: 408, message: what }, RefusalReason::RequestReadTimeout)
+                self.error_response(
+                    &RequestError { status: 408, message: what },
+                    RefusalReason::RequestReadTimeout,
+                )
             }
-            (_, Own::Refused(refused, reason)) => self.refusal(&refused, reason),
-            (_, Own::Health(status)) => server::response(status, &[], b"", last),
-            (_, Own::Reply(reply)) => rendered(&reply, last),
-            (_, Own::Nothing) => rendered(&FinalResponse::Failed, last),
+            (_, OwnResponse::Error(refused, reason)) => self.error_response(&refused, reason),
+            (_, OwnResponse::Health(status)) => server::response(status, &[], b"", last),
+            (_, OwnResponse::Final(reply)) => rendered(&reply, last),
+            (_, OwnResponse::Nothing) => rendered(&FinalResponse::Failed, last),
         };
         let event = self.write(bytes).await;
         if self.requests.bytes.is_empty() {
@@ -423,12 +439,12 @@
     async fn linger(&mut self) -> Event {
         _ = self.stream.shutdown().await;
         let (demand_raised, demand) = (self.demand_raised.clone(), self.state.demand());
-        let raised = raised(self.hub.clone(), self.id, demand_raised, demand);
+        let raised = greater_demand(self.event_loop.clone(), self.id, demand_raised, demand);
         let mut passed_over = [0; 4096];
         let drain = async { while matches!(self.stream.read(&mut passed_over).await, Ok(1..)) {} };
         tokio::select! {
             biased;
-            drained = timeout_at(self.until.into(), drain) => match drained {
+            drained = timeout_at(self.state_deadline.into(), drain) => match drained {
                 Ok(()) => Event::PeerClosed,
                 Err(_) => Event::TimedOut,
             },
@@ -439,11 +455,11 @@
 }
 
 fn demand(hub: &EventLoop, id: u64) -> CloseDemand {
-    hub.clients.demand(id).max(if hub.closing() { CloseDemand::Graceful } else { CloseDemand::None })
+    hub.clients.demand(id).max(if hub.is_closing() { CloseDemand::Graceful } else { CloseDemand::None })
 }
 
 /// Returns once a greater demand is made of a connection than it knows of.
-async fn raised(hub: Rc<EventLoop>, id: u64, demand_raised: Rc<Notify>, known: CloseDemand) {
+async fn greater_demand(hub: Rc<EventLoop>, id: u64, demand_raised: Rc<Notify>, known: CloseDemand) {
     let mut phases = hub.phases();
     while demand(&hub, id) <= known {
         tokio::select! {
--- a/crates/http-gateway/src/client_connections.rs
+++ b/crates/http-gateway/src/client_connections.rs
@@ -9,7 +9,7 @@
 use umbertray_http::connection::{CloseDemand, ConnectionState, Obligation, State};
 use umbertray_lifecycle::connection;
 
-use crate::bounds::Bounds;
+use crate::bounds::ResourceLimits;
 
 /// An open connection, as others see it.
 struct Registered {
@@ -146,7 +146,7 @@
     }
 
     /// Waits until one more connection can be had; false if its requests have to be rejected.
-    pub async fn room(&self, bounds: &Bounds) -> bool {
+    pub async fn room(&self, bounds: &ResourceLimits) -> bool {
         loop {
             let changed = self.changed.notified();
             if self.len() < bounds.clients {
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -30,9 +30,9 @@
 use umbertray_lifecycle::{Timeouts, connection};
 use umbertray_socket::Socket;
 
-use crate::bounds::Bounds;
+use crate::bounds::ResourceLimits;
 use crate::event_loop::{EventLoop, Phase};
-use crate::watch::Source;
+use crate::watch::DiscoverySource;
 
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
@@ -67,12 +67,12 @@
     let clock = Clock::start();
     let core =
         Core::start(&config, clock.now()).map_err(|error| GatewayError::Settings(error.to_string()))?;
-    let bounds = Bounds::of(&config).map_err(GatewayError::Settings)?;
+    let bounds = ResourceLimits::from_config(&config).map_err(GatewayError::Settings)?;
     let listen = |error| GatewayError::Listen { address: config.listen, error };
     let listener = TcpListener::bind(config.listen).await.map_err(listen)?;
     let address = listener.local_addr().map_err(listen)?;
     let hub = Rc::new(EventLoop::new(core, clock, bounds));
-    let (to_watch, source) = watched::channel(Source::of(&config));
+    let (to_watch, source) = watched::channel(DiscoverySource::from_config(&config));
     let dial = Socket::connect;
     let followed = watch::follow(dial, hub.clone(), source, config.known.version, config.seed);
     tokio::task::spawn_local(followed);
@@ -107,7 +107,7 @@
     file: &Path,
     config: &mut Config,
     hub: &EventLoop,
-    to_watch: &watched::Sender<Source>,
+    to_watch: &watched::Sender<DiscoverySource>,
 ) -> Result<(), GatewayError> {
     let new = read(file)?;
     if (new.listen, &new.name, new.seed) != (config.listen, &config.name, config.seed) {
@@ -116,7 +116,7 @@
     if (&new.settings, new.limits) != (&config.settings, config.limits) {
         hub.reconfigure(&new).map_err(GatewayError::Settings)?;
     }
-    let source = Source::of(&new);
+    let source = DiscoverySource::from_config(&new);
     to_watch.send_if_modified(|held| std::mem::replace(held, source) != source);
     tracing::info!(discovery = %new.discovery, counters = %hub.counters, "configuration read again");
     *config = new;
@@ -145,12 +145,12 @@
 async fn stop(hub: &EventLoop, told: &Notify) {
     told.notified().await;
     let Timeouts { accept_until, retry_until, drain_deadline, response_write, drain_close, .. } =
-        hub.bounds().timeouts;
+        hub.limits().timeouts;
     let at = |span| hub.clock.instant(hub.clock.now() + span).into();
     let (closing, end): (Instant, Instant) = (at(accept_until), at(drain_deadline));
-    tracing::info!(open = hub.open(), clients = hub.clients.len(), counters = %hub.counters, "stopping");
+    tracing::info!(open = hub.open_requests(), clients = hub.clients.len(), counters = %hub.counters, "stopping");
     hub.post(Input::ShuttingDown(hub.clock.now() + retry_until));
-    hub.enter(Phase::Leaving);
+    hub.enter(Phase::Draining);
     sleep_until(closing).await;
     hub.enter(Phase::Closing);
     if timeout_at(end, hub.clients.empty()).await.is_ok() {
@@ -171,6 +171,6 @@
     tracing::info!(counters = %hub.counters, "lifecycle counters");
     match answered {
         true => tracing::info!(clients, parted, "stopped with open connections"),
-        false => tracing::warn!(open = hub.open(), clients, "stopped with requests unanswered"),
+        false => tracing::warn!(open = hub.open_requests(), clients, "stopped with requests unanswered"),
     }
 }
--- a/crates/http-gateway/src/listener.rs
+++ b/crates/http-gateway/src/listener.rs
@@ -9,11 +9,11 @@
 
 use umbertray_socket::{AcceptError, accept_error};
 
-use crate::client::{Client, at_once};
+use crate::client::{ClientConnection, if_ready};
 use crate::event_loop::{EventLoop, Phase};
 
 /// After a want of the system's the next try comes so much later.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes new connections until the gateway closes. Hazard: those that the system has accepted by then are reset with
 /// the listener, their requests lost.
@@ -25,7 +25,7 @@
             accepted = umbertray_socket::accept(&listener) => Some(accepted),
             _ = phases.wait_for(|phase| *phase == Phase::Closing) => {
                 yield_now().await;
-                at_once(umbertray_socket::accept(&listener)).await
+                if_ready(umbertray_socket::accept(&listener)).await
             }
         };
         let Some(accepted) = accepted else { return };
@@ -37,9 +37,9 @@
                 continue;
             }
         };
-        let reject = !hub.clients.room(&hub.bounds()).await;
+        let reject = !hub.clients.room(&hub.limits()).await;
         _ = stream.set_nodelay(true);
-        let client = Client::new(hub.clone(), id, stream, reject);
+        let client = ClientConnection::new(hub.clone(), id, stream, reject);
         tokio::task::spawn_local(client.serve());
     }
 }
@@ -49,8 +49,8 @@
     let closed_one = error == AcceptError::Descriptors && hub.clients.make_room().await;
     match error {
         AcceptError::Transient => {}
-        AcceptError::System => sleep(ACCEPT_AGAIN).await,
+        AcceptError::System => sleep(ACCEPT_RETRY_DELAY).await,
         AcceptError::Descriptors | AcceptError::Fatal if closed_one => {}
-        AcceptError::Descriptors | AcceptError::Fatal => sleep(hub.bounds().timeouts.connect).await,
+        AcceptError::Descriptors | AcceptError::Fatal => sleep(hub.limits().timeouts.connect).await,
     }
 }
--- a/crates/http-gateway/src/watch.rs
+++ b/crates/http-gateway/src/watch.rs
@@ -19,17 +19,17 @@
 use umbertray_http_api::{Config, Input};
 
 use crate::event_loop::EventLoop;
-use crate::patience::{self, Failed, Failures};
+use crate::patience::{self, FailureKind, Failures};
 
 #[cfg(test)]
 mod tests;
 
 #[derive(Debug, thiserror::Error)]
-enum Broken {
+enum WatchError {
     #[error("not reached: {0}")]
     Connect(io::Error),
     #[error("lost: {0}")]
-    Lost(io::Error),
+    ConnectionLost(io::Error),
     #[error("ended")]
     Ended,
     #[error("silent")]
@@ -39,148 +39,153 @@
     #[error(transparent)]
     Http(#[from] Malformed),
     #[error(transparent)]
-    Unreadable(#[from] EndpointListError),
+    Malformed(#[from] EndpointListError),
     #[error("version {told} came after {held}")]
-    Older { held: u64, told: u64 },
+    OlderVersion { held: u64, told: u64 },
 }
 
-impl Broken {
-    fn how(&self, asked: bool) -> Failed {
+impl WatchError {
+    fn failure_kind(&self, asked: bool) -> FailureKind {
         match self {
-            Broken::Silent => Failed::Hung,
-            Broken::Connect(_) | Broken::Lost(_) | Broken::Ended if !asked => Failed::Closed,
-            _ => Failed::AtOnce,
+            WatchError::Silent => FailureKind::TimedOut,
+            WatchError::Connect(_) | WatchError::ConnectionLost(_) | WatchError::Ended if !asked => {
+                FailureKind::ClosedLocally
+            }
+            _ => FailureKind::Immediate,
         }
     }
 }
 
 /// Of failures, one after the other.
 #[derive(Clone, Copy, Default)]
-struct Rows {
+struct FailureCounts {
     /// Nothing came.
-    failed: Failures,
+    connection: Failures,
     /// No watch brought a thing. Danger: a list that can be had beside a watch that cannot would be asked for without end.
-    unopened: Failures,
+    watch: Failures,
 }
 
 /// What all attempts share.
-struct Watch {
-    hub: Rc<EventLoop>,
+struct WatchState {
+    event_loop: Rc<EventLoop>,
     /// The version held, if the list held is known to be whole.
-    held: Cell<Option<u64>>,
+    known_version: Cell<Option<u64>>,
     /// Something came since the last failure.
-    heard: Cell<bool>,
+    has_received: Cell<bool>,
     /// A watch brought it.
-    opened: Cell<bool>,
+    watch_has_received: Cell<bool>,
 }
 
 /// One connection to discovery, from the dial on.
 struct Attempt<'a> {
-    stage: Rc<Stage>,
-    run: Pin<Box<dyn Future<Output = Broken> + 'a>>,
+    progress: Rc<AttemptProgress>,
+    run: Pin<Box<dyn Future<Output = WatchError> + 'a>>,
 }
 
 /// Where the list of stores is had from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct DiscoverySource {
     pub address: SocketAddr,
     /// Each watch has to be asked for by the module; else changes are pushed.
-    pub asked: bool,
+    pub is_polled: bool,
 }
 
-impl Source {
-    pub fn of(config: &Config) -> Source {
+impl DiscoverySource {
+    pub fn from_config(config: &Config) -> DiscoverySource {
         let asked = config.settings.get("discovery").is_some_and(|word| word == "asked");
-        Source { address: config.discovery, asked }
+        DiscoverySource { address: config.discovery, is_polled: asked }
     }
 }
 
 /// How far an attempt has come.
-struct Stage {
+struct AttemptProgress {
     /// When its next answer has to be whole; once its watch is open, the watch itself sees to that.
-    due: Cell<Option<Instant>>,
+    deadline: Cell<Option<Instant>>,
     /// Some of that answer has come.
-    coming: Cell<bool>,
+    is_receiving: Cell<bool>,
     /// Something of it was whole.
-    told: Notify,
+    completed: Notify,
 }
 
 /// What an attempt has come to.
-enum Came {
-    Told,
-    Late,
-    Broken(Broken),
+enum AttemptEvent {
+    Received,
+    TimedOut,
+    Failed(WatchError),
 }
 
 /// Follows the list at the address that holds at the time. Where it has to be asked for, the first watch begins when the
 /// module asks, and so does the next after one that failed.
 pub async fn follow<S: AsyncRead + AsyncWrite + Unpin>(
     dial: impl AsyncFn(SocketAddr) -> io::Result<S>,
-    hub: Rc<EventLoop>,
-    mut source: watch::Receiver<Source>,
+    event_loop: Rc<EventLoop>,
+    mut source: watch::Receiver<DiscoverySource>,
     known: u64,
     seed: u64,
 ) {
-    let own = Watch::new(hub.clone());
+    let own = WatchState::new(event_loop.clone());
     tracing::debug!(known, "following the list");
-    let (mut rows, mut draws, mut wanted) = (Rows::default(), 0u64, !source.borrow().asked);
+    let (mut rows, mut draws, mut wanted) = (FailureCounts::default(), 0u64, !source.borrow().is_polled);
     let (mut next, mut slow) = (None, None);
     loop {
         // Danger: the module that has asked does not ask again where the watch only moves, or begins with the whole list.
         if !std::mem::replace(&mut wanted, true) && next.is_none() {
             tokio::select! {
-                asked = beside(&mut slow, hub.subscribe.notified()) => if asked.is_none() { next = slow.take() },
+                asked = while_continuing(&mut slow, event_loop.watch_requested.notified()) => if asked.is_none() { next = slow.take() },
                 // Danger: what is told at the new address counts soon, however long the module waits for the old one.
-                _ = source.changed() => (rows, slow) = (Rows::default(), None),
+                _ = source.changed() => (rows, slow) = (FailureCounts::default(), None),
             }
         }
-        let Source { address: at, asked } = *source.borrow_and_update();
+        let DiscoverySource { address: at, is_polled: asked } = *source.borrow_and_update();
         let begun = Instant::now();
-        let attempt = next.take().unwrap_or_else(|| own.attempt(&dial, at, rows.failed));
+        let attempt = next.take().unwrap_or_else(|| own.attempt(&dial, at, rows.connection));
         let broken = tokio::select! {
-            broken = until_broken(attempt, &mut slow) => broken,
+            broken = until_failed(attempt, &mut slow) => broken,
             changed = source.changed() => match changed {
                 Ok(()) => {
                     // Danger: what the old address had last is heard from the new one, as if it were new.
-                    hub.post(Input::EndpointListFailed);
-                    own.ended(rows);
-                    (rows, slow) = (Rows::default(), None);
+                    event_loop.post(Input::EndpointListFailed);
+                    own.reset_on_success(rows);
+                    (rows, slow) = (FailureCounts::default(), None);
                     continue;
                 }
                 Err(_) => return,
             },
-            () = hub.fetch.notified() => {
-                own.held.set(None);
-                (rows, slow) = (own.ended(rows), None);
+            () = event_loop.fetch_requested.notified() => {
+                own.known_version.set(None);
+                (rows, slow) = (own.reset_on_success(rows), None);
                 continue;
             }
         };
         tracing::warn!(discovery = %at, why = %broken, "list lost");
-        if matches!(broken, Broken::Unreadable(_) | Broken::Older { .. } | Broken::Status(_)) {
-            own.held.set(None);
+        if matches!(
+            broken,
+            WatchError::Malformed(_) | WatchError::OlderVersion { .. } | WatchError::Status(_)
+        ) {
+            own.known_version.set(None);
         }
-        hub.post(Input::EndpointListFailed);
+        event_loop.post(Input::EndpointListFailed);
         wanted = !asked;
-        rows = own.failed(rows);
+        rows = own.count_failure(rows);
         draws += 1;
-        let longest = rows.unopened.wait_after(begun.elapsed(), broken.how(asked));
-        let wait = longest.mul_f64(0.5 + chance(seed, draws) / 2.0);
+        let longest = rows.watch.max_backoff_after(begun.elapsed(), broken.failure_kind(asked));
+        let wait = longest.mul_f64(0.5 + random_fraction(seed, draws) / 2.0);
         tokio::select! {
-            waited = beside(&mut slow, sleep(wait)) => if waited.is_none() { next = slow.take() },
-            _ = source.changed() => (wanted, rows, slow) = (true, Rows::default(), None),
+            waited = while_continuing(&mut slow, sleep(wait)) => if waited.is_none() { next = slow.take() },
+            _ = source.changed() => (wanted, rows, slow) = (true, FailureCounts::default(), None),
         }
     }
 }
 
 /// Waits while a slow attempt goes on; nothing, if that one tells something first.
-async fn beside<T>(slow: &mut Option<Attempt<'_>>, done: impl Future<Output = T>) -> Option<T> {
+async fn while_continuing<T>(slow: &mut Option<Attempt<'_>>, done: impl Future<Output = T>) -> Option<T> {
     let mut done = pin!(done);
     while let Some(attempt) = slow {
         tokio::select! {
             biased;
             done = &mut done => return Some(done),
-            came = attempt.broken_or_told() => match came {
-                Came::Broken(_) => *slow = None,
+            came = attempt.failed_or_received() => match came {
+                AttemptEvent::Failed(_) => *slow = None,
                 _ => return None,
             },
         }
@@ -190,55 +195,59 @@
 
 /// Danger: what is heard by way of a list that trickles may come late by all its time. One that is late while it comes
 /// goes on beside the next attempts; the first of them to tell something is the one that stays.
-async fn until_broken<'a>(mut attempt: Attempt<'a>, slow: &mut Option<Attempt<'a>>) -> Broken {
+async fn until_failed<'a>(mut attempt: Attempt<'a>, slow: &mut Option<Attempt<'a>>) -> WatchError {
     loop {
-        match beside(slow, attempt.came()).await {
+        match while_continuing(slow, attempt.next_event()).await {
             None => attempt = slow.take().unwrap_or(attempt),
-            Some(Came::Told) => *slow = None,
-            Some(Came::Broken(broken)) => return broken,
-            Some(Came::Late) => {
-                if attempt.stage.coming.get() {
+            Some(AttemptEvent::Received) => *slow = None,
+            Some(AttemptEvent::Failed(broken)) => return broken,
+            Some(AttemptEvent::TimedOut) => {
+                if attempt.progress.is_receiving.get() {
                     slow.get_or_insert(attempt);
                 }
-                return Broken::Silent;
+                return WatchError::Silent;
             }
         }
     }
 }
 
 impl Attempt<'_> {
-    async fn came(&mut self) -> Came {
-        let stage = self.stage.clone();
+    async fn next_event(&mut self) -> AttemptEvent {
+        let stage = self.progress.clone();
         tokio::select! {
             biased; // What has come by the moment in which it is due is not late.
-            came = self.broken_or_told() => came,
-            () = stage.late() => Came::Late,
+            came = self.failed_or_received() => came,
+            () = stage.timed_out() => AttemptEvent::TimedOut,
         }
     }
 
-    async fn broken_or_told(&mut self) -> Came {
+    async fn failed_or_received(&mut self) -> AttemptEvent {
         tokio::select! {
             biased;
-            broken = &mut self.run => Came::Broken(broken),
-            () = self.stage.told.notified() => Came::Told,
+            broken = &mut self.run => AttemptEvent::Failed(broken),
+            () = self.progress.completed.notified() => AttemptEvent::Received,
         }
     }
 }
 
-impl Stage {
-    fn new(failures: Failures) -> Stage {
-        let stage = Stage { due: Cell::default(), coming: Cell::default(), told: Notify::new() };
-        stage.next(failures);
+impl AttemptProgress {
+    fn new(failures: Failures) -> AttemptProgress {
+        let stage = AttemptProgress {
+            deadline: Cell::default(),
+            is_receiving: Cell::default(),
+            completed: Notify::new(),
+        };
+        stage.restart(failures);
         stage
     }
 
-    fn next(&self, failures: Failures) {
-        self.due.set(Some(Instant::now() + failures.still()));
-        self.coming.set(false);
+    fn restart(&self, failures: Failures) {
+        self.deadline.set(Some(Instant::now() + failures.response_timeout()));
+        self.is_receiving.set(false);
     }
 
-    async fn late(&self) {
-        while let Some(due) = self.due.get() {
+    async fn timed_out(&self) {
+        while let Some(due) = self.deadline.get() {
             if due <= Instant::now() {
                 return;
             }
@@ -248,7 +257,7 @@
     }
 }
 
-fn chance(seed: u64, draws: u64) -> f64 {
+fn random_fraction(seed: u64, draws: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, "watch", draws).hash(&mut hasher);
     hasher.finish() as f64 / u64::MAX as f64
@@ -256,46 +265,55 @@
 
 /// Until when something, and all of it, has to come.
 #[derive(Clone, Copy)]
-struct Due {
-    still: Duration,
-    whole: Instant,
+struct ReadDeadline {
+    idle_timeout: Duration,
+    transfer_deadline: Instant,
 }
 
-impl Due {
-    fn first() -> Due {
-        Due { still: patience::stillest(), whole: Instant::now() + patience::whole() }
+impl ReadDeadline {
+    fn for_attempt() -> ReadDeadline {
+        ReadDeadline {
+            idle_timeout: patience::longest_response_timeout(),
+            transfer_deadline: Instant::now() + patience::transfer_timeout(),
+        }
     }
 
     /// Only a whole line counts, however many bytes of it come.
-    fn line() -> Due {
-        let silence = patience::silence();
-        Due { still: silence, whole: Instant::now() + silence }
+    fn for_line() -> ReadDeadline {
+        let silence = patience::watch_idle_timeout();
+        ReadDeadline { idle_timeout: silence, transfer_deadline: Instant::now() + silence }
     }
 
-    async fn wait<T>(self, done: impl Future<Output = io::Result<T>>) -> Result<io::Result<T>, Broken> {
-        let until = self.whole.min(Instant::now() + self.still);
-        timeout_at(until, done).await.map_err(|_| Broken::Silent)
+    async fn wait<T>(self, done: impl Future<Output = io::Result<T>>) -> Result<io::Result<T>, WatchError> {
+        let until = self.transfer_deadline.min(Instant::now() + self.idle_timeout);
+        timeout_at(until, done).await.map_err(|_| WatchError::Silent)
     }
 }
 
-impl Watch {
-    fn new(hub: Rc<EventLoop>) -> Watch {
-        Watch { hub, held: Cell::default(), heard: Cell::default(), opened: Cell::default() }
+impl WatchState {
+    fn new(event_loop: Rc<EventLoop>) -> WatchState {
+        WatchState {
+            event_loop: event_loop,
+            known_version: Cell::default(),
+            has_received: Cell::default(),
+            watch_has_received: Cell::default(),
+        }
     }
 
     /// What has come ends a row.
-    fn ended(&self, rows: Rows) -> Rows {
-        Rows {
-            failed: if self.heard.take() { Failures::default() } else { rows.failed },
-            unopened: if self.opened.take() { Failures::default() } else { rows.unopened },
+    fn reset_on_success(&self, rows: FailureCounts) -> FailureCounts {
+        FailureCounts {
+            connection: if self.has_received.take() { Failures::default() } else { rows.connection },
+            watch: if self.watch_has_received.take() { Failures::default() } else { rows.watch },
         }
     }
 
-    fn failed(&self, rows: Rows) -> Rows {
-        let (heard, opened, rows) = (self.heard.get(), self.opened.get(), self.ended(rows));
-        Rows {
-            failed: if heard { rows.failed } else { rows.failed.one_more() },
-            unopened: if opened { rows.unopened } else { rows.unopened.one_more() },
+    fn count_failure(&self, rows: FailureCounts) -> FailureCounts {
+        let (heard, opened, rows) =
+            (self.has_received.get(), self.watch_has_received.get(), self.reset_on_success(rows));
+        FailureCounts {
+            connection: if heard { rows.connection } else { rows.connection.plus_one() },
+            watch: if opened { rows.watch } else { rows.watch.plus_one() },
         }
     }
 
@@ -305,139 +323,141 @@
         address: SocketAddr,
         failures: Failures,
     ) -> Attempt<'a> {
-        let stage = Rc::new(Stage::new(failures));
+        let stage = Rc::new(AttemptProgress::new(failures));
         let own = stage.clone();
-        let run = async move { self.watch(dial, address, &own).await.err().unwrap_or(Broken::Ended) };
-        Attempt { stage, run: Box::pin(run) }
+        let run = async move { self.run(dial, address, &own).await.err().unwrap_or(WatchError::Ended) };
+        Attempt { progress: stage, run: Box::pin(run) }
     }
 
-    async fn watch<S: AsyncRead + AsyncWrite + Unpin>(
+    async fn run<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         dial: &impl AsyncFn(SocketAddr) -> io::Result<S>,
         address: SocketAddr,
-        stage: &Stage,
-    ) -> Result<(), Broken> {
-        let mut due = Due::first();
-        let mut stream = due.wait(dial(address)).await?.map_err(Broken::Connect)?;
+        stage: &AttemptProgress,
+    ) -> Result<(), WatchError> {
+        let mut due = ReadDeadline::for_attempt();
+        let mut stream = due.wait(dial(address)).await?.map_err(WatchError::Connect)?;
         let host = address.to_string();
-        if self.held.get().is_none() {
-            self.whole(&mut stream, &host, due, stage).await?;
-            due = Due::first();
-            stage.next(Failures::default());
-            stage.told.notify_waiters();
+        if self.known_version.get().is_none() {
+            self.fetch_list(&mut stream, &host, due, stage).await?;
+            due = ReadDeadline::for_attempt();
+            stage.restart(Failures::default());
+            stage.completed.notify_waiters();
         }
-        self.changes(&mut stream, &host, due, stage).await
+        self.follow_changes(&mut stream, &host, due, stage).await
     }
 
-    async fn whole<S: AsyncRead + AsyncWrite + Unpin>(
+    async fn fetch_list<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         stream: &mut S,
         host: &str,
-        due: Due,
-        stage: &Stage,
-    ) -> Result<(), Broken> {
-        ask(stream, fields::ENDPOINT_LIST, host, due).await?;
-        let mut answers =
-            ResponseReader::new(Limits { body: self.hub.bounds().list, ..self.hub.bounds().http });
+        due: ReadDeadline,
+        stage: &AttemptProgress,
+    ) -> Result<(), WatchError> {
+        send_request(stream, fields::ENDPOINT_LIST, host, due).await?;
+        let mut answers = ResponseReader::new(Limits {
+            body: self.event_loop.limits().endpoint_list,
+            ..self.event_loop.limits().http
+        });
         let answer = loop {
             if let Some(answer) = answers.response()? {
                 break answer;
             }
-            read(stream, &mut answers, due, stage).await?;
+            read_some(stream, &mut answers, due, stage).await?;
         };
         if answer.head.status != 200 {
-            return Err(Broken::Status(answer.head.status));
+            return Err(WatchError::Status(answer.head.status));
         }
-        self.told(EndpointList::read(&answer.body)?)
+        self.apply(EndpointList::read(&answer.body)?)
     }
 
-    async fn changes<S: AsyncRead + AsyncWrite + Unpin>(
+    async fn follow_changes<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         stream: &mut S,
         host: &str,
-        mut due: Due,
-        stage: &Stage,
-    ) -> Result<(), Broken> {
-        ask(stream, &fields::watch(self.held.get().unwrap_or_default()), host, due).await?;
-        let mut answers = ResponseReader::new(Limits { body: usize::MAX, ..self.hub.bounds().http });
-        let (mut lines, mut opened) = (WatchReader::new(self.hub.bounds().list), false);
+        mut due: ReadDeadline,
+        stage: &AttemptProgress,
+    ) -> Result<(), WatchError> {
+        send_request(stream, &fields::watch(self.known_version.get().unwrap_or_default()), host, due).await?;
+        let mut answers = ResponseReader::new(Limits { body: usize::MAX, ..self.event_loop.limits().http });
+        let (mut lines, mut opened) = (WatchReader::new(self.event_loop.limits().endpoint_list), false);
         loop {
             if let Some(head) = answers.head()?
                 && head.status != 200
             {
-                return Err(Broken::Status(head.status));
+                return Err(WatchError::Status(head.status));
             }
             let begun = !lines.bytes.is_empty();
             let ended = answers.stream(&mut lines.bytes)?;
-            let whole = self.lines(&mut lines)?;
+            let whole = self.take_events(&mut lines)?;
             if ended {
                 return Ok(());
             }
             if whole {
                 opened = true;
-                stage.due.set(None);
-                stage.told.notify_waiters();
+                stage.deadline.set(None);
+                stage.completed.notify_waiters();
             }
             if whole || opened && !begun && !lines.bytes.is_empty() {
-                due = Due::line();
+                due = ReadDeadline::for_line();
             }
-            read(stream, &mut answers, due, stage).await?;
+            read_some(stream, &mut answers, due, stage).await?;
         }
     }
 
     /// Tells whether any came whole.
-    fn lines(&self, lines: &mut WatchReader) -> Result<bool, Broken> {
+    fn take_events(&self, lines: &mut WatchReader) -> Result<bool, WatchError> {
         let mut any = false;
         while let Some(line) = lines.next_event()? {
-            self.heard.set(true);
+            self.has_received.set(true);
             if let WatchEvent::List(list) = line {
-                self.told(list)?;
+                self.apply(list)?;
             }
-            self.opened.set(true);
+            self.watch_has_received.set(true);
             any = true;
         }
         Ok(any)
     }
 
     /// Danger: an older version must not bring back stores that are gone.
-    fn told(&self, list: EndpointList) -> Result<(), Broken> {
-        if let Some(held) = self.held.get().filter(|held| list.version < *held) {
-            return Err(Broken::Older { held, told: list.version });
+    fn apply(&self, list: EndpointList) -> Result<(), WatchError> {
+        if let Some(held) = self.known_version.get().filter(|held| list.version < *held) {
+            return Err(WatchError::OlderVersion { held, told: list.version });
         }
-        self.held.set(Some(list.version));
-        self.heard.set(true);
+        self.known_version.set(Some(list.version));
+        self.has_received.set(true);
         for store in &list.stores {
             let (uid, shard, state) = (&store.uid, store.shard, store.state);
             tracing::debug!(version = list.version, uid, shard, ?state, started = ?store.started, "store listed");
         }
-        self.hub.post(Input::EndpointList(list));
+        self.event_loop.post(Input::EndpointList(list));
         Ok(())
     }
 }
 
-async fn ask(
+async fn send_request(
     stream: &mut (impl AsyncWrite + Unpin),
     target: &str,
     host: &str,
-    due: Due,
-) -> Result<(), Broken> {
+    due: ReadDeadline,
+) -> Result<(), WatchError> {
     let bytes = client::request("GET", target, host, &[], b"");
-    due.wait(stream.write_all(&bytes)).await?.map_err(Broken::Lost)
+    due.wait(stream.write_all(&bytes)).await?.map_err(WatchError::ConnectionLost)
 }
 
-async fn read(
+async fn read_some(
     stream: &mut (impl AsyncRead + Unpin),
     answers: &mut ResponseReader,
-    due: Due,
-    stage: &Stage,
-) -> Result<(), Broken> {
+    due: ReadDeadline,
+    stage: &AttemptProgress,
+) -> Result<(), WatchError> {
     answers.bytes.reserve(4096);
     match due.wait(stream.read_buf(&mut answers.bytes)).await? {
-        Ok(0) => Err(Broken::Ended),
+        Ok(0) => Err(WatchError::Ended),
         Ok(_) => {
-            stage.coming.set(true);
+            stage.is_receiving.set(true);
             Ok(())
         }
-        Err(error) => Err(Broken::Lost(error)),
+        Err(error) => Err(WatchError::ConnectionLost(error)),
     }
 }
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -11,8 +11,8 @@
 use umbertray_http_api::{Config, Core};
 
 use super::*;
-use crate::bounds::Bounds;
-use crate::patience::begun;
+use crate::bounds::ResourceLimits;
+use crate::patience::last_attempt_begins_within;
 
 const ADDRESS: &str = "127.0.0.1:9";
 const NEXT_ADDRESS: &str = "127.0.0.1:10";
@@ -90,7 +90,7 @@
     /// When the first watch fell silent.
     silent: Rc<Cell<Option<Instant>>>,
     following: JoinHandle<()>,
-    source: watch::Sender<Source>,
+    source: watch::Sender<DiscoverySource>,
 }
 
 impl World {
@@ -99,14 +99,14 @@
         let config = Config::read(CONFIG).expect("a whole configuration");
         let clock = Clock::start();
         let core = Core::start(&config, clock.now()).expect("it starts");
-        let hub = Rc::new(EventLoop::new(core, clock, Bounds::of(&config).expect("bounds")));
+        let hub = Rc::new(EventLoop::new(core, clock, ResourceLimits::from_config(&config).expect("bounds")));
         let (dials, silent) = (Rc::<RefCell<Vec<_>>>::default(), Rc::<Cell<Option<Instant>>>::default());
         let acts = Rc::new(RefCell::new(VecDeque::from(acts.to_vec())));
         let (asks, dialed, next, since) = (hub.clone(), dials.clone(), acts.clone(), silent.clone());
-        hub.subscribe.notify_one();
+        hub.watch_requested.notify_one();
         let dial = async move |address: SocketAddr| -> io::Result<DuplexStream> {
             if !matches!(told, Told::AskedOnce) {
-                asks.subscribe.notify_one();
+                asks.watch_requested.notify_one();
             }
             dialed.borrow_mut().push((address, Instant::now()));
             let act = next.borrow()[0];
@@ -127,7 +127,7 @@
             Ok(ours)
         };
         let asked = !matches!(told, Told::Pushed);
-        let source = Source { address: ADDRESS.parse().expect("an address"), asked };
+        let source = DiscoverySource { address: ADDRESS.parse().expect("an address"), is_polled: asked };
         let (sender, source) = watch::channel(source);
         let following = spawn_local(follow(dial, hub.clone(), source, 0, 1));
         World { hub, dials, acts, silent, following, source: sender }
@@ -257,7 +257,7 @@
         world.list(2).await;
         let took = world.silent.get().expect("a watch that fell silent").elapsed();
         // The silence of a line that trickles counts from its first byte.
-        let bound = begun(acts.len() as u32 - 1) + DRIP;
+        let bound = last_attempt_begins_within(acts.len() as u32 - 1) + DRIP;
         assert!(took < TOLD && took <= bound, "{told:?} {acts:?}: {took:?}, at most {bound:?}");
         assert_eq!(world.dialed(), acts.len());
     }
@@ -321,7 +321,8 @@
         world.list(1).await;
         let listed = Instant::now();
         world.list(2).await;
-        let (took, bound) = (listed.elapsed(), begun(2) - patience::silence());
+        let (took, bound) =
+            (listed.elapsed(), last_attempt_begins_within(2) - patience::watch_idle_timeout());
         assert!(took <= bound, "{took:?}, at most {bound:?}");
     })
     .await;
@@ -548,9 +549,10 @@
         let world = World::new(Told::Pushed, &acts);
         world.list(1).await;
         let ordered = Instant::now();
-        world.hub.fetch.notify_one();
+        world.hub.fetch_requested.notify_one();
         world.list(2).await;
-        let (took, bound) = (ordered.elapsed(), begun(3) - patience::silence());
+        let (took, bound) =
+            (ordered.elapsed(), last_attempt_begins_within(3) - patience::watch_idle_timeout());
         assert!(took <= bound, "{took:?}, at most {bound:?}");
     })
     .await;
