--- /dev/null
+++ b/crates/control-plane/src/relay/downstreams/follower.rs
@@ -0,0 +1,118 @@
+//! What is known of one follower.
+
+use std::time::Duration;
+
+use umbertray_store_protocol::changes::{
+    Checkpoint, FromUpstream, LaggingMember, MAX_PART, Position, ProgressSummary, Role,
+};
+
+use crate::relay::Entry;
+use crate::relay::log_suffix::LogSuffix;
+
+/// The next byte to send to a follower.
+#[derive(Clone, Copy)]
+pub(super) struct Cursor {
+    /// The last version that was sent in full.
+    pub(super) after: u64,
+    /// Bytes already sent of the entry after that.
+    pub(super) offset: usize,
+}
+
+impl Cursor {
+    /// Where the next part of the entry ends.
+    pub(super) fn part_end(self, entry: &Entry) -> usize {
+        entry.body.len().min(self.offset + MAX_PART)
+    }
+
+    /// The cursor once the entry was sent up to `end`.
+    pub(super) fn moved_to(self, entry: &Entry, end: usize) -> Cursor {
+        if end == entry.body.len() {
+            Cursor { after: entry.at.version, offset: 0 }
+        } else {
+            Cursor { offset: end, ..self }
+        }
+    }
+}
+
+/// What this node can serve, as followers are told.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) struct Announcement {
+    head: Position,
+    oldest_version: u64,
+    checkpoint: Option<Checkpoint>,
+}
+
+impl Announcement {
+    pub(super) fn of(suffix: &LogSuffix) -> Announcement {
+        Announcement {
+            head: suffix.head().unwrap_or_default(),
+            oldest_version: suffix.oldest_version(),
+            checkpoint: suffix.checkpoint(),
+        }
+    }
+
+    pub(super) fn frame(self) -> FromUpstream {
+        let Announcement { head, oldest_version, checkpoint } = self;
+        FromUpstream::Head { head, oldest_version, checkpoint }
+    }
+}
+
+/// One follower's connection.
+pub(super) struct Follower {
+    /// Empty until its hello.
+    pub(super) name: String,
+    pub(super) role: Role,
+    pub(super) hello_received: bool,
+    pub(super) last_received_at: Duration,
+    /// Where it follows; none where it does not.
+    pub(super) cursor: Option<Cursor>,
+    /// Bytes sent to it that it has not taken yet.
+    pub(super) in_flight: u32,
+    pub(super) announced: Option<Announcement>,
+    pub(super) announced_at: Duration,
+    pub(super) last_heartbeat_at: Duration,
+    pub(super) progress: ProgressSummary,
+    /// Since when a gateway has applied nothing newer.
+    pub(super) progress_since: Duration,
+    pub(super) invalid_progress_logged: bool,
+}
+
+impl Follower {
+    pub(super) fn new(now: Duration) -> Follower {
+        Follower {
+            name: String::new(),
+            role: Role::Gateway,
+            hello_received: false,
+            last_received_at: now,
+            cursor: None,
+            in_flight: 0,
+            announced: None,
+            announced_at: now,
+            last_heartbeat_at: now,
+            progress: ProgressSummary::default(),
+            progress_since: now,
+            invalid_progress_logged: false,
+        }
+    }
+
+    pub(super) fn set_progress(&mut self, progress: ProgressSummary, now: Duration) {
+        if progress.levels.first() != self.progress.levels.first() {
+            self.progress_since = now;
+        }
+        self.progress = progress;
+    }
+
+    /// A gateway that has not applied the head yet, for the summary.
+    pub(super) fn lagging(&self, now: Duration, head: u64) -> Option<LaggingMember> {
+        let level = self.progress.levels.first().filter(|level| level.version < head)?;
+        if self.role != Role::Gateway {
+            return None;
+        }
+        let lag = now.saturating_sub(self.progress_since).as_secs();
+        Some(LaggingMember {
+            name: self.name.clone(),
+            version: level.version,
+            lag_seconds: lag.min(u64::from(u32::MAX)) as u32,
+        })
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -0,0 +1,162 @@
+//! What a node holds of the log: a checkpoint and the newest entries, within bounds.
+
+use std::collections::VecDeque;
+
+use bytes::Bytes;
+use umbertray_store_protocol::changes::{Checkpoint, Hash, Position};
+
+use super::{Entry, MAX_SUFFIX_BYTES, MAX_SUFFIX_ENTRIES};
+
+/// Bytes that an entry counts as besides its body.
+pub(super) const ENTRY_OVERHEAD: usize = 96;
+/// Hashes held by a node without followers, which recognize an upstream with another history.
+const MAX_HASHES: usize = 4096;
+
+/// Why the entries after a position cannot be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Gap {
+    /// They are no longer held.
+    Trimmed,
+    /// The version has not been reached yet.
+    Ahead,
+    /// The version has another hash.
+    Fork,
+}
+
+/// Whether entries are held with their bodies.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Retention {
+    /// For followers: bodies and checkpoints are held.
+    Bodies,
+    /// Hashes only.
+    Hashes,
+}
+
+/// The newest part of the log.
+///
+/// Invariant: entries have no gap, the newest is last, and each is chained to the one before.
+pub(super) struct LogSuffix {
+    retention: Retention,
+    checkpoint: Option<(Checkpoint, Bytes)>,
+    /// The position before the first entry; none while nothing is known.
+    base: Option<Position>,
+    entries: VecDeque<Entry>,
+    entry_bytes: usize,
+}
+
+impl LogSuffix {
+    pub(super) fn new(retention: Retention) -> LogSuffix {
+        LogSuffix { retention, checkpoint: None, base: None, entries: VecDeque::new(), entry_bytes: 0 }
+    }
+
+    pub(super) fn head(&self) -> Option<Position> {
+        self.entries.back().map(|entry| entry.at).or(self.base)
+    }
+
+    /// The oldest version after which entries are held.
+    pub(super) fn oldest_version(&self) -> u64 {
+        self.base.map_or(0, |base| base.version)
+    }
+
+    pub(super) fn checkpoint(&self) -> Option<Checkpoint> {
+        self.checkpoint.as_ref().map(|(checkpoint, _)| *checkpoint)
+    }
+
+    pub(super) fn checkpoint_bytes(&self) -> Option<&Bytes> {
+        self.checkpoint.as_ref().map(|(_, bytes)| bytes)
+    }
+
+    pub(super) fn entry_count(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Bytes of the checkpoint and all entries.
+    pub(super) fn held_bytes(&self) -> usize {
+        self.entry_bytes + self.checkpoint_bytes().map_or(0, Bytes::len)
+    }
+
+    pub(super) fn hash_at(&self, version: u64) -> Option<Hash> {
+        let base = self.base?;
+        match version.checked_sub(base.version)? {
+            0 => Some(base.hash),
+            distance => {
+                let index = usize::try_from(distance - 1).ok()?;
+                self.entries.get(index).map(|entry| entry.at.hash)
+            }
+        }
+    }
+
+    /// Whether this history has another hash at the version of `position`; false where it holds none.
+    pub(super) fn contradicts(&self, position: Position) -> bool {
+        self.hash_at(position.version).is_some_and(|hash| hash != position.hash)
+    }
+
+    /// The entry that comes next after a version.
+    pub(super) fn entry_after(&self, version: u64) -> Option<&Entry> {
+        let index = version.checked_sub(self.base?.version)?;
+        self.entries.get(usize::try_from(index).ok()?)
+    }
+
+    /// Whether entries can be sent after a position.
+    pub(super) fn check_position(&self, position: &Position) -> Result<(), Gap> {
+        let head = self.head().ok_or(Gap::Ahead)?;
+        match self.hash_at(position.version) {
+            Some(hash) if hash == position.hash => Ok(()),
+            Some(_) => Err(Gap::Fork),
+            None if position.version > head.version => Err(Gap::Ahead),
+            None => Err(Gap::Trimmed),
+        }
+    }
+
+    /// Starts again from a checkpoint.
+    pub(super) fn reset(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
+        self.clear();
+        self.base = Some(checkpoint.at);
+        self.replace_checkpoint(checkpoint, bytes);
+    }
+
+    /// Starts at a state that the owner already has.
+    pub(super) fn resume_from(&mut self, position: Position) {
+        self.base = Some(position);
+    }
+
+    pub(super) fn clear(&mut self) {
+        *self = LogSuffix::new(self.retention);
+    }
+
+    /// Takes a newer checkpoint of the history that is held.
+    pub(super) fn replace_checkpoint(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
+        if self.retention == Retention::Bodies {
+            self.checkpoint = Some((checkpoint, bytes));
+        }
+        self.trim();
+    }
+
+    pub(super) fn append(&mut self, entry: Entry) {
+        let body = match self.retention {
+            Retention::Bodies => entry.body,
+            Retention::Hashes => Bytes::new(),
+        };
+        self.entry_bytes += ENTRY_OVERHEAD + body.len();
+        self.entries.push_back(Entry { at: entry.at, body });
+        self.trim();
+    }
+
+    fn trim(&mut self) {
+        let max_bytes = MAX_SUFFIX_BYTES.max(self.checkpoint_bytes().map_or(0, Bytes::len));
+        let max_entries = match self.retention {
+            Retention::Bodies => MAX_SUFFIX_ENTRIES,
+            Retention::Hashes => MAX_HASHES,
+        };
+        while self.entries.len() > max_entries || self.entry_bytes > max_bytes && self.entries.len() > 1 {
+            let Some(first) = self.entries.pop_front() else { return };
+            self.entry_bytes -= ENTRY_OVERHEAD + first.body.len();
+            self.base = Some(first.at);
+        }
+    }
+
+    /// Whether entries right after the checkpoint were trimmed: a new follower cannot start from it.
+    pub(super) fn has_outgrown_checkpoint(&self) -> bool {
+        self.checkpoint().is_some_and(|checkpoint| checkpoint.at.version < self.oldest_version())
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -0,0 +1,263 @@
+//! The node: events in, actions out.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use umbertray_store_protocol::changes::{
+    Checkpoint, MAX_CHECKPOINT, Position, ProgressSummary, Role, VersionCount, digest,
+};
+
+use super::downstreams::{self, Downstreams};
+use super::jitter::Jitter;
+use super::log_suffix::{LogSuffix, Retention};
+use super::upstreams::{self, Identity, Upstreams};
+use super::{Action, Config, ConfigError, Entry, Event, Origin, RelayEvent, RelayStatus};
+
+/// Names of the jitter's two streams. They are hash inputs: another name would change every delay drawn with a seed.
+const UPSTREAM_STREAM: &str = "above";
+const DOWNSTREAM_STREAM: &str = "below";
+
+/// A relay or gateway: a follower of its upstreams and, if a relay, an upstream of its followers.
+pub struct RelayNode {
+    config: Config,
+    suffix: LogSuffix,
+    /// None where the node reads the folder.
+    upstreams: Option<Upstreams>,
+    downstreams: Downstreams,
+    /// What an earlier run had committed; a folder with another history there is not served.
+    committed: Option<Position>,
+    applied_version: u64,
+    suffix_outgrown: bool,
+}
+
+/// What followers are told of the log suffix; they hear of each change of it.
+#[derive(PartialEq)]
+struct Served {
+    head: Option<Position>,
+    oldest_version: u64,
+    checkpoint: Option<Checkpoint>,
+}
+
+impl RelayNode {
+    /// A node that knows nothing of the log yet. `committed` is what an earlier run had committed: nothing before it is given
+    /// out, and no other history.
+    ///
+    /// # Errors
+    /// [`ConfigError`] where the configuration names a peer twice, itself, or a quorum that cannot be reached.
+    pub fn new(config: Config, committed: Option<Position>) -> Result<RelayNode, ConfigError> {
+        config.check()?;
+        let jitter = |stream: &str| Jitter::new(config.seed, &format!("{}/{stream}", config.name));
+        let upstreams = match &config.origin {
+            Origin::Folder => None,
+            Origin::Upstreams { upstreams, quorum } => {
+                let identity =
+                    Identity { name: config.name.clone(), zone: config.zone.clone(), role: config.role };
+                Some(Upstreams::new(identity, upstreams, *quorum, jitter(UPSTREAM_STREAM), committed))
+            }
+        };
+        let downstreams =
+            Downstreams::new(config.name.clone(), config.max_followers, jitter(DOWNSTREAM_STREAM));
+        let retention = match config.role {
+            Role::Relay => Retention::Bodies,
+            Role::Gateway => Retention::Hashes,
+        };
+        Ok(RelayNode {
+            config,
+            suffix: LogSuffix::new(retention),
+            upstreams,
+            downstreams,
+            committed,
+            applied_version: 0,
+            suffix_outgrown: false,
+        })
+    }
+
+    /// A gateway whose owner has the state at what it had committed: it continues from there, and requests only what came
+    /// since. A relay starts as with [`RelayNode::new`].
+    ///
+    /// # Errors
+    /// As [`RelayNode::new`].
+    pub fn resume(config: Config, committed: Position) -> Result<RelayNode, ConfigError> {
+        let mut node = RelayNode::new(config, Some(committed))?;
+        if node.config.role == Role::Gateway {
+            node.suffix.resume_from(committed);
+            node.applied_version = committed.version;
+        }
+        Ok(node)
+    }
+
+    /// What has to be done about an event, in this order. `now` is a time since any fixed point, and never goes back.
+    pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        let served_before = self.served();
+        self.on_event(now, event, &mut actions);
+        self.log_outgrown(&mut actions);
+        let path = self.path();
+        let is_changed = self.served() != served_before;
+        let mut context = downstreams::Context { now, suffix: &self.suffix, actions: &mut actions };
+        self.downstreams.set_path(path, &mut context);
+        if is_changed {
+            self.downstreams.on_log_advanced(&mut context);
+        }
+        actions
+    }
+
+    fn served(&self) -> Served {
+        Served {
+            head: self.suffix.head(),
+            oldest_version: self.suffix.oldest_version(),
+            checkpoint: self.suffix.checkpoint(),
+        }
+    }
+
+    fn path(&self) -> Vec<String> {
+        let mut path = self.upstreams.as_ref().map_or(&[][..], Upstreams::path).to_vec();
+        path.push(self.config.name.clone());
+        path
+    }
+
+    fn on_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::FolderCheckpoint { at, bytes } => self.on_folder_checkpoint(at, bytes, actions),
+            Event::FolderEntries(entries) => self.on_folder_entries(entries, actions),
+            Event::FollowerConnected(connection) => {
+                self.with_downstreams(now, actions, |downstreams, context| {
+                    downstreams.on_connected(connection, context);
+                });
+            }
+            Event::FollowerDisconnected(connection) => self.downstreams.on_disconnected(connection),
+            Event::FromFollower { connection, frame } => {
+                self.with_downstreams(now, actions, |downstreams, context| {
+                    downstreams.on_frame(connection, frame, context);
+                });
+            }
+            Event::Malformed(connection) => {
+                self.with_downstreams(now, actions, |downstreams, context| {
+                    downstreams.on_malformed(connection, context);
+                });
+                self.with_upstreams(now, actions, |upstreams, context| {
+                    upstreams.on_malformed(connection, context);
+                });
+            }
+            Event::Applied(version) => self.applied_version = self.applied_version.max(version),
+            Event::Tick => self.on_tick(now, actions),
+            Event::Connected(connection) => {
+                self.with_upstreams(now, actions, |upstreams, context| {
+                    upstreams.on_connected(connection, context);
+                });
+            }
+            Event::Disconnected(connection) => {
+                self.with_upstreams(now, actions, |upstreams, context| {
+                    upstreams.on_disconnected(connection, context);
+                });
+            }
+            Event::FromUpstream { connection, frame } => {
+                self.with_upstreams(now, actions, |upstreams, context| {
+                    upstreams.on_frame(connection, frame, context);
+                });
+            }
+        }
+    }
+
+    fn with_upstreams(
+        &mut self,
+        now: Duration,
+        actions: &mut Vec<Action>,
+        act: impl FnOnce(&mut Upstreams, &mut upstreams::Context<'_>),
+    ) {
+        if let Some(upstreams) = &mut self.upstreams {
+            act(upstreams, &mut upstreams::Context { now, suffix: &mut self.suffix, actions });
+        }
+    }
+
+    fn with_downstreams(
+        &mut self,
+        now: Duration,
+        actions: &mut Vec<Action>,
+        act: impl FnOnce(&mut Downstreams, &mut downstreams::Context<'_>),
+    ) {
+        act(&mut self.downstreams, &mut downstreams::Context { now, suffix: &self.suffix, actions });
+    }
+
+    fn on_tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.with_downstreams(now, actions, |downstreams, context| downstreams.on_timer(context));
+        let progress = self.progress(now);
+        self.with_upstreams(now, actions, |upstreams, context| upstreams.on_timer(&progress, context));
+    }
+
+    fn progress(&self, now: Duration) -> ProgressSummary {
+        match self.config.role {
+            Role::Gateway => ProgressSummary {
+                levels: vec![VersionCount { version: self.applied_version, members: 1 }],
+                lagging: Vec::new(),
+            },
+            Role::Relay => self.downstreams.progress(now, self.suffix.head().unwrap_or_default().version),
+        }
+    }
+
+    fn on_folder_checkpoint(&mut self, at: Position, bytes: Bytes, actions: &mut Vec<Action>) {
+        let broken = Action::Log(RelayEvent::FolderBroken { version: at.version });
+        let length = u32::try_from(bytes.len()).ok().filter(|length| *length <= MAX_CHECKPOINT);
+        let Some(length) = length.filter(|_| !self.contradicts_committed(at)) else {
+            return actions.push(broken);
+        };
+        let checkpoint = Checkpoint { at, digest: digest(&bytes), length };
+        match (self.suffix.head(), self.suffix.hash_at(at.version)) {
+            // The segments in between were deleted before they were read.
+            (Some(head), _) if at.version > head.version => self.suffix.reset(checkpoint, bytes),
+            (None, _) => self.suffix.reset(checkpoint, bytes),
+            (Some(_), Some(hash)) if hash == at.hash => self.suffix.replace_checkpoint(checkpoint, bytes),
+            _ => actions.push(broken),
+        }
+    }
+
+    fn on_folder_entries(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
+        for entry in entries {
+            let head = self.suffix.head();
+            let is_chained = head.is_some_and(|head| head.after_change(&entry.body) == entry.at);
+            if !is_chained || self.contradicts_committed(entry.at) {
+                return actions.push(Action::Log(RelayEvent::FolderBroken { version: entry.at.version }));
+            }
+            self.suffix.append(entry);
+        }
+    }
+
+    fn contradicts_committed(&self, at: Position) -> bool {
+        self.committed.is_some_and(|committed| committed.version == at.version && committed.hash != at.hash)
+    }
+
+    /// Logs, once, that new followers have to wait for the next checkpoint.
+    fn log_outgrown(&mut self, actions: &mut Vec<Action>) {
+        let is_outgrown = self.suffix.has_outgrown_checkpoint();
+        if is_outgrown && !self.suffix_outgrown {
+            let version = self.suffix.oldest_version();
+            actions.push(Action::Log(RelayEvent::SuffixOutgrown { version }));
+        }
+        self.suffix_outgrown = is_outgrown;
+    }
+
+    /// The configuration it was made with.
+    pub fn config(&self) -> &Config {
+        &self.config
+    }
+
+    /// Its state, for operators.
+    pub fn status(&self, now: Duration) -> RelayStatus {
+        let upstreams = self.upstreams.as_ref();
+        let connected = upstreams.into_iter().flat_map(Upstreams::connected_names);
+        RelayStatus {
+            head: self.suffix.head().unwrap_or_default(),
+            checkpoint: self.suffix.checkpoint().map(|checkpoint| checkpoint.at.version),
+            oldest_version: self.suffix.oldest_version(),
+            path: self.downstreams.path().to_vec(),
+            source: upstreams.and_then(Upstreams::source_name).map(str::to_string),
+            connected: connected.map(str::to_string).collect(),
+            followers: self.downstreams.count(),
+            held_entries: self.suffix.entry_count(),
+            held_bytes: self.suffix.held_bytes(),
+            unconfirmed_bytes: upstreams.map_or(0, Upstreams::unconfirmed_bytes),
+            checkpoint_transfers: self.downstreams.checkpoint_transfers(),
+            progress: self.progress(now),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -0,0 +1,314 @@
+//! Upstreams: which are connected, whose entries are taken, and what is believed.
+//!
+//! A node is connected to one more upstream than its quorum, so that any one of them may be gone, old or lying and the others
+//! still suffice. Entries are taken from one, the replication source; the others say by hash that they have the same.
+//!
+//! `peer` is one upstream, `connections` which are connected, `agreement` which entries have a quorum, `replication` the
+//! entries of the source, `checkpoint_transfer` the checkpoint that is fetched. After each event, [`Upstreams::update`] does
+//! all that follows from it, always in the same order.
+
+mod agreement;
+mod checkpoint_transfer;
+mod connections;
+mod peer;
+mod replication;
+
+use std::time::Duration;
+
+use umbertray_store_protocol::changes::{
+    Checkpoint, FromUpstream, MAX_PATH, Position, ProgressSummary, Role, ToUpstream,
+};
+
+use self::checkpoint_transfer::CheckpointTransfer;
+use self::peer::{Peer, UpstreamState};
+use self::replication::{EntryPart, ReplicationSource};
+use super::jitter::{Jitter, rendezvous_weight};
+use super::log_suffix::LogSuffix;
+use super::{Action, DisconnectReason, HEARTBEAT, RelayEvent, Upstream};
+use crate::ConnectionId;
+
+/// With a quorum missing for so long, all upstreams are connected to.
+const MAX_QUORUM_DELAY: Duration = Duration::from_secs(1);
+/// How long all upstreams are connected to then.
+const CONNECT_ALL_DURATION: Duration = Duration::from_secs(10);
+
+/// Who this node is to others.
+pub(super) struct Identity {
+    pub(super) name: String,
+    pub(super) zone: String,
+    pub(super) role: Role,
+}
+
+/// The upstreams of a node.
+///
+/// Invariant: an entry is appended and a checkpoint loaded only where `quorum` of the peers have told the same of it.
+pub(super) struct Upstreams {
+    identity: Identity,
+    quorum: usize,
+    /// In the order of preference: own zone first, then by weight.
+    peers: Vec<Peer>,
+    jitter: Jitter,
+    /// Connection ids of this node's own connections have the top bit.
+    last_connection: u64,
+    source: Option<ReplicationSource>,
+    checkpoint_transfer: CheckpointTransfer,
+    /// The newest position that was committed, by this run or an earlier one.
+    committed: Option<Position>,
+    connect_all_until: Duration,
+    /// Nothing is requested before: the history with a quorum was not the one committed.
+    halted_until: Duration,
+}
+
+/// What an event is handled with.
+pub(super) struct Context<'a> {
+    pub(super) now: Duration,
+    pub(super) suffix: &'a mut LogSuffix,
+    pub(super) actions: &'a mut Vec<Action>,
+}
+
+impl Context<'_> {
+    fn send(&mut self, connection: ConnectionId, frame: ToUpstream) {
+        self.actions.push(Action::SendUpstream { connection, frame });
+    }
+
+    fn log(&mut self, event: RelayEvent) {
+        self.actions.push(Action::Log(event));
+    }
+}
+
+impl Upstreams {
+    pub(super) fn new(
+        identity: Identity,
+        upstreams: &[Upstream],
+        quorum: usize,
+        jitter: Jitter,
+        committed: Option<Position>,
+    ) -> Upstreams {
+        let mut preferred: Vec<(usize, &Upstream)> = upstreams.iter().enumerate().collect();
+        preferred.sort_by_key(|(_, upstream)| {
+            let weight = rendezvous_weight(&identity.name, &upstream.name);
+            (upstream.zone != identity.zone, u64::MAX - weight, upstream.name.clone())
+        });
+        let peers = preferred.into_iter().map(|(index, upstream)| Peer::new(index, upstream.name.clone()));
+        Upstreams {
+            peers: peers.collect(),
+            identity,
+            quorum,
+            jitter,
+            last_connection: 1 << 63,
+            source: None,
+            checkpoint_transfer: CheckpointTransfer::default(),
+            committed,
+            connect_all_until: Duration::ZERO,
+            halted_until: Duration::ZERO,
+        }
+    }
+
+    fn peer_of(&self, connection: ConnectionId) -> Option<usize> {
+        self.peers.iter().position(|peer| peer.connection() == Some(connection))
+    }
+
+    pub(super) fn on_frame(
+        &mut self,
+        connection: ConnectionId,
+        frame: FromUpstream,
+        context: &mut Context<'_>,
+    ) {
+        let Some(peer) = self.peer_of(connection) else { return };
+        if let Err(reason) = self.accept_frame(peer, frame, context) {
+            self.disconnect(peer, reason, context);
+        }
+        self.update(context);
+    }
+
+    fn accept_frame(
+        &mut self,
+        peer: usize,
+        frame: FromUpstream,
+        context: &mut Context<'_>,
+    ) -> Result<(), DisconnectReason> {
+        self.check_order(peer, &frame, context.now)?;
+        match frame {
+            FromUpstream::Hello { name, path } => self.on_hello(peer, &name, path, context),
+            FromUpstream::Path(path) => self.on_path(peer, path, context),
+            FromUpstream::Head { head, oldest_version, checkpoint } => {
+                self.on_head(peer, head, oldest_version, checkpoint)
+            }
+            FromUpstream::HashAt { at } => self.on_hash(peer, at, context),
+            FromUpstream::Entry { at, length, offset, part } => {
+                self.on_entry_part(peer, EntryPart { at, length, offset, bytes: part }, context)
+            }
+            FromUpstream::CheckpointPart { version, offset, part } => {
+                self.on_checkpoint_part(peer, version, offset, &part, context)
+            }
+            FromUpstream::RetryAfter { after } => {
+                self.on_retry_after(peer, context.now + after);
+                Ok(())
+            }
+            FromUpstream::Refused { reason } => Err(DisconnectReason::Refused(reason)),
+            FromUpstream::Heartbeat => Ok(()),
+            // No status is requested here.
+            FromUpstream::Status(_) => Err(DisconnectReason::ProtocolViolation),
+        }
+    }
+
+    /// Checks that a frame may come now: hello first and once, and not too many of those that are sent unasked.
+    fn check_order(
+        &mut self,
+        peer: usize,
+        frame: &FromUpstream,
+        now: Duration,
+    ) -> Result<(), DisconnectReason> {
+        let Some(session) = self.peers[peer].session_mut() else {
+            return Err(DisconnectReason::ProtocolViolation);
+        };
+        session.last_received_at = now;
+        let was_requested = matches!(
+            frame,
+            FromUpstream::Entry { .. } | FromUpstream::CheckpointPart { .. } | FromUpstream::HashAt { .. }
+        );
+        if !was_requested {
+            session.spend_frame(now)?;
+        }
+        let is_hello = matches!(frame, FromUpstream::Hello { .. });
+        let is_refusal = matches!(frame, FromUpstream::Refused { .. });
+        if !is_refusal && is_hello == session.hello_received {
+            return Err(DisconnectReason::ProtocolViolation);
+        }
+        Ok(())
+    }
+
+    fn on_hello(
+        &mut self,
+        peer: usize,
+        name: &str,
+        path: Vec<String>,
+        context: &mut Context<'_>,
+    ) -> Result<(), DisconnectReason> {
+        if name == self.identity.name {
+            return self.reject_loop(peer, path, context);
+        }
+        if name != self.peers[peer].name {
+            return Err(DisconnectReason::WrongName);
+        }
+        if let Some(session) = self.peers[peer].session_mut() {
+            session.hello_received = true;
+        }
+        self.on_path(peer, path, context)
+    }
+
+    fn on_path(
+        &mut self,
+        peer: usize,
+        path: Vec<String>,
+        context: &mut Context<'_>,
+    ) -> Result<(), DisconnectReason> {
+        if path.last() != Some(&self.peers[peer].name) {
+            return Err(DisconnectReason::ProtocolViolation);
+        }
+        let is_loop = path.contains(&self.identity.name) || path.len() >= MAX_PATH;
+        if self.identity.role == Role::Relay && is_loop {
+            return self.reject_loop(peer, path, context);
+        }
+        if let Some(session) = self.peers[peer].session_mut() {
+            session.path = path;
+        }
+        Ok(())
+    }
+
+    fn reject_loop(
+        &mut self,
+        peer: usize,
+        path: Vec<String>,
+        context: &mut Context<'_>,
+    ) -> Result<(), DisconnectReason> {
+        let upstream = self.peers[peer].name.clone();
+        context.log(RelayEvent::Loop { upstream, path });
+        Err(DisconnectReason::Loop)
+    }
+
+    fn on_head(
+        &mut self,
+        peer: usize,
+        head: Position,
+        oldest_version: u64,
+        checkpoint: Option<Checkpoint>,
+    ) -> Result<(), DisconnectReason> {
+        let peer = &mut self.peers[peer];
+        let Some(session) = peer.session_mut() else { return Ok(()) };
+        let previous = session.state.as_ref();
+        let is_backwards = previous.is_some_and(|previous| {
+            head.version < previous.head.version
+                || head.version == previous.head.version && head.hash != previous.head.hash
+        });
+        let is_checkpoint_ahead = checkpoint.is_some_and(|checkpoint| checkpoint.at.version > head.version);
+        if is_backwards || is_checkpoint_ahead || oldest_version > head.version {
+            return Err(DisconnectReason::ProtocolViolation);
+        }
+        let ahead_since = previous.and_then(|previous| previous.ahead_since);
+        session.state = Some(UpstreamState { head, oldest_version, checkpoint, ahead_since });
+        peer.failures = 0;
+        Ok(())
+    }
+
+    /// Does all that follows from what is known now. The order of these steps is part of the protocol's behaviour.
+    fn update(&mut self, context: &mut Context<'_>) {
+        self.compare_heads(context);
+        self.commit_agreed(context);
+        self.query_hashes(context);
+        self.grant_window(context);
+        self.review_source(context);
+        self.connect_preferred(context);
+        self.choose_source(context);
+        self.choose_checkpoint(context);
+    }
+
+    /// Time has passed: idle upstreams are disconnected, and heartbeats sent. `progress` goes to the source.
+    pub(super) fn on_timer(&mut self, progress: &ProgressSummary, context: &mut Context<'_>) {
+        self.disconnect_idle(context);
+        self.expire_download(context);
+        self.update(context);
+        self.send_heartbeats(progress, context);
+    }
+
+    fn send_heartbeats(&mut self, progress: &ProgressSummary, context: &mut Context<'_>) {
+        let source = self.source.as_ref().map(|source| source.peer);
+        for (index, peer) in self.peers.iter_mut().enumerate() {
+            let Some(session) = peer.session_mut().filter(|session| session.hello_received) else {
+                continue;
+            };
+            if context.now < session.last_heartbeat_at + HEARTBEAT {
+                continue;
+            }
+            session.last_heartbeat_at = context.now;
+            let frame = if source == Some(index) {
+                ToUpstream::Progress(progress.clone())
+            } else {
+                ToUpstream::Heartbeat
+            };
+            context.send(session.connection, frame);
+        }
+    }
+
+    /// Names of the relays that entries come by.
+    pub(super) fn path(&self) -> &[String] {
+        let session = self.source.as_ref().and_then(|source| self.peers[source.peer].session());
+        session.map_or(&[], |session| &session.path)
+    }
+
+    /// The name of the replication source.
+    pub(super) fn source_name(&self) -> Option<&str> {
+        self.source.as_ref().map(|source| self.peers[source.peer].name.as_str())
+    }
+
+    /// Names of the upstreams that are connected.
+    pub(super) fn connected_names(&self) -> impl Iterator<Item = &str> {
+        self.peers.iter().filter(|peer| peer.session().is_some()).map(|peer| peer.name.as_str())
+    }
+
+    /// Bytes received that have no quorum yet, or are not complete.
+    pub(super) fn unconfirmed_bytes(&self) -> usize {
+        let entries = self.source.as_ref().map_or(0, ReplicationSource::unconfirmed_bytes);
+        entries + self.checkpoint_transfer.received_bytes()
+    }
+}
--- a/crates/control-plane/tests/relay/cases.rs
+++ b/crates/control-plane/tests/relay/cases.rs
@@ -1,4 +1,4 @@
-//! One trouble at a time, and what crosses the links for it.
+//! One trouble at a time, and what crosses the connections for it.
 
 use std::time::Duration;
 
@@ -150,11 +150,11 @@
     println!(
         "180 gateways and 3 relays from nothing in {:?}, {} checkpoints at once, {} told to return",
         net.now - begun,
-        net.most_fetches,
+        net.most_checkpoint_transfers,
         down(&net, &relays, &[102]),
     );
     assert_eq!((net.behind(), &net.broken), (vec![], &vec![]));
-    assert!(net.most_fetches <= MAX_CHECKPOINT_TRANSFERS);
+    assert!(net.most_checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS);
     assert!(down(&net, &relays, &[102]) > 0, "nobody was told to return");
     assert!(net.now - begun < WITHIN);
     // All relays anew: the gateways have what they have, and none is sent a checkpoint.
@@ -216,7 +216,10 @@
     let net = put_back(true);
     let notes = &net.members[net.gateways()[0]].notes;
     let fork = |note: &&RelayEvent| {
-        matches!(note, RelayEvent::UpstreamLeft { why: DisconnectReason::Refused(RefusalReason::Fork), .. })
+        matches!(
+            note,
+            RelayEvent::UpstreamLeft { reason: DisconnectReason::Refused(RefusalReason::Fork), .. }
+        )
     };
     assert!(notes.iter().filter(fork).count() >= 3);
 }
@@ -246,15 +249,15 @@
 
 #[test]
 fn unsound_configurations_are_named() {
-    let why = |name: &str, origin| RelayNode::new(config(name, origin), None).err();
-    assert_eq!(why("a", upstreams(&["b", "a"], 1)), Some(ConfigError::FollowsItself("a".into())));
-    assert_eq!(why("a", upstreams(&["b", "b"], 2)), Some(ConfigError::Duplicate("b".into())));
-    assert_eq!(why("a", upstreams(&["b"], 2)), Some(ConfigError::Quorum { quorum: 2, upstreams: 1 }));
-    assert_eq!(why("a", upstreams(&["b"], 0)), Some(ConfigError::Quorum { quorum: 0, upstreams: 1 }));
-    assert_eq!(why("", Origin::Folder), Some(ConfigError::Name("".into())));
+    let reason = |name: &str, origin| RelayNode::new(config(name, origin), None).err();
+    assert_eq!(reason("a", upstreams(&["b", "a"], 1)), Some(ConfigError::FollowsItself("a".into())));
+    assert_eq!(reason("a", upstreams(&["b", "b"], 2)), Some(ConfigError::Duplicate("b".into())));
+    assert_eq!(reason("a", upstreams(&["b"], 2)), Some(ConfigError::Quorum { quorum: 2, upstreams: 1 }));
+    assert_eq!(reason("a", upstreams(&["b"], 0)), Some(ConfigError::Quorum { quorum: 0, upstreams: 1 }));
+    assert_eq!(reason("", Origin::Folder), Some(ConfigError::Name("".into())));
     let long = "n".repeat(129);
-    assert_eq!(why("a", upstreams(&[&long], 1)), Some(ConfigError::Name(long)));
-    assert_eq!(why("a", upstreams(&["b"], 1)), None);
+    assert_eq!(reason("a", upstreams(&[&long], 1)), Some(ConfigError::Name(long)));
+    assert_eq!(reason("a", upstreams(&["b"], 1)), None);
 }
 
 #[test]
@@ -284,9 +287,9 @@
 }
 
 fn closed(actions: &[Action]) -> Option<DisconnectReason> {
-    actions
-        .iter()
-        .find_map(|action| if let Action::Close { reason: why, .. } = action { Some(*why) } else { None })
+    actions.iter().find_map(|action| {
+        if let Action::Close { reason: reason, .. } = action { Some(*reason) } else { None }
+    })
 }
 
 /// A relay at a folder with three changes, and what it says to a follower that has said hello.
@@ -297,12 +300,12 @@
     let (at, bytes) = log.checkpoint(0);
     node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes });
     node.handle(Duration::ZERO, Event::FolderEntries(log.entries));
-    let link = ConnectionId(1);
-    node.handle(Duration::ZERO, Event::FollowerConnected(link));
+    let connection = ConnectionId(1);
+    node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: "below".into(), zone: "a".into(), role: Role::Relay };
-    let actions = node.handle(Duration::ZERO, Event::FromFollower { link, frame });
+    let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
     assert!(matches!(said(&actions)[..], [FromUpstream::Hello { .. }, FromUpstream::Head { .. }]));
-    (node, link)
+    (node, connection)
 }
 
 #[test]
@@ -310,7 +313,7 @@
     let other = Position { version: 2, hash: [1; 32] };
     let ahead = Position { version: 9, hash: [1; 32] };
     let hello = || ToUpstream::Hello { name: "below".into(), zone: "a".into(), role: Role::Relay };
-    for (frame, why, left) in [
+    for (frame, reason, left) in [
         (ToUpstream::Follow { after: other }, RefusalReason::Fork, DisconnectReason::Fork),
         (ToUpstream::Follow { after: ahead }, RefusalReason::Ahead, DisconnectReason::ProtocolViolation),
         (
@@ -325,17 +328,17 @@
         ),
         (hello(), RefusalReason::ProtocolViolation, DisconnectReason::ProtocolViolation),
     ] {
-        let (mut node, link) = relay();
-        let actions = node.handle(Duration::ZERO, Event::FromFollower { link, frame });
-        assert_eq!(said(&actions), [&FromUpstream::Refused { reason: why }]);
+        let (mut node, connection) = relay();
+        let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
+        assert_eq!(said(&actions), [&FromUpstream::Refused { reason: reason }]);
         assert_eq!(closed(&actions), Some(left));
         assert_eq!(node.status(Duration::ZERO).followers, 0);
     }
     let (mut node, _) = relay();
-    let link = ConnectionId(2);
-    node.handle(Duration::ZERO, Event::FollowerConnected(link));
+    let connection = ConnectionId(2);
+    node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: "relay".into(), zone: "a".into(), role: Role::Relay };
-    let actions = node.handle(Duration::ZERO, Event::FromFollower { link, frame });
+    let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
     assert_eq!(closed(&actions), Some(DisconnectReason::Loop), "itself");
     node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(3)));
     let actions = node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(4)));
@@ -370,7 +373,7 @@
 /// One that says hello and then reads nothing: what it is sent stops at its window.
 #[test]
 fn a_follower_that_takes_nothing_is_sent_no_more_than_its_window() {
-    let (mut node, link) = relay();
+    let (mut node, connection) = relay();
     let start = Position::START;
     let mut log = Log::new(100);
     (0..3).for_each(|_| _ = log.write("change", 9));
@@ -382,9 +385,10 @@
             }
         }
     };
-    count(
-        node.handle(Duration::ZERO, Event::FromFollower { link, frame: ToUpstream::Follow { after: start } }),
-    );
+    count(node.handle(
+        Duration::ZERO,
+        Event::FromFollower { connection, frame: ToUpstream::Follow { after: start } },
+    ));
     for _ in 0..200 {
         let entry = log.write("change", 30_000);
         count(node.handle(Duration::ZERO, Event::FolderEntries(vec![entry])));
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -21,7 +21,7 @@
 struct Hand {
     node: RelayNode,
     now: Duration,
-    links: BTreeMap<String, ConnectionId>,
+    connections: BTreeMap<String, ConnectionId>,
     log: Log,
     out: Vec<Action>,
 }
@@ -42,20 +42,23 @@
             max_followers: 0,
         };
         let node = RelayNode::new(config, None).expect("sound");
-        let (now, links) = (Duration::ZERO, BTreeMap::new());
-        let mut hand = Hand { node, now, links, log: Log::new(100), out: Vec::new() };
+        let (now, connections) = (Duration::ZERO, BTreeMap::new());
+        let mut hand = Hand { node, now, connections, log: Log::new(100), out: Vec::new() };
         (0..3).for_each(|_| _ = hand.log.write("change", 9));
         hand.event(Event::Tick);
-        assert_eq!(hand.links.len(), 3);
-        let names: Vec<String> = hand.links.keys().cloned().collect();
+        assert_eq!(hand.connections.len(), 3);
+        let names: Vec<String> = hand.connections.keys().cloned().collect();
         names.iter().for_each(|name| hand.open(name));
         names.iter().for_each(|name| hand.at(name, 3, 0));
         let (_, bytes) = hand.log.checkpoint(0);
-        let link = hand.told(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
+        let connection = hand.told(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
         let part = FromUpstream::CheckpointPart { version: 0, offset: 0, part: bytes };
-        let link = link.expect("a checkpoint that two vouch for is asked for");
-        hand.event(Event::FromUpstream { link, frame: part });
-        assert_eq!(hand.told(|frame| matches!(frame, ToUpstream::Follow { .. })), Some(hand.links["near"]));
+        let connection = connection.expect("a checkpoint that two vouch for is asked for");
+        hand.event(Event::FromUpstream { connection, frame: part });
+        assert_eq!(
+            hand.told(|frame| matches!(frame, ToUpstream::Follow { .. })),
+            Some(hand.connections["near"])
+        );
         hand.entries("near", 0);
         assert_eq!(hand.acted(), [1, 2, 3]);
         hand.answer();
@@ -67,11 +70,11 @@
         let actions = self.node.handle(self.now, event);
         for action in actions {
             match &action {
-                Action::Connect { upstream, link } => {
+                Action::Connect { upstream, connection } => {
                     let Origin::Upstreams { upstreams, .. } = &self.node.config().origin else { continue };
-                    self.links.insert(upstreams[*upstream].name.clone(), *link);
+                    self.connections.insert(upstreams[*upstream].name.clone(), *connection);
                 }
-                Action::Close { link, .. } => self.links.retain(|_, known| known != link),
+                Action::Close { connection, .. } => self.connections.retain(|_, known| known != connection),
                 _ => {}
             }
             self.out.push(action);
@@ -79,13 +82,13 @@
     }
 
     fn hear(&mut self, name: &str, frame: FromUpstream) {
-        if let Some(link) = self.links.get(name).copied() {
-            self.event(Event::FromUpstream { link, frame });
+        if let Some(connection) = self.connections.get(name).copied() {
+            self.event(Event::FromUpstream { connection, frame });
         }
     }
 
     fn open(&mut self, name: &str) {
-        self.event(Event::Connected(self.links[name]));
+        self.event(Event::Connected(self.connections[name]));
         let path = vec![name.to_string()];
         self.hear(name, FromUpstream::Hello { name: name.into(), path });
     }
@@ -115,29 +118,29 @@
     /// Whoever was asked for a hash tells the true one.
     fn answer(&mut self) {
         let ask = |action: &Action| match action {
-            Action::SendUpstream { link, frame: ToUpstream::QueryHash { version } } => {
-                Some((*link, *version))
+            Action::SendUpstream { connection, frame: ToUpstream::QueryHash { version } } => {
+                Some((*connection, *version))
             }
             _ => None,
         };
         let asks: Vec<(ConnectionId, u64)> = self.out.iter().filter_map(ask).collect();
-        for (link, version) in asks {
+        for (connection, version) in asks {
             let at = self.log.at(version).expect("written");
-            self.event(Event::FromUpstream { link, frame: FromUpstream::HashAt { at } });
+            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { at } });
         }
     }
 
     /// The connection to one ends, and another is connected to instead.
     fn lose(&mut self, name: &str) -> String {
-        let link = self.links.remove(name).expect("connected");
-        self.event(Event::Disconnected(link));
+        let connection = self.connections.remove(name).expect("connected");
+        self.event(Event::Disconnected(connection));
         self.fresh().expect("another is connected to instead")
     }
 
     /// One that is being connected to.
     fn fresh(&self) -> Option<String> {
         let linked = self.node.status(self.now).connected;
-        self.links.keys().find(|name| !linked.contains(name)).cloned()
+        self.connections.keys().find(|name| !linked.contains(name)).cloned()
     }
 
     /// Time passes, and who is connected gives signs of life.
@@ -161,15 +164,17 @@
 
     fn told(&self, which: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
         self.out.iter().find_map(|action| match action {
-            Action::SendUpstream { link, frame } if which(frame) => Some(*link),
+            Action::SendUpstream { connection, frame } if which(frame) => Some(*connection),
             _ => None,
         })
     }
 
-    /// Whom it left, and why.
+    /// Whom it left, and reason.
     fn left<'a>(&'a self) -> Vec<(&'a str, DisconnectReason)> {
         let left = |action: &'a Action| match action {
-            Action::Log(RelayEvent::UpstreamLeft { upstream, why, .. }) => Some((upstream.as_str(), *why)),
+            Action::Log(RelayEvent::UpstreamLeft { upstream, reason, .. }) => {
+                Some((upstream.as_str(), *reason))
+            }
             _ => None,
         };
         self.out.iter().filter_map(left).collect()
@@ -177,7 +182,7 @@
 
     /// Two of those it is connected to besides "near".
     fn others(&self) -> (String, String) {
-        let mut names = self.links.keys().filter(|name| *name != "near").cloned();
+        let mut names = self.connections.keys().filter(|name| *name != "near").cloned();
         (names.next().expect("another"), names.next().expect("a third"))
     }
 }
@@ -220,7 +225,7 @@
     hand.at(&other, 4, 0);
     assert_eq!(hand.left(), [("near", DisconnectReason::Fork)]);
     assert!(hand.told(|frame| matches!(frame, ToUpstream::Follow { .. })).is_some());
-    let followed = hand.node.status(hand.now).followed.expect("another is followed");
+    let followed = hand.node.status(hand.now).source.expect("another is followed");
     hand.entries(&followed, 3);
     assert_eq!(hand.acted(), [4], "the true one");
 }
@@ -234,7 +239,7 @@
     let entries = hand.log.entries[3..9].to_vec();
     entries.iter().for_each(|entry| hand.entry("near", entry));
     let asked = hand.told(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
-    assert_eq!(asked, Some(hand.links[&one]));
+    assert_eq!(asked, Some(hand.connections[&one]));
     assert_eq!(hand.acted(), []);
     let at = hand.log.at(4).expect("written");
     hand.hear(&one, FromUpstream::HashAt { at });
@@ -259,10 +264,10 @@
         hand.entry("near", &entry);
         hand.pass(SECOND);
     }
-    let link = hand.told(fetch).expect("the checkpoint that two vouch for");
+    let connection = hand.told(fetch).expect("the checkpoint that two vouch for");
     let part = hand.log.checkpoint(16).1;
     hand.event(Event::FromUpstream {
-        link,
+        connection,
         frame: FromUpstream::CheckpointPart { version: 16, offset: 0, part },
     });
     assert_eq!(hand.node.status(hand.now).head, hand.log.at(16).expect("written"));
@@ -277,14 +282,14 @@
         let entry = hand.log.write("runaway", MAX_PART);
         hand.entry("near", &entry);
         sent += entry.body.len();
-        let waiting = hand.node.status(hand.now).waiting_bytes;
+        let waiting = hand.node.status(hand.now).unconfirmed_bytes;
         assert!(
             waiting <= MAX_SUFFIX_BYTES + 2 * (WINDOW as usize + MAX_PART),
             "{waiting} bytes after {sent}"
         );
     }
     assert_eq!(hand.left(), [("near", DisconnectReason::Unrequested)]);
-    assert_eq!(hand.node.status(hand.now).waiting_bytes, 0);
+    assert_eq!(hand.node.status(hand.now).unconfirmed_bytes, 0);
     assert_eq!(hand.acted(), []);
 }
 
@@ -301,7 +306,7 @@
     };
     let next = head.after_change(b"next");
     let part = Bytes::from_static(b"part");
-    for (frame, why) in [
+    for (frame, reason) in [
         (at(old, 0), DisconnectReason::ProtocolViolation),
         (at(Position { hash: [1; 32], ..head }, 0), DisconnectReason::ProtocolViolation),
         (at(head, 4), DisconnectReason::ProtocolViolation),
@@ -322,7 +327,7 @@
     ] {
         let mut hand = Hand::new();
         hand.hear("near", frame.clone());
-        assert_eq!(hand.left(), [("near", why)], "{frame:?}");
+        assert_eq!(hand.left(), [("near", reason)], "{frame:?}");
     }
     // An entry of one that was not asked for any.
     let mut hand = Hand::new();
@@ -333,27 +338,27 @@
     (0..200).for_each(|_| hand.hear("near", FromUpstream::Heartbeat));
     assert_eq!(hand.left(), [("near", DisconnectReason::Unrequested)]);
     let mut hand = Hand::new();
-    let link = hand.links["near"];
-    hand.event(Event::Malformed(link));
+    let connection = hand.connections["near"];
+    hand.event(Event::Malformed(connection));
     assert_eq!(hand.left(), [("near", DisconnectReason::ProtocolViolation)]);
 }
 
 #[test]
 fn a_stranger_and_oneself_are_left() {
-    for (name, why) in [("else", DisconnectReason::WrongName), ("gateway", DisconnectReason::Loop)] {
+    for (name, reason) in [("else", DisconnectReason::WrongName), ("gateway", DisconnectReason::Loop)] {
         let mut hand = Hand::new();
         let other = hand.lose("near");
         hand.open(&other);
         hand.at(&other, 3, 0);
         (0..240).for_each(|_| {
-            if !hand.links.contains_key("near") {
+            if !hand.connections.contains_key("near") {
                 hand.pass(SECOND / 4);
             }
         });
         hand.out.clear();
-        hand.event(Event::Connected(hand.links["near"]));
+        hand.event(Event::Connected(hand.connections["near"]));
         hand.hear("near", FromUpstream::Hello { name: name.into(), path: vec![name.into()] });
-        assert_eq!(hand.left(), [("near", why)]);
+        assert_eq!(hand.left(), [("near", reason)]);
     }
 }
 
@@ -363,9 +368,9 @@
     hand.log.write("change", 9);
     hand.entries("near", 3);
     hand.pass(SECOND / 2);
-    assert_eq!(hand.links.len(), 3);
+    assert_eq!(hand.connections.len(), 3);
     hand.pass(SECOND);
-    assert_eq!(hand.links.len(), 4);
+    assert_eq!(hand.connections.len(), 4);
     let fourth = hand.fresh().expect("the fourth");
     hand.open(&fourth);
     hand.at(&fourth, 4, 0);
@@ -376,13 +381,13 @@
 fn the_nearest_is_gone_back_to_when_it_has_stood_for_a_while() {
     let mut hand = Hand::new();
     let fourth = hand.lose("near");
-    let followed = |hand: &Hand| hand.node.status(hand.now).followed;
+    let followed = |hand: &Hand| hand.node.status(hand.now).source;
     assert!(followed(&hand).is_some_and(|name| name != "near"));
     hand.open(&fourth);
     hand.at(&fourth, 3, 0);
-    assert!(!hand.links.contains_key("near"));
+    assert!(!hand.connections.contains_key("near"));
     let mut waited = Duration::ZERO;
-    while !hand.links.contains_key("near") && waited < 60 * SECOND {
+    while !hand.connections.contains_key("near") && waited < 60 * SECOND {
         hand.pass(SECOND / 4);
         waited += SECOND / 4;
     }
@@ -390,7 +395,7 @@
     assert!((15 * SECOND..=31 * SECOND).contains(&waited), "{waited:?}");
     hand.open("near");
     hand.at("near", 3, 0);
-    assert_eq!(hand.links.len(), 3, "the spare one is left");
+    assert_eq!(hand.connections.len(), 3, "the spare one is left");
     assert_ne!(followed(&hand), Some("near".into()));
     hand.pass(6 * SECOND);
     assert_eq!(followed(&hand), Some("near".into()));
--- a/crates/control-plane/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! The tree that carries the log of changes, whole, in virtual time: the product's nodes on links that delay, end and are
+//! The tree that carries the log of changes, whole, in virtual time: the product's nodes on connections that delay, end and are
 //! cut, as processes that die, freeze and are slow, with relays among them that lie.
 //!
 //! What is held at every step: an honest member builds only on what the writer wrote, in order; what it has in force never goes
--- a/crates/control-plane/tests/relay/net.rs
+++ b/crates/control-plane/tests/relay/net.rs
@@ -1,4 +1,4 @@
-//! Relays and gateways, the folder that some of the relays read, the links between them, and what goes wrong. All in virtual
+//! Relays and gateways, the folder that some of the relays read, the connections between them, and what goes wrong. All in virtual
 //! time: an event is a moment and a thing, and the same seed gives the same run.
 
 use std::cmp::Reverse;
@@ -63,9 +63,9 @@
 
 struct Conn {
     follower: Id,
-    up_link: ConnectionId,
+    up_connection: ConnectionId,
     upstream: Id,
-    down_link: ConnectionId,
+    down_connection: ConnectionId,
     /// When the last of each direction arrives, and the bytes on their way down.
     last: [Duration; 2],
     unsent: usize,
@@ -84,7 +84,7 @@
     End { conn: u64, way: Way },
 }
 
-/// What crossed the links, by the kind of frame.
+/// What crossed the connections, by the kind of frame.
 #[derive(Default, Clone, Debug)]
 pub struct Counted {
     pub frames: BTreeMap<u8, usize>,
@@ -98,14 +98,14 @@
     things: BinaryHeap<Reverse<(Duration, u64)>>,
     queued: HashMap<u64, Thing>,
     conns: BTreeMap<u64, Conn>,
-    /// Which connection, and which end of it, a member's link is.
+    /// Which connection, and which end of it, a member's connection is.
     ends: HashMap<(Id, ConnectionId), (u64, Way)>,
     next: u64,
     pub rng: SmallRng,
     pub cut: bool,
     pub vouch: usize,
     pub counted: HashMap<(Id, Way), Counted>,
-    pub most_fetches: usize,
+    pub most_checkpoint_transfers: usize,
     /// What was broken, with who and when.
     pub broken: Vec<String>,
     /// When each version was written.
@@ -129,7 +129,7 @@
             cut: false,
             vouch,
             counted: HashMap::new(),
-            most_fetches: 0,
+            most_checkpoint_transfers: 0,
             broken: Vec::new(),
             written: Vec::new(),
             longest: Duration::ZERO,
@@ -249,7 +249,7 @@
         ends.into_iter().for_each(|conn| self.end(conn, None));
     }
 
-    /// All connections of one link between two members end.
+    /// All connections of one connection between two members end.
     pub fn lose_some(&mut self) {
         let conns: Vec<u64> = self.conns.keys().copied().collect();
         if !conns.is_empty() {
@@ -359,7 +359,8 @@
 
     fn connected(&mut self, id: u64, ok: bool) {
         let Some(conn) = self.conns.get(&id) else { return };
-        let (follower, up, upstream, down) = (conn.follower, conn.up_link, conn.upstream, conn.down_link);
+        let (follower, up, upstream, down) =
+            (conn.follower, conn.up_connection, conn.upstream, conn.down_connection);
         if ok && self.members[upstream].node.is_some() && !self.apart(follower, upstream) {
             self.give(upstream, Event::FollowerConnected(down));
             self.give(follower, Event::Connected(up));
@@ -379,7 +380,8 @@
         if way == Way::Down {
             conn.unsent -= bytes.len();
         }
-        let (follower, up, upstream, down) = (conn.follower, conn.up_link, conn.upstream, conn.down_link);
+        let (follower, up, upstream, down) =
+            (conn.follower, conn.up_connection, conn.upstream, conn.down_connection);
         if self.apart(follower, upstream) {
             // The stream is broken from here on; both ends find out by silence.
             return self.end(id, Some(()));
@@ -387,11 +389,11 @@
         let mut input = BytesMut::from(&bytes[..]);
         match way {
             Way::Up => match next_frame::<ToUpstream>(&mut input) {
-                Ok(Some(frame)) => self.give(upstream, Event::FromFollower { link: down, frame }),
+                Ok(Some(frame)) => self.give(upstream, Event::FromFollower { connection: down, frame }),
                 _ => self.give(upstream, Event::Malformed(down)),
             },
             Way::Down => match next_frame::<FromUpstream>(&mut input) {
-                Ok(Some(frame)) => self.give(follower, Event::FromUpstream { link: up, frame }),
+                Ok(Some(frame)) => self.give(follower, Event::FromUpstream { connection: up, frame }),
                 _ => self.give(follower, Event::Malformed(up)),
             },
         }
@@ -401,16 +403,16 @@
     fn end(&mut self, id: u64, unheard: Option<()>) {
         let Some(conn) = self.conns.remove(&id) else { return };
         if unheard.is_none() {
-            self.give(conn.follower, Event::Disconnected(conn.up_link));
-            self.give(conn.upstream, Event::FollowerDisconnected(conn.down_link));
+            self.give(conn.follower, Event::Disconnected(conn.up_connection));
+            self.give(conn.upstream, Event::FollowerDisconnected(conn.down_connection));
         }
     }
 
     fn ended(&mut self, id: u64, way: Way) {
         let Some(conn) = self.conns.remove(&id) else { return };
         match way {
-            Way::Up => self.give(conn.upstream, Event::FollowerDisconnected(conn.down_link)),
-            Way::Down => self.give(conn.follower, Event::Disconnected(conn.up_link)),
+            Way::Up => self.give(conn.upstream, Event::FollowerDisconnected(conn.down_connection)),
+            Way::Down => self.give(conn.follower, Event::Disconnected(conn.up_connection)),
         }
     }
 
@@ -425,21 +427,21 @@
         actions.into_iter().for_each(|action| self.act(id, action));
     }
 
-    fn conn_of(&self, id: Id, link: ConnectionId) -> Option<(u64, Way)> {
-        self.ends.get(&(id, link)).copied().filter(|(conn, _)| self.conns.contains_key(conn))
+    fn conn_of(&self, id: Id, connection: ConnectionId) -> Option<(u64, Way)> {
+        self.ends.get(&(id, connection)).copied().filter(|(conn, _)| self.conns.contains_key(conn))
     }
 
     fn act(&mut self, id: Id, action: Action) {
         match action {
-            Action::Connect { upstream, link } => self.connect(id, upstream, link),
-            Action::Close { link, reason: why } => self.close(id, link, why),
-            Action::SendUpstream { link, frame } => self.send(id, link, frame.frame()),
-            Action::SendFollower { link, frame } => {
+            Action::Connect { upstream, connection } => self.connect(id, upstream, connection),
+            Action::Close { connection, reason: reason } => self.close(id, connection, reason),
+            Action::SendUpstream { connection, frame } => self.send(id, connection, frame.frame()),
+            Action::SendFollower { connection, frame } => {
                 self.members[id].said += 1;
                 let said = self.members[id].said;
-                let Some(lie) = self.members[id].lie else { return self.send(id, link, frame.frame()) };
+                let Some(lie) = self.members[id].lie else { return self.send(id, connection, frame.frame()) };
                 let names: Vec<String> = self.members.iter().map(|member| member.name.clone()).collect();
-                lie.told(frame, said, &names).into_iter().for_each(|frame| self.send(id, link, frame));
+                lie.told(frame, said, &names).into_iter().for_each(|frame| self.send(id, connection, frame));
             }
             Action::LoadCheckpoint { at, checkpoint } => self.adopt(id, at, &checkpoint),
             Action::AppendEntry(entry) => {
@@ -491,20 +493,30 @@
         let longest = self.log.longest;
         let state = self.log.state.max(1 << 10);
         let waiting = MAX_SUFFIX_BYTES + WINDOW as usize * 2 + longest.max(state);
-        self.most_fetches = self.most_fetches.max(standing.fetches);
-        self.demand(id, standing.fetches <= MAX_CHECKPOINT_TRANSFERS, "sends few checkpoints at once");
-        self.demand(id, standing.waiting_bytes <= waiting, "holds little that is not vouched for");
+        self.most_checkpoint_transfers = self.most_checkpoint_transfers.max(standing.checkpoint_transfers);
+        self.demand(
+            id,
+            standing.checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS,
+            "sends few checkpoints at once",
+        );
+        self.demand(id, standing.unconfirmed_bytes <= waiting, "holds little that is not vouched for");
         self.demand(id, standing.held_bytes <= (9 << 20) + state + longest, "holds a bounded tail");
     }
 
-    fn connect(&mut self, id: Id, upstream: usize, link: ConnectionId) {
+    fn connect(&mut self, id: Id, upstream: usize, connection: ConnectionId) {
         let to = self.members[id].upstreams[upstream];
         self.next += 1;
         let conn = self.next;
-        let down_link = ConnectionId(conn);
-        let at =
-            Conn { follower: id, up_link: link, upstream: to, down_link, last: [self.now; 2], unsent: 0 };
-        self.ends.extend([((id, link), (conn, Way::Up)), ((to, down_link), (conn, Way::Down))]);
+        let down_connection = ConnectionId(conn);
+        let at = Conn {
+            follower: id,
+            up_connection: connection,
+            upstream: to,
+            down_connection,
+            last: [self.now; 2],
+            unsent: 0,
+        };
+        self.ends.extend([((id, connection), (conn, Way::Up)), ((to, down_connection), (conn, Way::Down))]);
         self.conns.insert(conn, at);
         // Where the net is cut nothing comes back; a process that is gone is found at once.
         if !self.apart(id, to) {
@@ -518,8 +530,8 @@
         Duration::from_millis(if far { 70 } else { 1 }) + self.members[from].slow
     }
 
-    fn send(&mut self, id: Id, link: ConnectionId, bytes: Bytes) {
-        let Some((conn, way)) = self.conn_of(id, link) else { return };
+    fn send(&mut self, id: Id, connection: ConnectionId, bytes: Bytes) {
+        let Some((conn, way)) = self.conn_of(id, connection) else { return };
         let counted = self.counted.entry((id, way)).or_default();
         *counted.frames.entry(bytes[4]).or_default() += 1;
         counted.bytes += bytes.len();
@@ -537,8 +549,8 @@
         self.push(arrives, Thing::Frame { conn, way, bytes });
     }
 
-    fn close(&mut self, id: Id, link: ConnectionId, _: DisconnectReason) {
-        let Some((conn, way)) = self.conn_of(id, link) else { return };
+    fn close(&mut self, id: Id, connection: ConnectionId, _: DisconnectReason) {
+        let Some((conn, way)) = self.conn_of(id, connection) else { return };
         let Some(at) = self.conns.get(&conn) else { return };
         let to = if way == Way::Up { at.upstream } else { at.follower };
         let arrives = (self.now + self.delay(id, to)).max(at.last[way as usize]);
@@ -554,9 +566,9 @@
                     at.head.version,
                     at.oldest_version,
                     at.checkpoint,
-                    at.followed,
+                    at.source,
                     at.connected,
-                    at.waiting_bytes,
+                    at.unconfirmed_bytes,
                 )
             });
             let notes: Vec<String> =
--- a/crates/control-plane/tests/relay/sums.rs
+++ b/crates/control-plane/tests/relay/sums.rs
@@ -70,21 +70,21 @@
     let (at, bytes) = log.checkpoint(0);
     node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes });
     node.handle(Duration::ZERO, Event::FolderEntries(log.entries));
-    let link = join(&mut node, 1, Role::Relay);
-    (node, link)
+    let connection = join(&mut node, 1, Role::Relay);
+    (node, connection)
 }
 
 fn join(node: &mut RelayNode, nth: u64, role: Role) -> ConnectionId {
-    let link = ConnectionId(nth);
-    node.handle(Duration::ZERO, Event::FollowerConnected(link));
+    let connection = ConnectionId(nth);
+    node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: format!("member-{nth:03}"), zone: "a".into(), role };
-    node.handle(Duration::ZERO, Event::FromFollower { link, frame });
-    link
+    node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
+    connection
 }
 
-fn acted(node: &mut RelayNode, link: ConnectionId, sums: ProgressSummary) -> Vec<RelayEvent> {
+fn acted(node: &mut RelayNode, connection: ConnectionId, sums: ProgressSummary) -> Vec<RelayEvent> {
     let actions =
-        node.handle(Duration::ZERO, Event::FromFollower { link, frame: ToUpstream::Progress(sums) });
+        node.handle(Duration::ZERO, Event::FromFollower { connection, frame: ToUpstream::Progress(sums) });
     let note = |action| if let Action::Log(note) = action { Some(note) } else { None };
     actions.into_iter().filter_map(note).collect()
 }
@@ -110,14 +110,14 @@
         (bad(vec![level(5, 1)], vec![one("g", 4)]), Role::Gateway),
     ] {
         let (mut node, _) = node();
-        let link = join(&mut node, 2, role);
-        assert_eq!(acted(&mut node, link, bad(vec![level(100, 1)], vec![])), []);
-        let notes = acted(&mut node, link, sums.clone());
+        let connection = join(&mut node, 2, role);
+        assert_eq!(acted(&mut node, connection, bad(vec![level(100, 1)], vec![])), []);
+        let notes = acted(&mut node, connection, sums.clone());
         assert!(
             matches!(&notes[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
             "{sums:?}"
         );
-        assert_eq!(acted(&mut node, link, sums), [], "told once");
+        assert_eq!(acted(&mut node, connection, sums), [], "told once");
         assert_eq!(node.status(Duration::ZERO).progress, ProgressSummary::default());
     }
 }
@@ -126,8 +126,8 @@
 fn sums_are_bounded_and_never_say_that_more_have_acted_than_have() {
     let (mut node, _) = node();
     for nth in 10..60 {
-        let link = join(&mut node, nth, Role::Gateway);
-        acted(&mut node, link, ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] });
+        let connection = join(&mut node, nth, Role::Gateway);
+        acted(&mut node, connection, ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] });
     }
     let sums = node.status(Duration::ZERO).progress;
     assert_eq!(sums.levels.len(), MAX_VERSION_COUNTS);
--- a/crates/relay/src/event_loop.rs
+++ b/crates/relay/src/event_loop.rs
@@ -140,9 +140,9 @@
     fn heard(&mut self, message: LoopEvent) {
         match message {
             LoopEvent::Folder(told) => folder_events(told).into_iter().for_each(|event| self.handle(event)),
-            LoopEvent::Event(Event::FromFollower { link, frame: ToUpstream::Status }) => {
+            LoopEvent::Event(Event::FromFollower { connection: link, frame: ToUpstream::Status }) => {
                 let status = FromUpstream::Status(self.status());
-                self.act(Action::SendFollower { link, frame: status });
+                self.act(Action::SendFollower { connection: link, frame: status });
             }
             LoopEvent::Event(event) => {
                 let link = link_of(&event);
@@ -177,15 +177,15 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Connect { upstream, link } => self.connect(upstream, link),
-            Action::Close { link, reason: why } => self.close(link, why),
-            Action::SendUpstream { link, frame } => {
+            Action::Connect { upstream, connection: link } => self.connect(upstream, link),
+            Action::Close { connection: link, reason: why } => self.close(link, why),
+            Action::SendUpstream { connection: link, frame } => {
                 if let Some(Link { peer: Peer::Upstream(peer), .. }) = self.links.get(&link) {
                     let room = peer.send(frame);
                     self.unless_full(link, room);
                 }
             }
-            Action::SendFollower { link, frame } => {
+            Action::SendFollower { connection: link, frame } => {
                 if let Some(Link { peer: Peer::Follower(peer), .. }) = self.links.get(&link) {
                     let room = peer.send(frame);
                     self.unless_full(link, room);
@@ -236,7 +236,7 @@
             let ended = match link::connect(address).await {
                 Ok(stream) => {
                     _ = to_hub.send(LoopEvent::Event(Event::Connected(link))).await;
-                    let heard = |frame| Event::FromUpstream { link, frame };
+                    let heard = |frame| Event::FromUpstream { connection: link, frame };
                     link::run(stream, unsent, Ear { link, peer: address, to_hub: &to_hub }, heard).await
                 }
                 Err(error) => error.into(),
@@ -253,7 +253,7 @@
         let (to_peer, unsent) = link::channel();
         let to_hub = self.to_hub.clone();
         let task = self.tasks.spawn(async move {
-            let asked = |frame| Event::FromFollower { link, frame };
+            let asked = |frame| Event::FromFollower { connection: link, frame };
             let ear = Ear { link, peer: address, to_hub: &to_hub };
             let ended = link::run(stream, unsent, ear, asked).await;
             ended.say(address);
@@ -295,7 +295,9 @@
         | Event::FollowerConnected(link)
         | Event::FollowerDisconnected(link)
         | Event::Malformed(link) => Some(*link),
-        Event::FromUpstream { link, .. } | Event::FromFollower { link, .. } => Some(*link),
+        Event::FromUpstream { connection: link, .. } | Event::FromFollower { connection: link, .. } => {
+            Some(*link)
+        }
         Event::FolderCheckpoint { .. } | Event::FolderEntries(_) | Event::Applied(_) | Event::Tick => None,
     }
 }
@@ -326,7 +328,7 @@
         RelayEvent::Following { upstream, after } => {
             tracing::info!(upstream, after = after.version, "follows")
         }
-        RelayEvent::UpstreamLeft { upstream, why, wait } => {
+        RelayEvent::UpstreamLeft { upstream, reason: why, backoff: wait } => {
             tracing::warn!(upstream, reason = %why, wait_s = wait.as_secs_f64(), "upstream left");
         }
         RelayEvent::Loop { upstream, path } => tracing::error!(upstream, ?path, "loop of relays: refused"),
@@ -349,16 +351,18 @@
         RelayEvent::NoQuorum { version } => {
             tracing::warn!(version, "no checkpoint is told by enough upstreams");
         }
-        RelayEvent::CheckpointLoaded { at, from } => {
+        RelayEvent::CheckpointLoaded { at, upstream: from } => {
             tracing::info!(version = at.version, from, "checkpoint adopted")
         }
         RelayEvent::FollowerBehind { follower, after } => {
             tracing::info!(follower, after, "follower needs a checkpoint")
         }
-        RelayEvent::FollowerLeft { follower, why } => {
+        RelayEvent::FollowerLeft { follower, reason: why } => {
             tracing::warn!(follower, reason = %why, "follower left")
         }
-        RelayEvent::InvalidProgress { follower, what } => tracing::warn!(follower, what, "sums left out"),
+        RelayEvent::InvalidProgress { follower, reason: what } => {
+            tracing::warn!(follower, what, "sums left out")
+        }
         RelayEvent::SuffixOutgrown { version } => {
             tracing::warn!(version, "the log has outgrown what is held since its checkpoint");
         }
