--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -1,163 +1,215 @@
-//! What a store makes of a coordinator's orders, and which ops it may serve: kept with the shard's data, and looked at in the same
-//! moment as the data is.
-//!
-//! Invariant: an extent's epoch never falls. At one epoch a store goes from incoming to serving to closed and never back,
-//! and an order of an earlier move, or of an earlier term, changes nothing, however late it comes.
+//! Which orders of a coordinator a store accepts, and which ops it may serve. The fences are stored with the shard's data, and
+//! checked in the same step that applies an op.
 
 use std::collections::BTreeMap;
+use std::ops::Range;
 
 use serde::{Deserialize, Serialize};
 use umbertray_store_protocol::orders::{ExtentRange, Order, OrderReply};
 
-use crate::ranges::Ranges;
+use crate::ranges::RangeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-enum Stand {
+enum FenceState {
     Serving,
-    /// It takes content and no op.
+    /// Content is accepted, and no op.
     Incoming,
-    /// It has gone elsewhere, or never came.
+    /// The extents have moved elsewhere, or never came.
     Closed,
 }
 
+/// The fence of some extents. The order of the fields is part of the format.
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 struct Fence {
-    stand: Stand,
+    state: FenceState,
     epoch: u64,
-    /// The last move that the extents had part in.
-    number: u64,
-    /// The map is as new as this, or will be whatever becomes of the move.
-    sure: u64,
+    /// The last move that the extents took part in.
+    move_number: u64,
+    /// The map has this epoch, or will have it however the move ends.
+    settled_epoch: u64,
 }
 
-/// What no move has touched is served at epoch 0 by whoever holds it.
-const UNTOUCHED: Fence = Fence { stand: Stand::Serving, epoch: 0, number: 0, sure: 0 };
+/// Extents that no move has touched are served at epoch 0 by the store that holds them.
+const UNTOUCHED: Fence = Fence { state: FenceState::Serving, epoch: 0, move_number: 0, settled_epoch: 0 };
+
+/// The fences of a shard.
+///
+/// Invariant: an extent's epoch never falls. At one epoch a store goes from incoming to serving to closed and never back, and
+/// an order of an earlier move, or of an earlier term, changes nothing, however late it comes.
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fences {
-    /// The highest that was heard of.
+    /// The highest term of a coordinator whose order was received.
     pub term: u64,
-    volumes: BTreeMap<u64, Ranges<Fence>>,
+    volumes: BTreeMap<u64, RangeMap<Fence>>,
 }
 
 /// Whether an op may run here now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EpochCheck {
+    /// The gateway's map is right.
     Current,
-    /// Its gateway's map is old; the range has this epoch, or a higher.
+    /// The gateway's map is old; the range has this epoch, or a higher one.
     Stale(u64),
-    /// Its gateway's map is newer: the coordinator's word is on its way. It may wait as long as it has time.
+    /// The gateway's map is newer: the coordinator's order is on its way. The op may wait as long as it has time.
     NotActiveYet,
 }
 
-/// What is to be done with the data, once an order fits.
+/// How an accepted order is applied to the data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderCheck {
+    /// For the first time.
     Apply,
-    /// It was done before: what came since must not be lost by doing it twice.
+    /// It was applied before. Hazard: what was written since must not be lost by applying it twice.
     Repeated,
 }
 
 impl Fences {
+    /// Whether an op that names this epoch may run on an extent.
     pub fn check(&self, volume: u64, extent: u64, epoch: u64) -> EpochCheck {
         let fence = self.volumes.get(&volume).and_then(|ranges| ranges.get(extent)).unwrap_or(UNTOUCHED);
-        match fence.stand {
-            // Danger: a target's epoch is the map's only once the move is committed. Told of it before, a gateway would
-            // wait for a map that never comes if the move is given up.
-            _ if epoch < fence.epoch => EpochCheck::Stale(fence.sure),
-            Stand::Serving if epoch == fence.epoch => EpochCheck::Current,
-            Stand::Closed if epoch == fence.epoch => EpochCheck::Stale(fence.sure),
+        match fence.state {
+            // Hazard: a target's epoch is the map's only once the move is committed. A gateway that was told of it before
+            // would wait for a map that never comes if the move is abandoned.
+            _ if epoch < fence.epoch => EpochCheck::Stale(fence.settled_epoch),
+            FenceState::Serving if epoch == fence.epoch => EpochCheck::Current,
+            FenceState::Closed if epoch == fence.epoch => EpochCheck::Stale(fence.settled_epoch),
             _ => EpochCheck::NotActiveYet,
         }
     }
 
-    /// Takes an order for the move of this number: how its part on the data is to be done, or what is answered instead.
+    /// Takes an order of a move: how it is applied to the data.
+    ///
+    /// # Errors
+    /// The reply for the coordinator where the order is not accepted.
     pub fn take(&mut self, term: u64, number: u64, order: &Order) -> Result<OrderCheck, OrderReply> {
         if term < self.term {
             return Err(OrderReply::StaleTerm(self.term));
         }
         self.term = term;
         let span = *order.span();
-        let known = self.known(&span);
-        if known.iter().any(|(_, fence)| fence.number > number) {
+        let current = self.fences_within(&span);
+        if current.iter().any(|(_, fence)| fence.move_number > number) {
             return Err(OrderReply::WrongState);
         }
-        let news: Option<Vec<Fence>> = known.iter().map(|(_, fence)| after(*fence, number, order)).collect();
-        let news = news.ok_or(OrderReply::WrongState)?;
-        let changed = known.iter().zip(&news).any(|((_, fence), new)| fence != new);
+        let next: Option<Vec<Fence>> =
+            current.iter().map(|(_, fence)| fence.after_order(number, order)).collect();
+        let next = next.ok_or(OrderReply::WrongState)?;
+        let is_changed = current.iter().zip(&next).any(|((_, fence), next)| fence != next);
         let ranges = self.volumes.entry(span.volume).or_default();
-        for ((part, _), new) in known.into_iter().zip(news) {
-            ranges.set(part, new);
+        for ((part, _), fence) in current.into_iter().zip(next) {
+            ranges.set(part, fence);
         }
-        Ok(if changed { OrderCheck::Apply } else { OrderCheck::Repeated })
+        Ok(if is_changed { OrderCheck::Apply } else { OrderCheck::Repeated })
     }
 
-    /// Nothing of the span is served here, nor is it to be.
+    /// Whether nothing of a span is served here, or will be by the move under way.
     pub fn closed(&self, span: &ExtentRange) -> bool {
-        self.known(span).iter().all(|(_, fence)| fence.stand == Stand::Closed)
+        self.fences_within(span).iter().all(|(_, fence)| fence.state == FenceState::Closed)
     }
 
-    /// The fences of a span, untouched parts among them.
-    fn known(&self, span: &ExtentRange) -> Vec<(std::ops::Range<u64>, Fence)> {
-        let (mut all, mut at) = (Vec::new(), span.start);
-        let met =
-            self.volumes.get(&span.volume).into_iter().flat_map(|ranges| ranges.within(span.start..span.end));
-        for (run, fence) in met {
-            if at < run.start {
-                all.push((at..run.start, UNTOUCHED));
+    /// The fences of a span, those of untouched parts among them.
+    fn fences_within(&self, span: &ExtentRange) -> Vec<(Range<u64>, Fence)> {
+        let mut fences = Vec::new();
+        let mut covered_to = span.start;
+        let ranges = self.volumes.get(&span.volume).into_iter();
+        for (run, fence) in ranges.flat_map(|ranges| ranges.overlapping(span.start..span.end)) {
+            if covered_to < run.start {
+                fences.push((covered_to..run.start, UNTOUCHED));
             }
-            at = run.end;
-            all.push((run, fence));
+            covered_to = run.end;
+            fences.push((run, fence));
         }
-        if at < span.end {
-            all.push((at..span.end, UNTOUCHED));
+        if covered_to < span.end {
+            fences.push((covered_to..span.end, UNTOUCHED));
         }
-        all
+        fences
     }
 }
 
-/// A fence after an order of a move that is not older than its last; nothing where the order does not fit.
-fn after(fence: Fence, number: u64, order: &Order) -> Option<Fence> {
-    let known = fence.number == number;
-    let stands = |stand, epoch| fence.stand == stand && fence.epoch == epoch && known;
-    let now = |stand, epoch| Some(Fence { stand, epoch, number, sure: epoch });
-    let unsure = |stand, epoch| Some(Fence { stand, epoch, number, ..fence });
-    match order {
-        // Danger: one that serves at this epoch or a higher must not be emptied by an order that lay about.
-        Order::Prepare { epoch, .. } if known => stands(Stand::Incoming, *epoch).then_some(fence),
-        Order::Prepare { epoch, .. } if fence.stand == Stand::Serving && fence.epoch >= *epoch => None,
-        Order::Prepare { epoch, .. } => unsure(Stand::Incoming, *epoch),
-        Order::TrackChanges { .. } if fence.stand == Stand::Serving => now(Stand::Serving, fence.epoch),
-        Order::TrackChanges { .. } => None,
-        Order::FetchNext { .. } => (known && fence.stand != Stand::Incoming).then_some(fence),
-        Order::Put { epoch, .. } | Order::RecordExecuted { epoch, .. } => {
-            stands(Stand::Incoming, *epoch).then_some(fence)
+impl Fence {
+    /// The fence after an order of a move that is not older than its last one; none where the order does not fit.
+    fn after_order(self, number: u64, order: &Order) -> Option<Fence> {
+        let is_same_move = self.move_number == number;
+        let is_at = |state, epoch| is_same_move && self.state == state && self.epoch == epoch;
+        match order {
+            Order::Prepare { epoch, .. } => self.after_prepare(number, *epoch),
+            Order::TrackChanges { .. } => (self.state == FenceState::Serving)
+                .then(|| self.settled(FenceState::Serving, self.epoch, number)),
+            Order::FetchNext { .. } => (is_same_move && self.state != FenceState::Incoming).then_some(self),
+            Order::Put { epoch, .. } | Order::RecordExecuted { epoch, .. } => {
+                is_at(FenceState::Incoming, *epoch).then_some(self)
+            }
+            Order::Fence { epoch, .. } => self.after_fence(number, *epoch),
+            Order::FetchExecuted { .. } => (is_same_move && self.state == FenceState::Closed).then_some(self),
+            Order::Sync { epoch, .. } => {
+                let is_in_place = is_at(FenceState::Incoming, *epoch) || is_at(FenceState::Serving, *epoch);
+                is_in_place.then_some(self)
+            }
+            Order::Activate { epoch, .. } if is_at(FenceState::Serving, *epoch) => Some(self),
+            Order::Activate { epoch, .. } => {
+                is_at(FenceState::Incoming, *epoch).then(|| self.settled(FenceState::Serving, *epoch, number))
+            }
+            Order::Reactivate { epoch, .. } => self.after_reactivate(number, *epoch),
+            Order::Clear { epoch, .. } => self.after_clear(number, *epoch),
+            Order::StopTracking { .. } => Some(Fence { move_number: number, ..self }),
+        }
+    }
+
+    /// A fence whose epoch the map has, or will have however the move ends.
+    fn settled(self, state: FenceState, epoch: u64, move_number: u64) -> Fence {
+        Fence { state, epoch, move_number, settled_epoch: epoch }
+    }
+
+    /// A fence at an epoch that the map has only if the move is committed.
+    fn unsettled(self, state: FenceState, epoch: u64, move_number: u64) -> Fence {
+        Fence { state, epoch, move_number, settled_epoch: self.settled_epoch }
+    }
+
+    fn after_prepare(self, number: u64, epoch: u64) -> Option<Fence> {
+        // Hazard: a store that serves at this epoch or a higher one must not be emptied by a delayed order.
+        if self.move_number == number {
+            return (self.state == FenceState::Incoming && self.epoch == epoch).then_some(self);
+        }
+        if self.state == FenceState::Serving && self.epoch >= epoch {
+            return None;
+        }
+        Some(self.unsettled(FenceState::Incoming, epoch, number))
+    }
+
+    fn after_fence(self, number: u64, epoch: u64) -> Option<Fence> {
+        if self.move_number != number {
+            return None;
         }
-        Order::Fence { epoch, .. } if stands(Stand::Closed, *epoch) => Some(fence),
-        Order::Fence { epoch, .. } if known && fence.stand == Stand::Serving && fence.epoch < *epoch => {
-            now(Stand::Closed, *epoch)
+        if self.state == FenceState::Closed && self.epoch == epoch {
+            return Some(self);
         }
-        Order::Fence { .. } => None,
-        Order::FetchExecuted { .. } => (known && fence.stand == Stand::Closed).then_some(fence),
-        Order::Sync { epoch, .. } => {
-            (stands(Stand::Incoming, *epoch) || stands(Stand::Serving, *epoch)).then_some(fence)
+        let may_fence = self.state == FenceState::Serving && self.epoch < epoch;
+        may_fence.then(|| self.settled(FenceState::Closed, epoch, number))
+    }
+
+    fn after_reactivate(self, number: u64, epoch: u64) -> Option<Fence> {
+        if self.move_number != number {
+            return None;
+        }
+        if self.state == FenceState::Serving && self.epoch == epoch {
+            return Some(self);
+        }
+        let may_reactivate = self.state != FenceState::Incoming && self.epoch < epoch;
+        may_reactivate.then(|| self.settled(FenceState::Serving, epoch, number))
+    }
+
+    fn after_clear(self, number: u64, epoch: u64) -> Option<Fence> {
+        if self.move_number != number {
+            // It was never prepared for this move; from now on it cannot be.
+            return Some(Fence { move_number: number, ..self });
         }
-        Order::Activate { epoch, .. } if stands(Stand::Serving, *epoch) => Some(fence),
-        Order::Activate { epoch, .. } if stands(Stand::Incoming, *epoch) => now(Stand::Serving, *epoch),
-        Order::Activate { .. } => None,
-        Order::Reactivate { epoch, .. } if stands(Stand::Serving, *epoch) => Some(fence),
-        Order::Reactivate { epoch, .. }
-            if known && fence.stand != Stand::Incoming && fence.epoch < *epoch =>
-        {
-            now(Stand::Serving, *epoch)
+        if self.state == FenceState::Incoming && self.epoch == epoch {
+            return Some(self.unsettled(FenceState::Closed, epoch, number));
         }
-        Order::Reactivate { .. } => None,
-        Order::Clear { epoch, .. } if stands(Stand::Incoming, *epoch) => unsure(Stand::Closed, *epoch),
-        // It was never prepared for this move; from now on it cannot be.
-        Order::Clear { .. } if !known => Some(Fence { number, ..fence }),
-        // Danger: what an earlier move closed, at its epoch, is cleared by this one as often as it is asked, or the move
-        // that was given up would never be over.
-        Order::Clear { .. } => (fence.stand != Stand::Incoming).then_some(fence),
-        Order::StopTracking { .. } => Some(Fence { number, ..fence }),
+        // Hazard: what an earlier move closed, at its epoch, is cleared by this one as often as it is ordered, or the move
+        // that was abandoned would never finish.
+        (self.state != FenceState::Incoming).then_some(self)
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,10 +1,12 @@
-//! What a coordinator decides for all gateways and stores together: where data lies, and how a range moves.
+//! Decisions for all gateways and stores together: where data lies, how a range moves, and how configuration changes reach
+//! every gateway.
 //!
-//! Plain data in, plain data out; no I/O, no clock, no chance. `map` holds ranges with their epochs, `fence` what a store
-//! makes of orders and epochs, `moves` one move as a state machine, `state` what outlives a run of the coordinator and the records that change it, `core` puts them together
-//! behind [`Coordinator::handle`]. A step is: decide, log, sync, act; outputs come in that order.
+//! Plain data in, plain data out; no I/O, no clock, no randomness. [`map`] holds ranges with their epochs, [`fence`] decides
+//! at a store on orders and epochs, [`moves`] is one move as a state machine, [`state`] what outlives a run of the
+//! coordinator and the records that change it; [`Coordinator::handle`] puts them together. Its steps are: decide, log, sync,
+//! act; outputs come in that order. [`relay`] carries the log of changes.
 
-mod core;
+mod coordinator;
 pub mod fence;
 pub mod map;
 pub mod moves;
@@ -12,7 +14,7 @@
 pub mod relay;
 pub mod state;
 
-pub use core::{ConnectionId, Coordinator, Input, Output};
+pub use coordinator::{ConnectionId, Coordinator, Input, Output};
 pub use fence::Fences;
 pub use map::ExtentMap;
 pub use moves::{Move, Phase};
--- a/crates/control-plane/src/map.rs
+++ b/crates/control-plane/src/map.rs
@@ -1,6 +1,4 @@
 //! Where extents lie: ranges of each volume, each at one shard with one epoch.
-//!
-//! Invariant: an extent's epoch never falls, and grows with every change of its shard.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,42 +6,60 @@
 use umbertray_store_protocol::list::Location;
 use umbertray_store_protocol::orders::ExtentRange;
 
-use crate::ranges::Ranges;
+use crate::ranges::RangeMap;
 
-type At = (u32, u64);
+/// A [`Location`] as it is stored. The order of the fields is part of the format.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+struct StoredLocation {
+    shard: u32,
+    epoch: u64,
+}
 
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ExtentMap {
-    volumes: BTreeMap<u64, Ranges<At>>,
+impl From<StoredLocation> for Location {
+    fn from(StoredLocation { shard, epoch }: StoredLocation) -> Location {
+        Location { shard, epoch }
+    }
 }
 
-fn place((shard, epoch): At) -> Location {
-    Location { shard, epoch }
+/// The map of all volumes.
+///
+/// Invariant: an extent's epoch never falls, and grows with every change of its shard.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct ExtentMap {
+    volumes: BTreeMap<u64, RangeMap<StoredLocation>>,
 }
 
 impl ExtentMap {
+    /// Where an extent lies; none where it was never claimed.
     pub fn location(&self, volume: u64, extent: u64) -> Option<Location> {
-        self.volumes.get(&volume)?.get(extent).map(place)
+        self.volumes.get(&volume)?.get(extent).map(Location::from)
     }
 
+    /// All shards that hold extents of a volume.
     pub fn shards(&self, volume: u64) -> BTreeSet<u32> {
-        self.volumes.get(&volume).into_iter().flat_map(Ranges::values).map(|(shard, _)| shard).collect()
+        let locations = self.volumes.get(&volume).into_iter().flat_map(RangeMap::values);
+        locations.map(|location| location.shard).collect()
     }
 
     /// How many ranges it has.
     pub fn ranges(&self) -> usize {
-        self.volumes.values().map(Ranges::len).sum()
+        self.volumes.values().map(RangeMap::len).sum()
     }
 
-    /// The ranges that meet a span, in order, cut to it.
-    pub fn within(&self, span: &ExtentRange) -> impl Iterator<Item = (ExtentRange, Location)> {
-        let (volume, range) = (span.volume, span.start..span.end);
-        let met = self.volumes.get(&volume).into_iter().flat_map(move |ranges| ranges.within(range.clone()));
-        met.map(move |(run, at)| (ExtentRange { volume, start: run.start, end: run.end }, place(at)))
+    /// The ranges that overlap a span, in order, cut to it.
+    pub fn overlapping(&self, span: &ExtentRange) -> impl Iterator<Item = (ExtentRange, Location)> {
+        let volume = span.volume;
+        let range = span.start..span.end;
+        let ranges = self.volumes.get(&volume).into_iter();
+        let overlapping = ranges.flat_map(move |ranges| ranges.overlapping(range.clone()));
+        overlapping.map(move |(run, location)| {
+            (ExtentRange { volume, start: run.start, end: run.end }, location.into())
+        })
     }
 
-    /// All of the span lies there from now on, whatever was known of it.
+    /// Gives all extents of a span this location.
     pub fn set(&mut self, span: &ExtentRange, Location { shard, epoch }: Location) {
-        self.volumes.entry(span.volume).or_default().set(span.start..span.end, (shard, epoch));
+        let ranges = self.volumes.entry(span.volume).or_default();
+        ranges.set(span.start..span.end, StoredLocation { shard, epoch });
     }
 }
--- a/crates/control-plane/src/relay/upstreams/mod.rs
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -136,7 +136,7 @@
             }
             FromUpstream::HashAt { at } => self.on_hash(peer, at, context),
             FromUpstream::Entry { at, length, offset, part } => {
-                self.on_entry_part(peer, EntryPart { at, length, offset, bytes: part }, context)
+                self.on_entry_part(peer, &EntryPart { at, length, offset, bytes: part }, context)
             }
             FromUpstream::CheckpointPart { version, offset, part } => {
                 self.on_checkpoint_part(peer, version, offset, &part, context)
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -167,14 +167,14 @@
     pub(super) fn on_entry_part(
         &mut self,
         peer: usize,
-        part: EntryPart,
+        part: &EntryPart,
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let source = self.source.as_mut().filter(|source| source.peer == peer);
         let (Some(source), Some(head)) = (source, context.suffix.head()) else {
             return Err(DisconnectReason::Unrequested);
         };
-        source.on_part(&part, head, context.now)
+        source.on_part(part, head, context.now)
     }
 
     /// Forgets the source, and all that has no quorum with it.
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden examples of what the coordinator stores: its state and each record of its log, recorded. Every later version has
+//! Golden examples of what the coordinator stores: its state and each record of its log. Every later version has
 //! to write and read them byte for byte.
 
 use umbertray_control_plane::moves::{Move, Phase};
@@ -53,7 +53,7 @@
         assert_eq!(postcard::from_bytes::<Record>(&bytes).as_ref(), Ok(&record));
         transcript.push_str(&format!("record: {}\n", hex(&bytes)));
     }
-    transcript.push_str(&format!("state: {}\n", hex(&state().bytes())));
+    transcript.push_str(&format!("state: {}\n", hex(&state().encode())));
     assert!(transcript == RECORDED, "differs from tests/golden/state.txt:\n{transcript}");
 }
 
@@ -62,7 +62,7 @@
     let recorded = RECORDED.lines().find_map(|line| line.strip_prefix("state: ")).expect("a state");
     let byte = |at: usize| u8::from_str_radix(&recorded[at..at + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..recorded.len()).step_by(2).map(byte).collect();
-    let read = CoordinatorState::read(&bytes).expect("a state");
+    let read = CoordinatorState::decode(&bytes).expect("a state");
     assert_eq!(read, state());
     assert_eq!(read.map.location(3, 2), Some(Location { shard: 5, epoch: 1 }), "committed");
     assert_eq!(read.map.location(4, 2), Some(Location { shard: 4, epoch: 2 }), "taken back");
--- /dev/null
+++ b/crates/control-plane/tests/relay/follower_harness.rs
@@ -0,0 +1,184 @@
+//! A gateway whose upstreams are played by the test.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use umbertray_control_plane::ConnectionId;
+use umbertray_control_plane::relay::{
+    Action, Config, DisconnectReason, Entry, Event, Origin, RelayEvent, RelayNode, Upstream,
+};
+use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, Position, Role, ToUpstream, digest};
+
+use crate::reference_log::Log;
+
+pub(crate) const SECOND: Duration = Duration::from_secs(1);
+
+/// A gateway with four upstreams and a quorum of two; the first upstream is in its zone. It is connected to three.
+pub(crate) struct FollowerHarness {
+    pub node: RelayNode,
+    pub now: Duration,
+    pub connections: BTreeMap<String, ConnectionId>,
+    pub log: Log,
+    pub out: Vec<Action>,
+}
+
+impl FollowerHarness {
+    /// Three changes are committed, and "near" is the replication source.
+    pub(crate) fn new() -> FollowerHarness {
+        let zone = |nth: usize| if nth == 0 { "a".to_string() } else { format!("z{nth}") };
+        let names = ["near", "one", "two", "three"].iter().zip(0..);
+        let upstreams =
+            names.map(|(name, nth)| Upstream { name: name.to_string(), zone: zone(nth) }).collect();
+        let config = Config {
+            name: "gateway".into(),
+            zone: "a".into(),
+            role: Role::Gateway,
+            origin: Origin::Upstreams { upstreams, quorum: 2 },
+            seed: 1,
+            max_followers: 0,
+        };
+        let node = RelayNode::new(config, None).expect("sound");
+        let (now, connections) = (Duration::ZERO, BTreeMap::new());
+        let mut harness = FollowerHarness { node, now, connections, log: Log::new(100), out: Vec::new() };
+        (0..3).for_each(|_| _ = harness.log.write("change", 9));
+        harness.event(Event::Tick);
+        assert_eq!(harness.connections.len(), 3);
+        let names: Vec<String> = harness.connections.keys().cloned().collect();
+        names.iter().for_each(|name| harness.open(name));
+        names.iter().for_each(|name| harness.at(name, 3, 0));
+        let (_, bytes) = harness.log.checkpoint(0);
+        let connection = harness.told(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
+        let part = FromUpstream::CheckpointPart { version: 0, offset: 0, part: bytes };
+        let connection = connection.expect("a checkpoint that two vouch for is asked for");
+        harness.event(Event::FromUpstream { connection, frame: part });
+        assert_eq!(
+            harness.told(|frame| matches!(frame, ToUpstream::Follow { .. })),
+            Some(harness.connections["near"])
+        );
+        harness.entries("near", 0);
+        assert_eq!(harness.acted(), [1, 2, 3]);
+        harness.answer();
+        harness.out.clear();
+        harness
+    }
+
+    pub(crate) fn event(&mut self, event: Event) {
+        let actions = self.node.handle(self.now, event);
+        for action in actions {
+            match &action {
+                Action::Connect { upstream, connection } => {
+                    let Origin::Upstreams { upstreams, .. } = &self.node.config().origin else { continue };
+                    self.connections.insert(upstreams[*upstream].name.clone(), *connection);
+                }
+                Action::Close { connection, .. } => self.connections.retain(|_, known| known != connection),
+                _ => {}
+            }
+            self.out.push(action);
+        }
+    }
+
+    pub(crate) fn hear(&mut self, name: &str, frame: FromUpstream) {
+        if let Some(connection) = self.connections.get(name).copied() {
+            self.event(Event::FromUpstream { connection, frame });
+        }
+    }
+
+    pub(crate) fn open(&mut self, name: &str) {
+        self.event(Event::Connected(self.connections[name]));
+        let path = vec![name.to_string()];
+        self.hear(name, FromUpstream::Hello { name: name.into(), path });
+    }
+
+    /// An upstream announces a version of the log, with entries and a checkpoint from another version on.
+    pub(crate) fn at(&mut self, name: &str, version: u64, from: u64) {
+        let head = self.log.at(version).expect("a version");
+        self.stands(name, head, from);
+    }
+
+    pub(crate) fn stands(&mut self, name: &str, head: Position, from: u64) {
+        let (at, bytes) = self.log.checkpoint(from);
+        let checkpoint = Checkpoint { at, digest: digest(&bytes), length: bytes.len() as u32 };
+        self.hear(name, FromUpstream::Head { head, oldest_version: from, checkpoint: Some(checkpoint) });
+    }
+
+    pub(crate) fn entry(&mut self, name: &str, entry: &Entry) {
+        let (length, part) = (entry.body.len() as u32, entry.body.clone());
+        self.hear(name, FromUpstream::Entry { at: entry.at, length, offset: 0, part });
+    }
+
+    pub(crate) fn entries(&mut self, name: &str, after: u64) {
+        let entries = self.log.entries[after as usize..].to_vec();
+        entries.iter().for_each(|entry| self.entry(name, entry));
+    }
+
+    /// Answers all hash queries with the true hashes.
+    pub(crate) fn answer(&mut self) {
+        let ask = |action: &Action| match action {
+            Action::SendUpstream { connection, frame: ToUpstream::QueryHash { version } } => {
+                Some((*connection, *version))
+            }
+            _ => None,
+        };
+        let asks: Vec<(ConnectionId, u64)> = self.out.iter().filter_map(ask).collect();
+        for (connection, version) in asks {
+            let at = self.log.at(version).expect("written");
+            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { at } });
+        }
+    }
+
+    /// The connection to an upstream ends; the name of the one that is connected to instead.
+    pub(crate) fn lose(&mut self, name: &str) -> String {
+        let connection = self.connections.remove(name).expect("connected");
+        self.event(Event::Disconnected(connection));
+        self.fresh().expect("another is connected to instead")
+    }
+
+    /// An upstream that is being connected to.
+    pub(crate) fn fresh(&self) -> Option<String> {
+        let linked = self.node.status(self.now).connected;
+        self.connections.keys().find(|name| !linked.contains(name)).cloned()
+    }
+
+    /// Time passes, with heartbeats from all connected upstreams.
+    pub(crate) fn pass(&mut self, time: Duration) {
+        let until = self.now + time;
+        while self.now < until {
+            self.now += SECOND / 4;
+            let linked = self.node.status(self.now).connected;
+            linked.iter().for_each(|name| self.hear(name, FromUpstream::Heartbeat));
+            self.event(Event::Tick);
+        }
+    }
+
+    pub(crate) fn acted(&self) -> Vec<u64> {
+        let acted = |action: &Action| match action {
+            Action::AppendEntry(entry) => Some(entry.at.version),
+            _ => None,
+        };
+        self.out.iter().filter_map(acted).collect()
+    }
+
+    pub(crate) fn told(&self, which: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
+        self.out.iter().find_map(|action| match action {
+            Action::SendUpstream { connection, frame } if which(frame) => Some(*connection),
+            _ => None,
+        })
+    }
+
+    /// Upstreams whose connections it ended, and why.
+    pub(crate) fn left<'a>(&'a self) -> Vec<(&'a str, DisconnectReason)> {
+        let left = |action: &'a Action| match action {
+            Action::Log(RelayEvent::UpstreamLeft { upstream, reason, .. }) => {
+                Some((upstream.as_str(), *reason))
+            }
+            _ => None,
+        };
+        self.out.iter().filter_map(left).collect()
+    }
+
+    /// Two connected upstreams besides "near".
+    pub(crate) fn others(&self) -> (String, String) {
+        let mut names = self.connections.keys().filter(|name| *name != "near").cloned();
+        (names.next().expect("another"), names.next().expect("a third"))
+    }
+}
--- a/crates/control-plane/tests/relay/lies.rs
+++ b/crates/control-plane/tests/relay/lies.rs
@@ -1,4 +1,4 @@
-//! Relays that lie. Some tell another log and are right in all else; some send frames that no honest one does.
+//! Relays that lie. Some serve another log and are correct in all else; some send frames that no honest relay sends.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Forged,
     /// Another history from the beginning on.
     OtherLog,
-    /// True changes, and checkpoints of the right place with another state.
+    /// True changes, and checkpoints at the right position with another state.
     FalseState,
     /// Nothing that was written since it began to lie.
     Old,
@@ -22,9 +22,9 @@
     Edited,
     /// Hashes edited.
     Hashes,
-    /// Entries are left out; signs of life are not.
+    /// Entries are left out; heartbeats are not.
     Withheld,
-    /// A version that is far from written.
+    /// A version far ahead of what was written.
     FarAhead,
     /// Versions that run backwards.
     Backwards,
@@ -34,11 +34,11 @@
     Empty,
     /// Bytes that are no frame.
     Noise,
-    /// Whoever asks for a checkpoint is to come later, for ever.
+    /// Every request for a checkpoint is answered with a time to retry.
     Later,
     /// Another checkpoint's bytes.
     Parts,
-    /// A path that everyone is on.
+    /// A path with all names on it.
     Path,
     /// Another's name.
     Name,
@@ -65,76 +65,107 @@
         Lie::Name,
     ];
 
-    /// It tells a log of its own, as one that reads it from a folder.
+    /// Whether it serves a log of its own, as if it read it from a folder.
     pub fn of_log(self) -> bool {
         matches!(self, Lie::Forged | Lie::OtherLog | Lie::FalseState | Lie::Old | Lie::Runaway)
     }
 
     /// What it sends in place of a frame; `nth` counts its frames.
-    pub fn told(self, frame: FromUpstream, nth: u64, names: &[String]) -> Vec<Bytes> {
-        let whole = |frames: Vec<FromUpstream>| frames.iter().map(Message::frame).collect();
-        match (self, frame) {
-            (Lie::Edited, FromUpstream::Entry { at, length, offset, part }) => {
-                let mut edited = part.to_vec();
-                edited.iter_mut().take(1).for_each(|byte| *byte ^= 1);
-                whole(vec![FromUpstream::Entry { at, length, offset, part: edited.into() }])
+    pub fn falsify(self, frame: FromUpstream, nth: u64, names: &[String]) -> Vec<Bytes> {
+        let frames = match frame {
+            FromUpstream::Entry { .. } => self.falsify_entry(frame),
+            FromUpstream::Head { head, oldest_version, checkpoint } => {
+                self.falsify_head(head, oldest_version, checkpoint, nth)
             }
-            (Lie::Hashes, FromUpstream::Entry { mut at, length, offset, part }) => {
+            FromUpstream::CheckpointPart { version, offset, part } => {
+                self.falsify_checkpoint_part(version, offset, part)
+            }
+            FromUpstream::Hello { name, path } => self.falsify_hello(name, path, names),
+            FromUpstream::HashAt { mut at } if self == Lie::Hashes => {
                 at.hash[0] ^= 1;
-                whole(vec![FromUpstream::Entry { at, length, offset, part }])
+                vec![FromUpstream::HashAt { at }]
+            }
+            FromUpstream::Heartbeat if self == Lie::Noise => return vec![noise()],
+            frame => vec![frame],
+        };
+        match self {
+            Lie::Noise if frames.is_empty() => vec![noise()],
+            Lie::Endless => {
+                let heartbeats = std::iter::repeat_n(FromUpstream::Heartbeat, 199);
+                frames.iter().map(Message::frame).chain(heartbeats.map(|frame| frame.frame())).collect()
             }
-            (Lie::Hashes, FromUpstream::HashAt { mut at }) => {
+            _ => frames.iter().map(Message::frame).collect(),
+        }
+    }
+
+    fn falsify_entry(self, frame: FromUpstream) -> Vec<FromUpstream> {
+        let FromUpstream::Entry { mut at, length, offset, part } = frame else { return vec![frame] };
+        match self {
+            Lie::Edited => {
+                let mut edited = part.to_vec();
+                edited.iter_mut().take(1).for_each(|byte| *byte ^= 1);
+                vec![FromUpstream::Entry { at, length, offset, part: edited.into() }]
+            }
+            Lie::Hashes => {
                 at.hash[0] ^= 1;
-                whole(vec![FromUpstream::HashAt { at }])
+                vec![FromUpstream::Entry { at, length, offset, part }]
             }
-            (Lie::Withheld, FromUpstream::Entry { .. }) => Vec::new(),
-            (Lie::FarAhead, FromUpstream::Head { head, oldest_version: from, checkpoint }) => {
+            Lie::Withheld | Lie::Noise => Vec::new(),
+            Lie::Empty => vec![FromUpstream::Entry { at, length: 9, offset: 0, part: Bytes::new() }; 50],
+            _ => vec![FromUpstream::Entry { at, length, offset, part }],
+        }
+    }
+
+    fn falsify_head(
+        self,
+        head: Position,
+        oldest_version: u64,
+        checkpoint: Option<Checkpoint>,
+        nth: u64,
+    ) -> Vec<FromUpstream> {
+        let told = FromUpstream::Head { head, oldest_version, checkpoint };
+        match self {
+            Lie::FarAhead => {
                 let head = Position { version: head.version + 1_000_000_000 + nth, hash: [9; 32] };
                 let checkpoint = checkpoint.map(|held| Checkpoint { at: head, digest: [8; 32], ..held });
-                whole(vec![FromUpstream::Head { head, oldest_version: from, checkpoint }])
+                vec![FromUpstream::Head { head, oldest_version, checkpoint }]
             }
-            (Lie::Backwards, FromUpstream::Head { head, oldest_version: from, checkpoint })
-                if nth % 3 == 2 =>
-            {
+            Lie::Backwards if nth % 3 == 2 => {
                 let back = Position { version: head.version / 2, ..head };
-                whole(vec![
-                    FromUpstream::Head { head, oldest_version: from, checkpoint },
-                    FromUpstream::Head { head: back, oldest_version: 0, checkpoint: None },
-                ])
+                vec![told, FromUpstream::Head { head: back, oldest_version: 0, checkpoint: None }]
             }
-            (Lie::Endless, frame) => {
-                let mut frames = vec![frame];
-                frames.resize(200, FromUpstream::Heartbeat);
-                whole(frames)
-            }
-            (Lie::Empty, FromUpstream::Entry { at, .. }) => {
-                let empty = FromUpstream::Entry { at, length: 9, offset: 0, part: Bytes::new() };
-                whole(vec![empty; 50])
-            }
-            (Lie::Noise, FromUpstream::Entry { .. } | FromUpstream::Heartbeat) => {
-                let mut noise = BytesMut::new();
-                noise.put_u32(3);
-                noise.put_slice(&[200, 1, 2]);
-                vec![noise.freeze()]
-            }
-            (Lie::Later, FromUpstream::CheckpointPart { .. }) => {
-                whole(vec![FromUpstream::RetryAfter { after: MAX_RETRY_AFTER.min(Duration::from_secs(60)) }])
+            _ => vec![told],
+        }
+    }
+
+    fn falsify_checkpoint_part(self, version: u64, offset: u32, part: Bytes) -> Vec<FromUpstream> {
+        match self {
+            Lie::Later => {
+                vec![FromUpstream::RetryAfter { after: MAX_RETRY_AFTER.min(Duration::from_secs(60)) }]
             }
-            (Lie::Parts, FromUpstream::CheckpointPart { version, offset, part }) => {
-                whole(vec![FromUpstream::CheckpointPart {
-                    version,
-                    offset,
-                    part: vec![7; part.len()].into(),
-                }])
+            Lie::Parts => {
+                vec![FromUpstream::CheckpointPart { version, offset, part: vec![7; part.len()].into() }]
             }
-            (Lie::Path, FromUpstream::Hello { name, .. }) => {
+            _ => vec![FromUpstream::CheckpointPart { version, offset, part }],
+        }
+    }
+
+    fn falsify_hello(self, name: String, path: Vec<String>, names: &[String]) -> Vec<FromUpstream> {
+        match self {
+            Lie::Path => {
                 let path = names.iter().take(15).cloned().chain([name.clone()]).collect();
-                whole(vec![FromUpstream::Hello { name, path }])
+                vec![FromUpstream::Hello { name, path }]
             }
-            (Lie::Name, FromUpstream::Hello { path, .. }) => {
-                whole(vec![FromUpstream::Hello { name: names[0].clone(), path }])
-            }
-            (_, frame) => whole(vec![frame]),
+            Lie::Name => vec![FromUpstream::Hello { name: names[0].clone(), path }],
+            _ => vec![FromUpstream::Hello { name, path }],
         }
     }
 }
+
+/// Bytes that are no frame.
+fn noise() -> Bytes {
+    let mut noise = BytesMut::new();
+    noise.put_u32(3);
+    noise.put_slice(&[200, 1, 2]);
+    noise.freeze()
+}
--- a/crates/control-plane/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -1,196 +1,206 @@
-//! The tree that carries the log of changes, whole, in virtual time: the product's nodes on connections that delay, end and are
+//! The whole tree of relays and gateways in virtual time: the product's nodes on connections that delay, end and are
 //! cut, as processes that die, freeze and are slow, with relays among them that lie.
 //!
-//! What is held at every step: an honest member builds only on what the writer wrote, in order; what it has in force never goes
-//! back, over its restarts too; what it holds, queues and serves at once is bounded.
+//! Checked at every step: an honest member builds only on what the writer wrote, in order; what it has committed never goes
+//! back, not over restarts either; what it holds, queues and serves at once is bounded.
 
-mod cases;
+mod fault_cases;
 mod follower;
+mod follower_harness;
 mod lies;
-mod net;
-mod sums;
-mod truth;
+mod network;
+mod progress;
+mod reference_log;
+mod single_node;
 
 use std::time::Duration;
 
 use lies::Lie;
-use net::{Id, Net};
+use network::{Id, Network};
 use rand::Rng;
 use umbertray_store_protocol::changes::Role;
 
-/// Everything written is in force at every live gateway so soon, with any one relay gone or lying.
-pub const WITHIN: Duration = Duration::from_secs(17);
+/// Everything written is committed at every live gateway within this, with any one relay gone or lying.
+pub const MAX_APPLY_DELAY: Duration = Duration::from_secs(17);
 
-/// Three relays at the folder, three in the zones that follow them, and so many gateways in each zone that follow those. The
+/// Three relays that read the folder, three in the zones that follow them, and gateways in each zone that follow those. The
 /// third zone is in another region.
-pub fn tree(seed: u64, vouch: usize, gateways: usize) -> Net {
-    let mut net = Net::new(seed, vouch, 500);
+pub fn tree(seed: u64, quorum: usize, gateways: usize) -> Network {
+    let mut network = Network::new(seed, quorum, 500);
     let zones = [("a", 0), ("b", 0), ("c", 1)];
     let tops: Vec<Id> = [0, 1, 0]
         .iter()
         .zip(0..)
-        .map(|(zone, nth)| net.add(&format!("top-{nth}"), zones[*zone], Role::Relay, vec![]))
+        .map(|(zone, nth)| network.add(&format!("top-{nth}"), zones[*zone], Role::Relay, vec![]))
         .collect();
-    let zone =
-        |net: &mut Net, nth: usize| net.add(&format!("zone-{nth}"), zones[nth], Role::Relay, tops.clone());
-    let relays: Vec<Id> = (0..3).map(|nth| zone(&mut net, nth)).collect();
+    let zone = |network: &mut Network, nth: usize| {
+        network.add(&format!("zone-{nth}"), zones[nth], Role::Relay, tops.clone())
+    };
+    let relays: Vec<Id> = (0..3).map(|nth| zone(&mut network, nth)).collect();
     for nth in 0..gateways * 3 {
-        net.add(&format!("gateway-{nth}"), zones[nth % 3], Role::Gateway, relays.clone());
+        network.add(&format!("gateway-{nth}"), zones[nth % 3], Role::Gateway, relays.clone());
     }
-    net
+    network
 }
 
-/// Something goes wrong, or mends.
-fn trouble(net: &mut Net) -> String {
-    let (relays, all) = (net.relays(), net.members.len());
-    let relay = relays[net.rng.random_range(0..relays.len())];
-    let any = net.rng.random_range(0..all);
-    match net.rng.random_range(0..12) {
+/// Injects a random fault, or ends one; its description.
+fn inject_fault(network: &mut Network) -> String {
+    let (relays, all) = (network.relays(), network.members.len());
+    let relay = relays[network.rng.random_range(0..relays.len())];
+    let any = network.rng.random_range(0..all);
+    match network.rng.random_range(0..12) {
         0 => {
-            net.kill(any);
-            format!("{} dies", net.members[any].name)
+            network.kill(any);
+            format!("{} dies", network.members[any].name)
         }
         1 | 2 => {
-            net.kill(any);
-            net.start(any);
-            format!("{} is restarted", net.members[any].name)
+            network.kill(any);
+            network.start(any);
+            format!("{} is restarted", network.members[any].name)
         }
         3 => {
-            net.members[relay].frozen = true;
-            format!("{} freezes", net.members[relay].name)
+            network.members[relay].frozen = true;
+            format!("{} freezes", network.members[relay].name)
         }
         4 => {
-            net.thaw(relay);
-            format!("{} thaws", net.members[relay].name)
+            network.thaw(relay);
+            format!("{} thaws", network.members[relay].name)
         }
         5 => {
-            net.members[relay].slow = Duration::from_millis(net.rng.random_range(0..1500));
-            format!("{} is slow by {:?}", net.members[relay].name, net.members[relay].slow)
+            network.members[relay].slow = Duration::from_millis(network.rng.random_range(0..1500));
+            format!("{} is slow by {:?}", network.members[relay].name, network.members[relay].slow)
         }
         6 => {
-            net.cut = !net.cut;
-            format!("cut: {}", net.cut)
+            network.cut = !network.cut;
+            format!("cut: {}", network.cut)
         }
         7 => {
-            relays.iter().for_each(|relay| net.kill(*relay));
-            relays.iter().for_each(|relay| net.start(*relay));
+            relays.iter().for_each(|relay| network.kill(*relay));
+            relays.iter().for_each(|relay| network.start(*relay));
             "all relays are restarted".into()
         }
         8 => {
             // Most of a run's time is hashing.
-            let most = if net.rng.random_ratio(1, 5) { 400_000 } else { 4000 };
-            let length = net.rng.random_range(0..most);
-            net.write(length);
+            let most = if network.rng.random_ratio(1, 5) { 400_000 } else { 4000 };
+            let length = network.rng.random_range(0..most);
+            network.write(length);
             format!("a change of {length} bytes")
         }
         _ => {
-            net.lose_some();
+            network.lose_random_connection();
             "a connection is lost".into()
         }
     }
 }
 
-fn mend(net: &mut Net) {
-    net.cut = false;
-    for id in 0..net.members.len() {
-        net.members[id].slow = Duration::ZERO;
-        if net.members[id].node.is_none() {
-            net.start(id);
+fn repair(network: &mut Network) {
+    network.cut = false;
+    for id in 0..network.members.len() {
+        network.members[id].slow = Duration::ZERO;
+        if network.members[id].node.is_none() {
+            network.start(id);
         }
-        if net.members[id].frozen {
-            net.thaw(id);
+        if network.members[id].frozen {
+            network.thaw(id);
         }
     }
 }
 
-/// A run of troubles, then none: what was broken, and by what way.
-pub fn run(seed: u64, vouch: usize, lies: &[(Id, Lie)]) -> Result<Duration, String> {
-    let mut net = tree(seed, vouch, 4);
-    let mut way = vec![format!("seed {seed}, vouch {vouch}, {lies:?}")];
-    (0..net.rng.random_range(0..40)).for_each(|_| net.write(9));
-    net.start_all();
-    net.run_up_to(3000);
+/// A run of faults, then their repair: how long it took until all was applied, or what was violated and by which events.
+fn run(seed: u64, quorum: usize, lies: &[(Id, Lie)]) -> Result<Duration, String> {
+    let mut network = tree(seed, quorum, 4);
+    let mut trace = vec![format!("seed {seed}, quorum {quorum}, {lies:?}")];
+    (0..network.rng.random_range(0..40)).for_each(|_| network.write(9));
+    network.start_all();
+    network.run_up_to(3000);
     lies.iter().for_each(|(id, lie)| {
-        net.lies(*id, *lie);
-        net.kill(*id);
-        net.start(*id);
+        network.lies(*id, *lie);
+        network.kill(*id);
+        network.start(*id);
     });
-    for _ in 0..net.rng.random_range(4..16) {
-        let trouble = trouble(&mut net);
-        way.push(format!("{:?}: {trouble}", net.now));
-        (0..net.rng.random_range(0..3)).for_each(|_| net.write(9));
-        net.run_up_to(4000);
+    for _ in 0..network.rng.random_range(4..16) {
+        let inject_fault = inject_fault(&mut network);
+        trace.push(format!("{:?}: {inject_fault}", network.now));
+        (0..network.rng.random_range(0..3)).for_each(|_| network.write(9));
+        network.run_up_to(4000);
     }
-    mend(&mut net);
-    way.push(format!("{:?}: mended", net.now));
-    net.write(9);
-    let mended = net.now;
-    while !net.behind().is_empty() && net.now < mended + WITHIN && net.broken.is_empty() {
-        net.run_for(Duration::from_millis(250));
+    repair(&mut network);
+    trace.push(format!("{:?}: mended", network.now));
+    network.write(9);
+    let repaired_at = network.now;
+    while !network.lagging().is_empty()
+        && network.now < repaired_at + MAX_APPLY_DELAY
+        && network.violations.is_empty()
+    {
+        network.run_for(Duration::from_millis(250));
     }
-    let behind = net.behind();
-    if !net.broken.is_empty() {
-        Err(format!("{:?} after\n  {}", net.broken, way.join("\n  ")))
-    } else if !behind.is_empty() {
-        let head = net.log.head().version;
-        way.extend(net.told(0));
+    let lagging = network.lagging();
+    if !network.violations.is_empty() {
+        Err(format!("{:?} after\n  {}", network.violations, trace.join("\n  ")))
+    } else if !lagging.is_empty() {
+        let head = network.log.head().version;
+        trace.extend(network.told(0));
         Err(format!(
-            "not at version {head} {WITHIN:?} after it was written: {behind:?} after\n  {}",
-            way.join("\n  ")
+            "not at version {head} {MAX_APPLY_DELAY:?} after it was written: {lagging:?} after\n  {}",
+            trace.join("\n  ")
         ))
     } else {
-        Ok(net.now - mended)
+        Ok(network.now - repaired_at)
     }
 }
 
 const SEEDS: u64 = 50;
 
-/// For a release build: minutes.
+/// Takes minutes in a release build.
 #[test]
 #[ignore = "a thousand runs: for a release build"]
-fn a_thousand_runs_with_and_without_liars() {
+fn thousand_runs_with_and_without_lies_end_with_all_applied() {
     let mut longest = Duration::ZERO;
     for seed in 10_000..11_000 {
         let lie = Lie::ALL[seed as usize % Lie::ALL.len()];
         let lies = [(seed as usize / 7 % 6, lie)];
         let lies = if seed % 3 == 0 { &[][..] } else { &lies[..] };
-        longest = longest.max(run(seed, 2, lies).unwrap_or_else(|way| panic!("{way}")));
+        longest = longest.max(run(seed, 2, lies).unwrap_or_else(|trace| panic!("{trace}")));
     }
     println!("in force at the latest {longest:?} after all but the liar was mended");
 }
 
 #[test]
-fn every_order_of_troubles_ends_with_all_in_force() {
-    let longest = (0..SEEDS).map(|seed| run(seed, 2, &[]).unwrap_or_else(|way| panic!("{way}"))).max();
+fn random_faults_once_repaired_leave_everything_applied() {
+    let longest = (0..SEEDS).map(|seed| run(seed, 2, &[]).unwrap_or_else(|trace| panic!("{trace}"))).max();
     println!("in force at the latest {longest:?} after all was mended");
 }
 
-/// One of six lies, and the others go through all sorts of trouble beside it.
+/// One of six relays lies, and random faults are injected beside it.
 #[test]
-fn one_that_lies_delays_and_does_no_more() {
+fn single_lying_relay_delays_and_does_no_more() {
     let mut longest = Duration::ZERO;
     for (lie, nth) in Lie::ALL.into_iter().zip(0..) {
         for seed in 0..4 {
             let liar = (seed as usize + nth) % 6;
-            longest = longest.max(run(1000 + seed, 2, &[(liar, lie)]).unwrap_or_else(|way| panic!("{way}")));
+            longest =
+                longest.max(run(1000 + seed, 2, &[(liar, lie)]).unwrap_or_else(|trace| panic!("{trace}")));
         }
     }
     println!("in force at the latest {longest:?} after all but the liar was mended");
 }
 
-/// What the rule is for: where one voice is enough, or two lie alike, the judge above sees what comes of it.
+/// Where the quorum is no larger than the number of lying relays, the rules above are violated, and that is found.
 #[test]
-fn the_judge_sees_where_fewer_vouch_than_may_lie() {
-    let broken = |vouch: usize, lies: &[(Id, Lie)]| {
+fn checker_with_quorum_too_small_finds_violations() {
+    let violations = |quorum: usize, lies: &[(Id, Lie)]| {
         (0..40)
-            .find_map(|seed| run(seed, vouch, lies).err().filter(|way| way.contains("written\"")))
+            .find_map(|seed| run(seed, quorum, lies).err().filter(|trace| trace.contains("written\"")))
             .is_some()
     };
-    assert!(broken(1, &[(3, Lie::Forged)]), "a forged change, believed of one");
-    assert!(broken(1, &[(3, Lie::FalseState)]), "a false state, believed of one");
-    assert!(broken(2, &[(3, Lie::Forged), (4, Lie::Forged)]), "a forged change, believed of two that lie");
+    assert!(violations(1, &[(3, Lie::Forged)]), "a forged change, believed of one");
+    assert!(violations(1, &[(3, Lie::FalseState)]), "a false state, believed of one");
+    assert!(
+        violations(2, &[(3, Lie::Forged), (4, Lie::Forged)]),
+        "a forged change, believed of two that lie"
+    );
     assert!(
-        broken(2, &[(0, Lie::FalseState), (1, Lie::FalseState)]),
+        violations(2, &[(0, Lie::FalseState), (1, Lie::FalseState)]),
         "a false state, believed of two that lie"
     );
 }
--- a/crates/control-plane/tests/relay/sums.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -1,4 +1,4 @@
-//! What an operator hears of who has acted on what.
+//! Progress summaries: which versions members have applied, as operators see it.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
     LaggingMember, MAX_LAGGING, MAX_VERSION_COUNTS, ProgressSummary, Role, ToUpstream, VersionCount,
 };
 
-use crate::net::Net;
+use crate::network::Network;
+use crate::reference_log::Log;
 use crate::tree;
-use crate::truth::Log;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The sums of all relays at the folder.
-fn levels(net: &Net) -> Vec<(u64, u32)> {
+/// The progress of all relays that read the folder, added up.
+fn levels(network: &Network) -> Vec<(u64, u32)> {
     let mut all = std::collections::BTreeMap::new();
-    for member in net.members.iter().take(3) {
-        let sums = member.node.as_ref().map(|node| node.status(net.now).progress).unwrap_or_default();
+    for member in network.members.iter().take(3) {
+        let sums = member.node.as_ref().map(|node| node.status(network.now).progress).unwrap_or_default();
         for level in sums.levels {
             *all.entry(level.version).or_insert(0) += level.members;
         }
@@ -26,33 +26,33 @@
     all.into_iter().rev().collect()
 }
 
-fn behind(net: &Net) -> Vec<LaggingMember> {
-    let nodes = net.members.iter().take(3).filter_map(|member| member.node.as_ref());
-    nodes.flat_map(|node| node.status(net.now).progress.lagging).collect()
+fn lagging(network: &Network) -> Vec<LaggingMember> {
+    let nodes = network.members.iter().take(3).filter_map(|member| member.node.as_ref());
+    nodes.flat_map(|node| node.status(network.now).progress.lagging).collect()
 }
 
 #[test]
-fn sums_tell_who_has_acted_and_name_those_behind_until_their_lease_is_over() {
-    let mut net = tree(11, 2, 10);
-    (0..5).for_each(|_| net.write(9));
-    net.start_all();
-    net.run_for(20 * SECOND);
-    assert_eq!(levels(&net), [(5, 30)]);
-    assert_eq!(behind(&net), []);
-    // One does not put in force what it is given; another dies.
-    let (deaf, dead) = (net.gateways()[4], net.gateways()[7]);
-    net.members[deaf].deaf = true;
-    net.write(9);
-    net.run_for(5 * SECOND);
-    assert_eq!(levels(&net), [(6, 29), (5, 1)]);
-    let named = behind(&net);
+fn progress_summary_names_lagging_members_until_lease_expires() {
+    let mut network = tree(11, 2, 10);
+    (0..5).for_each(|_| network.write(9));
+    network.start_all();
+    network.run_for(20 * SECOND);
+    assert_eq!(levels(&network), [(5, 30)]);
+    assert_eq!(lagging(&network), []);
+    // One gateway never applies what it receives; another dies.
+    let (never_applies, dead) = (network.gateways()[4], network.gateways()[7]);
+    network.members[never_applies].never_applies = true;
+    network.write(9);
+    network.run_for(5 * SECOND);
+    assert_eq!(levels(&network), [(6, 29), (5, 1)]);
+    let named = lagging(&network);
     assert_eq!((named.len(), named[0].name.as_str(), named[0].version), (1, "gateway-4", 5));
     assert!((20..=26).contains(&named[0].lag_seconds), "{} s", named[0].lag_seconds);
-    net.members[dead].frozen = true;
-    net.run_for(LEASE / 2);
-    assert_eq!(levels(&net), [(6, 29), (5, 1)], "its lease is not over");
-    net.run_for(LEASE);
-    assert_eq!(levels(&net), [(6, 28), (5, 1)]);
+    network.members[dead].frozen = true;
+    network.run_for(LEASE / 2);
+    assert_eq!(levels(&network), [(6, 29), (5, 1)], "its lease is not over");
+    network.run_for(LEASE);
+    assert_eq!(levels(&network), [(6, 28), (5, 1)]);
 }
 
 fn node() -> (RelayNode, ConnectionId) {
@@ -85,8 +85,8 @@
 fn acted(node: &mut RelayNode, connection: ConnectionId, sums: ProgressSummary) -> Vec<RelayEvent> {
     let actions =
         node.handle(Duration::ZERO, Event::FromFollower { connection, frame: ToUpstream::Progress(sums) });
-    let note = |action| if let Action::Log(note) = action { Some(note) } else { None };
-    actions.into_iter().filter_map(note).collect()
+    let event = |action| if let Action::Log(event) = action { Some(event) } else { None };
+    actions.into_iter().filter_map(event).collect()
 }
 
 fn level(version: u64, members: u32) -> VersionCount {
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn sums_that_make_no_sense_are_left_out_and_told_once() {
+fn progress_summary_implausible_is_ignored_and_logged_once() {
     let one = |name: &str, version| LaggingMember { name: name.into(), version, lag_seconds: 1 };
-    let bad = |levels: Vec<VersionCount>, behind| ProgressSummary { levels, lagging: behind };
+    let bad = |levels: Vec<VersionCount>, lagging| ProgressSummary { levels, lagging };
     for (sums, role) in [
         (bad(vec![level(101, 1)], vec![]), Role::Relay),
         (bad(vec![level(100, 1_000_000)], vec![]), Role::Relay),
@@ -112,9 +112,9 @@
         let (mut node, _) = node();
         let connection = join(&mut node, 2, role);
         assert_eq!(acted(&mut node, connection, bad(vec![level(100, 1)], vec![])), []);
-        let notes = acted(&mut node, connection, sums.clone());
+        let logged = acted(&mut node, connection, sums.clone());
         assert!(
-            matches!(&notes[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
+            matches!(&logged[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
             "{sums:?}"
         );
         assert_eq!(acted(&mut node, connection, sums), [], "told once");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn sums_are_bounded_and_never_say_that_more_have_acted_than_have() {
+fn progress_summary_beyond_bounds_never_overstates_progress() {
     let (mut node, _) = node();
     for nth in 10..60 {
         let connection = join(&mut node, nth, Role::Gateway);
--- a/crates/control-plane/tests/relay/reference_log.rs
+++ b/crates/control-plane/tests/relay/reference_log.rs
@@ -1,20 +1,20 @@
-//! The log as its writer wrote it, and other logs.
+//! The log as its writer wrote it, and false logs.
 
 use bytes::Bytes;
 use umbertray_control_plane::relay::Entry;
 use umbertray_store_protocol::changes::Position;
 
-/// A new segment is begun after so many changes.
-pub const SEGMENT: u64 = 16;
+/// Changes in a segment.
+pub(crate) const SEGMENT: u64 = 16;
 
 #[derive(Clone)]
 pub struct Log {
     pub entries: Vec<Entry>,
-    /// Bytes of a checkpoint.
+    /// Bytes of a checkpoint, at least.
     pub state: usize,
     /// Bytes of its longest body.
     pub longest: usize,
-    /// What its checkpoints say besides.
+    /// A word in its checkpoints that tells true from false ones.
     pub says: &'static str,
 }
 
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -1,18 +1,18 @@
-//! The bytes of the coordinator's map that docs/CAPACITY.md counts with are those that it writes.
+//! The sizes that docs/CAPACITY.md states for the coordinator's map are those of what it writes.
 
 use umbertray_control_plane::{CoordinatorState, Record};
 use umbertray_store_protocol::volume_id;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// The figure in the second cell of the row of that name.
+/// The figure in the second cell of the page's row of this name.
 fn page(name: &str) -> f64 {
     let row = PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
     cell.replace(',', "").parse().unwrap_or_else(|_| panic!("{name:?} has {cell:?}"))
 }
 
-/// Each extent of some volumes at another shard than its neighbours: as many ranges as extents.
+/// Claims that put each extent at another shard than its neighbours: as many ranges as extents.
 fn claims(extents: u64) -> Vec<Record> {
     let claim = |n: u64| {
         let (volume, extent) = (volume_id(&format!("volume-{}", n / 1000)), n % 1000);
@@ -25,12 +25,12 @@
     let mut state = CoordinatorState::default();
     claims(extents).iter().for_each(|record| state.apply(record));
     assert_eq!(state.map.ranges() as u64, extents);
-    state.bytes().len() as f64 / extents as f64
+    state.encode().len() as f64 / extents as f64
 }
 
-/// Postcard writes numbers as long as they are, so figures are means over many.
+/// Postcard encodes numbers with variable length, so the figures are means over many.
 #[test]
-fn claims_and_checkpoints_have_the_bytes_that_the_page_counts_with() {
+fn claim_and_checkpoint_sizes_match_documentation() {
     let log = postcard::to_stdvec(&claims(10_000)).expect("numbers").len() as f64 / 10_000.0;
     assert_eq!(log.round(), page("claim in the coordinator's log, in a group"));
     let (few, many) = (bytes_a_range(10_000), bytes_a_range(100_000));
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -127,7 +127,7 @@
                 Output::Superseded { term } => {
                     return Err(CoordinatorError::Superseded { ours: self.core.state().term, theirs: term });
                 }
-                Output::Send { link, message } => {
+                Output::Send { connection: link, message } => {
                     self.sure()?;
                     // A peer that reads nothing loses its connection, and asks again on the next.
                     if self.peers.get(&link).is_some_and(|peer| peer.try_send(message).is_err()) {
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -26,20 +26,20 @@
         folder: &Path,
     ) -> Result<(Log, Coordinator, Vec<Output>), CoordinatorError> {
         let broken = |error| CoordinatorError::Log { folder: folder.into(), error };
-        let opened = HashChain::open(layer, &KEPT, GROWN, || CoordinatorState::default().bytes());
+        let opened = HashChain::open(layer, &KEPT, GROWN, || CoordinatorState::default().encode());
         let (mut chain, OpenedLog { header: head, entries }): (HashChain, OpenedLog) =
             opened.map_err(broken)?;
         let unknown = |version| CoordinatorError::UnreadableRecord { folder: folder.into(), version };
-        let mut state = CoordinatorState::read(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
+        let mut state = CoordinatorState::decode(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
         for entry in entries {
             let records: Vec<Record> =
                 postcard::from_bytes(&entry.body).map_err(|_| unknown(entry.version))?;
             records.iter().for_each(|record| state.apply(record));
         }
-        let settled = chain.recover(|| (state.bytes(), VecDeque::new()));
+        let settled = chain.recover(|| (state.encode(), VecDeque::new()));
         settled.map_err(|error| broken(ChainError::Disk(error)))?;
         // A run of its own segment: what a coordinator that was taken over from still writes, it writes to the one before.
-        let rolled = chain.roll(state.bytes(), VecDeque::new());
+        let rolled = chain.roll(state.encode(), VecDeque::new());
         rolled.map_err(|error| broken(ChainError::Disk(error)))?;
         let (core, first) = Coordinator::start(state);
         Ok((Log { chain }, core, first))
@@ -49,7 +49,7 @@
     /// there, and change nothing then.
     pub fn append(&mut self, records: &[Record], state: &CoordinatorState) -> io::Result<()> {
         let body = postcard::to_stdvec(records).map_err(io::Error::other)?;
-        self.chain.append(body, || (state.bytes(), VecDeque::new())).map(|_| ())
+        self.chain.append(body, || (state.encode(), VecDeque::new())).map(|_| ())
     }
 }
 
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -72,7 +72,7 @@
                     if let Some(to_peer) = unknown.take() {
                         _ = to_core.send(LoopEvent::Opened(link, to_peer));
                     }
-                    _ = to_core.send(LoopEvent::Input(Input::Request { link, message }));
+                    _ = to_core.send(LoopEvent::Input(Input::Request { connection: link, message }));
                 }
                 Ok(None) => {
                     let read = reader.read_buf(&mut input);
