--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -125,7 +125,7 @@
     #[error("not connected in time")]
     NotConnected,
     /// An entry is not chained to the one before, or a checkpoint does not have its digest.
-    #[error("broken chain: an entry does not follow the one before")]
+    #[error("an entry does not follow on the one before")]
     BrokenChain,
     /// The peer's history is not the one committed.
     #[error("fork: its history is not the one committed")]
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,67 +1,85 @@
-//! One question to a coordinator, on a connection of its own: what operators and rehearsals ask.
+//! One request to a coordinator, on a connection of its own: what operators and tests ask.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bytes::BytesMut;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use umbertray_socket::Socket;
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::orders::ExtentRange;
-use umbertray_store_protocol::{Message, next_frame};
 
-/// An answer may take so long.
-const PATIENCE: Duration = Duration::from_secs(5);
+use crate::framed_socket::FramedSocket;
 
+/// From connecting to the whole answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// One request is made on a connection, so any token will do.
+const TOKEN: u64 = 1;
+
+/// Why a request has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    #[error("the keeper at {address} does not answer: {error}; see whether it runs, and ask again")]
-    Unreachable { address: SocketAddr, error: io::Error },
-    #[error("the keeper refuses: {0}")]
+    /// The connection could not be made, ended, or took too long.
+    #[error("the coordinator at {address} does not answer: {error}; see whether it runs, and ask again")]
+    Unreachable {
+        /// The coordinator's address.
+        address: SocketAddr,
+        /// The system's error.
+        error: io::Error,
+    },
+    /// The coordinator rejects the move, with this reason.
+    #[error("the coordinator refuses: {0}")]
     Rejected(String),
-    #[error("the keeper at {address} says something else than was asked: is it a keeper of this version?")]
-    UnexpectedReply { address: SocketAddr },
+    /// The answer is to another request.
+    #[error(
+        "the coordinator at {address} says something else than was asked: is it a coordinator of this version?"
+    )]
+    UnexpectedReply {
+        /// The coordinator's address.
+        address: SocketAddr,
+    },
 }
 
-/// Wishes for a move of a range to a shard; its number.
+/// Asks for a move of a range to a shard; its number.
+///
+/// # Errors
+/// [`RequestError`] where there is no answer, or the move is rejected.
 pub async fn request_move(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, RequestError> {
-    match ask(address, ToList::Move { token: 1, span, shard }).await? {
+    match request(address, ToList::Move { token: TOKEN, span, shard }).await? {
         FromList::Move { number, .. } => number.map_err(RequestError::Rejected),
         _ => Err(RequestError::UnexpectedReply { address }),
     }
 }
 
-/// How far a move is, in words, and whether it is over; it may be given up at that.
+/// How far a move is, for people, and whether it is over. With `abandon` the move is abandoned first, if it still can be.
+///
+/// # Errors
+/// [`RequestError`] where there is no answer.
 pub async fn move_status(
     address: SocketAddr,
     number: u64,
-    give_up: bool,
+    abandon: bool,
 ) -> Result<(String, bool), RequestError> {
-    match ask(address, ToList::MoveStatus { token: 1, number, abandon: give_up }).await? {
+    match request(address, ToList::MoveStatus { token: TOKEN, number, abandon }).await? {
         FromList::MoveStatus { state, over, .. } => Ok((state, over)),
         _ => Err(RequestError::UnexpectedReply { address }),
     }
 }
 
-async fn ask(address: SocketAddr, question: ToList) -> Result<FromList, RequestError> {
-    let asked = async {
-        let mut stream = Socket::connect(address).await?;
-        stream.write_all(&ToList::Hello { run: 0 }.frame()).await?;
-        stream.write_all(&question.frame()).await?;
-        let mut input = BytesMut::new();
-        loop {
-            match next_frame::<FromList>(&mut input).map_err(io::Error::other)? {
-                Some(FromList::Welcome { .. }) => {}
-                Some(answer) => return Ok(answer),
-                None if stream.read_buf(&mut input).await? == 0 => {
-                    return Err(io::ErrorKind::UnexpectedEof.into());
-                }
-                None => {}
-            }
+async fn request(address: SocketAddr, message: ToList) -> Result<FromList, RequestError> {
+    let reply = tokio::time::timeout(REQUEST_TIMEOUT, exchange(address, message)).await;
+    let reply = reply.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+    reply.map_err(|error| RequestError::Unreachable { address, error })
+}
+
+/// The first answer but the welcome.
+async fn exchange(address: SocketAddr, message: ToList) -> io::Result<FromList> {
+    let mut socket = FramedSocket::connect(address).await?;
+    socket.send(&ToList::Hello { run: 0 }).await?;
+    socket.send(&message).await?;
+    loop {
+        match socket.receive().await? {
+            Some(FromList::Welcome { .. }) => {}
+            Some(reply) => return Ok(reply),
+            None => return Err(io::ErrorKind::UnexpectedEof.into()),
         }
-    };
-    let asked = tokio::time::timeout(PATIENCE, asked).await;
-    let asked = asked.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    asked.map_err(|error| RequestError::Unreachable { address, error })
+    }
 }
--- a/crates/coordinator/src/lease.rs
+++ b/crates/coordinator/src/lease.rs
@@ -1,10 +1,10 @@
-//! Who works in a folder: a lock by the system, and beside it a lease that is renewed, so that a process that stands still with
-//! its lock can be taken over from.
+//! Which coordinator works in a folder: a lock by the system, and beside it a lease that is renewed, so that a process that is
+//! stopped while it has the lock can be taken over from.
 //!
-//! The one who works says in a file until when it does, by the clock of this machine that counts on while a process or the
-//! machine stands still. It looks at that clock after each sync of its log and before it says what was synced: past its
-//! time it says nothing more. Whoever takes over waits until that time is over. So what was said stands in the log
-//! that the successor reads: it was synced before the look, and the look was before the successor's reading.
+//! The holder writes into a file until when its lease lasts, by the clock of this machine that goes on while a process or the
+//! machine is suspended. It checks that clock after each sync of its log and before it sends what was synced: once its lease
+//! is over it sends nothing more. Whoever takes over waits until then. So what was sent stands in the log that the successor
+//! reads: it was synced before the check, and the check was before the successor's reading.
 
 use std::fs;
 use std::io;
@@ -16,34 +16,43 @@
 
 use crate::CoordinatorError;
 
-/// For so long a renewal holds; it is renewed at a third of it.
-const HOLDS: Duration = Duration::from_secs(3);
+/// How long a lease lasts; it is renewed after a third of it.
+const LEASE_DURATION: Duration = Duration::from_secs(3);
 
-const LEASE: &str = "lease";
-const FRESH: &str = "lease.new";
+const LEASE_FILE: &str = "lease";
+const NEW_LEASE_FILE: &str = "lease.new";
 
+/// Whether a folder may be taken from another coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Takeover {
-    /// Only a folder that nobody has.
+    /// Only a folder that no process has.
     #[default]
     Never,
-    /// Also one whose coordinator has not renewed its lease in time, though its process still holds the lock.
+    /// Also one whose lease is over, although a stopped process still has the lock.
     FromStalled,
 }
 
-pub struct Lease {
+/// The lease of a folder.
+pub(crate) struct Lease {
     folder: PathBuf,
     files: Disk,
+    /// Since the machine's start.
     until: Duration,
 }
 
-/// Until when a lease that is there holds: the machine's start and the time since.
-fn found(folder: &Path) -> io::Result<Option<Duration>> {
-    match fs::read_to_string(folder.join(LEASE)) {
+/// A folder that this process has the lock and the lease of.
+pub(crate) struct LeasedFolder {
+    pub(crate) lease: Lease,
+    pub(crate) disk: Disk,
+}
+
+/// Until when a folder's lease lasts, since the machine's start; none where it has none of this start.
+fn read_lease(folder: &Path) -> io::Result<Option<Duration>> {
+    match fs::read_to_string(folder.join(LEASE_FILE)) {
         Ok(text) => {
             let boot = current_stamp().boot.to_string();
             let mut words = text.split_whitespace();
-            // One of an earlier start of the machine is over.
+            // A lease of an earlier start of the machine is over.
             let until = words.next().filter(|word| *word == boot).and_then(|_| words.next()?.parse().ok());
             Ok(until.map(Duration::from_micros))
         }
@@ -53,64 +62,72 @@
 }
 
 impl Lease {
-    pub fn take(folder: &Path, takeover: Takeover) -> Result<(Lease, Disk), CoordinatorError> {
-        let wrong = crate::disk(folder);
+    /// Takes the lock and the lease of a folder.
+    pub(crate) fn take(folder: &Path, takeover: Takeover) -> Result<LeasedFolder, CoordinatorError> {
+        let disk_error = CoordinatorError::disk(folder);
         let disk = match Disk::open(folder) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => match takeover {
                 Takeover::Never => return Err(CoordinatorError::Locked { folder: folder.into() }),
-                Takeover::FromStalled => taken_over(folder)?,
+                Takeover::FromStalled => take_over(folder)?,
             },
-            opened => opened.map_err(&wrong)?,
+            opened => opened.map_err(&disk_error)?,
         };
         let mut lease =
             Lease { folder: folder.into(), files: Disk::read_only(folder), until: Duration::ZERO };
-        lease.renew().map_err(&wrong)?;
-        Ok((lease, disk))
+        lease.renew().map_err(&disk_error)?;
+        Ok(LeasedFolder { lease, disk })
     }
 
-    pub fn folder(&self) -> &Path {
+    pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// When to renew it next, from now.
-    pub fn renew_in(&self) -> Duration {
-        (self.until.saturating_sub(HOLDS.mul_f64(2.0 / 3.0))).saturating_sub(time_since_boot())
+    /// How long until it has to be renewed.
+    pub(crate) fn renew_in(&self) -> Duration {
+        let renew_at = self.until.saturating_sub(LEASE_DURATION.mul_f64(2.0 / 3.0));
+        renew_at.saturating_sub(time_since_boot())
     }
 
-    pub fn renew(&mut self) -> io::Result<()> {
+    /// Extends the lease from now.
+    pub(crate) fn renew(&mut self) -> io::Result<()> {
         let stamp = current_stamp();
-        let until = Duration::from_micros(stamp.since_boot) + HOLDS;
-        self.files.put(FRESH, LEASE, format!("{} {}\n", stamp.boot, until.as_micros()).as_bytes())?;
+        let until = Duration::from_micros(stamp.since_boot) + LEASE_DURATION;
+        self.files.put(
+            NEW_LEASE_FILE,
+            LEASE_FILE,
+            format!("{} {}\n", stamp.boot, until.as_micros()).as_bytes(),
+        )?;
         self.until = until;
         Ok(())
     }
 
-    /// Danger: to be asked after what was logged is synced, and before any of it is said.
-    pub fn holds(&self) -> bool {
+    /// Whether the lease is not over. Hazard: it has to be checked after what was logged is synced, and before any of it is
+    /// sent.
+    pub(crate) fn is_held(&self) -> bool {
         time_since_boot() < self.until
     }
 
-    /// Whether another has taken the folder: one that stood still finds it so when it wakes.
-    pub fn lost(&self) -> bool {
-        found(&self.folder).is_ok_and(|until| until.is_some_and(|until| until > self.until))
+    /// Whether another process has taken the folder: a stopped process finds it so when it continues.
+    pub(crate) fn is_lost(&self) -> bool {
+        read_lease(&self.folder).is_ok_and(|until| until.is_some_and(|until| until > self.until))
     }
 }
 
-/// The folder of a coordinator whose lease is over, though its process has the lock: its lock is replaced.
-fn taken_over(folder: &Path) -> Result<Disk, CoordinatorError> {
-    let wrong = crate::disk(folder);
-    if let Some(until) = found(folder).map_err(&wrong)?
+/// Takes the folder of a coordinator whose lease is over, although its process has the lock: the lock is replaced.
+fn take_over(folder: &Path) -> Result<Disk, CoordinatorError> {
+    let disk_error = CoordinatorError::disk(folder);
+    if let Some(until) = read_lease(folder).map_err(&disk_error)?
         && let Some(wait) = until.checked_sub(time_since_boot()).filter(|left| !left.is_zero())
     {
-        let ago = HOLDS.saturating_sub(wait);
-        return Err(CoordinatorError::Leased { folder: folder.into(), ago, wait: HOLDS });
+        let ago = LEASE_DURATION.saturating_sub(wait);
+        return Err(CoordinatorError::Leased { folder: folder.into(), ago, wait: LEASE_DURATION });
     }
     let disk = Disk::open_over(folder).map_err(|error| match error.kind() {
-        // Another was faster.
+        // Another process was faster.
         io::ErrorKind::WouldBlock => CoordinatorError::Locked { folder: folder.into() },
-        _ => wrong(error),
+        _ => disk_error(error),
     })?;
-    tracing::warn!(folder = %folder.display(), "taken over from a keeper that stands still");
+    tracing::warn!(folder = %folder.display(), "coordinator taken over");
     Ok(disk)
 }
 
--- a/crates/coordinator/src/lease/tests.rs
+++ b/crates/coordinator/src/lease/tests.rs
@@ -13,7 +13,7 @@
 fn recorded_lease_of_this_boot_is_read() {
     let folder = folder("read");
     fs::write(folder.join("lease"), format!("{} 1234567\n", current_stamp().boot)).expect("room");
-    let until = found(&folder).expect("readable");
+    let until = read_lease(&folder).expect("readable");
     fs::remove_dir_all(&folder).expect("a folder");
     assert_eq!(until, Some(Duration::from_micros(1_234_567)));
 }
@@ -22,7 +22,7 @@
 fn recorded_lease_of_another_boot_is_over() {
     let folder = folder("other-boot");
     fs::write(folder.join("lease"), format!("{} 1234567\n", current_stamp().boot ^ 1)).expect("room");
-    let until = found(&folder).expect("readable");
+    let until = read_lease(&folder).expect("readable");
     fs::remove_dir_all(&folder).expect("a folder");
     assert_eq!(until, None);
 }
@@ -30,7 +30,7 @@
 #[test]
 fn lease_is_written_as_boot_and_end_in_microseconds() {
     let folder = folder("write");
-    let (lease, _disk) = Lease::take(&folder, Takeover::Never).expect("a free folder");
+    let LeasedFolder { lease, disk: _disk } = Lease::take(&folder, Takeover::Never).expect("a free folder");
     let text = fs::read_to_string(folder.join("lease")).expect("a file");
     fs::remove_dir_all(&folder).expect("a folder");
     assert_eq!(text, format!("{} {}\n", current_stamp().boot, lease.until.as_micros()));
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,75 +1,62 @@
 //! The coordinator: one process that holds the map of where data lies and sees moves through. It moves bytes, keeps the log and
-//! time; what it says and orders is decided by [`umbertray_control_plane::Coordinator`].
+//! time; what it answers and orders is decided by [`umbertray_control_plane::Coordinator`].
 //!
-//! One task owns the core (`hub`), one each peer's connection (`peers`), one the list of stores (`stores`), one each link to a
-//! store. What is logged is synced before what follows it is said or ordered (`log`).
+//! One task owns the core (`event_loop`), one each peer's connection (`peers`), one the endpoint list (`endpoint_list`), one
+//! each connection to a store (`store_connection`). Invariant: what is logged is durable before anything that follows it is
+//! sent (`log`), and nothing is sent without a lease of the folder (`lease`).
 
 pub mod client;
+mod endpoint_list;
+mod error;
 mod event_loop;
+mod framed_socket;
 mod lease;
 mod log;
 mod peers;
-mod stores;
+mod store_connection;
 
-use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use tokio::task::JoinHandle;
-use umbertray_config_log::chain::ChainError;
+use tokio::task::{JoinHandle, JoinSet};
 
+pub use error::CoordinatorError;
 pub use lease::Takeover;
 
-#[derive(Debug, thiserror::Error)]
-pub enum CoordinatorError {
-    #[error("{}: another keeper works in this folder; stop it, or take over from one that stands still", folder.display())]
-    Locked { folder: PathBuf },
-    #[error("{}: the keeper there was at work {ago:?} ago; it may be taken over from once that is {wait:?}", folder.display())]
-    Leased { folder: PathBuf, ago: std::time::Duration, wait: std::time::Duration },
-    #[error("{}: the log cannot be used: {error}; restore the folder from a copy, and never start with an empty one while stores hold ranges that were moved", folder.display())]
-    Log { folder: PathBuf, error: ChainError },
-    #[error("{}: version {version} of the log cannot be read by this program; run the one that wrote it", folder.display())]
-    UnreadableRecord { folder: PathBuf, version: u64 },
-    #[error("{}: {error}; see to the disk, then start again", folder.display())]
-    Disk { folder: PathBuf, error: io::Error },
-    #[error("listening at {address}: {error}; name another address, or stop who has it")]
-    Listen { address: SocketAddr, error: io::Error },
-    #[error(
-        "a keeper of term {theirs} is at work, this one has term {ours}: it ends, as it has nothing to say any more"
-    )]
-    Superseded { ours: u64, theirs: u64 },
-    #[error(
-        "its lease ran out while it stood still: it ends, since another may have taken over; start it again if none has"
-    )]
-    TakenOver,
-    #[error("the keeper's loop ended: {0}; start it again, and tell of it")]
-    Ended(tokio::task::JoinError),
-}
+use event_loop::EventLoop;
 
+/// How a coordinator is started.
 pub struct CoordinatorOptions {
     /// Where gateways connect; port 0 lets the system choose.
     pub listen: SocketAddr,
-    /// The list of stores.
+    /// Where the list of stores is served.
     pub endpoint_list: SocketAddr,
-    /// Its log, and whoever works in it.
+    /// Its log and its lease.
     pub folder: PathBuf,
+    /// Whether it may take the folder from another coordinator.
     pub takeover: Takeover,
 }
 
-/// A coordinator at work. Dropping it ends its tasks at once, as a kill would.
+/// A running coordinator. Dropping it ends its tasks at once, as a kill would.
 pub struct RunningCoordinator {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The term of this run.
     pub term: u64,
-    hub: JoinHandle<Result<(), CoordinatorError>>,
-    others: Vec<JoinHandle<()>>,
+    event_loop: JoinHandle<Result<(), CoordinatorError>>,
+    /// The acceptor of peers and the follower of the endpoint list.
+    _background: JoinSet<()>,
 }
 
 impl RunningCoordinator {
-    /// Returns when the coordinator cannot go on.
+    /// Waits until the coordinator cannot go on.
+    ///
+    /// # Errors
+    /// Why it cannot go on.
     pub async fn ended(&mut self) -> Result<(), CoordinatorError> {
-        match (&mut self.hub).await {
+        match (&mut self.event_loop).await {
             Ok(ended) => ended,
             Err(error) => Err(CoordinatorError::Ended(error)),
         }
@@ -78,32 +65,29 @@
 
 impl Drop for RunningCoordinator {
     fn drop(&mut self) {
-        self.hub.abort();
-        self.others.iter().for_each(JoinHandle::abort);
+        self.event_loop.abort();
     }
 }
 
-/// Starts a coordinator on the present runtime: its term is on the disk before it listens.
+/// Starts a coordinator on the present runtime, which has to be one of several threads: writing the log blocks one.
+/// Its term is durable before it listens.
+///
+/// # Errors
+/// The folder is another's, damaged or not accessible, or the address cannot be listened at.
 pub async fn start(options: CoordinatorOptions) -> Result<RunningCoordinator, CoordinatorError> {
-    let CoordinatorOptions { listen, endpoint_list: list, folder, takeover } = options;
-    let (lease, disk) = lease::Lease::take(&folder, takeover)?;
-    let (log, core, first) = log::Log::open(Box::new(disk), &folder)?;
-    let term = core.state().term;
-    let wrong = |error| CoordinatorError::Listen { address: listen, error };
-    let listener = TcpListener::bind(listen).await.map_err(wrong)?;
-    let address = listener.local_addr().map_err(wrong)?;
-    let (to_hub, from_all) = mpsc::unbounded_channel();
-    let others = vec![
-        tokio::spawn(peers::accept(listener, to_hub.clone())),
-        tokio::spawn(stores::follow(list, to_hub.clone())),
-    ];
-    let hub = event_loop::EventLoop::new(core, log, lease, to_hub);
-    let hub = tokio::spawn(hub.run(first, from_all));
-    tracing::info!(%address, term, "keeper at work");
-    Ok(RunningCoordinator { address, term, hub, others })
-}
-
-fn disk(folder: &Path) -> impl Fn(io::Error) -> CoordinatorError {
-    let folder = folder.to_path_buf();
-    move |error| CoordinatorError::Disk { folder: folder.clone(), error }
+    let CoordinatorOptions { listen, endpoint_list, folder, takeover } = options;
+    let lease::LeasedFolder { lease, disk } = lease::Lease::take(&folder, takeover)?;
+    let log::OpenLog { log, coordinator, first_outputs } = log::Log::open(Box::new(disk), &folder)?;
+    let term = coordinator.state().term;
+    let listen_error = |error| CoordinatorError::Listen { address: listen, error };
+    let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let (events, event_receiver) = mpsc::unbounded_channel();
+    let mut background = JoinSet::new();
+    background.spawn(peers::accept(listener, events.clone()));
+    background.spawn(endpoint_list::follow(endpoint_list, events.clone()));
+    let event_loop = EventLoop::new(coordinator, log, lease, events);
+    let event_loop = tokio::spawn(event_loop.run(first_outputs, event_receiver));
+    tracing::info!(%address, term, "coordinator started");
+    Ok(RunningCoordinator { address, term, event_loop, _background: background })
 }
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -1,4 +1,4 @@
-//! The coordinator's log: the chain that changes of the settings stand in too, with records of the map in it.
+//! The coordinator's log: a hash chain like the configuration's, with records of the map in it.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,48 +10,62 @@
 
 use crate::CoordinatorError;
 
-const KEPT: LogFormat = LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary: "map.new" };
+const FORMAT: LogFormat =
+    LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary: "map.new" };
 
-/// A segment grows to so many bytes, or to twice what it begins with if that is more.
-const GROWN: usize = 4 << 20;
+/// Bytes that a segment grows to, or to twice what it begins with if that is more.
+const MAX_SEGMENT_GROWTH: usize = 4 << 20;
 
-pub struct Log {
+/// A folder's log, open for appending.
+pub(crate) struct Log {
     chain: HashChain,
 }
 
+/// An opened log, and the coordinator that begins a run on it.
+pub(crate) struct OpenLog {
+    pub(crate) log: Log,
+    pub(crate) coordinator: Coordinator,
+    /// What the new run does first.
+    pub(crate) first_outputs: Vec<Output>,
+}
+
 impl Log {
-    /// Opens or begins a folder's log; a core on what it says, and what that core does first.
-    pub fn open(
-        layer: Box<dyn Storage>,
-        folder: &Path,
-    ) -> Result<(Log, Coordinator, Vec<Output>), CoordinatorError> {
-        let broken = |error| CoordinatorError::Log { folder: folder.into(), error };
-        let opened = HashChain::open(layer, &KEPT, GROWN, || CoordinatorState::default().encode());
-        let (mut chain, OpenedLog { header: head, entries }): (HashChain, OpenedLog) =
-            opened.map_err(broken)?;
-        let unknown = |version| CoordinatorError::UnreadableRecord { folder: folder.into(), version };
-        let mut state = CoordinatorState::decode(&head.checkpoint).ok_or_else(|| unknown(head.version))?;
-        for entry in entries {
-            let records: Vec<Record> =
-                postcard::from_bytes(&entry.body).map_err(|_| unknown(entry.version))?;
-            records.iter().for_each(|record| state.apply(record));
-        }
-        let settled = chain.recover(|| (state.encode(), VecDeque::new()));
-        settled.map_err(|error| broken(ChainError::Disk(error)))?;
-        // A run of its own segment: what a coordinator that was taken over from still writes, it writes to the one before.
+    /// Opens or begins a folder's log.
+    pub(crate) fn open(storage: Box<dyn Storage>, folder: &Path) -> Result<OpenLog, CoordinatorError> {
+        let log_error = |error| CoordinatorError::Log { folder: folder.into(), error };
+        let opened =
+            HashChain::open(storage, &FORMAT, MAX_SEGMENT_GROWTH, || CoordinatorState::default().encode());
+        let (mut chain, opened): (HashChain, OpenedLog) = opened.map_err(log_error)?;
+        let state = restore(&opened, folder)?;
+        let recovered = chain.recover(|| (state.encode(), VecDeque::new()));
+        recovered.map_err(|error| log_error(ChainError::Disk(error)))?;
+        // A segment of its own for each run: what a coordinator that was taken over from still writes goes to the one before.
         let rolled = chain.roll(state.encode(), VecDeque::new());
-        rolled.map_err(|error| broken(ChainError::Disk(error)))?;
-        let (core, first) = Coordinator::start(state);
-        Ok((Log { chain }, core, first))
+        rolled.map_err(|error| log_error(ChainError::Disk(error)))?;
+        let (coordinator, first_outputs) = Coordinator::start(state);
+        Ok(OpenLog { log: Log { chain }, coordinator, first_outputs })
     }
 
-    /// Safe when this returns. A new segment begins with `state`, which has these records already: they are told once more
-    /// there, and change nothing then.
-    pub fn append(&mut self, records: &[Record], state: &CoordinatorState) -> io::Result<()> {
+    /// Appends records; they are durable when this returns. A new segment begins with `state`, which has these records
+    /// already: they are repeated there, and change nothing then.
+    pub(crate) fn append(&mut self, records: &[Record], state: &CoordinatorState) -> io::Result<()> {
         let body = postcard::to_stdvec(records).map_err(io::Error::other)?;
         self.chain.append(body, || (state.encode(), VecDeque::new())).map(|_| ())
     }
 }
 
+/// The state that a log's checkpoint and records lead to.
+fn restore(opened: &OpenedLog, folder: &Path) -> Result<CoordinatorState, CoordinatorError> {
+    let unreadable = |version| CoordinatorError::UnreadableRecord { folder: folder.into(), version };
+    let header = &opened.header;
+    let mut state = CoordinatorState::decode(&header.checkpoint).ok_or_else(|| unreadable(header.version))?;
+    for entry in &opened.entries {
+        let records: Vec<Record> =
+            postcard::from_bytes(&entry.body).map_err(|_| unreadable(entry.version))?;
+        records.iter().for_each(|record| state.apply(record));
+    }
+    Ok(state)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/coordinator/src/log/tests.rs
+++ b/crates/coordinator/src/log/tests.rs
@@ -7,13 +7,13 @@
 
 use super::*;
 
-const MOST_BYTES: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 /// A line a file: its name and its bytes in hex.
 const RECORDED: &str = include_str!("golden/folder.txt");
 
 fn open(disk: &SimulatedDisk) -> (Log, Coordinator) {
-    let (log, core, _) = Log::open(Box::new(disk.clone()), Path::new("folder")).expect("a whole log");
-    (log, core)
+    let opened = Log::open(Box::new(disk.clone()), Path::new("folder")).expect("a whole log");
+    (opened.log, opened.coordinator)
 }
 
 /// Claims and moves, one move left in each phase, as a run of the coordinator logs them.
@@ -42,8 +42,8 @@
 
 fn written() -> (SimulatedDisk, CoordinatorState) {
     let disk = SimulatedDisk::default();
-    let (mut log, core) = open(&disk);
-    let mut state = core.state().clone();
+    let (mut log, coordinator) = open(&disk);
+    let mut state = coordinator.state().clone();
     // The run's own term stands in its state already.
     for batch in &history()[1..] {
         batch.iter().for_each(|record| state.apply(record));
@@ -56,7 +56,7 @@
     let mut names = disk.names().expect("a folder");
     names.sort();
     let file = |name: String| {
-        let bytes = disk.read(&name, MOST_BYTES).expect("a file");
+        let bytes = disk.read(&name, MAX_BYTES).expect("a file");
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name}: {hex}\n")
     };
@@ -84,10 +84,10 @@
 
 #[test]
 fn recorded_log_is_read() {
-    let (_, core) = open(&recorded_disk());
+    let (_, coordinator) = open(&recorded_disk());
     let mut wanted = written().1;
     // The next run counts its own term in memory, to be logged first.
-    wanted.term = core.state().term;
-    assert_eq!(core.state(), &wanted);
-    assert_eq!(core.state().moves.len(), 5);
+    wanted.term = coordinator.state().term;
+    assert_eq!(coordinator.state(), &wanted);
+    assert_eq!(coordinator.state().moves.len(), 5);
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections of gateways, and of those who ask for moves.
+//! Connections of gateways, and of operators who ask for moves.
 
 use std::time::Duration;
 
@@ -6,91 +6,120 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
-use umbertray_control_plane::{ConnectionId, Input};
-use umbertray_socket::Socket;
+use tokio::task::JoinSet;
+use umbertray_control_plane::ConnectionId;
+use umbertray_socket::{ReadHalf, Socket, WriteHalf};
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::{Message, next_frame};
 
 use crate::event_loop::LoopEvent;
 
-/// Connections at most; beyond it none is accepted until one ends.
-const MOST: usize = 4096;
-/// Answers that a peer has not read yet. A peer that reads none is cut off: its questions come again on its next connection.
-const UNREAD: usize = 1 << 16;
-/// A peer that has not said who it is by then, or takes no answer for so long, is cut off.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Connections at once, at most; beyond it none is accepted until one ends.
+const MAX_CONNECTIONS: usize = 4096;
+/// Messages that a peer has not read yet, at most. Beyond it the connection is closed; the peer asks again on its next one.
+const MAX_UNSENT_MESSAGES: usize = 1 << 16;
+/// Messages that are written together, at most.
+const MAX_MESSAGES_PER_WRITE: usize = 256;
+/// How long each read before the hello, and each write, may take.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// After a failed accept, most likely for lack of descriptors; trying again at once would spin.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-pub async fn accept(listener: TcpListener, to_hub: mpsc::UnboundedSender<LoopEvent>) {
-    let mut links = tokio::task::JoinSet::new();
+/// Accepts connections for as long as it is polled; dropping it ends them.
+pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<LoopEvent>) {
+    let mut connections = JoinSet::new();
     for number in 0.. {
-        while links.len() >= MOST {
-            links.join_next().await;
+        while connections.len() >= MAX_CONNECTIONS {
+            connections.join_next().await;
         }
-        while links.try_join_next().is_some() {}
+        while connections.try_join_next().is_some() {}
         match umbertray_socket::accept(&listener).await {
-            Ok((stream, _)) => _ = links.spawn(serve(ConnectionId(number), stream, to_hub.clone())),
-            // Out of descriptors, most likely: trying at once would spin.
+            Ok((socket, _)) => _ = connections.spawn(serve(ConnectionId(number), socket, events.clone())),
             Err(error) => {
-                tracing::warn!(%error, "no peer accepted");
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                tracing::warn!(%error, "connection accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-async fn serve(link: ConnectionId, stream: Socket, to_hub: mpsc::UnboundedSender<LoopEvent>) {
-    _ = stream.set_nodelay(true);
-    let (mut reader, mut writer) = stream.into_split();
-    let (to_peer, mut from_hub) = mpsc::channel::<FromList>(UNREAD);
-    let writing = async move {
-        let mut messages = Vec::new();
-        while from_hub.recv_many(&mut messages, 256).await > 0 {
-            let mut out = BytesMut::new();
-            messages.drain(..).for_each(|message| out.extend_from_slice(&message.frame()));
-            if !tokio::time::timeout(PATIENCE, writer.write_all(&out))
-                .await
-                .is_ok_and(|written| written.is_ok())
-            {
-                return;
-            }
+async fn serve(connection: ConnectionId, socket: Socket, events: mpsc::UnboundedSender<LoopEvent>) {
+    _ = socket.set_nodelay(true);
+    let (reader, writer) = socket.into_split();
+    let (messages, unsent) = mpsc::channel(MAX_UNSENT_MESSAGES);
+    let reader = PeerReader { connection, reader, input: BytesMut::new(), events: events.clone() };
+    // The connection ends with either direction; the other's unread or unsent bytes are lost with it.
+    tokio::select! {
+        () = write_messages(writer, unsent) => {}
+        () = reader.run(messages) => {}
+    }
+    _ = events.send(LoopEvent::PeerDisconnected(connection));
+}
+
+/// Writes messages until their sender is dropped, or the peer takes none.
+async fn write_messages(mut writer: WriteHalf, mut unsent: mpsc::Receiver<FromList>) {
+    let mut messages = Vec::new();
+    while unsent.recv_many(&mut messages, MAX_MESSAGES_PER_WRITE).await > 0 {
+        let mut output = BytesMut::new();
+        for message in messages.drain(..) {
+            output.extend_from_slice(&message.frame());
         }
-    };
-    let to_core = to_hub.clone();
-    let reading = async move {
-        // Its hub has the one way to the peer from the hello on: a peer that it drops is cut off.
-        let (mut input, mut unknown) = (BytesMut::new(), Some(to_peer));
+        let written = tokio::time::timeout(IDLE_TIMEOUT, writer.write_all(&output)).await;
+        if !matches!(written, Ok(Ok(()))) {
+            return;
+        }
+    }
+}
+
+struct PeerReader {
+    connection: ConnectionId,
+    reader: ReadHalf,
+    input: BytesMut,
+    events: mpsc::UnboundedSender<LoopEvent>,
+}
+
+impl PeerReader {
+    /// Reads requests until the peer closes the connection, or violates the protocol.
+    ///
+    /// With the hello the loop is given the only sender of messages: a peer that it drops is disconnected.
+    async fn run(mut self, messages: mpsc::Sender<FromList>) {
+        let mut before_hello = Some(messages);
         loop {
-            match next_frame::<ToList>(&mut input) {
-                Ok(Some(message)) => {
-                    let hello = matches!(message, ToList::Hello { .. });
-                    if hello != unknown.is_some() {
-                        return tracing::warn!(
-                            link = link.0,
-                            "a peer's first frame, and no other, is its hello"
-                        );
-                    }
-                    if let Some(to_peer) = unknown.take() {
-                        _ = to_core.send(LoopEvent::Opened(link, to_peer));
-                    }
-                    _ = to_core.send(LoopEvent::Input(Input::Request { connection: link, message }));
-                }
+            let message = match next_frame::<ToList>(&mut self.input) {
+                Ok(Some(message)) => message,
                 Ok(None) => {
-                    let read = reader.read_buf(&mut input);
-                    let read = match unknown {
-                        None => read.await,
-                        Some(_) => tokio::time::timeout(PATIENCE, read).await.unwrap_or(Ok(0)),
-                    };
-                    if !read.is_ok_and(|count| count > 0) {
-                        return;
+                    if self.read_more(before_hello.is_some()).await {
+                        continue;
                     }
+                    return;
+                }
+                Err(error) => {
+                    tracing::warn!(connection_id = self.connection.0, %error, "connection closed");
+                    return;
                 }
-                Err(error) => return tracing::warn!(link = link.0, %error, "a peer's frame"),
+            };
+            let is_hello = matches!(message, ToList::Hello { .. });
+            if is_hello != before_hello.is_some() {
+                let reason = "the first frame has to be the hello, and no other";
+                tracing::warn!(connection_id = self.connection.0, reason, "connection closed");
+                return;
+            }
+            let connection = self.connection;
+            if let Some(messages) = before_hello.take() {
+                _ = self.events.send(LoopEvent::PeerConnected { connection, messages });
             }
+            _ = self.events.send(LoopEvent::RequestReceived { connection, message });
         }
-    };
-    tokio::select! {
-        () = writing => {}
-        () = reading => {}
     }
-    _ = to_hub.send(LoopEvent::Closed(link));
+
+    /// Reads some bytes; false where none come any more.
+    async fn read_more(&mut self, is_before_hello: bool) -> bool {
+        let read = self.reader.read_buf(&mut self.input);
+        let read = if is_before_hello {
+            tokio::time::timeout(IDLE_TIMEOUT, read).await.unwrap_or(Ok(0))
+        } else {
+            read.await
+        };
+        read.is_ok_and(|count| count > 0)
+    }
 }
