--- /dev/null
+++ b/crates/relay/src/event_loop/update_buffer.rs
@@ -0,0 +1,83 @@
+//! Updates on their way from the node to the owner of the loop.
+
+use std::collections::VecDeque;
+
+use bytes::Bytes;
+use umbertray_config_log::Update;
+use umbertray_config_log::chain::{self, SegmentHeader};
+use umbertray_control_plane::relay::{Entry, Event};
+use umbertray_store_protocol::changes::Position;
+
+/// Bytes of updates that wait for the owner, from which on nothing more is read.
+const MAX_WAITING_BYTES: usize = 16 << 20;
+
+/// Updates that the node has given out.
+///
+/// Invariant: only what was committed is handed over, in the order given.
+#[derive(Default)]
+pub(super) struct UpdateBuffer {
+    uncommitted: Vec<Update>,
+    committed: Vec<Update>,
+    waiting_bytes: usize,
+}
+
+impl UpdateBuffer {
+    pub(super) fn add_checkpoint(&mut self, at: Position, checkpoint: &Bytes) {
+        let header = SegmentHeader {
+            version: at.version,
+            hash: at.hash,
+            checkpoint: checkpoint.to_vec(),
+            completed: VecDeque::new(),
+        };
+        self.add(Update::Checkpoint(header), checkpoint.len());
+    }
+
+    pub(super) fn add_entry(&mut self, entry: &Entry) {
+        let Position { version, hash } = entry.at;
+        let update = Update::Entry(chain::Entry { version, hash, body: entry.body.to_vec() });
+        self.add(update, entry.body.len());
+    }
+
+    fn add(&mut self, update: Update, bytes: usize) {
+        self.uncommitted.push(update);
+        self.waiting_bytes += bytes;
+    }
+
+    pub(super) fn commit(&mut self) {
+        self.committed.append(&mut self.uncommitted);
+    }
+
+    pub(super) fn has_committed(&self) -> bool {
+        !self.committed.is_empty()
+    }
+
+    pub(super) fn take_committed(&mut self) -> Vec<Update> {
+        self.waiting_bytes = 0;
+        std::mem::take(&mut self.committed)
+    }
+
+    pub(super) fn has_capacity(&self) -> bool {
+        self.waiting_bytes < MAX_WAITING_BYTES
+    }
+}
+
+/// The node's events for what was read in the folder; entries between two checkpoints are one event.
+pub(super) fn folder_events(updates: Vec<Update>) -> Vec<Event> {
+    let mut events = Vec::new();
+    for update in updates {
+        let at = Position { version: update.version(), hash: update.hash() };
+        match update {
+            Update::Checkpoint(header) => {
+                events.push(Event::FolderCheckpoint { at, bytes: header.checkpoint.into() });
+            }
+            Update::Entry(entry) => {
+                let entry = Entry { at, body: entry.body.into() };
+                match events.last_mut() {
+                    Some(Event::FolderEntries(entries)) => entries.push(entry),
+                    _ => events.push(Event::FolderEntries(vec![entry])),
+                }
+            }
+        }
+    }
+    events
+}
--- a/crates/relay/src/folder.rs
+++ b/crates/relay/src/folder.rs
@@ -1,6 +1,6 @@
 //! Following the writer's folder.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc;
@@ -8,68 +8,85 @@
 use umbertray_config_log::{FolderReader, Update};
 use umbertray_snapshot::Disk;
 
-use crate::carry::Carried;
+use crate::commit_recorder::CommitRecorder;
 use crate::event_loop::LoopEvent;
 
-/// How often the folder is looked at.
-const EVERY: Duration = Duration::from_millis(20);
+/// Between two reads of the folder.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often it is said that a log cannot be followed.
-const SAY: Duration = Duration::from_secs(10);
+/// Between two log events that the folder cannot be read.
+const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where it is in the folder, or the folder not read yet.
-struct Look {
+/// The folder, and the reader of its log once it has been opened.
+struct FolderPoller {
     disk: Disk,
-    tail: Option<FolderReader>,
+    reader: Option<FolderReader>,
 }
 
-impl Look {
-    fn look(&mut self) -> Result<Vec<Update>, FollowError> {
-        match &mut self.tail {
-            Some(tail) => tail.poll(&self.disk),
-            None => {
-                let (tail, told) = FolderReader::open(&self.disk)?;
-                self.tail = Some(tail);
-                Ok(told)
-            }
+impl FolderPoller {
+    fn poll(&mut self) -> Result<Vec<Update>, FollowError> {
+        if let Some(reader) = &mut self.reader {
+            return reader.poll(&self.disk);
         }
+        let (reader, updates) = FolderReader::open(&self.disk)?;
+        self.reader = Some(reader);
+        Ok(updates)
     }
 }
 
-/// Tells the hub of all that is safely committed there, written down as carried before, until the hub ends. A folder that
-/// hangs holds a thread of those for blocking work, and none of the runtime's own.
-pub async fn follow(folder: PathBuf, carried: Carried, to_hub: mpsc::Sender<LoopEvent>) {
-    let mut look = Look { disk: Disk::read_only(&folder), tail: None };
-    let mut said: Option<Instant> = None;
+/// A poller, after a poll on another thread.
+struct Polled {
+    poller: FolderPoller,
+    updates: Result<Vec<Update>, FollowError>,
+}
+
+/// Tells the event loop of all that is durably committed there, recorded as committed before, until the loop ends. A folder
+/// that hangs holds a thread of those for blocking work, and none of the runtime's own.
+pub(crate) async fn follow(folder: PathBuf, recorder: CommitRecorder, events: mpsc::Sender<LoopEvent>) {
+    let mut poller = FolderPoller { disk: Disk::read_only(&folder), reader: None };
+    let mut error_log = ErrorLog { logged_at: None };
     loop {
-        let writer = carried.clone();
-        let looked = tokio::task::spawn_blocking(move || {
-            let told = look.look();
-            let last = told.as_ref().ok().and_then(|told| told.last());
-            last.into_iter().for_each(|last| writer.write(last));
-            (look, told)
-        });
-        let Ok(looked) = looked.await else { return };
-        let told;
-        (look, told) = looked;
-        match told {
-            Ok(told) => {
-                if let Some(last) = told.last() {
-                    carried.told(last);
-                    if to_hub.send(LoopEvent::Folder(told)).await.is_err() {
+        let writer = recorder.clone();
+        let polled = tokio::task::spawn_blocking(move || poll_and_persist(poller, &writer));
+        let Ok(polled) = polled.await else { return };
+        poller = polled.poller;
+        match polled.updates {
+            Ok(updates) => {
+                if let Some(last) = updates.last() {
+                    recorder.publish(last);
+                    if events.send(LoopEvent::FolderRead(updates)).await.is_err() {
                         return;
                     }
                 }
             }
-            Err(error) if said.is_none_or(|at| at.elapsed() >= SAY) => {
-                tracing::error!(folder = %folder.display(), %error, "log of changes not followed");
-                said = Some(Instant::now());
-            }
-            Err(_) => {}
+            Err(error) => error_log.log(&folder, &error),
         }
+        // A cancelled branch loses nothing: both only wait.
         tokio::select! {
-            () = tokio::time::sleep(EVERY) => {}
-            () = to_hub.closed() => return,
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
+            () = events.closed() => return,
+        }
+    }
+}
+
+fn poll_and_persist(mut poller: FolderPoller, recorder: &CommitRecorder) -> Polled {
+    let updates = poller.poll();
+    if let Some(last) = updates.as_ref().ok().and_then(|updates| updates.last()) {
+        recorder.persist(last);
+    }
+    Polled { poller, updates }
+}
+
+/// Logs that the folder cannot be read, not at every poll.
+struct ErrorLog {
+    logged_at: Option<Instant>,
+}
+
+impl ErrorLog {
+    fn log(&mut self, folder: &Path, error: &FollowError) {
+        if self.logged_at.is_none_or(|at| at.elapsed() >= ERROR_LOG_INTERVAL) {
+            tracing::error!(folder = %folder.display(), %error, "folder read failed");
+            self.logged_at = Some(Instant::now());
         }
     }
 }
--- /dev/null
+++ b/crates/relay/src/log_events.rs
@@ -0,0 +1,42 @@
+//! Log lines of the node's events.
+
+use umbertray_control_plane::relay::RelayEvent;
+
+/// Writes a log line for an event that an operator would ask about.
+pub(crate) fn log(event: RelayEvent) {
+    match event {
+        RelayEvent::Following { upstream, after } => {
+            tracing::info!(upstream, after = after.version, "follows");
+        }
+        RelayEvent::UpstreamLeft { upstream, reason, backoff } => {
+            let backoff_seconds = backoff.as_secs_f64();
+            tracing::warn!(upstream, %reason, backoff_seconds, "upstream disconnected");
+        }
+        RelayEvent::Loop { upstream, path } => {
+            tracing::error!(upstream, ?path, "loop of relays: refused");
+        }
+        RelayEvent::Disagreement { upstream, version } => {
+            tracing::error!(upstream, version, "upstreams tell different histories");
+        }
+        RelayEvent::DivergentHistory { version } => {
+            tracing::error!(version, "committed history contradicted by quorum");
+        }
+        RelayEvent::FolderBroken { version } => tracing::error!(version, "folder log rejected"),
+        RelayEvent::NoQuorum { version } => tracing::warn!(version, "checkpoint quorum missing"),
+        RelayEvent::CheckpointLoaded { at, upstream } => {
+            tracing::info!(version = at.version, upstream, "checkpoint loaded");
+        }
+        RelayEvent::FollowerBehind { follower, after } => {
+            tracing::info!(follower, after, "follower needs a checkpoint");
+        }
+        RelayEvent::FollowerLeft { follower, reason } => {
+            tracing::warn!(follower, %reason, "follower disconnected");
+        }
+        RelayEvent::InvalidProgress { follower, reason } => {
+            tracing::warn!(follower, reason, "progress summary rejected");
+        }
+        RelayEvent::SuffixOutgrown { version } => {
+            tracing::warn!(version, "log suffix outgrew checkpoint");
+        }
+    }
+}
