--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -101,7 +101,7 @@
 
     fn disconnect(&mut self, connection: ConnectionId, reason: DisconnectReason, context: &mut Context<'_>) {
         if let Some(follower) = self.followers.get(&connection) {
-            context.log(RelayEvent::FollowerLeft { follower: follower.name.clone(), reason });
+            context.log(RelayEvent::FollowerDisconnected { follower: follower.name.clone(), reason });
             context.actions.push(Action::Close { connection, reason });
             self.on_disconnected(connection);
         }
@@ -161,7 +161,7 @@
         follower.role = role;
         follower.hello_received = true;
         if is_upstream || name == self.own_name {
-            context.log(RelayEvent::Loop { upstream: name, path: self.path.clone() });
+            context.log(RelayEvent::LoopDetected { upstream: name, path: self.path.clone() });
             return self.refuse(connection, RefusalReason::Loop, DisconnectReason::Loop, context);
         }
         let hello = FromUpstream::Hello { name: self.own_name.clone(), path: self.path.clone() };
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -180,7 +180,7 @@
         after: Position,
     },
     /// The connection to an upstream ended.
-    UpstreamLeft {
+    UpstreamDisconnected {
         /// Its name.
         upstream: String,
         /// Why.
@@ -189,7 +189,7 @@
         backoff: Duration,
     },
     /// Relays follow one another in a loop.
-    Loop {
+    LoopDetected {
         /// The peer that closes the loop.
         upstream: String,
         /// The path that it told.
@@ -209,12 +209,12 @@
         version: u64,
     },
     /// What the folder has at this version is not chained to what is held; nothing of it is taken.
-    FolderBroken {
+    FolderRejected {
         /// The version.
         version: u64,
     },
     /// A checkpoint is needed, and none has a quorum.
-    NoQuorum {
+    CheckpointQuorumMissing {
         /// The version of the newest that was told.
         version: u64,
     },
@@ -233,7 +233,7 @@
         after: u64,
     },
     /// A follower's connection was ended.
-    FollowerLeft {
+    FollowerDisconnected {
         /// Its name; empty before its hello.
         follower: String,
         /// Why.
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -196,7 +196,7 @@
     }
 
     fn on_folder_checkpoint(&mut self, at: Position, bytes: Bytes, actions: &mut Vec<Action>) {
-        let broken = Action::Log(RelayEvent::FolderBroken { version: at.version });
+        let broken = Action::Log(RelayEvent::FolderRejected { version: at.version });
         let length = u32::try_from(bytes.len()).ok().filter(|length| *length <= MAX_CHECKPOINT);
         let Some(length) = length.filter(|_| !self.contradicts_committed(at)) else {
             return actions.push(broken);
@@ -216,7 +216,7 @@
             let head = self.suffix.head();
             let is_chained = head.is_some_and(|head| head.after_change(&entry.body) == entry.at);
             if !is_chained || self.contradicts_committed(entry.at) {
-                return actions.push(Action::Log(RelayEvent::FolderBroken { version: entry.at.version }));
+                return actions.push(Action::Log(RelayEvent::FolderRejected { version: entry.at.version }));
             }
             self.suffix.append(entry);
         }
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -248,7 +248,7 @@
         let may_log = transfer.no_quorum_logged_at.is_none_or(|at| now >= at + NO_QUORUM_LOG_INTERVAL);
         if let Some(newest) = newest.filter(|_| may_log) {
             transfer.no_quorum_logged_at = Some(now);
-            context.log(RelayEvent::NoQuorum { version: newest.at.version });
+            context.log(RelayEvent::CheckpointQuorumMissing { version: newest.at.version });
         }
     }
 }
--- a/crates/control-plane/src/relay/upstreams/connections.rs
+++ b/crates/control-plane/src/relay/upstreams/connections.rs
@@ -66,7 +66,7 @@
             lost.failures = lost.failures.saturating_add(1);
             lost.retry_preferred_at = retry_preferred_at;
         }
-        context.log(RelayEvent::UpstreamLeft { upstream: lost.name.clone(), reason, backoff });
+        context.log(RelayEvent::UpstreamDisconnected { upstream: lost.name.clone(), reason, backoff });
         if self.source.as_ref().is_some_and(|source| source.peer == peer) {
             self.drop_source();
         }
--- a/crates/control-plane/src/relay/upstreams/mod.rs
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -223,7 +223,7 @@
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let upstream = self.peers[peer].name.clone();
-        context.log(RelayEvent::Loop { upstream, path });
+        context.log(RelayEvent::LoopDetected { upstream, path });
         Err(DisconnectReason::Loop)
     }
 
--- a/crates/control-plane/tests/explore/world/mod.rs
+++ b/crates/control-plane/tests/explore/world/mod.rs
@@ -1,6 +1,7 @@
 //! A coordinator, two stores, two gateways and a network, and every event that can come next.
 
 mod events;
+mod types;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,7 +10,7 @@
 use umbertray_control_plane::fence::EpochCheck;
 use umbertray_control_plane::{ConnectionId, Coordinator, CoordinatorState, Input, Output, Record};
 use umbertray_store_protocol::list::{FromList, Location, ToList};
-use umbertray_store_protocol::orders::{Order, OrderReply};
+use umbertray_store_protocol::orders::OrderReply;
 
 use crate::properties::{
     Step, acked_writes_stay, at_most_one_serves, former_source_serves_nothing, old_order_changes_nothing,
@@ -19,71 +20,7 @@
 use crate::store::Store;
 use crate::{EXTENT, FORMER, OPERATOR, PlantedBug, READ, SPAN, VOLUME};
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Sent {
-    pub token: u64,
-    pub shard: u32,
-    pub term: u64,
-    pub number: u64,
-    pub order: Order,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Stage {
-    Unsent,
-    Net(Location),
-    Queued(Location),
-    /// An answer on its way: stale with an epoch, or none where the op has run.
-    Answered {
-        stale: Option<u64>,
-    },
-    Asking {
-        min_epoch: u64,
-    },
-    Done,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Op {
-    pub gateway: usize,
-    pub stage: Stage,
-}
-
-/// The faults that may still come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Faults {
-    pub loss: bool,
-    pub double: bool,
-    pub coordinator: bool,
-    pub store: bool,
-    pub abandon: bool,
-}
-
-#[derive(Clone, Debug)]
-pub(crate) enum Event {
-    Coordinator(CoordinatorEvent, Option<usize>),
-    CoordinatorCrash,
-    Order { doubled: bool },
-    Late(usize),
-    Former(usize),
-    Run { op: usize, doubled: bool },
-    Stray(usize),
-    Acked(usize),
-    TimedOut(usize),
-    Read { gateway: usize },
-    StoreCrash(u32),
-}
-
-/// An event for the coordinator. A crash may follow after some of its outputs.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum CoordinatorEvent {
-    Reply(usize),
-    ReplyLost(usize),
-    OrderLost,
-    TimerExpired,
-    Abandon,
-    Lookup(usize),
-}
+pub(crate) use self::types::{CoordinatorEvent, Event, Faults, Op, Sent, Stage};
 
 #[derive(Clone, Hash)]
 pub(crate) struct World {
@@ -299,7 +236,8 @@
 
     pub(crate) fn deliver(&mut self, sent: &Sent) -> Step<OrderReply> {
         let at = sent.shard as usize;
-        let (store, planted_bug) = (&mut self.stores[at], self.planted_bug);
+        let planted_bug = self.planted_bug;
+        let store = &mut self.stores[at];
         let newest = if planted_bug == PlantedBug::TermNotChecked { store.fences.term } else { 0 };
         let before = store.clone();
         let reply =
--- a/crates/control-plane/tests/relay/fault_cases.rs
+++ b/crates/control-plane/tests/relay/fault_cases.rs
@@ -25,7 +25,7 @@
 }
 
 /// Writes a change a second; the longest time that one of them took.
-fn longest_of(network: &mut Network, changes: usize) -> Duration {
+fn longest_apply_time(network: &mut Network, changes: usize) -> Duration {
     network.longest = Duration::ZERO;
     for _ in 0..changes {
         network.write(200);
@@ -38,7 +38,7 @@
 
 #[test]
 fn change_without_faults_is_applied_soon() {
-    let longest = longest_of(&mut settled_net(1, 10), 20);
+    let longest = longest_apply_time(&mut settled_net(1, 10), 20);
     println!("without fault: {longest:?}");
     assert!(longest < APPLIED_SOON, "{longest:?}");
 }
@@ -54,7 +54,7 @@
                 1 => network.members[relay].frozen = true,
                 _ => network.members[relay].slow = 2 * SECOND,
             }
-            let longest = longest_of(&mut network, 8);
+            let longest = longest_apply_time(&mut network, 8);
             assert!(
                 longest < MAX_APPLY_DELAY,
                 "{}, trouble {inject_fault}: {longest:?}",
@@ -66,7 +66,7 @@
     println!("with one relay gone, silent or slow by 2 s: {worst:?}");
 }
 
-fn down(network: &Network, of: &[Id], kinds: &[u8]) -> usize {
+fn frames_down(network: &Network, of: &[Id], kinds: &[u8]) -> usize {
     let counted = of.iter().filter_map(|id| network.counted.get(&(*id, Direction::Down)));
     counted
         .flat_map(|counted| &counted.frames)
@@ -80,25 +80,26 @@
     directions.filter_map(|direction| network.counted.get(&direction)).map(|counted| counted.bytes).sum()
 }
 
-const AT: u8 = 99;
-const ENTRY: u8 = 100;
-const PART: u8 = 101;
+const HEAD_KIND: u8 = 99;
+const ENTRY_KIND: u8 = 100;
+const CHECKPOINT_PART_KIND: u8 = 101;
 
 #[test]
 fn change_crosses_each_connection_once() {
     let mut network = settled_net(3, 10);
-    let (tops, zones) = (vec![0, 1, 2], vec![3, 4, 5]);
+    let folder_relays = [0, 1, 2];
+    let zone_relays = [3, 4, 5];
     network.counted.clear();
     for _ in 0..10 {
         network.write(200);
         network.run_for(SECOND);
     }
     // Ten changes to 3 zone relays and 30 gateways, each from one upstream; heads are announced by three.
-    assert_eq!(down(&network, &tops, &[ENTRY]), 10 * 3);
-    assert_eq!(down(&network, &zones, &[ENTRY]), 10 * 30);
-    assert_eq!(down(&network, &tops, &[AT]), 10 * 3 * 3);
-    assert_eq!(down(&network, &zones, &[AT]), 10 * 30 * 3);
-    assert_eq!(down(&network, &[0, 1, 2, 3, 4, 5], &[PART]), 0);
+    assert_eq!(frames_down(&network, &folder_relays, &[ENTRY_KIND]), 10 * 3);
+    assert_eq!(frames_down(&network, &zone_relays, &[ENTRY_KIND]), 10 * 30);
+    assert_eq!(frames_down(&network, &folder_relays, &[HEAD_KIND]), 10 * 3 * 3);
+    assert_eq!(frames_down(&network, &zone_relays, &[HEAD_KIND]), 10 * 30 * 3);
+    assert_eq!(frames_down(&network, &[0, 1, 2, 3, 4, 5], &[CHECKPOINT_PART_KIND]), 0);
 }
 
 #[test]
@@ -123,17 +124,23 @@
     }
     let apart: Vec<Id> =
         network.gateways().into_iter().filter(|id| network.members[*id].place.region == 1).collect();
-    let held: Vec<_> = apart.iter().map(|id| network.members[*id].in_force.map(|at| at.version)).collect();
+    let held: Vec<_> = apart.iter().map(|id| network.members[*id].committed.map(|at| at.version)).collect();
     assert_eq!(held, vec![Some(20); apart.len()], "they go on with what they have");
     network.cut = false;
     network.counted.clear();
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
     // Of checkpoints only the newest, to the relay, which holds it for new followers as all relays do.
-    assert_eq!((down(&network, &[0, 1, 2], &[PART]), down(&network, &[3, 4, 5], &[PART])), (1, 0));
+    assert_eq!(
+        (
+            frames_down(&network, &[0, 1, 2], &[CHECKPOINT_PART_KIND]),
+            frames_down(&network, &[3, 4, 5], &[CHECKPOINT_PART_KIND])
+        ),
+        (1, 0)
+    );
     let relays = network.relays();
     // To the relay of the zone that was cut off and its two gateways; some may have changed their source meanwhile.
-    let entries = down(&network, &relays, &[ENTRY]);
+    let entries = frames_down(&network, &relays, &[ENTRY_KIND]);
     assert!((175 * 3..=175 * 4).contains(&entries), "{entries} entries");
 }
 
@@ -152,11 +159,11 @@
         "180 gateways and 3 relays from nothing in {:?}, {} checkpoints at once, {} told to return",
         network.now - begun,
         network.most_checkpoint_transfers,
-        down(&network, &relays, &[102]),
+        frames_down(&network, &relays, &[102]),
     );
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
     assert!(network.most_checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS);
-    assert!(down(&network, &relays, &[102]) > 0, "nobody was told to return");
+    assert!(frames_down(&network, &relays, &[102]) > 0, "nobody was told to return");
     assert!(network.now - begun < MAX_APPLY_DELAY);
     // All relays restart: the gateways keep what they have, and none is sent a checkpoint.
     let gateways = network.gateways();
@@ -173,8 +180,9 @@
 #[test]
 fn follower_behind_log_suffix_receives_newest_checkpoint() {
     let mut network = Network::new(7, 2, 500);
-    let tops = (0..3).map(|nth| network.add(&format!("top-{nth}"), ("a", 0), Role::Relay, vec![])).collect();
-    let slow = network.add("gateway", ("a", 0), Role::Gateway, tops);
+    let folder_relays =
+        (0..3).map(|nth| network.add(&format!("top-{nth}"), ("a", 0), Role::Relay, vec![])).collect();
+    let slow = network.add("gateway", ("a", 0), Role::Gateway, folder_relays);
     network.write(9);
     network.start_all();
     network.run_for(SECOND);
@@ -191,7 +199,7 @@
 }
 
 /// The folder is restored from an older copy and everything restarts; then another history grows from there.
-fn put_back(resumes: bool) -> Network {
+fn roll_back_folder(resumes: bool) -> Network {
     let mut network = settled_net(8, 1);
     let gateway = network.gateways()[0];
     network.write(200);
@@ -201,27 +209,27 @@
     (0..network.members.len()).for_each(|id| network.kill(id));
     (0..network.members.len()).for_each(|id| network.start_with(id, resumes));
     network.run_for(MAX_APPLY_DELAY);
-    assert_eq!(network.members[gateway].in_force.map(|at| at.version), Some(21));
+    assert_eq!(network.members[gateway].committed.map(|at| at.version), Some(21));
     (0..5).for_each(|_| network.write(77));
     network.run_for(MAX_APPLY_DELAY);
     assert!(!network.violations.iter().any(|what| what.contains("goes back")));
-    assert_eq!(network.members[gateway].in_force.map(|at| at.version), Some(21));
+    assert_eq!(network.members[gateway].committed.map(|at| at.version), Some(21));
     network
 }
 
 #[test]
 fn gateway_restarted_applies_nothing_older() {
-    let network = put_back(false);
+    let network = roll_back_folder(false);
     assert!(
         network.members[network.gateways()[0]].logged.contains(&RelayEvent::DivergentHistory { version: 21 })
     );
     // A gateway that kept its state is refused by each upstream that it follows.
-    let network = put_back(true);
+    let network = roll_back_folder(true);
     let logged = &network.members[network.gateways()[0]].logged;
     let fork = |event: &&RelayEvent| {
         matches!(
             event,
-            RelayEvent::UpstreamLeft { reason: DisconnectReason::Refused(RefusalReason::Fork), .. }
+            RelayEvent::UpstreamDisconnected { reason: DisconnectReason::Refused(RefusalReason::Fork), .. }
         )
     };
     assert!(logged.iter().filter(fork).count() >= 3);
@@ -237,8 +245,8 @@
     gateways.iter().for_each(|id| network.start_with(*id, true));
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
-    assert_eq!(down(&network, &[3, 4, 5], &[PART]), 0);
-    assert_eq!(down(&network, &[3, 4, 5], &[ENTRY]), 5 * gateways.len());
+    assert_eq!(frames_down(&network, &[3, 4, 5], &[CHECKPOINT_PART_KIND]), 0);
+    assert_eq!(frames_down(&network, &[3, 4, 5], &[ENTRY_KIND]), 5 * gateways.len());
 }
 
 #[test]
@@ -246,7 +254,8 @@
     let mut network = Network::new(9, 1, 500);
     (0..3).for_each(|_| network.write(9));
     let top = network.add("top", ("a", 0), Role::Relay, vec![]);
-    let (one, other) = (1, 2);
+    let one = 1;
+    let other = 2;
     network.add("one", ("a", 0), Role::Relay, vec![other]);
     network.add("other", ("a", 0), Role::Relay, vec![one, top]);
     let gateway = network.add("gateway", ("a", 0), Role::Gateway, vec![one]);
@@ -254,9 +263,10 @@
     network.members[top].place.zone = "b".into();
     network.start_all();
     network.run_for(MAX_APPLY_DELAY);
-    let looped =
-        |id: Id| network.members[id].logged.iter().any(|event| matches!(event, RelayEvent::Loop { .. }));
+    let looped = |id: Id| {
+        network.members[id].logged.iter().any(|event| matches!(event, RelayEvent::LoopDetected { .. }))
+    };
     assert!(looped(one) || looped(other));
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
-    assert_eq!(network.members[gateway].in_force, Some(network.log.head()));
+    assert_eq!(network.members[gateway].committed, Some(network.log.head()));
 }
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -16,11 +16,11 @@
     let (one, _) = harness.others();
     harness.log.write("change", 9);
     harness.entries("near", 3);
-    harness.at("near", 4, 0);
-    assert_eq!(harness.acted(), [], "one that says it twice is one");
-    harness.at(&one, 4, 0);
-    assert_eq!(harness.acted(), [4]);
-    assert!(harness.out.contains(&Action::Commit(harness.log.head())));
+    harness.announce("near", 4, 0);
+    assert_eq!(harness.appended_versions(), [], "one that says it twice is one");
+    harness.announce(&one, 4, 0);
+    assert_eq!(harness.appended_versions(), [4]);
+    assert!(harness.actions.contains(&Action::Commit(harness.log.head())));
 }
 
 #[test]
@@ -28,10 +28,10 @@
     let mut harness = FollowerHarness::new();
     let (one, _) = harness.others();
     let name = harness.lose(&one);
-    harness.out.clear();
-    harness.open(&name);
-    harness.stands(&name, Position { version: 2, hash: [7; 32] }, 0);
-    assert_eq!(harness.left(), [(name.as_str(), DisconnectReason::Fork)]);
+    harness.actions.clear();
+    harness.connect(&name);
+    harness.announce_head(&name, Position { version: 2, hash: [7; 32] }, 0);
+    assert_eq!(harness.disconnected(), [(name.as_str(), DisconnectReason::Fork)]);
 }
 
 #[test]
@@ -42,17 +42,19 @@
     let forged = Entry { at: harness.log.head().after_change(&body), body };
     harness.entry("near", &forged);
     harness.log.write("change", 9);
-    harness.at(&one, 4, 0);
-    assert_eq!(harness.left(), [], "it may be the other that lies");
+    harness.announce(&one, 4, 0);
+    assert_eq!(harness.disconnected(), [], "it may be the other that lies");
     assert!(
-        harness.out.contains(&Action::Log(RelayEvent::Disagreement { upstream: one.clone(), version: 4 }))
+        harness
+            .actions
+            .contains(&Action::Log(RelayEvent::Disagreement { upstream: one.clone(), version: 4 }))
     );
-    harness.at(&other, 4, 0);
-    assert_eq!(harness.left(), [("near", DisconnectReason::Fork)]);
-    assert!(harness.told(|frame| matches!(frame, ToUpstream::Follow { .. })).is_some());
+    harness.announce(&other, 4, 0);
+    assert_eq!(harness.disconnected(), [("near", DisconnectReason::Fork)]);
+    assert!(harness.sent_to(|frame| matches!(frame, ToUpstream::Follow { .. })).is_some());
     let followed = harness.node.status(harness.now).source.expect("another is followed");
     harness.entries(&followed, 3);
-    assert_eq!(harness.acted(), [4], "the true one");
+    assert_eq!(harness.appended_versions(), [4], "the true one");
 }
 
 #[test]
@@ -60,21 +62,25 @@
     let mut harness = FollowerHarness::new();
     let (one, _) = harness.others();
     (0..50).for_each(|_| _ = harness.log.write("change", 9));
-    harness.at(&one, 53, 0);
+    harness.announce(&one, 53, 0);
     let entries = harness.log.entries[3..9].to_vec();
     entries.iter().for_each(|entry| harness.entry("near", entry));
-    let asked = harness.told(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
+    let asked = harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
     assert_eq!(asked, Some(harness.connections[&one]));
-    assert_eq!(harness.acted(), []);
+    assert_eq!(harness.appended_versions(), []);
     let at = harness.log.at(4).expect("written");
-    harness.hear(&one, FromUpstream::HashAt { at });
-    assert_eq!(harness.acted(), [4]);
+    harness.receive(&one, FromUpstream::HashAt { at });
+    assert_eq!(harness.appended_versions(), [4]);
     assert!(
-        harness.told(|frame| matches!(frame, ToUpstream::QueryHash { version: 9 })).is_some(),
+        harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 9 })).is_some(),
         "and so on"
     );
-    harness.hear(&one, FromUpstream::HashAt { at });
-    assert_eq!(harness.left(), [(one.as_str(), DisconnectReason::Unrequested)], "what was not asked for");
+    harness.receive(&one, FromUpstream::HashAt { at });
+    assert_eq!(
+        harness.disconnected(),
+        [(one.as_str(), DisconnectReason::Unrequested)],
+        "what was not asked for"
+    );
 }
 
 #[test]
@@ -83,30 +89,30 @@
     let (one, other) = harness.others();
     (0..20).for_each(|_| _ = harness.log.write("change", 9));
     // They no longer hold the entries that need a quorum.
-    harness.at(&one, 23, 16);
-    harness.at(&other, 23, 16);
+    harness.announce(&one, 23, 16);
+    harness.announce(&other, 23, 16);
     let fetch = |frame: &ToUpstream| matches!(frame, ToUpstream::Fetch { version: 16, .. });
     for nth in 3..12 {
-        assert_eq!(harness.told(fetch), None, "the tail may come yet");
+        assert_eq!(harness.sent_to(fetch), None, "the tail may come yet");
         let entry = harness.log.entries[nth].clone();
         harness.entry("near", &entry);
-        harness.pass(SECOND);
+        harness.advance_time(SECOND);
     }
-    let connection = harness.told(fetch).expect("the checkpoint that two vouch for");
+    let connection = harness.sent_to(fetch).expect("the checkpoint that two vouch for");
     let part = harness.log.checkpoint(16).1;
     harness.event(Event::FromUpstream {
         connection,
         frame: FromUpstream::CheckpointPart { version: 16, offset: 0, part },
     });
     assert_eq!(harness.node.status(harness.now).head, harness.log.at(16).expect("written"));
-    assert_eq!(harness.acted(), []);
+    assert_eq!(harness.appended_versions(), []);
 }
 
 #[test]
 fn entries_without_quorum_are_bounded() {
     let mut harness = FollowerHarness::new();
     let mut sent = 0;
-    while harness.left().is_empty() {
+    while harness.disconnected().is_empty() {
         let entry = harness.log.write("runaway", MAX_PART);
         harness.entry("near", &entry);
         sent += entry.body.len();
@@ -116,9 +122,9 @@
             "{waiting} bytes after {sent}"
         );
     }
-    assert_eq!(harness.left(), [("near", DisconnectReason::Unrequested)]);
+    assert_eq!(harness.disconnected(), [("near", DisconnectReason::Unrequested)]);
     assert_eq!(harness.node.status(harness.now).unconfirmed_bytes, 0);
-    assert_eq!(harness.acted(), []);
+    assert_eq!(harness.appended_versions(), []);
 }
 
 #[test]
@@ -154,21 +160,21 @@
         (FromUpstream::Path(vec!["near".into(), "else".into()]), DisconnectReason::ProtocolViolation),
     ] {
         let mut harness = FollowerHarness::new();
-        harness.hear("near", frame.clone());
-        assert_eq!(harness.left(), [("near", reason)], "{frame:?}");
+        harness.receive("near", frame.clone());
+        assert_eq!(harness.disconnected(), [("near", reason)], "{frame:?}");
     }
     // An entry from an upstream that is not the source.
     let mut harness = FollowerHarness::new();
     let (one, _) = harness.others();
-    harness.hear(&one, entry(next, 4, 0, b"next"));
-    assert_eq!(harness.left(), [(one.as_str(), DisconnectReason::Unrequested)]);
+    harness.receive(&one, entry(next, 4, 0, b"next"));
+    assert_eq!(harness.disconnected(), [(one.as_str(), DisconnectReason::Unrequested)]);
     let mut harness = FollowerHarness::new();
-    (0..200).for_each(|_| harness.hear("near", FromUpstream::Heartbeat));
-    assert_eq!(harness.left(), [("near", DisconnectReason::Unrequested)]);
+    (0..200).for_each(|_| harness.receive("near", FromUpstream::Heartbeat));
+    assert_eq!(harness.disconnected(), [("near", DisconnectReason::Unrequested)]);
     let mut harness = FollowerHarness::new();
     let connection = harness.connections["near"];
     harness.event(Event::Malformed(connection));
-    assert_eq!(harness.left(), [("near", DisconnectReason::ProtocolViolation)]);
+    assert_eq!(harness.disconnected(), [("near", DisconnectReason::ProtocolViolation)]);
 }
 
 #[test]
@@ -176,17 +182,17 @@
     for (name, reason) in [("else", DisconnectReason::WrongName), ("gateway", DisconnectReason::Loop)] {
         let mut harness = FollowerHarness::new();
         let other = harness.lose("near");
-        harness.open(&other);
-        harness.at(&other, 3, 0);
+        harness.connect(&other);
+        harness.announce(&other, 3, 0);
         (0..240).for_each(|_| {
             if !harness.connections.contains_key("near") {
-                harness.pass(SECOND / 4);
+                harness.advance_time(SECOND / 4);
             }
         });
-        harness.out.clear();
+        harness.actions.clear();
         harness.event(Event::Connected(harness.connections["near"]));
-        harness.hear("near", FromUpstream::Hello { name: name.into(), path: vec![name.into()] });
-        assert_eq!(harness.left(), [("near", reason)]);
+        harness.receive("near", FromUpstream::Hello { name: name.into(), path: vec![name.into()] });
+        assert_eq!(harness.disconnected(), [("near", reason)]);
     }
 }
 
@@ -195,14 +201,14 @@
     let mut harness = FollowerHarness::new();
     harness.log.write("change", 9);
     harness.entries("near", 3);
-    harness.pass(SECOND / 2);
+    harness.advance_time(SECOND / 2);
     assert_eq!(harness.connections.len(), 3);
-    harness.pass(SECOND);
+    harness.advance_time(SECOND);
     assert_eq!(harness.connections.len(), 4);
-    let fourth = harness.fresh().expect("the fourth");
-    harness.open(&fourth);
-    harness.at(&fourth, 4, 0);
-    assert_eq!(harness.acted(), [4]);
+    let fourth = harness.connecting().expect("the fourth");
+    harness.connect(&fourth);
+    harness.announce(&fourth, 4, 0);
+    assert_eq!(harness.appended_versions(), [4]);
 }
 
 #[test]
@@ -211,20 +217,20 @@
     let fourth = harness.lose("near");
     let followed = |harness: &FollowerHarness| harness.node.status(harness.now).source;
     assert!(followed(&harness).is_some_and(|name| name != "near"));
-    harness.open(&fourth);
-    harness.at(&fourth, 3, 0);
+    harness.connect(&fourth);
+    harness.announce(&fourth, 3, 0);
     assert!(!harness.connections.contains_key("near"));
     let mut waited = Duration::ZERO;
     while !harness.connections.contains_key("near") && waited < 60 * SECOND {
-        harness.pass(SECOND / 4);
+        harness.advance_time(SECOND / 4);
         waited += SECOND / 4;
     }
     // It is tried again although others suffice, after a random delay.
     assert!((15 * SECOND..=31 * SECOND).contains(&waited), "{waited:?}");
-    harness.open("near");
-    harness.at("near", 3, 0);
+    harness.connect("near");
+    harness.announce("near", 3, 0);
     assert_eq!(harness.connections.len(), 3, "the spare one is left");
     assert_ne!(followed(&harness), Some("near".into()));
-    harness.pass(6 * SECOND);
+    harness.advance_time(6 * SECOND);
     assert_eq!(followed(&harness), Some("near".into()));
 }
--- a/crates/control-plane/tests/relay/follower_harness.rs
+++ b/crates/control-plane/tests/relay/follower_harness.rs
@@ -19,7 +19,7 @@
     pub now: Duration,
     pub connections: BTreeMap<String, ConnectionId>,
     pub log: Log,
-    pub out: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
 impl FollowerHarness {
@@ -38,27 +38,29 @@
             max_followers: 0,
         };
         let node = RelayNode::new(config, None).expect("sound");
-        let (now, connections) = (Duration::ZERO, BTreeMap::new());
-        let mut harness = FollowerHarness { node, now, connections, log: Log::new(100), out: Vec::new() };
+        let now = Duration::ZERO;
+        let connections = BTreeMap::new();
+        let mut harness = FollowerHarness { node, now, connections, log: Log::new(100), actions: Vec::new() };
         (0..3).for_each(|_| _ = harness.log.write("change", 9));
         harness.event(Event::Tick);
         assert_eq!(harness.connections.len(), 3);
         let names: Vec<String> = harness.connections.keys().cloned().collect();
-        names.iter().for_each(|name| harness.open(name));
-        names.iter().for_each(|name| harness.at(name, 3, 0));
+        names.iter().for_each(|name| harness.connect(name));
+        names.iter().for_each(|name| harness.announce(name, 3, 0));
         let (_, bytes) = harness.log.checkpoint(0);
-        let connection = harness.told(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
+        let connection =
+            harness.sent_to(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
         let part = FromUpstream::CheckpointPart { version: 0, offset: 0, part: bytes };
         let connection = connection.expect("a checkpoint that two vouch for is asked for");
         harness.event(Event::FromUpstream { connection, frame: part });
         assert_eq!(
-            harness.told(|frame| matches!(frame, ToUpstream::Follow { .. })),
+            harness.sent_to(|frame| matches!(frame, ToUpstream::Follow { .. })),
             Some(harness.connections["near"])
         );
         harness.entries("near", 0);
-        assert_eq!(harness.acted(), [1, 2, 3]);
-        harness.answer();
-        harness.out.clear();
+        assert_eq!(harness.appended_versions(), [1, 2, 3]);
+        harness.answer_hash_queries();
+        harness.actions.clear();
         harness
     }
 
@@ -73,37 +75,38 @@
                 Action::Close { connection, .. } => self.connections.retain(|_, known| known != connection),
                 _ => {}
             }
-            self.out.push(action);
+            self.actions.push(action);
         }
     }
 
-    pub(crate) fn hear(&mut self, name: &str, frame: FromUpstream) {
+    pub(crate) fn receive(&mut self, name: &str, frame: FromUpstream) {
         if let Some(connection) = self.connections.get(name).copied() {
             self.event(Event::FromUpstream { connection, frame });
         }
     }
 
-    pub(crate) fn open(&mut self, name: &str) {
+    pub(crate) fn connect(&mut self, name: &str) {
         self.event(Event::Connected(self.connections[name]));
         let path = vec![name.to_string()];
-        self.hear(name, FromUpstream::Hello { name: name.into(), path });
+        self.receive(name, FromUpstream::Hello { name: name.into(), path });
     }
 
     /// An upstream announces a version of the log, with entries and a checkpoint from another version on.
-    pub(crate) fn at(&mut self, name: &str, version: u64, from: u64) {
+    pub(crate) fn announce(&mut self, name: &str, version: u64, from: u64) {
         let head = self.log.at(version).expect("a version");
-        self.stands(name, head, from);
+        self.announce_head(name, head, from);
     }
 
-    pub(crate) fn stands(&mut self, name: &str, head: Position, from: u64) {
+    pub(crate) fn announce_head(&mut self, name: &str, head: Position, from: u64) {
         let (at, bytes) = self.log.checkpoint(from);
         let checkpoint = Checkpoint { at, digest: digest(&bytes), length: bytes.len() as u32 };
-        self.hear(name, FromUpstream::Head { head, oldest_version: from, checkpoint: Some(checkpoint) });
+        self.receive(name, FromUpstream::Head { head, oldest_version: from, checkpoint: Some(checkpoint) });
     }
 
     pub(crate) fn entry(&mut self, name: &str, entry: &Entry) {
-        let (length, part) = (entry.body.len() as u32, entry.body.clone());
-        self.hear(name, FromUpstream::Entry { at: entry.at, length, offset: 0, part });
+        let length = entry.body.len() as u32;
+        let part = entry.body.clone();
+        self.receive(name, FromUpstream::Entry { at: entry.at, length, offset: 0, part });
     }
 
     pub(crate) fn entries(&mut self, name: &str, after: u64) {
@@ -112,14 +115,14 @@
     }
 
     /// Answers all hash queries with the true hashes.
-    pub(crate) fn answer(&mut self) {
+    pub(crate) fn answer_hash_queries(&mut self) {
         let ask = |action: &Action| match action {
             Action::SendUpstream { connection, frame: ToUpstream::QueryHash { version } } => {
                 Some((*connection, *version))
             }
             _ => None,
         };
-        let asks: Vec<(ConnectionId, u64)> = self.out.iter().filter_map(ask).collect();
+        let asks: Vec<(ConnectionId, u64)> = self.actions.iter().filter_map(ask).collect();
         for (connection, version) in asks {
             let at = self.log.at(version).expect("written");
             self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { at } });
@@ -130,50 +133,50 @@
     pub(crate) fn lose(&mut self, name: &str) -> String {
         let connection = self.connections.remove(name).expect("connected");
         self.event(Event::Disconnected(connection));
-        self.fresh().expect("another is connected to instead")
+        self.connecting().expect("another is connected to instead")
     }
 
     /// An upstream that is being connected to.
-    pub(crate) fn fresh(&self) -> Option<String> {
-        let linked = self.node.status(self.now).connected;
-        self.connections.keys().find(|name| !linked.contains(name)).cloned()
+    pub(crate) fn connecting(&self) -> Option<String> {
+        let connected = self.node.status(self.now).connected;
+        self.connections.keys().find(|name| !connected.contains(name)).cloned()
     }
 
     /// Time passes, with heartbeats from all connected upstreams.
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn advance_time(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += SECOND / 4;
-            let linked = self.node.status(self.now).connected;
-            linked.iter().for_each(|name| self.hear(name, FromUpstream::Heartbeat));
+            let connected = self.node.status(self.now).connected;
+            connected.iter().for_each(|name| self.receive(name, FromUpstream::Heartbeat));
             self.event(Event::Tick);
         }
     }
 
-    pub(crate) fn acted(&self) -> Vec<u64> {
+    pub(crate) fn appended_versions(&self) -> Vec<u64> {
         let acted = |action: &Action| match action {
             Action::AppendEntry(entry) => Some(entry.at.version),
             _ => None,
         };
-        self.out.iter().filter_map(acted).collect()
+        self.actions.iter().filter_map(acted).collect()
     }
 
-    pub(crate) fn told(&self, which: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
-        self.out.iter().find_map(|action| match action {
+    pub(crate) fn sent_to(&self, which: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
+        self.actions.iter().find_map(|action| match action {
             Action::SendUpstream { connection, frame } if which(frame) => Some(*connection),
             _ => None,
         })
     }
 
     /// Upstreams whose connections it ended, and why.
-    pub(crate) fn left<'a>(&'a self) -> Vec<(&'a str, DisconnectReason)> {
+    pub(crate) fn disconnected<'a>(&'a self) -> Vec<(&'a str, DisconnectReason)> {
         let left = |action: &'a Action| match action {
-            Action::Log(RelayEvent::UpstreamLeft { upstream, reason, .. }) => {
+            Action::Log(RelayEvent::UpstreamDisconnected { upstream, reason, .. }) => {
                 Some((upstream.as_str(), *reason))
             }
             _ => None,
         };
-        self.out.iter().filter_map(left).collect()
+        self.actions.iter().filter_map(left).collect()
     }
 
     /// Two connected upstreams besides "near".
--- a/crates/control-plane/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -45,7 +45,8 @@
 
 /// Injects a random fault, or ends one; its description.
 fn inject_fault(network: &mut Network) -> String {
-    let (relays, all) = (network.relays(), network.members.len());
+    let relays = network.relays();
+    let all = network.members.len();
     let relay = relays[network.rng.random_range(0..relays.len())];
     let any = network.rng.random_range(0..all);
     match network.rng.random_range(0..12) {
@@ -114,18 +115,18 @@
     network.start_all();
     network.run_up_to(3000);
     lies.iter().for_each(|(id, lie)| {
-        network.lies(*id, *lie);
+        network.set_lie(*id, *lie);
         network.kill(*id);
         network.start(*id);
     });
     for _ in 0..network.rng.random_range(4..16) {
-        let inject_fault = inject_fault(&mut network);
-        trace.push(format!("{:?}: {inject_fault}", network.now));
+        let fault = inject_fault(&mut network);
+        trace.push(format!("{:?}: {fault}", network.now));
         (0..network.rng.random_range(0..3)).for_each(|_| network.write(9));
         network.run_up_to(4000);
     }
     repair(&mut network);
-    trace.push(format!("{:?}: mended", network.now));
+    trace.push(format!("{:?}: repaired", network.now));
     network.write(9);
     let repaired_at = network.now;
     while !network.lagging().is_empty()
@@ -139,7 +140,7 @@
         Err(format!("{:?} after\n  {}", network.violations, trace.join("\n  ")))
     } else if !lagging.is_empty() {
         let head = network.log.head().version;
-        trace.extend(network.told(0));
+        trace.extend(network.describe(0));
         Err(format!(
             "not at version {head} {MAX_APPLY_DELAY:?} after it was written: {lagging:?} after\n  {}",
             trace.join("\n  ")
@@ -162,13 +163,13 @@
         let lies = if seed % 3 == 0 { &[][..] } else { &lies[..] };
         longest = longest.max(run(seed, 2, lies).unwrap_or_else(|trace| panic!("{trace}")));
     }
-    println!("in force at the latest {longest:?} after all but the liar was mended");
+    println!("applied at the latest {longest:?} after all but the lying relay was repaired");
 }
 
 #[test]
 fn random_faults_once_repaired_leave_everything_applied() {
     let longest = (0..SEEDS).map(|seed| run(seed, 2, &[]).unwrap_or_else(|trace| panic!("{trace}"))).max();
-    println!("in force at the latest {longest:?} after all was mended");
+    println!("applied at the latest {longest:?} after all was repaired");
 }
 
 /// One of six relays lies, and random faults are injected beside it.
@@ -182,7 +183,7 @@
                 longest.max(run(1000 + seed, 2, &[(liar, lie)]).unwrap_or_else(|trace| panic!("{trace}")));
         }
     }
-    println!("in force at the latest {longest:?} after all but the liar was mended");
+    println!("applied at the latest {longest:?} after all but the lying relay was repaired");
 }
 
 /// Where the quorum is no larger than the number of lying relays, the rules above are violated, and that is found.
@@ -193,14 +194,11 @@
             .find_map(|seed| run(seed, quorum, lies).err().filter(|trace| trace.contains("written\"")))
             .is_some()
     };
-    assert!(violations(1, &[(3, Lie::Forged)]), "a forged change, believed of one");
-    assert!(violations(1, &[(3, Lie::FalseState)]), "a false state, believed of one");
-    assert!(
-        violations(2, &[(3, Lie::Forged), (4, Lie::Forged)]),
-        "a forged change, believed of two that lie"
-    );
+    assert!(violations(1, &[(3, Lie::Forged)]), "a forged change, told by one");
+    assert!(violations(1, &[(3, Lie::FalseState)]), "a false state, told by one");
+    assert!(violations(2, &[(3, Lie::Forged), (4, Lie::Forged)]), "a forged change, told by two that lie");
     assert!(
         violations(2, &[(0, Lie::FalseState), (1, Lie::FalseState)]),
-        "a false state, believed of two that lie"
+        "a false state, told by two that lie"
     );
 }
--- a/crates/control-plane/tests/relay/network/members.rs
+++ b/crates/control-plane/tests/relay/network/members.rs
@@ -6,7 +6,7 @@
 use umbertray_control_plane::relay::{Config, Event, Origin, RelayNode, Upstream};
 use umbertray_store_protocol::changes::Role;
 
-use super::{Connection, Id, Member, Network, NetworkEvent, Place, Reads};
+use super::{FolderCursor, Id, Member, Network, NetworkEvent, Place};
 use crate::lies::Lie;
 use crate::reference_log::Log;
 
@@ -26,10 +26,10 @@
             slow: Duration::ZERO,
             deferred_events: Vec::new(),
             built: None,
-            in_force: None,
+            committed: None,
             keeps: role == Role::Gateway,
-            reads: folder.then_some(Reads { log: None, told: 0, segment: None }),
-            said: 0,
+            folder_cursor: folder.then_some(FolderCursor { log: None, read_up_to: 0, segment: None }),
+            frames_sent: 0,
             logged: Vec::new(),
             checkpoints_loaded: 0,
         });
@@ -47,7 +47,7 @@
     }
 
     /// A relay lies from its next start on.
-    pub fn lies(&mut self, id: Id, lie: Lie) {
+    pub fn set_lie(&mut self, id: Id, lie: Lie) {
         let log = lie.of_log().then(|| {
             let mut log = if lie == Lie::OtherLog { Log::new(self.log.state) } else { self.log.clone() };
             log.says = if lie == Lie::Old { "true" } else { "false" };
@@ -61,7 +61,7 @@
         let member = &mut self.members[id];
         member.lie = Some(lie);
         if lie.of_log() {
-            member.reads = Some(Reads { log, told: 0, segment: None });
+            member.folder_cursor = Some(FolderCursor { log, read_up_to: 0, segment: None });
         }
     }
 
@@ -78,7 +78,7 @@
             zone: self.members[*id].place.zone.clone(),
         };
         let member = &self.members[id];
-        let origin = if member.reads.is_some() {
+        let origin = if member.folder_cursor.is_some() {
             Origin::Folder
         } else {
             Origin::Upstreams { upstreams: member.upstreams.iter().map(of).collect(), quorum: self.quorum }
@@ -93,19 +93,22 @@
         };
         let member = &mut self.members[id];
         if !member.keeps {
-            member.in_force = None;
+            member.committed = None;
         }
-        let held = member.in_force.filter(|_| member.role == Role::Gateway && resumes);
+        let held = member.committed.filter(|_| member.role == Role::Gateway && resumes);
         let node = match held {
             Some(at) => RelayNode::resume(config, at),
-            None => RelayNode::new(config, member.in_force),
+            None => RelayNode::new(config, member.committed),
         };
         member.node = Some(node.expect("a sound configuration"));
         member.start += 1;
         member.built = held;
         member.frozen = false;
         member.deferred_events.clear();
-        member.reads.iter_mut().for_each(|reads| (reads.told, reads.segment) = (0, None));
+        member
+            .folder_cursor
+            .iter_mut()
+            .for_each(|folder_cursor| (folder_cursor.read_up_to, folder_cursor.segment) = (0, None));
         let start = member.start;
         self.read_folder(id);
         self.push(self.now, NetworkEvent::Wake(id, start));
@@ -119,10 +122,8 @@
     pub fn kill(&mut self, id: Id) {
         self.members[id].node = None;
         self.members[id].start += 1;
-        let of = |link_id: &Connection| link_id.follower == id || link_id.upstream == id;
-        let ends: Vec<u64> =
-            self.connections.iter().filter(|(_, link_id)| of(link_id)).map(|(link_id, _)| *link_id).collect();
-        ends.into_iter().for_each(|link_id| self.end(link_id, None));
+        let ended: Vec<u64> = self.links_of(id).collect();
+        ended.into_iter().for_each(|link_id| self.end(link_id));
     }
 
     pub fn thaw(&mut self, id: Id) {
@@ -139,7 +140,9 @@
         let liars: Vec<Id> = (0..self.members.len()).filter(|id| self.members[*id].lie.is_some()).collect();
         for id in liars {
             let lie = self.members[id].lie;
-            let Some(log) = self.members[id].reads.as_mut().and_then(|reads| reads.log.as_mut()) else {
+            let Some(log) =
+                self.members[id].folder_cursor.as_mut().and_then(|folder_cursor| folder_cursor.log.as_mut())
+            else {
                 continue;
             };
             match lie {
@@ -155,26 +158,31 @@
     /// Gives a relay that reads the folder what is new there.
     pub(super) fn read_folder(&mut self, id: Id) {
         let member = &mut self.members[id];
-        let Some(reads) = &mut member.reads else { return };
+        let Some(folder_cursor) = &mut member.folder_cursor else { return };
         if member.node.is_none() {
             return;
         }
-        let log = reads.log.as_ref().unwrap_or(&self.log);
+        let log = folder_cursor.log.as_ref().unwrap_or(&self.log);
         let mut events = Vec::new();
         let segment = log.segment();
-        if reads.segment.is_none() {
+        if folder_cursor.segment.is_none() {
             let (at, bytes) = log.checkpoint(segment);
             events.push(Event::FolderCheckpoint { at, bytes });
-            reads.told = segment;
+            folder_cursor.read_up_to = segment;
         }
-        let entries = log.entries[reads.told as usize..].to_vec();
-        reads.told = log.entries.len() as u64;
+        let entries = log.entries[folder_cursor.read_up_to as usize..].to_vec();
+        folder_cursor.read_up_to = log.entries.len() as u64;
         events.push(Event::FolderEntries(entries));
-        if reads.segment.is_some_and(|known| known < segment) {
+        if folder_cursor.segment.is_some_and(|known| known < segment) {
             let (at, bytes) = log.checkpoint(segment);
             events.push(Event::FolderCheckpoint { at, bytes });
         }
-        reads.segment = Some(segment);
+        folder_cursor.segment = Some(segment);
         events.into_iter().for_each(|event| self.deliver(id, event));
     }
+
+    fn links_of(&self, id: Id) -> impl Iterator<Item = u64> {
+        let links = self.links.iter();
+        links.filter(move |(_, link)| link.follower == id || link.upstream == id).map(|(link_id, _)| *link_id)
+    }
 }
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -17,6 +17,7 @@
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::changes::{Position, Role};
 
+use self::links::Link;
 use crate::lies::Lie;
 use crate::reference_log::Log;
 
@@ -46,32 +47,22 @@
     deferred_events: Vec<Event>,
     /// What it has built, and what it has committed; the last is durable.
     built: Option<Position>,
-    pub in_force: Option<Position>,
+    pub committed: Option<Position>,
     /// Whether what it committed survives its restarts.
     pub keeps: bool,
     /// The log that it reads, the true one or a lying one, and how far it has read.
-    reads: Option<Reads>,
-    said: u64,
+    folder_cursor: Option<FolderCursor>,
+    frames_sent: u64,
     pub logged: Vec<RelayEvent>,
     pub checkpoints_loaded: usize,
 }
 
-struct Reads {
+struct FolderCursor {
     log: Option<Log>,
-    told: u64,
+    read_up_to: u64,
     segment: Option<u64>,
 }
 
-struct Connection {
-    follower: Id,
-    up_connection: ConnectionId,
-    upstream: Id,
-    down_connection: ConnectionId,
-    /// When the last frame of each direction arrives, and the bytes on their way to the follower.
-    last: [Duration; 2],
-    unsent: usize,
-}
-
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Direction {
     Up,
@@ -98,7 +89,7 @@
     pub members: Vec<Member>,
     event_queue: BinaryHeap<Reverse<(Duration, u64)>>,
     queued: HashMap<u64, NetworkEvent>,
-    connections: BTreeMap<u64, Connection>,
+    links: BTreeMap<u64, Link>,
     /// The connection, and the end of it, that a member's id stands for.
     ends: HashMap<(Id, ConnectionId), (u64, Direction)>,
     next: u64,
@@ -123,7 +114,7 @@
             members: Vec::new(),
             event_queue: BinaryHeap::new(),
             queued: HashMap::new(),
-            connections: BTreeMap::new(),
+            links: BTreeMap::new(),
             ends: HashMap::new(),
             next: 0,
             rng: SmallRng::seed_from_u64(seed),
@@ -172,14 +163,14 @@
                 if self.members[id].start == start {
                     if !self.members[id].frozen {
                         self.deliver(id, Event::Tick);
-                        self.bounds(id);
+                        self.check_bounds(id);
                     }
                     self.push(self.now + TICK, NetworkEvent::Wake(id, start));
                 }
             }
-            NetworkEvent::Connect { link_id, ok } => self.connected(link_id, ok),
-            NetworkEvent::Frame { link_id, direction, bytes } => self.arrived(link_id, direction, &bytes),
-            NetworkEvent::End { link_id, direction } => self.ended(link_id, direction),
+            NetworkEvent::Connect { link_id, ok } => self.on_connect(link_id, ok),
+            NetworkEvent::Frame { link_id, direction, bytes } => self.on_frame(link_id, direction, &bytes),
+            NetworkEvent::End { link_id, direction } => self.on_end(link_id, direction),
         }
     }
 
@@ -197,14 +188,14 @@
     fn act(&mut self, id: Id, action: Action) {
         match action {
             Action::Connect { upstream, connection } => self.connect(id, upstream, connection),
-            Action::Close { connection, reason } => self.close(id, connection, reason),
+            Action::Close { connection, .. } => self.close(id, connection),
             Action::SendUpstream { connection, frame } => self.send(id, connection, frame.frame()),
             Action::SendFollower { connection, frame } => {
-                self.members[id].said += 1;
-                let said = self.members[id].said;
+                self.members[id].frames_sent += 1;
+                let frames_sent = self.members[id].frames_sent;
                 let Some(lie) = self.members[id].lie else { return self.send(id, connection, frame.frame()) };
                 let names: Vec<String> = self.members.iter().map(|member| member.name.clone()).collect();
-                lie.falsify(frame, said, &names)
+                lie.falsify(frame, frames_sent, &names)
                     .into_iter()
                     .for_each(|frame| self.send(id, connection, frame));
             }
--- a/crates/control-plane/tests/relay/network/rules.rs
+++ b/crates/control-plane/tests/relay/network/rules.rs
@@ -17,10 +17,10 @@
     }
 
     pub(super) fn on_commit(&mut self, id: Id, at: Position) {
-        let before = self.members[id].in_force;
+        let before = self.members[id].committed;
         self.check_rule(id, self.members[id].built == Some(at), "has in force what it built");
         self.check_rule(id, before.is_none_or(|before| before.version <= at.version), "never goes back");
-        self.members[id].in_force = Some(at);
+        self.members[id].committed = Some(at);
         let first = before.map_or(at.version, |before| at.version.min(before.version + 1));
         if let Some(written) = self.written.get(first as usize - 1) {
             self.longest = self.longest.max(self.now - *written);
@@ -38,7 +38,7 @@
         }
     }
 
-    pub(super) fn bounds(&mut self, id: Id) {
+    pub(super) fn check_bounds(&mut self, id: Id) {
         let Some(node) = &self.members[id].node else { return };
         let status = node.status(self.now);
         let longest = self.log.longest;
@@ -50,13 +50,13 @@
             status.checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS,
             "sends few checkpoints at once",
         );
-        self.check_rule(id, status.unconfirmed_bytes <= waiting, "holds little that is not vouched for");
-        self.check_rule(id, status.held_bytes <= (9 << 20) + state + longest, "holds a bounded tail");
+        self.check_rule(id, status.unconfirmed_bytes <= waiting, "holds little without a quorum");
+        self.check_rule(id, status.held_bytes <= (9 << 20) + state + longest, "holds a bounded log suffix");
     }
 
     /// The status of the relays and some gateways, and what they logged last.
-    pub fn told(&self, gateways: usize) -> Vec<String> {
-        let told = |member: &Member| {
+    pub fn describe(&self, gateways: usize) -> Vec<String> {
+        let describe = |member: &Member| {
             let status = member.node.as_ref().map(|node| node.status(self.now));
             let status = status.map(|at| {
                 (
@@ -72,7 +72,7 @@
                 member.logged.iter().rev().take(8).map(|event| format!("{event:?}")).collect();
             format!("{}: {status:?}\n      {}", member.name, logged.join("\n      "))
         };
-        self.members.iter().take(7 + gateways).map(told).collect()
+        self.members.iter().take(7 + gateways).map(describe).collect()
     }
 
     /// Live gateways that have not committed the newest version.
@@ -82,10 +82,10 @@
             member.role == Role::Gateway
                 && member.node.is_some()
                 && !member.frozen
-                && member.in_force != Some(head)
+                && member.committed != Some(head)
         };
-        let told =
-            |member: &Member| format!("{} has {:?}", member.name, member.in_force.map(|at| at.version));
-        self.members.iter().filter(of).map(told).collect()
+        let describe =
+            |member: &Member| format!("{} has {:?}", member.name, member.committed.map(|at| at.version));
+        self.members.iter().filter(of).map(describe).collect()
     }
 }
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -18,8 +18,8 @@
 fn levels(network: &Network) -> Vec<(u64, u32)> {
     let mut all = std::collections::BTreeMap::new();
     for member in network.members.iter().take(3) {
-        let sums = member.node.as_ref().map(|node| node.status(network.now).progress).unwrap_or_default();
-        for level in sums.levels {
+        let summary = member.node.as_ref().map(|node| node.status(network.now).progress).unwrap_or_default();
+        for level in summary.levels {
             *all.entry(level.version).or_insert(0) += level.members;
         }
     }
@@ -40,7 +40,8 @@
     assert_eq!(levels(&network), [(5, 30)]);
     assert_eq!(lagging(&network), []);
     // One gateway never applies what it receives; another dies.
-    let (never_applies, dead) = (network.gateways()[4], network.gateways()[7]);
+    let never_applies = network.gateways()[4];
+    let dead = network.gateways()[7];
     network.members[never_applies].never_applies = true;
     network.write(9);
     network.run_for(5 * SECOND);
@@ -55,7 +56,7 @@
     assert_eq!(levels(&network), [(6, 28), (5, 1)]);
 }
 
-fn node() -> (RelayNode, ConnectionId) {
+fn node_with_follower() -> (RelayNode, ConnectionId) {
     let config = Config {
         name: "relay".into(),
         zone: "a".into(),
@@ -82,9 +83,13 @@
     connection
 }
 
-fn acted(node: &mut RelayNode, connection: ConnectionId, sums: ProgressSummary) -> Vec<RelayEvent> {
+fn report_progress(
+    node: &mut RelayNode,
+    connection: ConnectionId,
+    summary: ProgressSummary,
+) -> Vec<RelayEvent> {
     let actions =
-        node.handle(Duration::ZERO, Event::FromFollower { connection, frame: ToUpstream::Progress(sums) });
+        node.handle(Duration::ZERO, Event::FromFollower { connection, frame: ToUpstream::Progress(summary) });
     let event = |action| if let Action::Log(event) = action { Some(event) } else { None };
     actions.into_iter().filter_map(event).collect()
 }
@@ -96,44 +101,48 @@
 #[test]
 fn progress_summary_implausible_is_ignored_and_logged_once() {
     let one = |name: &str, version| LaggingMember { name: name.into(), version, lag_seconds: 1 };
-    let bad = |levels: Vec<VersionCount>, lagging| ProgressSummary { levels, lagging };
-    for (sums, role) in [
-        (bad(vec![level(101, 1)], vec![]), Role::Relay),
-        (bad(vec![level(100, 1_000_000)], vec![]), Role::Relay),
-        (bad(vec![level(100, 60_000), level(99, 60_000)], vec![]), Role::Relay),
-        (bad(vec![level(5, 1), level(6, 1)], vec![]), Role::Relay),
-        (bad(vec![level(5, 1), level(5, 1)], vec![]), Role::Relay),
-        (bad(vec![level(5, 0)], vec![]), Role::Relay),
-        (bad(vec![level(5, 1)], vec![one("g", 101)]), Role::Relay),
-        (bad(vec![level(5, 1)], vec![one("g", 4), one("h", 4)]), Role::Relay),
-        (bad(vec![level(5, 2)], vec![]), Role::Gateway),
-        (bad(vec![level(5, 1)], vec![one("g", 4)]), Role::Gateway),
+    let summary_of = |levels: Vec<VersionCount>, lagging| ProgressSummary { levels, lagging };
+    for (summary, role) in [
+        (summary_of(vec![level(101, 1)], vec![]), Role::Relay),
+        (summary_of(vec![level(100, 1_000_000)], vec![]), Role::Relay),
+        (summary_of(vec![level(100, 60_000), level(99, 60_000)], vec![]), Role::Relay),
+        (summary_of(vec![level(5, 1), level(6, 1)], vec![]), Role::Relay),
+        (summary_of(vec![level(5, 1), level(5, 1)], vec![]), Role::Relay),
+        (summary_of(vec![level(5, 0)], vec![]), Role::Relay),
+        (summary_of(vec![level(5, 1)], vec![one("g", 101)]), Role::Relay),
+        (summary_of(vec![level(5, 1)], vec![one("g", 4), one("h", 4)]), Role::Relay),
+        (summary_of(vec![level(5, 2)], vec![]), Role::Gateway),
+        (summary_of(vec![level(5, 1)], vec![one("g", 4)]), Role::Gateway),
     ] {
-        let (mut node, _) = node();
+        let (mut node, _) = node_with_follower();
         let connection = join(&mut node, 2, role);
-        assert_eq!(acted(&mut node, connection, bad(vec![level(100, 1)], vec![])), []);
-        let logged = acted(&mut node, connection, sums.clone());
+        assert_eq!(report_progress(&mut node, connection, summary_of(vec![level(100, 1)], vec![])), []);
+        let logged = report_progress(&mut node, connection, summary.clone());
         assert!(
             matches!(&logged[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
-            "{sums:?}"
+            "{summary:?}"
         );
-        assert_eq!(acted(&mut node, connection, sums), [], "told once");
+        assert_eq!(report_progress(&mut node, connection, summary), [], "told once");
         assert_eq!(node.status(Duration::ZERO).progress, ProgressSummary::default());
     }
 }
 
 #[test]
 fn progress_summary_beyond_bounds_never_overstates_progress() {
-    let (mut node, _) = node();
+    let (mut node, _) = node_with_follower();
     for nth in 10..60 {
         let connection = join(&mut node, nth, Role::Gateway);
-        acted(&mut node, connection, ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] });
+        report_progress(
+            &mut node,
+            connection,
+            ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] },
+        );
     }
-    let sums = node.status(Duration::ZERO).progress;
-    assert_eq!(sums.levels.len(), MAX_VERSION_COUNTS);
-    assert_eq!(sums.levels.iter().map(|level| level.members).sum::<u32>(), 50);
-    assert_eq!(sums.levels[0], level(59, 1));
-    assert_eq!(sums.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest stand for all below");
-    assert_eq!(sums.lagging.len(), MAX_LAGGING);
-    assert_eq!((sums.lagging[0].name.as_str(), sums.lagging[0].version), ("member-010", 10));
+    let summary = node.status(Duration::ZERO).progress;
+    assert_eq!(summary.levels.len(), MAX_VERSION_COUNTS);
+    assert_eq!(summary.levels.iter().map(|level| level.members).sum::<u32>(), 50);
+    assert_eq!(summary.levels[0], level(59, 1));
+    assert_eq!(summary.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest stand for all below");
+    assert_eq!(summary.lagging.len(), MAX_LAGGING);
+    assert_eq!((summary.lagging[0].name.as_str(), summary.lagging[0].version), ("member-010", 10));
 }
--- a/crates/control-plane/tests/relay/single_node.rs
+++ b/crates/control-plane/tests/relay/single_node.rs
@@ -36,14 +36,14 @@
     assert_eq!(reason("a", upstreams(&["b"], 1)), None);
 }
 
-fn said(actions: &[Action]) -> Vec<&FromUpstream> {
+fn sent_frames(actions: &[Action]) -> Vec<&FromUpstream> {
     actions
         .iter()
         .filter_map(|action| if let Action::SendFollower { frame, .. } = action { Some(frame) } else { None })
         .collect()
 }
 
-fn closed(actions: &[Action]) -> Option<DisconnectReason> {
+fn close_reason(actions: &[Action]) -> Option<DisconnectReason> {
     actions.iter().find_map(
         |action| {
             if let Action::Close { reason, .. } = action { Some(*reason) } else { None }
@@ -63,7 +63,7 @@
     node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: "below".into(), zone: "a".into(), role: Role::Relay };
     let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
-    assert!(matches!(said(&actions)[..], [FromUpstream::Hello { .. }, FromUpstream::Head { .. }]));
+    assert!(matches!(sent_frames(&actions)[..], [FromUpstream::Hello { .. }, FromUpstream::Head { .. }]));
     (node, connection)
 }
 
@@ -89,8 +89,8 @@
     ] {
         let (mut node, connection) = relay();
         let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
-        assert_eq!(said(&actions), [&FromUpstream::Refused { reason }]);
-        assert_eq!(closed(&actions), Some(left));
+        assert_eq!(sent_frames(&actions), [&FromUpstream::Refused { reason }]);
+        assert_eq!(close_reason(&actions), Some(left));
         assert_eq!(node.status(Duration::ZERO).followers, 0);
     }
     let (mut node, _) = relay();
@@ -98,12 +98,12 @@
     node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: "relay".into(), zone: "a".into(), role: Role::Relay };
     let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
-    assert_eq!(closed(&actions), Some(DisconnectReason::Loop), "itself");
+    assert_eq!(close_reason(&actions), Some(DisconnectReason::Loop), "itself");
     node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(3)));
     let actions = node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(4)));
-    assert_eq!(closed(&actions), Some(DisconnectReason::TooManyFollowers));
+    assert_eq!(close_reason(&actions), Some(DisconnectReason::TooManyFollowers));
     let actions = node.handle(Duration::ZERO, Event::Malformed(ConnectionId(3)));
-    assert_eq!(closed(&actions), Some(DisconnectReason::ProtocolViolation));
+    assert_eq!(close_reason(&actions), Some(DisconnectReason::ProtocolViolation));
 }
 
 #[test]
@@ -113,8 +113,8 @@
     let mut log = Log::new(100);
     (0..5).for_each(|_| _ = log.write("other", 9));
     let violations = |actions: Vec<Action>| {
-        assert!(said(&actions).is_empty());
-        actions.iter().any(|action| matches!(action, Action::Log(RelayEvent::FolderBroken { .. })))
+        assert!(sent_frames(&actions).is_empty());
+        actions.iter().any(|action| matches!(action, Action::Log(RelayEvent::FolderRejected { .. })))
     };
     let entries = |from: usize| Event::FolderEntries(log.entries[from..].to_vec());
     assert!(violations(node.handle(Duration::ZERO, entries(3))), "another chain");
@@ -138,7 +138,7 @@
     (0..3).for_each(|_| _ = log.write("change", 9));
     let mut sent = 0;
     let mut count = |actions: Vec<Action>| {
-        for frame in said(&actions) {
+        for frame in sent_frames(&actions) {
             if let FromUpstream::Entry { part, .. } = frame {
                 sent += part.len();
             }
@@ -156,5 +156,5 @@
     assert!(node.status(Duration::ZERO).held_bytes <= MAX_SUFFIX_BYTES + 1000);
     // It is disconnected when its lease is over.
     let actions = node.handle(10 * SECOND, Event::Tick);
-    assert_eq!(closed(&actions), Some(DisconnectReason::IdleTimeout));
+    assert_eq!(close_reason(&actions), Some(DisconnectReason::IdleTimeout));
 }
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -15,7 +15,8 @@
 /// Claims that put each extent at another shard than its neighbours: as many ranges as extents.
 fn claims(extents: u64) -> Vec<Record> {
     let claim = |n: u64| {
-        let (volume, extent) = (volume_id(&format!("volume-{}", n / 1000)), n % 1000);
+        let volume = volume_id(&format!("volume-{}", n / 1000));
+        let extent = n % 1000;
         Record::Claimed { volume, extent, shard: (n * 7 % 4000) as u32 }
     };
     (0..extents).map(claim).collect()
--- a/crates/relay/src/log_events.rs
+++ b/crates/relay/src/log_events.rs
@@ -8,11 +8,11 @@
         RelayEvent::Following { upstream, after } => {
             tracing::info!(upstream, after = after.version, "follows");
         }
-        RelayEvent::UpstreamLeft { upstream, reason, backoff } => {
+        RelayEvent::UpstreamDisconnected { upstream, reason, backoff } => {
             let backoff_seconds = backoff.as_secs_f64();
             tracing::warn!(upstream, %reason, backoff_seconds, "upstream disconnected");
         }
-        RelayEvent::Loop { upstream, path } => {
+        RelayEvent::LoopDetected { upstream, path } => {
             tracing::error!(upstream, ?path, "loop of relays: refused");
         }
         RelayEvent::Disagreement { upstream, version } => {
@@ -21,15 +21,17 @@
         RelayEvent::DivergentHistory { version } => {
             tracing::error!(version, "committed history contradicted by quorum");
         }
-        RelayEvent::FolderBroken { version } => tracing::error!(version, "folder log rejected"),
-        RelayEvent::NoQuorum { version } => tracing::warn!(version, "checkpoint quorum missing"),
+        RelayEvent::FolderRejected { version } => tracing::error!(version, "folder log rejected"),
+        RelayEvent::CheckpointQuorumMissing { version } => {
+            tracing::warn!(version, "checkpoint quorum missing");
+        }
         RelayEvent::CheckpointLoaded { at, upstream } => {
             tracing::info!(version = at.version, upstream, "checkpoint loaded");
         }
         RelayEvent::FollowerBehind { follower, after } => {
             tracing::info!(follower, after, "follower needs a checkpoint");
         }
-        RelayEvent::FollowerLeft { follower, reason } => {
+        RelayEvent::FollowerDisconnected { follower, reason } => {
             tracing::warn!(follower, %reason, "follower disconnected");
         }
         RelayEvent::InvalidProgress { follower, reason } => {
