--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -136,7 +136,7 @@
         match order {
             Order::Prepare { epoch, .. } => self.after_prepare(number, *epoch),
             Order::TrackChanges { .. } => (self.state == FenceState::Serving)
-                .then(|| self.settled(FenceState::Serving, self.epoch, number)),
+                .then(|| Fence::settled(FenceState::Serving, self.epoch, number)),
             Order::FetchNext { .. } => (is_same_move && self.state != FenceState::Incoming).then_some(self),
             Order::Put { epoch, .. } | Order::RecordExecuted { epoch, .. } => {
                 is_at(FenceState::Incoming, *epoch).then_some(self)
@@ -148,9 +148,8 @@
                 is_in_place.then_some(self)
             }
             Order::Activate { epoch, .. } if is_at(FenceState::Serving, *epoch) => Some(self),
-            Order::Activate { epoch, .. } => {
-                is_at(FenceState::Incoming, *epoch).then(|| self.settled(FenceState::Serving, *epoch, number))
-            }
+            Order::Activate { epoch, .. } => is_at(FenceState::Incoming, *epoch)
+                .then(|| Fence::settled(FenceState::Serving, *epoch, number)),
             Order::Reactivate { epoch, .. } => self.after_reactivate(number, *epoch),
             Order::Clear { epoch, .. } => self.after_clear(number, *epoch),
             Order::StopTracking { .. } => Some(Fence { move_number: number, ..self }),
@@ -158,7 +157,7 @@
     }
 
     /// A fence whose epoch the map has, or will have however the move ends.
-    fn settled(self, state: FenceState, epoch: u64, move_number: u64) -> Fence {
+    fn settled(state: FenceState, epoch: u64, move_number: u64) -> Fence {
         Fence { state, epoch, move_number, settled_epoch: epoch }
     }
 
@@ -186,7 +185,7 @@
             return Some(self);
         }
         let may_fence = self.state == FenceState::Serving && self.epoch < epoch;
-        may_fence.then(|| self.settled(FenceState::Closed, epoch, number))
+        may_fence.then(|| Fence::settled(FenceState::Closed, epoch, number))
     }
 
     fn after_reactivate(self, number: u64, epoch: u64) -> Option<Fence> {
@@ -197,7 +196,7 @@
             return Some(self);
         }
         let may_reactivate = self.state != FenceState::Incoming && self.epoch < epoch;
-        may_reactivate.then(|| self.settled(FenceState::Serving, epoch, number))
+        may_reactivate.then(|| Fence::settled(FenceState::Serving, epoch, number))
     }
 
     fn after_clear(self, number: u64, epoch: u64) -> Option<Fence> {
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -29,24 +29,24 @@
     fn compare_position(
         &mut self,
         peer: usize,
-        told: Position,
+        reported: Position,
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let Some(head) = context.suffix.head() else { return Ok(()) };
-        if told.version <= head.version {
-            return if context.suffix.contradicts(told) { Err(DisconnectReason::Fork) } else { Ok(()) };
+        if reported.version <= head.version {
+            return if context.suffix.contradicts(reported) { Err(DisconnectReason::Fork) } else { Ok(()) };
         }
-        let index = usize::try_from(told.version - head.version - 1).unwrap_or(usize::MAX);
+        let index = usize::try_from(reported.version - head.version - 1).unwrap_or(usize::MAX);
         let pending = self.source.as_ref().and_then(|source| source.pending_at(index));
         let Some(hash) = pending.map(|entry| entry.at.hash) else { return Ok(()) };
         let upstream = self.peers[peer].name.clone();
         let Some(session) = self.peers[peer].session_mut() else { return Ok(()) };
-        if hash == told.hash {
-            session.agrees_at = session.agrees_at.max(Some(told.version));
+        if hash == reported.hash {
+            session.agrees_at = session.agrees_at.max(Some(reported.version));
         } else if session.disagrees_at.is_none() {
-            session.disagrees_at = Some(told.version);
+            session.disagrees_at = Some(reported.version);
             self.connect_all_until = context.now + CONNECT_ALL_DURATION;
-            context.log(RelayEvent::Disagreement { upstream, version: told.version });
+            context.log(RelayEvent::Disagreement { upstream, version: reported.version });
         }
         Ok(())
     }
@@ -63,8 +63,8 @@
             } else {
                 state.ahead_since = None;
             }
-            let told = state.head;
-            let compared = self.compare_position(peer, told, context);
+            let reported = state.head;
+            let compared = self.compare_position(peer, reported, context);
             // A version at which it disagreed while it was pending has been committed since.
             let disagrees_at = self.peers[peer].session().and_then(|session| session.disagrees_at);
             let disagrees_with_committed = disagrees_at.is_some_and(|version| version <= head.version);
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -155,9 +155,9 @@
 
     /// The newest wanted checkpoint that a quorum tells alike.
     fn quorum_checkpoint(&self, is_wanted: impl Fn(&Checkpoint) -> bool) -> Option<Checkpoint> {
-        let told = || self.peers.iter().filter_map(Peer::checkpoint);
-        let has_quorum = |one: &Checkpoint| told().filter(|other| other == one).count() >= self.quorum;
-        told().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.at.version)
+        let reported = || self.peers.iter().filter_map(Peer::checkpoint);
+        let has_quorum = |one: &Checkpoint| reported().filter(|other| other == one).count() >= self.quorum;
+        reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.at.version)
     }
 
     /// Whether no entries can be had after the head, although an upstream has later ones.
