--- a/crates/config-log/src/acted.rs
+++ b/crates/config-log/src/acted.rs
@@ -1,4 +1,4 @@
-//! What was acted on last, written down in a folder of one's own: nothing before it is believed after a restart.
+//! The version acted on last, kept in a folder of one's own: nothing older is taken after a restart.
 
 use std::io;
 use std::path::Path;
@@ -9,30 +9,41 @@
 use crate::chain::Hash;
 
 const FILE: &str = "acted";
-const FRESH: &str = "acted.new";
+const TEMPORARY_FILE: &str = "acted.new";
+
+/// More than the file ever has, bytes.
+const MAX_FILE_BYTES: usize = 4096;
 
 #[derive(Serialize, Deserialize)]
-struct Acted {
+struct AppliedPosition {
     version: u64,
     hash: Hash,
 }
 
-/// The version that an earlier run had acted on. A file that is there and cannot be read is an error: without it an older
-/// log would be believed.
+/// The version that an earlier run acted on, and its hash; `None` where there was none.
+///
+/// # Errors
+/// Where the file exists and cannot be read: without it an older log would be taken.
 pub fn read(folder: &Path) -> io::Result<Option<(u64, Hash)>> {
-    match Disk::read_only(folder).read(FILE, 4096) {
+    match Disk::read_only(folder).read(FILE, MAX_FILE_BYTES) {
         Ok(bytes) => {
-            let acted: Acted = serde_json::from_slice(&bytes)?;
-            Ok(Some((acted.version, acted.hash)))
+            let position: AppliedPosition = serde_json::from_slice(&bytes)?;
+            Ok(Some((position.version, position.hash)))
         }
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-/// Danger: what was acted on is written down, for sure, before it is acted on. Otherwise a crash in between would let the next
-/// run take an older log, with a limit that was lowered since.
+/// Writes the version that is about to be acted on, synced when this returns.
+///
+/// Hazard: this must come before acting on it. Otherwise a crash in between would let the next run take an older log, with
+/// a limit that was lowered since.
+///
+/// # Errors
+/// Those of the file system.
 pub fn write(folder: &Path, version: u64, hash: Hash) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    Disk::read_only(folder).put(FRESH, FILE, &serde_json::to_vec(&Acted { version, hash })?)
+    let bytes = serde_json::to_vec(&AppliedPosition { version, hash })?;
+    Disk::read_only(folder).put(TEMPORARY_FILE, FILE, &bytes)
 }
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -1,9 +1,10 @@
 //! Configuration as versions: plans, volumes, op types and rules that change in service, each change on record.
 //!
-//! [`model`] is the configuration as data and the places in it; [`change`] a transaction on a version and what it
-//! conflicts with; [`guard`] what needs an explicit word; [`version`] a checked version and the step to the next;
-//! [`log`] the log they are committed to, which stands on [`chain`], a hash-chained log of anything; [`follow`] the
-//! following of it, from its folder or as told. docs/versions.md weighs the ways; docs/changing.md is the operators' page.
+//! [`model`] is the configuration as data and the paths into it; [`change`] a transaction on a version and what it
+//! conflicts with; [`guard`] the steps that need an explicit word; [`version`] a checked version and the step to the next.
+//! [`chain`] is a hash-chained log of opaque bodies, [`segment`] its use for changes, and [`log`] the log that changes are
+//! committed to. [`follow`] follows the log, from its folder or from updates; [`log_copy`] keeps a copy, and [`acted`] the
+//! version acted on last. docs/versions.md weighs the alternatives; docs/changing.md is the operators' page.
 
 pub mod acted;
 pub mod chain;
@@ -11,8 +12,9 @@
 pub mod follow;
 pub mod guard;
 pub mod log;
-pub mod mirror;
+pub mod log_copy;
 pub mod model;
+pub mod problem;
 pub mod segment;
 pub mod version;
 
@@ -20,6 +22,7 @@
 pub use follow::{FolderReader, Follower, Replica, Update};
 pub use guard::Guard;
 pub use log::Log;
-pub use mirror::LogCopy;
+pub use log_copy::LogCopy;
 pub use model::{Configuration, Edit, Key, Kind, Path};
+pub use problem::{ConfigurationProblem, InvalidConfiguration};
 pub use version::{SettingsChange, Version};
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -1,4 +1,6 @@
-//! The log: where changes are committed, one after another. The commit point is the synced record.
+//! The log that changes are committed to, one after another. The commit point is the synced record.
+
+mod history;
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -6,186 +8,183 @@
 use umbertray_snapshot::Storage;
 
 pub use crate::chain::ChainError as LogError;
-use crate::chain::{self, Checkpoint, HashChain};
+use crate::chain::{Checkpoint, HashChain};
 use crate::change::{Change, ChangeRejected, conflicts, validate};
 use crate::guard;
-use crate::model::Configuration;
 pub use crate::segment::CommittedChange;
-use crate::segment::{self, CHANGES, CompletedChange, Corruption, Hash, SegmentHeader, file_name};
+use crate::segment::{self, CHANGES, CompletedChange, Hash, file_name};
 use crate::version::{SettingsChange, Version};
+pub(crate) use history::invalid_change;
+pub use history::{Segment, checkpoint, history, read_segment, replay, segments, verify, version};
 
-/// A segment grows to so many bytes, or to twice what it begins with if that is more, before a new one is begun.
+/// Size that a segment reaches before the next is begun, bytes, unless twice what it begins with is more.
 pub const SEGMENT_BYTES: usize = 1 << 20;
 
-/// So many changes are known by their ids, for those sent again.
+/// How many changes are remembered by their ids, for recognising those sent again.
 pub const MAX_COMPLETED: usize = 10_000;
 
 /// What became of a change.
 #[derive(Clone, Debug)]
 pub struct Committed {
+    /// The version that it made.
     pub version: u64,
-    /// It had been done before, under the same id.
+    /// It was sent again: it had been committed before under the same id.
     pub was_committed_before: bool,
+    /// What a gateway does about it; empty where it was committed before.
     pub steps: Vec<SettingsChange>,
 }
 
+/// What is remembered of a change by its id.
+#[derive(Clone, Copy)]
+struct CompletedId {
+    version: u64,
+    fingerprint: u64,
+}
+
+/// The one writer of the log.
+///
+/// Invariant: `head`, `completed` and `by_id` are what the chain's entries lead to.
 pub struct Log {
     chain: HashChain,
     head: Version,
-    done: VecDeque<CompletedChange>,
-    by_id: HashMap<String, (u64, u64)>,
-    /// Changes of the present segment, in order.
+    /// The last changes, oldest first, at most [`MAX_COMPLETED`].
+    completed: VecDeque<CompletedChange>,
+    /// The same by their ids.
+    by_id: HashMap<String, CompletedId>,
+    /// Changes of the newest segment, in order.
     recent: Vec<CommittedChange>,
-    /// Bytes cut off the end at the opening: a write that was never finished.
+    /// Bytes at the end that were no whole record when the log was opened: a write that was cut off.
     pub torn_bytes: usize,
 }
 
-/// The segments there are, by the version that each begins after.
-pub fn segments(layer: &dyn Storage) -> io::Result<Vec<u64>> {
-    chain::segments(layer, &CHANGES)
-}
-
-pub type Segment = chain::Segment<CommittedChange>;
-
-pub fn read_segment(layer: &dyn Storage, first: u64) -> Result<Segment, LogError> {
-    chain::read_segment(layer, &CHANGES, first)
-}
-
-/// The version that a segment begins with.
-pub fn checkpoint(head: &SegmentHeader) -> Result<Version, Corruption> {
-    let wrong = |what: String| Corruption::InvalidChange { version: head.version, what };
-    let configuration =
-        Configuration::of_bytes(&head.checkpoint).ok_or_else(|| wrong("no checkpoint".into()))?;
-    Version::read(head.version, &configuration).map_err(|problems| wrong(problems.join("; ")))
-}
-
-/// The last version that a segment tells of, up to one.
-fn rebuilt(head: &SegmentHeader, changes: &[CommittedChange], last: u64) -> Result<Version, Corruption> {
-    let mut version = checkpoint(head)?;
-    for past in changes.iter().take_while(|past| past.version <= last) {
-        version = replay(&version, past)?.0;
-    }
-    Ok(version)
-}
-
-/// The next version as a committed change makes it.
-pub fn replay(
-    version: &Version,
-    past: &CommittedChange,
-) -> Result<(Version, Vec<SettingsChange>), Corruption> {
-    let wrong = |problems: Vec<String>| Corruption::InvalidChange {
-        version: past.version,
-        what: problems.join("; "),
-    };
-    version.next(&past.change.edits).map_err(wrong)
-}
-
-/// All that is known at a version, to begin a segment with.
-fn known(head: &Version, done: &VecDeque<CompletedChange>) -> Checkpoint {
-    (head.configuration.bytes(), done.clone())
+/// What a segment begins with after a version.
+fn encode_checkpoint(head: &Version, completed: &VecDeque<CompletedChange>) -> Checkpoint {
+    (head.configuration.bytes(), completed.clone())
 }
 
 impl Log {
-    /// Opens the log of a folder that no other writer has; a folder without one has version 0.
-    pub fn open(layer: Box<dyn Storage>, most_grown: usize) -> Result<Log, LogError> {
+    /// Opens the log of a folder that no other writer has; a folder without one has version 0. Segments grow to
+    /// `max_segment_bytes`.
+    ///
+    /// # Errors
+    /// [`LogError`] where the log is damaged or the file system fails.
+    pub fn open(storage: Box<dyn Storage>, max_segment_bytes: usize) -> Result<Log, LogError> {
         let empty = || Version::empty().configuration.bytes();
-        let (chain, opened) = HashChain::open::<CommittedChange>(layer, &CHANGES, most_grown, empty)?;
-        let broken = |why| LogError::Broken { file: file_name(opened.header.version), why };
-        let head = rebuilt(&opened.header, &opened.entries, u64::MAX).map_err(broken)?;
-        let mut log = Log::at(chain, head, opened.header.completed);
-        opened.entries.iter().for_each(|past| log.remember(past));
-        log.recent = opened.entries;
-        log.chain.recover(|| known(&log.head, &log.done))?;
-        log.forget_earlier(opened.header.version);
+        let opened = HashChain::open::<CommittedChange>(storage, &CHANGES, max_segment_bytes, empty)?;
+        let (chain, found) = opened;
+        let segment_start = found.header.version;
+        let head = history::replay_segment(&found.header, &found.entries, u64::MAX)
+            .map_err(|reason| LogError::Broken { file: file_name(segment_start), reason })?;
+        let completed = found.header.completed;
+        let mut log = Log {
+            torn_bytes: chain.torn_bytes(),
+            chain,
+            head,
+            by_id: completed.iter().map(by_id_entry).collect(),
+            completed,
+            recent: Vec::new(),
+        };
+        found.entries.iter().for_each(|committed| log.remember(completed_change(committed)));
+        log.recent = found.entries;
+        log.chain.recover(|| encode_checkpoint(&log.head, &log.completed))?;
+        log.forget_before_segment(segment_start);
         Ok(log)
     }
 
-    fn at(chain: HashChain, head: Version, done: VecDeque<CompletedChange>) -> Log {
-        let by_id = done.iter().map(|(id, version, like)| (id.clone(), (*version, *like))).collect();
-        Log { torn_bytes: chain.torn_bytes(), chain, head, done, by_id, recent: Vec::new() }
-    }
-
+    /// The newest version.
     pub fn head(&self) -> &Version {
         &self.head
     }
 
-    /// Where it lies, to look at.
+    /// The folder, to read.
     pub fn layer(&self) -> &dyn Storage {
-        self.chain.layer()
+        self.chain.storage()
     }
 
+    /// The newest version's hash in the chain.
     pub fn hash(&self) -> Hash {
         self.chain.hash()
     }
 
-    /// A segment begun since then leaves the changes before it to the older ones.
-    fn forget_earlier(&mut self, since: u64) {
-        if self.chain.segment_start() > since {
+    /// Where a segment was begun since `segment_start`, changes before it are left to the older segments.
+    fn forget_before_segment(&mut self, segment_start: u64) {
+        if self.chain.segment_start() > segment_start {
             self.recent.clear();
         }
     }
 
-    fn remember(&mut self, past: &CommittedChange) {
-        let like = segment::fingerprint(&past.change);
-        self.by_id.insert(past.change.id.clone(), (past.version, like));
-        self.done.push_back((past.change.id.clone(), past.version, like));
-        if self.done.len() > MAX_COMPLETED
-            && let Some((id, ..)) = self.done.pop_front()
+    fn remember(&mut self, completed: CompletedChange) {
+        self.by_id.extend([by_id_entry(&completed)]);
+        self.completed.push_back(completed);
+        if self.completed.len() > MAX_COMPLETED
+            && let Some(oldest) = self.completed.pop_front()
         {
-            self.by_id.remove(&id);
+            self.by_id.remove(&oldest.id);
         }
     }
 
-    /// What a change would come to, without doing it.
+    /// What a change would lead to, without committing it.
+    ///
+    /// # Errors
+    /// [`ChangeRejected`] where it could not be committed.
     pub fn plan(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
         validate(change)?;
         let head = self.head.number;
         if change.base > head {
             return Err(ChangeRejected::NoSuchBase { base: change.base, head });
         }
-        let all =
-            (change.base < self.chain.segment_start()).then(|| self.history(change.base)).transpose()?;
-        let past = all.as_ref().unwrap_or(&self.recent);
-        let since = past.iter().filter(|past| past.version > change.base);
-        let met = conflicts(change, since.map(|past| (past.version, &past.change)));
-        if !met.is_empty() {
-            return Err(ChangeRejected::Conflict(met));
-        }
+        self.check_conflicts(change)?;
         let (next, steps) = self.head.next(&change.edits).map_err(ChangeRejected::Invalid)?;
         let mut guarded = guard::guarded(&self.head, &next, &steps);
-        guarded.retain(|found| !change.allow.contains(&found.guard));
+        guarded.retain(|effect| !change.allow.contains(&effect.guard));
         if guarded.is_empty() { Ok((next, steps)) } else { Err(ChangeRejected::Guarded(guarded)) }
     }
 
-    /// Commits a change on the newest version, or does nothing of it. One that was done before is not done again.
+    fn check_conflicts(&self, change: &Change) -> Result<(), ChangeRejected> {
+        let is_base_recent = change.base >= self.chain.segment_start();
+        let older = if is_base_recent { None } else { Some(self.history(change.base)?) };
+        let committed = older.as_ref().unwrap_or(&self.recent);
+        let since_base = committed.iter().filter(|committed| committed.version > change.base);
+        let conflicts = conflicts(change, since_base.map(|committed| (committed.version, &committed.change)));
+        if conflicts.is_empty() { Ok(()) } else { Err(ChangeRejected::Conflict(conflicts)) }
+    }
+
+    /// Commits a change on the newest version, or nothing of it. One that was committed before under its id is not
+    /// committed again.
+    ///
+    /// # Errors
+    /// [`ChangeRejected`]. After [`ChangeRejected::Disk`] the log must be opened again.
     pub fn commit(&mut self, change: Change) -> Result<Committed, ChangeRejected> {
         self.chain.check_writable()?;
-        if let Some((version, like)) = self.by_id.get(&change.id).copied() {
-            let steps = Vec::new();
-            return if like == segment::fingerprint(&change) {
-                Ok(Committed { version, was_committed_before: true, steps })
+        if let Some(completed) = self.by_id.get(&change.id) {
+            let version = completed.version;
+            return if completed.fingerprint == segment::fingerprint(&change) {
+                Ok(Committed { version, was_committed_before: true, steps: Vec::new() })
             } else {
                 Err(ChangeRejected::IdTaken { id: change.id, version })
             };
         }
         let (next, steps) = self.plan(&change)?;
         let hash = self.write(&change)?;
-        let past = CommittedChange { version: next.number, hash, change };
-        self.remember(&past);
-        self.recent.push(past);
+        let committed = CommittedChange { version: next.number, hash, change };
+        self.remember(completed_change(&committed));
+        self.recent.push(committed);
         self.head = next;
         Ok(Committed { version: self.head.number, was_committed_before: false, steps })
     }
 
     fn write(&mut self, change: &Change) -> io::Result<Hash> {
-        let since = self.chain.segment_start();
-        let checkpoint = || known(&self.head, &self.done);
+        let segment_start = self.chain.segment_start();
+        let checkpoint = || encode_checkpoint(&self.head, &self.completed);
         let written = self.chain.append(segment::body(change), checkpoint);
-        self.forget_earlier(since);
+        self.forget_before_segment(segment_start);
         written
     }
 
     /// The changes after a version, from all segments.
+    ///
+    /// # Errors
+    /// Those of the file system, and of a log that is damaged.
     pub fn history(&self, after: u64) -> io::Result<Vec<CommittedChange>> {
         history(self.layer(), after).map_err(|error| match error {
             LogError::Disk(error) => error,
@@ -194,73 +193,15 @@
     }
 }
 
-/// The changes after a version, in order, with no gap.
-pub fn history(layer: &dyn Storage, after: u64) -> Result<Vec<CommittedChange>, LogError> {
-    let all = segments(layer)?;
-    let begin = all.partition_point(|first| *first <= after).saturating_sub(1);
-    let mut past: Vec<CommittedChange> = Vec::new();
-    let mut known: Option<(u64, Hash)> = None;
-    for first in &all[begin..] {
-        let segment = read_segment(layer, *first)?;
-        let broken = |why| LogError::Broken { file: file_name(*first), why };
-        if let Some((version, hash)) = known {
-            if version < *first {
-                return Err(broken(Corruption::Missing { from: version + 1, to: *first }));
-            }
-            // A segment may have been followed by one that begins before its end: what a crash left unsure.
-            past.retain(|past| past.version <= *first);
-            if version == *first && hash != segment.header.hash {
-                return Err(broken(Corruption::BrokenChain(*first)));
-            }
-        }
-        known = Some((segment.reader.version, segment.reader.hash));
-        past.extend(segment.entries);
-    }
-    past.retain(|past| past.version > after);
-    Ok(past)
-}
-
-/// The configuration of any version, rebuilt from the nearest checkpoint before it.
-pub fn version(layer: &dyn Storage, number: u64) -> Result<Version, LogError> {
-    let all = segments(layer)?;
-    let Some(first) = all.iter().rev().find(|first| **first <= number) else {
-        return Err(LogError::Broken {
-            file: file_name(0),
-            why: Corruption::Missing { from: 0, to: number },
-        });
-    };
-    let segment = read_segment(layer, *first)?;
-    let broken = |why| LogError::Broken { file: file_name(*first), why };
-    let version = rebuilt(&segment.header, &segment.entries, number).map_err(broken)?;
-    if version.number < number {
-        return Err(broken(Corruption::Missing { from: version.number + 1, to: number }));
-    }
-    Ok(version)
+fn by_id_entry(completed: &CompletedChange) -> (String, CompletedId) {
+    let CompletedChange { id, version, fingerprint } = completed.clone();
+    (id, CompletedId { version, fingerprint })
 }
 
-/// Rebuilds all from the oldest segment on and compares every checkpoint, byte for byte; the newest version.
-pub fn verify(layer: &dyn Storage) -> Result<u64, LogError> {
-    let all = segments(layer)?;
-    let Some(first) = all.first().copied() else { return Ok(0) };
-    let segment = read_segment(layer, first)?;
-    let mut version =
-        checkpoint(&segment.header).map_err(|why| LogError::Broken { file: file_name(first), why })?;
-    let past = history(layer, first)?;
-    let mut changes = past.iter();
-    for first in all.into_iter().skip(1).chain([u64::MAX]) {
-        while version.number < first {
-            let Some(past) = changes.next() else { break };
-            let broken = |why| LogError::Broken { file: "the chain".into(), why };
-            version = replay(&version, past).map_err(broken)?.0;
-        }
-        if first < u64::MAX && read_segment(layer, first)?.header.checkpoint != version.configuration.bytes()
-        {
-            let what = "its checkpoint is not what the changes before it make".to_string();
-            return Err(LogError::Broken {
-                file: file_name(first),
-                why: Corruption::InvalidChange { version: first, what },
-            });
-        }
+fn completed_change(committed: &CommittedChange) -> CompletedChange {
+    CompletedChange {
+        id: committed.change.id.clone(),
+        version: committed.version,
+        fingerprint: segment::fingerprint(&committed.change),
     }
-    Ok(version.number)
 }
--- /dev/null
+++ b/crates/config-log/src/model/edit.rs
@@ -0,0 +1,98 @@
+//! Edits of the configuration.
+
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+
+use super::{Fields, InvalidPath, Key, Path};
+
+/// A change of one path.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Edit {
+    /// Sets one field; `null` resets it to its default, where it has one.
+    Set {
+        /// The entity.
+        key: Key,
+        /// The field's name.
+        field: String,
+        /// The field's new value.
+        value: Value,
+    },
+    /// Adds an entity, or replaces all fields of one.
+    Put {
+        /// The entity.
+        key: Key,
+        /// All its fields; absent ones have their defaults.
+        fields: Fields,
+    },
+    /// Removes an entity.
+    Remove {
+        /// The entity.
+        key: Key,
+    },
+}
+
+/// A text that is no edit; write it as KIND/NAME:FIELD=VALUE.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?}: {reason}")]
+pub struct InvalidEdit {
+    text: String,
+    reason: InvalidEditReason,
+}
+
+/// What is wrong with the text of an edit.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidEditReason {
+    /// It has no value.
+    #[error("no = in it")]
+    NoValue,
+    /// What it edits is no path.
+    #[error(transparent)]
+    Path(#[from] InvalidPath),
+    /// Its path is a whole entity.
+    #[error("it names no field")]
+    NoField,
+}
+
+impl Edit {
+    /// Parses an edit of one field as people write it: `KIND/NAME:FIELD=VALUE`, the value in JSON or a bare word.
+    ///
+    /// # Errors
+    /// [`InvalidEdit`] with the text and what is wrong with it.
+    pub fn set(text: &str) -> Result<Edit, InvalidEdit> {
+        Edit::parse_set(text).map_err(|reason| InvalidEdit { text: text.into(), reason })
+    }
+
+    fn parse_set(text: &str) -> Result<Edit, InvalidEditReason> {
+        let (path, value) = text.split_once('=').ok_or(InvalidEditReason::NoValue)?;
+        let path: Path = path.parse()?;
+        let field = path.field.ok_or(InvalidEditReason::NoField)?;
+        let value = serde_json::from_str(value).unwrap_or_else(|_| value.into());
+        Ok(Edit::Set { key: path.key, field, value })
+    }
+
+    /// The entity that it edits.
+    pub fn key(&self) -> &Key {
+        match self {
+            Edit::Set { key, .. } | Edit::Put { key, .. } | Edit::Remove { key } => key,
+        }
+    }
+
+    /// The path that it edits.
+    pub fn path(&self) -> Path {
+        let field = match self {
+            Edit::Set { field, .. } => Some(field.clone()),
+            Edit::Put { .. } | Edit::Remove { .. } => None,
+        };
+        Path { key: self.key().clone(), field }
+    }
+
+    /// What it makes of its path, for people to read.
+    pub fn value(&self) -> String {
+        match self {
+            Edit::Set { value, .. } => value.to_string(),
+            Edit::Put { fields, .. } => serde_json::to_string(fields).unwrap_or_default(),
+            Edit::Remove { .. } => "removed".into(),
+        }
+    }
+}
--- a/crates/config-log/tests/chain.rs
+++ b/crates/config-log/tests/chain.rs
@@ -9,15 +9,15 @@
 use umbertray_snapshot::Storage;
 use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
 
-const KEPT: LogFormat =
+const TEST_FORMAT: LogFormat =
     LogFormat { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", temporary: "kept.new" };
 
 /// Segments of a few bodies each.
-const GROWN: usize = 200;
+const MAX_SEGMENT_BYTES: usize = 200;
 
 type Bodies = Vec<Vec<u8>>;
 
-/// No text, and of many lengths, none among them.
+/// Bytes that are not text, of many lengths, zero among them.
 fn body(n: usize) -> Vec<u8> {
     vec![0xFF - n as u8; n * 7 % 40]
 }
@@ -33,16 +33,16 @@
 
 fn open(disk: &SimulatedDisk) -> Result<(HashChain, Bodies), ChainError> {
     let empty = || checkpoint(&Bodies::new()).0;
-    let (mut chain, OpenedLog { header: head, entries }) =
-        HashChain::open(Box::new(disk.clone()), &KEPT, GROWN, empty)?;
-    let mut all: Bodies = serde_json::from_slice(&head.checkpoint).expect("a state");
+    let (mut chain, OpenedLog { header, entries }) =
+        HashChain::open(Box::new(disk.clone()), &TEST_FORMAT, MAX_SEGMENT_BYTES, empty)?;
+    let mut all: Bodies = serde_json::from_slice(&header.checkpoint).expect("a state");
     all.extend(entries.into_iter().map(|entry: chain::Entry| entry.body));
     chain.recover(|| checkpoint(&all))?;
     assert_eq!(chain.version(), all.len() as u64);
     Ok((chain, all))
 }
 
-/// Appends until there are so many or the disk fails; how many are known to be there.
+/// Appends until there are `count` bodies or the disk fails; how many were acknowledged.
 fn append_to(disk: &SimulatedDisk, count: usize) -> usize {
     let Ok((mut chain, mut all)) = open(disk) else { return 0 };
     while all.len() < count && chain.append(body(all.len()), || checkpoint(&all)).is_ok() {
@@ -51,42 +51,46 @@
     all.len()
 }
 
-/// What is there is all that was acknowledged, in order, perhaps with what was being written; it goes on from there.
-fn check(found: &SimulatedDisk, done: usize, count: usize) {
-    let (chain, all) = open(found).expect("whole");
+/// The disk holds all that was acknowledged, in order, perhaps with the body that was being written; appending goes on.
+fn check(disk: &SimulatedDisk, acknowledged: usize, count: usize) {
+    let (chain, all) = open(disk).expect("whole");
     drop(chain);
-    assert!(all.len() == done || all.len() == done + 1, "{done} done, {} found", all.len());
+    assert!(
+        all.len() == acknowledged || all.len() == acknowledged + 1,
+        "{acknowledged} acknowledged, {} found",
+        all.len()
+    );
     assert_eq!(all, bodies(all.len()));
-    assert_eq!(append_to(found, count), count);
-    assert_eq!(open(found).expect("whole").1, bodies(count));
+    assert_eq!(append_to(disk, count), count);
+    assert_eq!(open(disk).expect("whole").1, bodies(count));
 }
 
 #[test]
-fn after_trouble_at_any_step_what_was_acknowledged_is_there_in_order_and_nothing_else() {
+fn fault_at_any_step_keeps_acknowledged_bodies_in_order_and_nothing_else() {
     let whole = SimulatedDisk::default();
     assert_eq!(append_to(&whole, 30), 30);
-    let segments = chain::segments(&whole, &KEPT).expect("there");
+    let segments = chain::segments(&whole, &TEST_FORMAT).expect("there");
     assert!(segments.len() > 3 && chain::segments(&whole, &CHANGES).expect("there").is_empty());
     for step in 1..=whole.steps() {
         for seed in 0..4 {
             let disk = SimulatedDisk::default();
             disk.inject_fault(step, StorageFault::Crash);
-            let done = append_to(&disk, 30);
-            let found = disk.after_crash(seed * 1000 + step);
-            // The next opening, which may have to cut a torn end, meets a crash too.
-            found.inject_fault(1 + seed, StorageFault::Crash);
-            let again = append_to(&found, done + 1).max(done);
-            check(&found.after_crash(seed), again, 40);
+            let acknowledged = append_to(&disk, 30);
+            let restarted = disk.after_crash(seed * 1000 + step);
+            // The next opening, which may have to cut a torn end, crashes too.
+            restarted.inject_fault(1 + seed, StorageFault::Crash);
+            let again = append_to(&restarted, acknowledged + 1).max(acknowledged);
+            check(&restarted.after_crash(seed), again, 40);
         }
         let disk = SimulatedDisk::default();
         disk.inject_fault(step, StorageFault::Fail);
-        let done = append_to(&disk, 30);
-        check(&disk, done, 40);
+        let acknowledged = append_to(&disk, 30);
+        check(&disk, acknowledged, 40);
     }
 }
 
 #[test]
-fn nothing_is_appended_after_a_failed_write_or_before_what_was_found_is_settled() {
+fn append_after_failed_write_or_before_recovery_is_refused() {
     let disk = SimulatedDisk::default();
     let (mut chain, all) = open(&disk).expect("a folder");
     disk.inject_fault(disk.steps() + 1, StorageFault::Fail);
@@ -94,13 +98,13 @@
     assert!(chain.append(body(1), none).is_err());
     let steps = disk.steps();
     for refused in [chain.append(body(1), none).err(), chain.roll(none().0, none().1).err()] {
-        let told = refused.map(|error| error.to_string());
-        assert_eq!(told.as_deref(), Some("an earlier write failed; open the log again"));
+        let message = refused.map(|error| error.to_string());
+        assert_eq!(message.as_deref(), Some("an earlier write failed; open the log again"));
     }
     drop(chain);
     assert!(all.is_empty());
     let opened: Result<(HashChain, OpenedLog), _> =
-        HashChain::open(Box::new(disk.clone()), &KEPT, GROWN, Vec::new);
+        HashChain::open(Box::new(disk.clone()), &TEST_FORMAT, MAX_SEGMENT_BYTES, Vec::new);
     let (mut chain, _) = opened.expect("whole");
     assert!(chain.append(body(1), none).is_err());
     assert_eq!(disk.steps(), steps, "nothing was written");
@@ -109,11 +113,11 @@
 }
 
 #[test]
-fn a_log_of_another_kind_is_told() {
+fn log_of_another_format_is_reported() {
     let mut disk = SimulatedDisk::default();
     append_to(&disk, 1);
-    let bytes = disk.read(&KEPT.file_name(0), GROWN).expect("there");
+    let bytes = disk.read(&TEST_FORMAT.file_name(0), MAX_SEGMENT_BYTES).expect("there");
     disk.write(&CHANGES.file_name(0), &bytes).expect("no trouble");
     let read = chain::read_segment::<chain::Entry>(&disk, &CHANGES, 0);
-    assert!(matches!(read.err(), Some(ChainError::Broken { why: Corruption::NotALog, .. })));
+    assert!(matches!(read.err(), Some(ChainError::Broken { reason: Corruption::NotALog, .. })));
 }
--- a/crates/config-log/tests/golden.rs
+++ b/crates/config-log/tests/golden.rs
@@ -14,7 +14,7 @@
 
 /// Small, so that the history rolls over into a second segment.
 const SEGMENT_BYTES: usize = 2048;
-const MOST_BYTES: usize = 1 << 20;
+const MAX_FILE_BYTES: usize = 1 << 20;
 const SCRIPT: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
 op_type("get", target_latency = 0.5, op_timeout = 3.0, utility = 2)
@@ -35,7 +35,7 @@
 fn files(layer: &dyn Storage) -> Vec<(String, Vec<u8>)> {
     let mut names = layer.names().expect("a folder");
     names.sort();
-    names.into_iter().map(|name| (name.clone(), layer.read(&name, MOST_BYTES).expect("a file"))).collect()
+    names.into_iter().map(|name| (name.clone(), layer.read(&name, MAX_FILE_BYTES).expect("a file"))).collect()
 }
 
 /// A disk in memory with the recorded files on it.
@@ -98,12 +98,12 @@
 
 fn copy_of(source: &SimulatedDisk) -> SimulatedDisk {
     let copy = SimulatedDisk::default();
-    let (mut mirror, mut state) = LogCopy::open(Box::new(copy.clone())).expect("an empty folder");
-    for told in FolderReader::open(source).expect("a whole log").1 {
-        mirror.append(&told, state.as_ref()).expect("room");
-        match (&mut state, &told) {
-            (Some(state), told) => _ = state.apply(told).expect("it follows"),
-            (None, Update::Checkpoint(head)) => state = Some(Replica::from_header(head).expect("right")),
+    let (mut log_copy, mut state) = LogCopy::open(Box::new(copy.clone())).expect("an empty folder");
+    for update in FolderReader::open(source).expect("a whole log").1 {
+        log_copy.append(&update, state.as_ref()).expect("room");
+        match (&mut state, &update) {
+            (Some(state), update) => _ = state.apply(update).expect("it follows"),
+            (None, Update::Checkpoint(header)) => state = Some(Replica::from_header(header).expect("right")),
             (None, Update::Entry(_)) => panic!("a state comes first"),
         }
     }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn recorded_changes_are_read() {
+fn recorded_changes_are_readable() {
     let disk = recorded_disk("changes");
     assert_eq!(log::segments(&disk).expect("a folder").len(), 4);
     assert_eq!(log::verify(&disk).expect("a whole log"), 19);
@@ -134,12 +134,12 @@
         let wanted = log::version(plain.layer(), number).expect("each version can be rebuilt");
         assert_eq!(version.configuration, wanted.configuration, "version {number}");
     }
-    let reasons = log.history(0).expect("a whole log").into_iter().map(|past| past.change.reason);
+    let reasons = log.history(0).expect("a whole log").into_iter().map(|committed| committed.change.reason);
     assert!(reasons.eq(std::iter::repeat_n("to see".to_string(), 19)));
 }
 
 #[test]
-fn recorded_relay_copy_is_read() {
+fn recorded_relay_copy_is_readable() {
     let (_, state) = LogCopy::open(Box::new(recorded_disk("copy"))).expect("a whole copy");
     let plain = Log::open(Box::new(history()), SEGMENT_BYTES).expect("a whole log");
     let state = state.expect("a state");
--- a/crates/config-log/tests/sizes.rs
+++ b/crates/config-log/tests/sizes.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use serde_json::json;
+use umbertray_config_log::chain::CompletedChange;
 use umbertray_config_log::change::Change;
 use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
@@ -12,7 +13,7 @@
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
 /// The figure in the second cell of the row of that name.
-fn page(name: &str) -> usize {
+fn documented(name: &str) -> usize {
     let row = PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
     cell.replace(',', "").parse().unwrap_or_else(|_| panic!("{name:?} has {cell:?}"))
@@ -43,9 +44,9 @@
     logs.map(|name| disk.read(name, 1 << 30).expect("there").len()).sum()
 }
 
-/// One field set, with an id as the command line draws it. What it costs does not depend on how much is configured.
+/// One field set, with an id as the command line generates it. What it costs does not depend on how much is configured.
 #[test]
-fn a_change_of_one_field_has_the_bytes_that_the_page_counts_with() {
+fn change_of_one_field_has_documented_size() {
     for volumes in [1, 100] {
         let disk = SimulatedDisk::default();
         let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("empty");
@@ -55,16 +56,20 @@
         let (key, field) = (Key::new(Kind::Plan, "basic"), "weight".to_string());
         let edit = Edit::Set { key, field, value: json!(2.0) };
         log.commit(change("1800000000000000000-12345", 1, vec![edit])).expect("a change");
-        assert_eq!(written(&disk) - before, page("entry of the log of changes, one field, and its marker"));
+        assert_eq!(
+            written(&disk) - before,
+            documented("entry of the log of changes, one field, and its marker")
+        );
     }
 }
 
 #[test]
-fn a_checkpoint_has_the_bytes_a_volume_that_the_page_counts_with() {
+fn checkpoint_has_documented_size_per_volume() {
     let bytes = |volumes| configuration(volumes).bytes().len();
-    assert_eq!((bytes(1100) - bytes(100)) / 1000, page("volume in a checkpoint of the log"));
-    let done: VecDeque<(String, u64, u64)> =
-        vec![("1800000000000000000-12345".into(), 4000, u64::MAX)].into();
-    let one = postcard::to_stdvec(&done).expect("plain").len() - 1;
-    assert_eq!(one, page("change done lately in a checkpoint"));
+    assert_eq!((bytes(1100) - bytes(100)) / 1000, documented("volume in a checkpoint of the log"));
+    let change =
+        CompletedChange { id: "1800000000000000000-12345".into(), version: 4000, fingerprint: u64::MAX };
+    let completed = VecDeque::from([change]);
+    let one = postcard::to_stdvec(&completed).expect("plain").len() - 1;
+    assert_eq!(one, documented("change done lately in a checkpoint"));
 }
