--- a/crates/config-log/src/model/configuration.rs
+++ b/crates/config-log/src/model/configuration.rs
@@ -124,7 +124,7 @@
 }
 
 fn call(function: &'static str, first: Value, named: Fields) -> FunctionCall {
-    FunctionCall { named, ..FunctionCall::from_script(function, first, []) }
+    FunctionCall { named, ..FunctionCall::synthetic(function, first, []) }
 }
 
 /// A call for each rule of the list; what is no rule is left out.
--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -65,7 +65,7 @@
 
     /// Version 0, the empty configuration; not one to act on.
     pub fn empty() -> Version {
-        let rules = check::rules(&FunctionCall::from_script("rules", Value::Null, []), &mut Vec::new());
+        let rules = check::rules(&FunctionCall::synthetic("rules", Value::Null, []), &mut Vec::new());
         Version {
             number: 0,
             configuration: Configuration::default(),
@@ -165,5 +165,5 @@
 
 fn placeholder_gateway() -> FunctionCall {
     let fields = [("listen", json!(["127.0.0.1:0"])), ("list", json!("127.0.0.1:1"))];
-    FunctionCall::from_script("gateway", Value::Null, fields)
+    FunctionCall::synthetic("gateway", Value::Null, fields)
 }
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use serde_json::Value;
-use umbertray_config::{FunctionCall, Problem, canon, check};
+use umbertray_config::{FunctionCall, Problem, canonical, check};
 use umbertray_routing::SettingsChange;
 use umbertray_routing::settings::{OpType, TypeRule, Volume};
 
@@ -96,12 +96,12 @@
 
     fn put_op_type(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
         let op_type = check::op_type(call, problems);
-        let canonical = canon::op_type(&op_type).named;
+        let canonical = canonical::op_type(&op_type).named;
         let op_types = Arc::make_mut(&mut self.version.op_types);
         match op_types.iter_mut().find(|known| known.name == op_type.name) {
             Some(known) if !has_same_retry_rules(known, &op_type) => {
                 let text = "repeats, dedup_span and in_order cannot change; name another op type";
-                problems.push(call.problem(text.into()));
+                problems.push(call.problem(text));
             }
             Some(known) => *known = op_type,
             None => op_types.push(op_type),
@@ -121,9 +121,9 @@
         let rules: Vec<TypeRule> =
             calls.iter().map(|call| check::type_rule(call, &index_of, problems)).collect();
         let given = fields.get("rules").and_then(Value::as_array).map_or(0, Vec::len);
-        let requests = FunctionCall::from_script("requests", Value::Null, []);
+        let requests = FunctionCall::synthetic("requests", Value::Null, []);
         if given != rules.len() || fields.len() != 1 {
-            problems.push(requests.problem("rules must be a list of request rules".into()));
+            problems.push(requests.problem("rules must be a list of request rules"));
         }
         for kind in check::unruled(&rules) {
             problems.push(requests.problem(format!("no rule without up_to covers {kind:?}")));
@@ -137,7 +137,7 @@
 
     fn put_rules(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
         let rules = check::rules(call, problems);
-        let canonical = canon::rules(&rules).named;
+        let canonical = canonical::rules(&rules).named;
         self.version.rules = Arc::new(rules);
         self.changes.push(SettingsChange::Figures);
         canonical
@@ -145,7 +145,7 @@
 
     fn put_plan(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
         let plan = check::plan(call, problems);
-        let canonical = canon::plan(&plan).named;
+        let canonical = canonical::plan(&plan).named;
         let version = &mut self.version;
         let index = version.plan_indices.get(&plan.name).copied().unwrap_or(version.plans.len());
         let volumes = version.volumes_of_plan(index) as f64;
@@ -168,7 +168,7 @@
         if !problems.is_empty() {
             return call.named.clone();
         }
-        let canonical = canon::volume(&volume, &version.plans[volume.plan].name).named;
+        let canonical = canonical::volume(&volume, &version.plans[volume.plan].name).named;
         let index = version.volume_indices.get(&volume.name).copied().unwrap_or(version.volumes.len());
         if let Some(known) = version.volumes.get(index) {
             problems.extend(check_size(call, known, &volume));
@@ -264,7 +264,7 @@
 }
 
 fn canonical_requests(rules: &[TypeRule], op_types: &[OpType]) -> Fields {
-    let calls: Vec<FunctionCall> = rules.iter().map(|rule| canon::request(rule, op_types)).collect();
+    let calls: Vec<FunctionCall> = rules.iter().map(|rule| canonical::request(rule, op_types)).collect();
     let requests = Key::new(Kind::Requests, "");
     let entities = Configuration::of_calls(&calls).entities;
     entities.get(&requests).map_or_else(Fields::new, |fields| (**fields).clone())
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,7 +1,8 @@
-//! Evaluating the script, within bounds.
+//! Evaluating a script, within bounds.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use starlark::any::ProvidesStaticType;
 use starlark::codemap::FileSpanRef;
@@ -13,94 +14,104 @@
 use starlark::values::Value;
 use starlark::values::none::NoneType;
 
-use crate::Problem;
-use crate::calls::FunctionCall;
+use crate::{FunctionCall, Problem};
 
-/// A script that calls or loops more often, or holds more memory (bytes), is stopped.
-const MOST_TICKS: u64 = 500_000;
-const MOST_HEAP: usize = 64 << 20;
+/// Limit on a script's calls and loop iterations.
+const MAX_TICKS: u64 = 500_000;
+/// Limit on the memory that a script holds, bytes.
+const MAX_HEAP_BYTES: usize = 64 << 20;
+/// Limit on the nesting of a script's calls.
+const MAX_CALL_DEPTH: usize = 100;
 /// The longest script, bytes.
-const MOST_TEXT: usize = 4 << 20;
+const MAX_SCRIPT_BYTES: usize = 4 << 20;
 
+/// The calls that a script has made, in order.
 #[derive(Debug, Default, ProvidesStaticType)]
-struct Calls(RefCell<Vec<FunctionCall>>);
+struct RecordedCalls(RefCell<Vec<FunctionCall>>);
 
-fn note(
+fn record_call(
     eval: &Evaluator,
     function: &'static str,
     first: Option<Value>,
     named: SmallMap<String, Value>,
 ) -> anyhow::Result<NoneType> {
-    let calls = eval.extra.and_then(|extra| extra.downcast_ref::<Calls>());
-    let place = eval.call_stack_top_location().map(|span| span.resolve());
-    let named: anyhow::Result<BTreeMap<String, serde_json::Value>> =
-        named.into_iter().map(|(name, value)| Ok((name, value.to_json_value()?))).collect();
+    let location = eval.call_stack_top_location().map(|span| span.resolve());
+    let first = first.map(Value::to_json_value).transpose()?.unwrap_or_default();
+    let mut named_values = BTreeMap::new();
+    for (name, value) in named {
+        named_values.insert(name, value.to_json_value()?);
+    }
     let call = FunctionCall {
         function,
-        first: first.map(|value| value.to_json_value()).transpose()?.unwrap_or_default(),
-        named: named?,
-        file: place.as_ref().map_or_else(String::new, |place| place.file.clone()),
-        line: place.as_ref().map_or(0, |place| place.span.begin.line + 1),
-        column: place.as_ref().map_or(0, |place| place.span.begin.column + 1),
+        first,
+        named: named_values,
+        file: location.as_ref().map_or_else(String::new, |location| location.file.clone()),
+        line: location.as_ref().map_or(0, |location| location.span.begin.line + 1),
+        column: location.as_ref().map_or(0, |location| location.span.begin.column + 1),
     };
-    calls.into_iter().for_each(|calls| calls.0.borrow_mut().push(call.clone()));
+    if let Some(calls) = eval.extra.and_then(|extra| extra.downcast_ref::<RecordedCalls>()) {
+        calls.0.borrow_mut().push(call);
+    }
     Ok(NoneType)
 }
 
-/// Looks at the heap before each statement. The evaluator by itself looks every thousand instructions, and a list that
-/// doubles needs far fewer to fill a machine.
-struct Heap;
+/// Checks the heap before each statement.
+///
+/// Hazard: the evaluator by itself checks every thousand instructions, and a list that doubles needs far fewer to exhaust
+/// a machine's memory.
+struct HeapLimit;
 
-impl<'e> BeforeStmtFuncDyn<'e> for Heap {
+impl<'e> BeforeStmtFuncDyn<'e> for HeapLimit {
     fn call<'v>(
         &mut self,
         _: FileSpanRef,
         _: bool,
         eval: &mut Evaluator<'v, '_, 'e>,
     ) -> starlark::Result<()> {
-        if eval.heap().allocated_bytes() > MOST_HEAP {
-            let what = format!("it holds more than {MOST_HEAP} bytes");
+        if eval.heap().allocated_bytes() > MAX_HEAP_BYTES {
+            let what = format!("it holds more than {MAX_HEAP_BYTES} bytes");
             return Err(starlark::Error::new_other(anyhow::anyhow!(what)));
         }
         Ok(())
     }
 }
 
+/// The functions that a script may call: those of settings, of a coordinator, of a relay and of a fault test.
 #[starlark_module]
 fn functions(builder: &mut GlobalsBuilder) {
     fn gateway<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "gateway", None, named)
+        record_call(eval, "gateway", None, named)
     }
 
     fn keeper<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "keeper", None, named)
+        record_call(eval, "keeper", None, named)
     }
 
     fn relay<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "relay", None, named)
+        record_call(eval, "relay", None, named)
     }
 
     fn rules<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "rules", None, named)
+        record_call(eval, "rules", None, named)
     }
 
     fn bounds<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "bounds", None, named)
+        record_call(eval, "bounds", None, named)
     }
 
     fn op_type<'v>(
@@ -108,7 +119,7 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "op_type", Some(name), named)
+        record_call(eval, "op_type", Some(name), named)
     }
 
     fn request<'v>(
@@ -116,7 +127,7 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "request", Some(kinds), named)
+        record_call(eval, "request", Some(kinds), named)
     }
 
     fn plan<'v>(
@@ -124,7 +135,7 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "plan", Some(name), named)
+        record_call(eval, "plan", Some(name), named)
     }
 
     fn volume<'v>(
@@ -132,14 +143,14 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "volume", Some(name), named)
+        record_call(eval, "volume", Some(name), named)
     }
 
     fn day<'v>(
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "day", None, named)
+        record_call(eval, "day", None, named)
     }
 
     fn clients<'v>(
@@ -147,7 +158,7 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "clients", Some(volume), named)
+        record_call(eval, "clients", Some(volume), named)
     }
 
     fn trouble<'v>(
@@ -155,7 +166,7 @@
         #[starlark(kwargs)] named: SmallMap<String, Value<'v>>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
-        note(eval, "trouble", Some(kind), named)
+        record_call(eval, "trouble", Some(kind), named)
     }
 }
 
@@ -168,43 +179,49 @@
     builder.build()
 }
 
-/// Evaluates a script within bounds; its calls, in order.
+/// Evaluates a script within bounds; its calls, in order. `file` is its name in problems.
+///
+/// # Errors
+/// The first problem: a syntax error, an error at run time, or a bound that was exceeded.
 pub fn evaluate(file: &str, text: String) -> Result<Vec<FunctionCall>, Problem> {
-    let whole = |what: String| Problem { file: file.into(), line: 0, column: 0, what };
-    if text.len() > MOST_TEXT {
-        return Err(whole(format!("{} bytes, over the bound of {MOST_TEXT}", text.len())));
+    if text.len() > MAX_SCRIPT_BYTES {
+        let what = format!("{} bytes, over the bound of {MAX_SCRIPT_BYTES}", text.len());
+        return Err(Problem::of_file(file, what));
     }
     let dialect = Dialect { enable_top_level_stmt: true, ..Dialect::Standard };
-    let problem = |error: starlark::Error| {
-        let what = error.without_diagnostic().to_string();
-        let what = what.lines().next().unwrap_or_default().to_string();
-        match error.span() {
-            Some(span) => {
-                let place = span.resolve();
-                let (line, column) = (place.span.begin.line + 1, place.span.begin.column + 1);
-                Problem { file: place.file, line, column, what }
-            }
-            None => whole(what),
-        }
-    };
-    let script = AstModule::parse(file, text, &dialect).map_err(problem)?;
-    let calls = Calls::default();
-    let evaluation = || {
-        Module::with_temp_heap(|module| {
-            let mut eval = Evaluator::new(&module);
-            eval.extra = Some(&calls);
-            eval.set_max_tick_count(MOST_TICKS)?;
-            eval.set_max_heap_size(MOST_HEAP)?;
-            eval.set_max_callstack_size(100)?;
-            eval.before_stmt_for_dap(BeforeStmtFunc::from_dyn(Box::new(Heap)));
-            eval.eval_module(script, &globals())?;
-            starlark::Result::Ok(())
-        })
-    };
+    let script = AstModule::parse(file, text, &dialect).map_err(|error| problem(file, &error))?;
+    let calls = RecordedCalls::default();
     // The interpreter panics on a single value of some gigabytes, which one expression can ask for.
-    match std::panic::catch_unwind(std::panic::AssertUnwindSafe(evaluation)) {
-        Ok(evaluated) => evaluated.map_err(problem)?,
-        Err(_) => return Err(whole("a value in it is too large".into())),
+    match catch_unwind(AssertUnwindSafe(|| run(script, &calls))) {
+        Ok(evaluated) => evaluated.map_err(|error| problem(file, &error))?,
+        Err(_) => return Err(Problem::of_file(file, "a value in it is too large".into())),
     }
     Ok(calls.0.into_inner())
 }
+
+fn run(script: AstModule, calls: &RecordedCalls) -> starlark::Result<()> {
+    Module::with_temp_heap(|module| {
+        let mut eval = Evaluator::new(&module);
+        eval.extra = Some(calls);
+        eval.set_max_tick_count(MAX_TICKS)?;
+        eval.set_max_heap_size(MAX_HEAP_BYTES)?;
+        eval.set_max_callstack_size(MAX_CALL_DEPTH)?;
+        eval.before_stmt_for_dap(BeforeStmtFunc::from_dyn(Box::new(HeapLimit)));
+        eval.eval_module(script, &globals())?;
+        Ok(())
+    })
+}
+
+/// An error of the interpreter: its first line, and its place where it has one.
+fn problem(file: &str, error: &starlark::Error) -> Problem {
+    let span = error.span().map(|span| span.resolve());
+    let what = error.without_diagnostic().to_string();
+    let what = what.lines().next().unwrap_or_default().to_string();
+    match span {
+        Some(location) => {
+            let begin = location.span.begin;
+            Problem { file: location.file, line: begin.line + 1, column: begin.column + 1, what }
+        }
+        None => Problem::of_file(file, what),
+    }
+}
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings as people write them: understood, or every problem named with its place.
+//! Settings as people write them: read, or every problem reported with its place.
 
 use umbertray_config::{ChangeSource, Problem, SettingsDocument, read};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 gateway(listen = ["127.0.0.1:0", "[::1]:0"], list = "127.0.0.1:7000", gateways = 3, state = "/var/lib/x")
 op_type("get", target_latency = 100 * ms, op_timeout = 1, utility = 3)
 op_type("put", target_latency = 0.2, op_timeout = 2, utility = 2, repeats = "deduplicated", dedup_span = 5, in_order = True)
@@ -17,26 +17,26 @@
 "#;
 
 fn problems(text: &str) -> Vec<Problem> {
-    read("s.star", text.into()).expect_err("it is wrong")
+    read("s.star", text.into()).expect_err("invalid settings")
 }
 
-/// The good script with one line changed; the problems as line, and text.
+/// The problems of the valid script with one text replaced.
 fn with(from: &str, to: &str) -> Vec<String> {
-    assert!(GOOD.contains(from), "{from}");
-    problems(&GOOD.replacen(from, to, 1)).iter().map(ToString::to_string).collect()
+    assert!(VALID.contains(from), "{from}");
+    problems(&VALID.replacen(from, to, 1)).iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn what_is_printed_reads_back_to_the_same() {
-    let document: SettingsDocument = read("s.star", GOOD.into()).expect("it is right");
+fn printed_settings_read_back_the_same() {
+    let document: SettingsDocument = read("s.star", VALID.into()).expect("valid settings");
     assert_eq!(document.settings.volumes.len(), 4);
     assert_eq!(document.settings.op_types[0].target_latency, std::time::Duration::from_millis(100));
     assert_eq!(read("again", document.as_script()), Ok(document));
 }
 
 #[test]
-fn each_problem_is_named_with_its_place() {
-    for (from, to, wanted) in [
+fn each_problem_is_reported_with_its_place() {
+    for (from, to, expected) in [
         (
             "op_timeout = 1,",
             "op_timeout = 0.05,",
@@ -80,15 +80,15 @@
         ("rules(", "day(length = 1)\nrules(", "s.star:12:1: day: does not belong in settings"),
     ] {
         let found = with(from, to);
-        assert!(found.iter().any(|problem| problem.starts_with(wanted)), "{wanted}\n{found:#?}");
+        assert!(found.iter().any(|problem| problem.starts_with(expected)), "{expected}\n{found:#?}");
     }
 }
 
 #[test]
-fn all_problems_are_found_at_once_and_broken_scripts_have_a_place() {
-    let three =
+fn all_problems_are_reported_at_once_and_broken_scripts_with_a_place() {
+    let several =
         "plan(\"p\")\nop_type(\"t\", target_latency = 1, op_timeout = 1, utility = 0)\ngateway(list = 3)\n";
-    assert!(problems(three).len() >= 5, "{:?}", problems(three));
+    assert!(problems(several).len() >= 5, "{:?}", problems(several));
     let broken = problems("plan(\"p\", rate = 1)\nplan(\n");
     assert!(broken[0].line >= 2, "{broken:?}");
     let unknown = problems("plan(\"p\", rate = 1)\nplant(\"q\")\n");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn scripts_that_loop_or_grow_without_end_are_stopped() {
+fn endless_or_growing_scripts_are_stopped() {
     let looping = "def f():\n  n = 0\n  for i in range(1000000000):\n    n += i\n  return n\nf()\n";
     let growing = "def f():\n  x = [1]\n  for i in range(60):\n    x = x + x\n  return x\nf()\n";
     let deep = "def f(n):\n  return f(n + 1)\nf(0)\n";
@@ -110,35 +110,35 @@
 }
 
 #[test]
-fn relays_are_read_with_their_names_and_zones() {
+fn relay_settings_have_names_and_zones() {
     let text = "relay(listen = \"10.0.0.1:7200\", zone = \"a\", changes = [\"b/r2=10.0.0.2:7200\", \"10.0.0.3:7200\", \"r4=10.0.0.4:7200\"])";
-    let relay = umbertray_config::read_relay("r.star", text.into()).expect("it is right");
+    let relay = umbertray_config::read_relay("r.star", text.into()).expect("valid settings");
     assert_eq!((relay.name.as_str(), relay.zone.as_str()), ("10.0.0.1:7200", "a"));
-    let ChangeSource::Relays { upstreams, quorum: vouch } = relay.changes else { panic!("relays are named") };
+    let ChangeSource::Relays { upstreams, quorum } = relay.changes else { panic!("relays are named") };
     let named: Vec<String> = upstreams.iter().map(ToString::to_string).collect();
     assert_eq!(
         named,
         ["b/r2=10.0.0.2:7200", "default/10.0.0.3:7200=10.0.0.3:7200", "default/r4=10.0.0.4:7200"]
     );
-    assert_eq!(vouch, 2);
+    assert_eq!(quorum, 2);
     let text = "relay(listen = \"10.0.0.1:7200\", changes = \"/srv/log\", folder = \"/var/lib/r\")";
-    let relay = umbertray_config::read_relay("r.star", text.into()).expect("it is right");
+    let relay = umbertray_config::read_relay("r.star", text.into()).expect("valid settings");
     assert_eq!(relay.changes, ChangeSource::Folder("/srv/log".into()));
 }
 
 #[test]
-fn a_gateway_that_follows_relays_reads_back_to_the_same() {
+fn gateway_following_relays_reads_back_the_same() {
     let more = ", changes = [\"a/r1=10.0.0.1:7200\", \"b/r2=10.0.0.2:7200\"], vouch = 1, name = \"g\", zone = \"b\")";
     let own = format!("gateway(listen = [\"127.0.0.1:0\"], list = \"127.0.0.1:1\"{more}");
     let calls = umbertray_config::evaluate("s.star", own).expect("a script");
-    let document = umbertray_config::own_part("s.star", &calls).expect("it is right");
+    let document = umbertray_config::own_part("s.star", &calls).expect("valid settings");
     let again = umbertray_config::evaluate("again", document.own_script()).expect("a script");
     assert_eq!(umbertray_config::own_part("again", &again), Ok(document));
 }
 
 #[test]
-fn relays_that_cannot_be_are_named_with_their_place() {
-    for (changes, wanted) in [
+fn invalid_relays_are_reported_with_their_place() {
+    for (changes, expected) in [
         ("[\"r1=nowhere\"]", "changes = \"nowhere\" is not an address and port"),
         ("[\"r=10.0.0.1:1\", \"r=10.0.0.2:1\"]", "it would vouch for itself"),
         ("[\"r=10.0.0.1:1\", \"s=10.0.0.1:1\"]", "it would vouch for itself"),
@@ -150,11 +150,11 @@
         ("[\"r=10.0.0.1:1\"], follow = 3", "unknown argument follow"),
     ] {
         let text = format!("relay(listen = \"10.0.0.9:7200\", changes = {changes})");
-        let problems = umbertray_config::read_relay("r.star", text).expect_err("it is wrong");
+        let problems = umbertray_config::read_relay("r.star", text).expect_err("invalid settings");
         let problems: Vec<String> = problems.iter().map(ToString::to_string).collect();
-        let named = problems
+        let is_reported = problems
             .iter()
-            .any(|problem| problem.starts_with("r.star:1:1: relay: ") && problem.contains(wanted));
-        assert!(named, "{changes}: {problems:?}");
+            .any(|problem| problem.starts_with("r.star:1:1: relay: ") && problem.contains(expected));
+        assert!(is_reported, "{changes}: {problems:?}");
     }
 }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -209,7 +209,7 @@
     put(&mut disk, 1, &file(1, 3, 1, 5));
     let (_, loaded, notes) =
         SnapshotStore::open(Box::new(disk), 1, 2, stamp(9), MAX_FILE_BYTES).expect("a usable folder");
-    let loaded = loaded.expect("believed");
+    let loaded = loaded.expect("loaded");
     assert_eq!((loaded.snapshot.promise_duration, number(&loaded.snapshot)), (Duration::ZERO, 5));
     assert_eq!((loaded.age, notes), (Age::Known(Duration::from_micros(4)), vec![LoadNote::OtherSettings]));
 }
@@ -272,5 +272,5 @@
     assert_eq!(disk.names().expect("there").len(), 3, "two generations and the lock");
     let (_, loaded, _) =
         SnapshotStore::open(Box::new(disk), 1, 2, stamp(9), MAX_FILE_BYTES).expect("a usable folder");
-    assert_eq!(number(&loaded.expect("believed").snapshot), 3);
+    assert_eq!(number(&loaded.expect("loaded").snapshot), 3);
 }
