--- a/crates/config-log/src/chain/format.rs
+++ b/crates/config-log/src/chain/format.rs
@@ -18,7 +18,7 @@
     pub id: String,
     /// The version that it made.
     pub version: u64,
-    /// Tells it from another change under the same id.
+    /// Distinguishes it from another change under the same id.
     pub fingerprint: u64,
 }
 
--- a/crates/config-log/src/change.rs
+++ b/crates/config-log/src/change.rs
@@ -106,7 +106,7 @@
         /// The version that the other change made.
         version: u64,
     },
-    /// Changes since the base touched the same paths; make the change anew from the newest version.
+    /// Changes since the base touched the same paths; make it again from the newest version.
     #[error("{} of its places were changed meanwhile", .0.len())]
     Conflict(Vec<Conflict>),
     /// The configuration that it leads to is invalid.
--- a/crates/config-log/src/follow/replica.rs
+++ b/crates/config-log/src/follow/replica.rs
@@ -46,7 +46,7 @@
         Ok(Some((version, steps)))
     }
 
-    /// Whether an update tells nothing new; an error where it contradicts the version that this replica has.
+    /// Whether an update holds nothing new; an error where it contradicts the version that this replica has.
     fn is_known(&self, update: &Update) -> Result<bool, Corruption> {
         let current = self.version.number;
         if update.version() != current {
--- a/crates/config-log/src/model/configuration.rs
+++ b/crates/config-log/src/model/configuration.rs
@@ -46,7 +46,7 @@
         self.entities.iter().flat_map(|(key, fields)| calls(key, fields)).collect()
     }
 
-    /// What stands at a path; a whole entity as an object of its fields.
+    /// The value at a path; a whole entity as an object of its fields.
     pub fn field(&self, path: &Path) -> Option<Value> {
         let fields = self.entities.get(&path.key)?;
         match &path.field {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Edits of the fields that differ: those that are gone, then those that are new or changed.
+/// Edits of the fields that differ: removed ones, then new or changed ones.
 fn field_edits(key: &Key, old: &Fields, new: &Fields) -> Vec<Edit> {
     let set = |field: &str, value: Value| Edit::Set { key: key.clone(), field: field.into(), value };
     let removed = old.keys().filter(|field| !new.contains_key(*field)).map(|field| set(field, Value::Null));
--- a/crates/config-log/src/problem.rs
+++ b/crates/config-log/src/problem.rs
@@ -1,4 +1,4 @@
-//! What makes a configuration invalid, as operators are told.
+//! What makes a configuration invalid; the messages are for operators.
 
 use std::fmt;
 
--- a/crates/config-log/src/segment.rs
+++ b/crates/config-log/src/segment.rs
@@ -38,7 +38,7 @@
     serde_json::to_vec(change).unwrap_or_default()
 }
 
-/// Tells a change sent again from another under the same id; its time may differ.
+/// Distinguishes a change that is sent again, perhaps with another time, from another change under the same id.
 pub fn fingerprint(change: &Change) -> u64 {
     let without_time = body(&Change { at: 0, ..change.clone() });
     u64::from_le_bytes(*chain_hash(&[0; 32], &without_time).first_chunk().unwrap_or(&[0; 8]))
--- a/crates/config/src/arguments.rs
+++ b/crates/config/src/arguments.rs
@@ -16,7 +16,7 @@
     /// The call whose arguments are read.
     pub call: &'a FunctionCall,
     problems: &'a mut Vec<Problem>,
-    /// Names read so far, in order, which an unknown argument is told.
+    /// Names read so far, in order; the message for an unknown argument lists them.
     known: Vec<&'static str>,
 }
 
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// Something that must be mended in a script, and where.
+/// Something that must be corrected in a script, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
     /// The script's name.
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -76,7 +76,8 @@
     }
 }
 
-/// The functions that a script may call: those of settings, of a coordinator, of a relay and of a fault test.
+/// The functions that a script may call: those of settings, of a coordinator, of a relay and of a fault test. The attribute
+/// needs each of them written out.
 #[starlark_module]
 fn functions(builder: &mut GlobalsBuilder) {
     fn gateway<'v>(
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -33,7 +33,7 @@
 pub struct DeltaPart<T> {
     /// Items that are new or differ.
     pub set: Vec<T>,
-    /// Lasting ids of items that are gone.
+    /// Lasting ids of removed items.
     pub removed: Vec<u64>,
 }
 
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -10,7 +10,7 @@
 use crate::format::StampedSnapshot;
 use crate::stamp::Stamp;
 
-/// Version 1: each record was the whole state and told how long ago each store had started, which nothing used.
+/// Version 1: each record was the whole state, with the time since each store had started, which nothing used.
 #[derive(Deserialize)]
 pub(crate) struct StampedSnapshotV1 {
     at: Stamp,
--- a/crates/snapshot/src/storage.rs
+++ b/crates/snapshot/src/storage.rs
@@ -62,7 +62,7 @@
     fn sync_folder(&mut self) -> io::Result<()>;
 
     /// Puts a whole file in place, synced when this returns. It is written and synced under a temporary name first, so
-    /// that its own name never stands for half of it.
+    /// that its own name never refers to half of it.
     ///
     /// # Errors
     /// Those of the file system. The file of this name is then the former or the new one, as a whole.
