--- a/crates/http-api/src/lib.rs
+++ b/crates/http-api/src/lib.rs
@@ -21,4 +21,4 @@
 pub use core::Core;
 pub use messages::{AttemptId, AttemptOutcome, ClientId, Effect, FinalResponse, Input};
 pub use request::{ClientRequest, RequestError};
-pub use umbertray::interface::{OpId, StoreId};
+pub use umbertray::interface::{OpId, Settings, StoreId};
--- /dev/null
+++ b/crates/http-gateway/src/attempt.rs
@@ -0,0 +1,214 @@
+//! Attempts and health checks: one request to a store, from its connection to its response.
+
+use std::cell::Cell;
+use std::fmt::Display;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::time::{Instant, timeout, timeout_at};
+use umbertray_http::client::{self, Response, ResponseReader};
+use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, fields};
+use umbertray_lifecycle::attempt::propagated_deadline_holds;
+use umbertray_lifecycle::check::observe;
+use umbertray_lifecycle::reason::StoreCloseReason;
+
+use crate::event_loop::EventLoop;
+use crate::response_memory::ResponseMemory;
+use crate::store_pool::PooledConnection;
+
+/// An attempt's outcome, and when it was known.
+pub(crate) struct Finished {
+    pub(crate) outcome: AttemptOutcome,
+    pub(crate) at: Duration,
+}
+
+/// Sends an attempt and waits for its response. `written` is set once the last byte is written.
+///
+/// Cancellation closes the connection; whether the attempt may have been executed is said by `written`.
+pub(crate) async fn run_attempt(
+    event_loop: &Rc<EventLoop>,
+    attempt: AttemptId,
+    store: StoreId,
+    address: SocketAddr,
+    deadline: Duration,
+    written: &Cell<bool>,
+) -> Finished {
+    let started_at = event_loop.clock.now();
+    let id = event_loop.request_id(attempt).unwrap_or_default();
+    let op = attempt.op.0;
+    let number = attempt.attempt;
+    let time_left = deadline.saturating_sub(started_at);
+    tracing::debug!(request_id = id, op, attempt = number, store = store.0, ?time_left, "attempt started");
+    if let Some(reason) = event_loop.retry_reason(attempt) {
+        event_loop.counters.count(reason);
+        tracing::debug!(request_id = id, op, attempt = number, %reason, "attempt is a retry");
+    }
+    let timer_deadline = event_loop.clock.instant(deadline).into();
+    let finished = send_and_receive(event_loop, attempt, address, timer_deadline, written).await;
+    let elapsed = finished.at.saturating_sub(started_at);
+    let outcome = &finished.outcome;
+    tracing::debug!(request_id = id, op, attempt = number, store = store.0, ?elapsed, %outcome, "attempt finished");
+    finished
+}
+
+async fn send_and_receive(
+    event_loop: &Rc<EventLoop>,
+    attempt: AttemptId,
+    address: SocketAddr,
+    deadline: Instant,
+    written: &Cell<bool>,
+) -> Finished {
+    let finished_now = |outcome| Finished { outcome, at: event_loop.clock.now() };
+    let connection = match timeout_at(deadline, send(event_loop, attempt, address, written)).await {
+        Ok(Ok(connection)) => connection,
+        Ok(Err(outcome)) => return finished_now(outcome),
+        Err(_) => return finished_now(AttemptOutcome::NeverWritten),
+    };
+    match timeout_at(deadline, receive_response(event_loop, connection)).await {
+        Ok(finished) => finished,
+        Err(_) => {
+            let reason = StoreCloseReason::AttemptEnded;
+            event_loop.counters.count(reason);
+            tracing::debug!(op = attempt.op.0, attempt = attempt.attempt, store = %address, %reason, "store connection closed");
+            finished_now(AttemptOutcome::TimedOut)
+        }
+    }
+}
+
+/// Acquires a connection and writes the attempt, unless it must not start any more.
+async fn send<'a>(
+    event_loop: &'a Rc<EventLoop>,
+    attempt: AttemptId,
+    address: SocketAddr,
+    written: &Cell<bool>,
+) -> Result<PooledConnection<'a>, AttemptOutcome> {
+    let mut connection = event_loop.pools.acquire(address).await.ok_or(AttemptOutcome::NeverWritten)?;
+    let bytes = match event_loop.start_attempt(attempt) {
+        Ok(bytes) => bytes,
+        Err(reason) => {
+            event_loop.counters.count(reason);
+            tracing::debug!(op = attempt.op.0, attempt = attempt.attempt, %reason, "attempt denied");
+            // Nothing was written: the connection serves the next attempt.
+            event_loop.pools.release(connection);
+            return Err(AttemptOutcome::Withheld);
+        }
+    };
+    let started_at = event_loop.clock.now();
+    write(&mut connection, &bytes, written).await.ok_or(AttemptOutcome::NeverWritten)?;
+    let write_duration = event_loop.clock.now().saturating_sub(started_at);
+    check_propagated_deadline(event_loop, attempt, write_duration);
+    Ok(connection)
+}
+
+/// A process that was held up, or a store that reads slowly, may make the propagated deadline untrue.
+fn check_propagated_deadline(event_loop: &EventLoop, attempt: AttemptId, write_duration: Duration) {
+    observe(&event_loop.counters, propagated_deadline_holds(write_duration), |violation| {
+        let id = event_loop.request_id(attempt).unwrap_or_default();
+        tracing::warn!(request_id = id, op = attempt.op.0, elapsed = ?write_duration, %violation, "lifecycle rule violated");
+    });
+}
+
+/// Writes a request; nothing if not all of it was written. A store executes a request only once it has the last byte.
+async fn write(connection: &mut PooledConnection<'_>, bytes: &Bytes, written: &Cell<bool>) -> Option<()> {
+    connection.stream.as_mut()?.write_all(bytes).await.ok()?;
+    written.set(true);
+    Some(())
+}
+
+/// Reads a response whole and releases or closes its connection.
+async fn receive_response(event_loop: &Rc<EventLoop>, mut connection: PooledConnection<'_>) -> Finished {
+    let mut reader = ResponseReader::new(event_loop.limits().response);
+    let mut memory = ResponseMemory::new(event_loop);
+    loop {
+        let Some(stream) = &mut connection.stream else {
+            return Finished { outcome: AttemptOutcome::NeverWritten, at: event_loop.clock.now() };
+        };
+        reader.bytes.reserve(event_loop.limits().http.head);
+        let read = stream.read_buf(&mut reader.bytes).await;
+        let at = event_loop.clock.now();
+        let broken = |reason, detail: &dyn Display| {
+            record_close(event_loop, &connection, reason, detail);
+            Finished { outcome: AttemptOutcome::Broken, at }
+        };
+        let (response, is_end) = match read {
+            Ok(1..) => (reader.response(), false),
+            Ok(0) => (reader.on_close(), true),
+            Err(error) => return broken(StoreCloseReason::AnswerBroken, &error),
+        };
+        if !memory.reserve(reader.known_body_size()) {
+            return too_large(event_loop, &connection, reader.known_body_size(), at);
+        }
+        match response {
+            Ok(None) if is_end => {
+                return broken(StoreCloseReason::AnswerBroken, &"ended before the answer was whole");
+            }
+            Ok(None) => {}
+            Ok(Some(response)) => {
+                // Hazard: bytes behind the response belong to no request; the next would be answered with them.
+                let is_reusable = !is_end && response.head.persists && reader.bytes.is_empty();
+                let outcome = finish_response(event_loop, connection, response, memory, is_reusable);
+                return Finished { outcome, at };
+            }
+            Err(error) => return broken(StoreCloseReason::AnswerBroken, &error),
+        }
+    }
+}
+
+/// Releases or closes the connection of a whole response, whose body keeps its memory.
+fn finish_response(
+    event_loop: &EventLoop,
+    connection: PooledConnection<'_>,
+    mut response: Response,
+    memory: ResponseMemory,
+    is_reusable: bool,
+) -> AttemptOutcome {
+    response.body = memory.attach_to(response.body);
+    if is_reusable {
+        event_loop.pools.release(connection);
+    } else {
+        record_close(event_loop, &connection, StoreCloseReason::LastAnswer, &"not to be used again");
+    }
+    AttemptOutcome::Response(response)
+}
+
+fn too_large(
+    event_loop: &EventLoop,
+    connection: &PooledConnection<'_>,
+    size: usize,
+    at: Duration,
+) -> Finished {
+    let reason = StoreCloseReason::AnswerTooLarge;
+    event_loop.counters.count(reason);
+    tracing::warn!(store = %connection.address, size, %reason, "no memory for a response");
+    Finished { outcome: AttemptOutcome::Broken, at }
+}
+
+/// Counts and logs why a connection that was in use is closed.
+fn record_close(
+    event_loop: &EventLoop,
+    connection: &PooledConnection<'_>,
+    reason: StoreCloseReason,
+    detail: &dyn Display,
+) {
+    event_loop.counters.count(reason);
+    tracing::debug!(store = %connection.address, %reason, %detail, "store connection closed");
+}
+
+/// Requests a store's load report.
+pub(crate) async fn check_health(event_loop: &Rc<EventLoop>, address: SocketAddr) -> AttemptOutcome {
+    let written = Cell::new(false);
+    let check = timeout(event_loop.limits().timeouts.connect, async {
+        let mut connection = event_loop.pools.acquire(address).await?;
+        let bytes = client::request("GET", fields::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
+        write(&mut connection, &bytes, &written).await?;
+        Some(receive_response(event_loop, connection).await.outcome)
+    });
+    match check.await {
+        Ok(Some(outcome)) => outcome,
+        Err(_) if written.get() => AttemptOutcome::TimedOut,
+        _ => AttemptOutcome::NeverWritten,
+    }
+}
--- /dev/null
+++ b/crates/http-gateway/src/client/responding.rs
@@ -0,0 +1,179 @@
+//! Responding: requests submitted, their responses written, and the lingering close.
+
+use std::future::ready;
+use std::time::Instant;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
+use tokio::time::{timeout, timeout_at};
+use umbertray_http::connection::{CloseDemand, Event, Response};
+use umbertray_http::server::{self, Request, RequestEvent};
+use umbertray_http_api::{FinalResponse, RequestError, fields};
+use umbertray_lifecycle::reason::{CloseReason, RefusalReason};
+use umbertray_lifecycle::{connection, request};
+
+use super::{ClientConnection, OwnResponse, PendingOp, if_ready};
+use crate::response;
+
+/// The status of a request that has the id of an open one.
+const DUPLICATE_ID: u16 = 409;
+
+impl ClientConnection {
+    /// Submits the request that was read and waits for its response, or for the client's disconnect.
+    pub(super) async fn await_response(&mut self) -> Event {
+        if let Some(request) = self.request.take()
+            && let Some(event) = self.submit(&request)
+        {
+            return event;
+        }
+        let Some(mut op) = self.op.take() else { return self.response_ready() };
+        let response = tokio::select! {
+            biased;
+            // The operation is put back: it is the state machine that cancels it.
+            () = self.client_disconnected() => None,
+            response = &mut op.response => Some(response),
+        };
+        let Some(response) = response else {
+            self.op = Some(op);
+            return Event::PeerClosed;
+        };
+        let elapsed = self.event_loop.clock.now().saturating_sub(self.request_started_at);
+        // Hazard: without a response of the core it may have been executed.
+        let response = response.unwrap_or(FinalResponse::Failed);
+        tracing::debug!(connection_id = self.id, request_id = %op.id, client = ?op.client, ?elapsed, %response, "request answered");
+        self.observe(&op.id, request::answered_in_time(op.submitted_at.elapsed(), op.time_left));
+        self.own_response = OwnResponse::Final(response);
+        self.response_ready()
+    }
+
+    /// Hazard: bytes behind an error cannot be told to be a request; what was found is kept as it was found.
+    fn response_ready(&mut self) -> Event {
+        let read_ahead = self.read_ahead.take().unwrap_or_else(|| self.requests.next_event());
+        let more = matches!(read_ahead, Ok(RequestEvent::Request(_)));
+        self.read_ahead = (read_ahead != Ok(RequestEvent::More)).then_some(read_ahead);
+        Event::ResponseReady { more }
+    }
+
+    /// Submits an operation; returns the event of a request that has its response at once.
+    fn submit(&mut self, request: &Request) -> Option<Event> {
+        if let Some(status) = self.health_status(request) {
+            self.own_response = OwnResponse::Health(status);
+            return Some(self.response_ready());
+        }
+        let operation = match self.event_loop.check(request) {
+            Ok(operation) => operation,
+            Err(error) => {
+                let is_duplicate = error.status == DUPLICATE_ID;
+                let reason =
+                    if is_duplicate { RefusalReason::DuplicateId } else { RefusalReason::NotAnOperation };
+                self.own_response = OwnResponse::Error(error, reason);
+                return Some(Event::RequestRefused);
+            }
+        };
+        let id = operation.id.clone();
+        let shard = operation.shard;
+        let time_left = operation.time_left;
+        let (client, response) = self.event_loop.submit(operation, self.request_started_at);
+        let phase = self.event_loop.phase();
+        tracing::debug!(connection_id = self.id, request_id = id, ?client, target = %request.target, shard, ?time_left, ?phase, "request admitted");
+        let event_loop = self.event_loop.clone();
+        let submitted_at = Instant::now();
+        self.op = Some(PendingOp { event_loop, id, submitted_at, time_left, client, response });
+        None
+    }
+
+    /// The status of the response to a health check; nothing for another request.
+    pub(super) fn health_status(&self, request: &Request) -> Option<u16> {
+        match (&*request.method, &*request.target) {
+            ("GET", fields::READY) => Some(if self.event_loop.is_ready() { 200 } else { 503 }),
+            ("GET", fields::LIVE) => Some(200),
+            _ => None,
+        }
+    }
+
+    /// Returns when the client has disconnected. What it sends meanwhile is read ahead up to a limit; beyond that only the end
+    /// of the connection is waited for, which shows although there is more to read: tokio's interest in urgent data is woken
+    /// by it, and not by bytes.
+    async fn client_disconnected(&mut self) {
+        while self.requests.bytes.len() < self.event_loop.limits().read_ahead {
+            if !self.read_some().await {
+                return;
+            }
+        }
+        _ = self.stream.ready(Interest::PRIORITY).await;
+    }
+
+    pub(super) async fn write(&mut self, bytes: Bytes) -> Event {
+        let response_write = self.event_loop.limits().timeouts.response_write;
+        let write = timeout(response_write, self.stream.write_all(&bytes));
+        let written = match self.state.demand() {
+            // Another connection waits for the descriptor; so few bytes are written at once, unless the client has not read
+            // the response before.
+            CloseDemand::ForCapacity => if_ready(write).await,
+            _ => Some(write.await),
+        };
+        if matches!(written, Some(Ok(Ok(())))) { Event::Written } else { Event::WriteFailed }
+    }
+
+    pub(super) async fn respond(&mut self, kind: Response, last: bool) -> Event {
+        let own_response = std::mem::replace(&mut self.own_response, OwnResponse::Nothing);
+        let bytes = match (kind, own_response) {
+            (Response::Rejection, _) => self.rejection(last),
+            (Response::RequestTimeout, _) => self.request_timeout(),
+            (_, OwnResponse::Error(error, reason)) => self.error_response(&error, reason),
+            (_, OwnResponse::Health(status)) => server::response(status, &[], b"", last),
+            (_, OwnResponse::Final(response)) => response::encode(&response, last),
+            (_, OwnResponse::Nothing) => response::encode(&FinalResponse::Failed, last),
+        };
+        let event = self.write(bytes).await;
+        if self.requests.bytes.is_empty() {
+            self.requests.bytes = BytesMut::new();
+        }
+        event
+    }
+
+    fn rejection(&self, last: bool) -> Bytes {
+        let is_draining = self.close_reason == Some(CloseReason::Draining);
+        let reason = if is_draining { RefusalReason::Draining } else { RefusalReason::NoCapacity };
+        self.event_loop.counters.count(reason);
+        let open = self.event_loop.clients.len();
+        let demand = self.state.demand();
+        tracing::debug!(connection_id = self.id, open, ?demand, %reason, "request rejected");
+        let retry_after = self.event_loop.limits().retry_after;
+        response::encode(&FinalResponse::Rejected { retry_after }, last)
+    }
+
+    fn request_timeout(&self) -> Bytes {
+        self.observe("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
+        let message = "the request did not come whole in its time".into();
+        let error = RequestError { status: 408, message };
+        self.error_response(&error, RefusalReason::RequestReadTimeout)
+    }
+
+    fn error_response(&self, error: &RequestError, reason: RefusalReason) -> Bytes {
+        self.event_loop.counters.count(reason);
+        tracing::debug!(connection_id = self.id, status = error.status, error = error.message, %reason, "request rejected");
+        response::encode_error(error)
+    }
+
+    /// Shuts down sending and discards what still comes, so that the client can read what was written. What is there is read
+    /// first, also where capacity is demanded. A cancelled read loses bytes that are discarded anyway.
+    pub(super) async fn linger(&mut self) -> Event {
+        // Fails where the client has gone, which the read tells.
+        _ = self.stream.shutdown().await;
+        let demand = self.state.demand();
+        let greater_demand = self.greater_demand();
+        let deadline = self.state_deadline.into();
+        let mut discarded = [0; 4096];
+        let discard = async { while matches!(self.stream.read(&mut discarded).await, Ok(1..)) {} };
+        tokio::select! {
+            biased;
+            end = timeout_at(deadline, discard) => match end {
+                Ok(()) => Event::PeerClosed,
+                Err(_) => Event::TimedOut,
+            },
+            () = ready(()), if demand == CloseDemand::ForCapacity => Event::DemandChanged,
+            () = greater_demand => Event::DemandChanged,
+        }
+    }
+}
--- a/crates/http-gateway/src/client_connections.rs
+++ b/crates/http-gateway/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections that are open: what is owed on each, which may be evicted, and who waits for them to close.
+//! The clients' open connections: what is owed on each, which may be evicted, and who waits for them to close.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,17 +9,17 @@
 use umbertray_http::connection::{CloseDemand, ConnectionState, Obligation, State};
 use umbertray_lifecycle::connection;
 
-use crate::bounds::ResourceLimits;
+use crate::resource_limits::ResourceLimits;
 
-/// An open connection, as others see it.
+/// An open connection, as other tasks see it.
 struct Registered {
     obligation: Obligation,
-    /// A whole request has come.
+    /// Whether a whole request has come.
     served_before: bool,
-    /// When it came to rest or was shut down; until then, when it was accepted.
+    /// When it became idle or was shut down; until then, when it was accepted.
     since: Instant,
     demand: CloseDemand,
-    /// `demand` has changed.
+    /// Notified when `demand` has changed.
     demand_raised: Rc<Notify>,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// The connections that are open.
-pub struct ClientConnections {
+/// The open connections.
+pub(crate) struct ClientConnections {
     open: RefCell<BTreeMap<u64, Registered>>,
-    /// What is demanded of all.
+    /// What is demanded of every connection.
     demand_of_all: Cell<CloseDemand>,
-    /// One has closed, or its state has changed.
+    /// Notified when one has closed or its state has changed.
     changed: Notify,
 }
 
@@ -52,11 +52,11 @@
 }
 
 impl ClientConnections {
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    pub fn insert(&self, id: u64, demand_raised: Rc<Notify>) {
+    pub(crate) fn insert(&self, id: u64, demand_raised: Rc<Notify>) {
         let registered = Registered {
             obligation: Obligation::None,
             served_before: false,
@@ -67,13 +67,13 @@
         self.open.borrow_mut().insert(id, registered);
     }
 
-    pub fn remove(&self, id: u64) {
+    pub(crate) fn remove(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
         self.changed.notify_waiters();
     }
 
-    /// Takes over the state of a connection after a step; `changed` says whether it is another one than before.
-    pub fn update(&self, id: u64, connection: &ConnectionState, changed: bool) {
+    /// Records the state of a connection after a step; `changed` says whether it differs from the one before.
+    pub(crate) fn update(&self, id: u64, connection: &ConnectionState, changed: bool) {
         if let Some(registered) = self.open.borrow_mut().get_mut(&id) {
             let state = connection.state();
             if changed && matches!(state, State::Idle | State::LingeringClose) {
@@ -86,17 +86,17 @@
         self.changed.notify_waiters();
     }
 
-    /// What is owed on each.
-    pub fn obligations(&self) -> Vec<Obligation> {
+    /// What is owed on each connection.
+    pub(crate) fn obligations(&self) -> Vec<Obligation> {
         self.open.borrow().values().map(|connection| connection.obligation).collect()
     }
 
-    pub async fn empty(&self) {
+    pub(crate) async fn empty(&self) {
         self.until(|open| open.is_empty()).await;
     }
 
     /// Closes all that have sent no whole request, and returns once no other waits for its response.
-    pub async fn all_answered(&self) {
+    pub(crate) async fn all_answered(&self) {
         self.demand_of_all.set(CloseDemand::Immediate);
         self.open.borrow().values().for_each(|connection| connection.demand_raised.notify_one());
         self.until(|open| {
@@ -105,17 +105,17 @@
         .await;
     }
 
-    async fn until(&self, so: impl Fn(&BTreeMap<u64, Registered>) -> bool) {
+    async fn until(&self, condition: impl Fn(&BTreeMap<u64, Registered>) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if so(&self.open.borrow()) {
+            if condition(&self.open.borrow()) {
                 return;
             }
             changed.await;
         }
     }
 
-    pub fn demand(&self, id: u64) -> CloseDemand {
+    pub(crate) fn demand(&self, id: u64) -> CloseDemand {
         self.open
             .borrow()
             .get(&id)
@@ -123,9 +123,11 @@
             .max(self.demand_of_all.get())
     }
 
-    /// Demands that the first in the order of eviction closes, and waits for what it does; false where there is none.
-    /// Hazard: a request may lie unread in it; only its own task can tell. That waits for nobody then.
-    pub async fn make_room(&self) -> bool {
+    /// Demands that the first connection in the order of eviction closes, and waits until it has or has declined; false
+    /// where there is none.
+    ///
+    /// Hazard: a request may lie unread in it, which only its own task can tell.
+    pub(crate) async fn make_room(&self) -> bool {
         let least = {
             let mut open = self.open.borrow_mut();
             let evictable = open
@@ -145,17 +147,17 @@
         true
     }
 
-    /// Waits until one more connection can be had; false if its requests have to be rejected.
-    pub async fn room(&self, bounds: &ResourceLimits) -> bool {
+    /// Waits until one more connection can be held; false if its requests have to be rejected.
+    pub(crate) async fn room(&self, limits: &ResourceLimits) -> bool {
         loop {
             let changed = self.changed.notified();
-            if self.len() < bounds.clients {
+            if self.len() < limits.clients {
                 return true;
             }
             if self.make_room().await {
                 continue;
             }
-            if self.len() < bounds.clients + bounds.rejected_clients {
+            if self.len() < limits.clients + limits.rejected_clients {
                 return false;
             }
             changed.await;
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -1,8 +1,10 @@
-//! The core's turns: all that came at one moment goes in together, what comes back is done.
+//! The event loop: it owns the core, hands over everything that happened up to a moment in one turn, and applies what comes
+//! back.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -16,55 +18,81 @@
 use umbertray_http::server::Request;
 use umbertray_http_api::{
     AttemptId, AttemptOutcome, ClientId, ClientRequest, Config, Core, Effect, FinalResponse, Input,
-    RequestError,
+    RequestError, SettingsError, StoreId,
 };
 use umbertray_lifecycle::Counters;
 use umbertray_lifecycle::reason::{DenialReason, RetryReason, StoreCloseReason};
 
-use crate::bounds::ResourceLimits;
+use crate::attempt;
 use crate::client_connections::ClientConnections;
-use crate::store::{self, StorePools};
+use crate::resource_limits::{LimitsError, ResourceLimits};
+use crate::store_pool::StorePools;
 
+/// How far the gateway is on its way to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub(crate) enum Phase {
+    /// Serving.
     Serving,
-    /// SIGTERM has come: all goes on, and is answered before the end.
+    /// SIGTERM has come: requests are still accepted, and answered before the end.
     Draining,
-    /// No new connections, and those that were answered end.
+    /// No new connections; those without an open request are closed.
     Closing,
 }
 
-/// A dispatch at work.
+/// The scheduler cannot run, with the reason that it gave.
+#[derive(Debug, thiserror::Error)]
+#[error("{0}")]
+pub struct FatalError(String);
+
+/// A configuration that cannot be put in force.
+#[derive(Debug, thiserror::Error)]
+pub enum ReconfigureError {
+    /// Its limits cannot be derived.
+    #[error(transparent)]
+    Limits(#[from] LimitsError),
+    /// The core cannot run with its settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// The task of an attempt.
 struct RunningAttempt {
     task: AbortHandle,
+    /// Whether its last byte was written: from then on it may be executed.
     written: Rc<Cell<bool>>,
 }
 
-pub struct EventLoop {
+/// What all tasks of the gateway share.
+pub(crate) struct EventLoop {
     core: RefCell<Core>,
+    /// What the next turn takes.
     inputs: RefCell<Vec<Input>>,
     wake: Notify,
     waiting_clients: RefCell<HashMap<ClientId, oneshot::Sender<FinalResponse>>>,
     attempts: RefCell<HashMap<AttemptId, RunningAttempt>>,
     next_client: Cell<u64>,
     phase: watch::Sender<Phase>,
-    pub clock: Clock,
+    /// The gateway's clock.
+    pub(crate) clock: Clock,
     limits: Rc<watch::Sender<ResourceLimits>>,
-    pub pools: StorePools,
-    pub clients: ClientConnections,
-    /// How often each reason for a close, refusal, retry or denial came up.
-    pub counters: Rc<Counters>,
-    /// Bytes that large answers hold.
-    pub response_bytes: Arc<AtomicUsize>,
-    /// The module asks to be told of changes, or for the whole list.
-    pub watch_requested: Notify,
-    pub fetch_requested: Notify,
+    /// Connections to stores.
+    pub(crate) pools: StorePools,
+    /// Connections of clients.
+    pub(crate) clients: ClientConnections,
+    /// Counts by reason of closes, refusals, retries and denials.
+    pub(crate) counters: Rc<Counters>,
+    /// Bytes that large responses hold.
+    pub(crate) response_bytes: Arc<AtomicUsize>,
+    /// The scheduler requests a watch on the endpoint list.
+    pub(crate) watch_requested: Notify,
+    /// The scheduler requests the whole endpoint list.
+    pub(crate) fetch_requested: Notify,
 }
 
 impl EventLoop {
-    pub fn new(core: Core, clock: Clock, bounds: ResourceLimits) -> EventLoop {
+    pub(crate) fn new(core: Core, clock: Clock, limits: ResourceLimits) -> EventLoop {
         let counters = Rc::new(Counters::default());
-        let limits = Rc::new(watch::channel(bounds).0);
+        let limits = Rc::new(watch::channel(limits).0);
         EventLoop {
             core: RefCell::new(core),
             inputs: RefCell::default(),
@@ -84,191 +112,218 @@
         }
     }
 
-    /// The bounds in force.
-    pub fn limits(&self) -> ResourceLimits {
+    /// The limits in force.
+    pub(crate) fn limits(&self) -> ResourceLimits {
         *self.limits.borrow()
     }
 
-    /// Tells of each change of the bounds from now on.
-    pub fn limits_changes(&self) -> watch::Receiver<ResourceLimits> {
+    /// Notifies of each change of the limits from now on.
+    pub(crate) fn limits_changes(&self) -> watch::Receiver<ResourceLimits> {
         self.limits.subscribe()
     }
 
-    /// Puts a new configuration in force: bounds and module, or neither. Invariant: what is made of the settings has
-    /// this one way to change; what a request, an attempt or a drain was promised when it began keeps its time.
-    pub fn reconfigure(&self, config: &Config) -> Result<(), String> {
-        let bounds = ResourceLimits::from_config(config)?;
-        self.core.borrow_mut().reconfigure(&config.settings).map_err(|error| error.to_string())?;
-        self.limits.send_replace(bounds);
+    /// Puts a new configuration in force: limits and scheduler, or neither.
+    ///
+    /// Invariant: whatever is derived from the settings changes here alone; what a request, an attempt or a drain was
+    /// promised when it began keeps its time.
+    pub(crate) fn reconfigure(&self, config: &Config) -> Result<(), ReconfigureError> {
+        let limits = ResourceLimits::from_config(config)?;
+        self.core.borrow_mut().reconfigure(&config.settings)?;
+        self.limits.send_replace(limits);
         self.wake.notify_one();
         Ok(())
     }
 
-    /// Has the core told at its next turn, together with all else of this moment.
-    pub fn post(&self, input: Input) {
+    /// Hands an input to the core's next turn, together with everything else of this moment.
+    pub(crate) fn post(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.wake.notify_one();
     }
 
-    pub fn check(&self, request: &Request) -> Result<ClientRequest, RequestError> {
+    /// Checks a request and reads it as an operation.
+    pub(crate) fn check(&self, request: &Request) -> Result<ClientRequest, RequestError> {
         self.core.borrow().check(request)
     }
 
-    /// Hands over an op; its final answer comes through the channel.
-    pub fn submit(
+    /// Submits an operation; its final response comes through the channel.
+    pub(crate) fn submit(
         &self,
-        ask: ClientRequest,
-        begun: Duration,
+        request: ClientRequest,
+        started_at: Duration,
     ) -> (ClientId, oneshot::Receiver<FinalResponse>) {
         let client = ClientId(self.next_client.replace(self.next_client.get() + 1));
-        let (answer, answered) = oneshot::channel();
-        self.waiting_clients.borrow_mut().insert(client, answer);
-        self.post(Input::Request { client, request: ask, started_at: begun });
-        (client, answered)
+        let (sender, response) = oneshot::channel();
+        self.waiting_clients.borrow_mut().insert(client, sender);
+        self.post(Input::Request { client, request, started_at });
+        (client, response)
     }
 
-    pub fn client_disconnected(&self, client: ClientId) {
+    /// A client that waits for its response has disconnected.
+    pub(crate) fn client_disconnected(&self, client: ClientId) {
         self.waiting_clients.borrow_mut().remove(&client);
         self.post(Input::ClientDisconnected(client));
     }
 
-    /// The bytes of an attempt whose connection stands; or why it must not begin. Hazard: the core hears only at its
-    /// next turn that a client has left.
-    pub fn start_attempt(&self, call: AttemptId) -> Result<Bytes, DenialReason> {
+    /// The bytes of an attempt whose connection is up, or why it must not start.
+    ///
+    /// Hazard: the core hears only at its next turn that a client has disconnected.
+    pub(crate) fn start_attempt(&self, attempt: AttemptId) -> Result<Bytes, DenialReason> {
         let mut core = self.core.borrow_mut();
-        let client = core.client(call).ok_or(DenialReason::RequestEnded)?;
+        let client = core.client(attempt).ok_or(DenialReason::RequestEnded)?;
         if !self.waiting_clients.borrow().contains_key(&client) {
             return Err(DenialReason::ClientGone);
         }
-        core.start_attempt(call, self.clock.now())
+        core.start_attempt(attempt, self.clock.now())
     }
 
-    pub fn retry_reason(&self, call: AttemptId) -> Option<RetryReason> {
-        self.core.borrow().retry_reason(call)
+    /// Why an attempt is a retry; nothing for the first.
+    pub(crate) fn retry_reason(&self, attempt: AttemptId) -> Option<RetryReason> {
+        self.core.borrow().retry_reason(attempt)
     }
 
-    pub fn request_id(&self, call: AttemptId) -> Option<Box<str>> {
-        self.core.borrow().request_id(call).map(Box::from)
+    /// The request id of an attempt's operation.
+    pub(crate) fn request_id(&self, attempt: AttemptId) -> Option<Box<str>> {
+        self.core.borrow().request_id(attempt).map(Box::from)
     }
 
-    pub fn open_requests(&self) -> usize {
+    /// Number of operations without their final response.
+    pub(crate) fn open_requests(&self) -> usize {
         self.core.borrow().open_requests()
     }
 
-    pub fn is_ready(&self) -> bool {
+    /// Whether the gateway serves: it knows stores and is not on its way to its end.
+    pub(crate) fn is_ready(&self) -> bool {
         self.core.borrow().endpoints_known() && self.phase() == Phase::Serving
     }
 
-    pub fn phase(&self) -> Phase {
+    pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    pub fn is_closing(&self) -> bool {
+    pub(crate) fn is_closing(&self) -> bool {
         self.phase() == Phase::Closing
     }
 
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    /// Notifies of each change of the phase from now on.
+    pub(crate) fn phases(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    pub fn enter(&self, phase: Phase) {
+    pub(crate) fn enter(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
     /// Waits for an input that no turn has taken.
     #[cfg(test)]
-    pub async fn posted(&self, so: impl Fn(&Input) -> bool) {
-        while !self.inputs.borrow().iter().any(&so) {
+    pub(crate) async fn posted(&self, is_wanted: impl Fn(&Input) -> bool) {
+        while !self.inputs.borrow().iter().any(&is_wanted) {
             self.wake.notified().await;
         }
     }
 
-    fn turn(self: &Rc<EventLoop>) -> Result<(), String> {
+    fn turn(self: &Rc<EventLoop>) -> Result<(), FatalError> {
         let inputs = self.inputs.take();
-        let deeds = self.core.borrow_mut().handle(self.clock.now(), inputs);
-        deeds.into_iter().try_for_each(|deed| self.apply(deed))
+        let effects = self.core.borrow_mut().handle(self.clock.now(), inputs);
+        effects.into_iter().try_for_each(|effect| self.apply(effect))
     }
 
-    fn apply(self: &Rc<EventLoop>, deed: Effect) -> Result<(), String> {
-        match deed {
-            Effect::Respond { client, response: reply } => {
-                if let Some(answer) = self.waiting_clients.borrow_mut().remove(&client) {
-                    // A client that left meanwhile has told so itself.
-                    _ = answer.send(reply);
-                }
-            }
-            Effect::StartAttempt { attempt: call, store, address, deadline: until } => {
-                let written = Rc::new(Cell::new(false));
-                let (hub, done) = (self.clone(), written.clone());
-                let task = tokio::task::spawn_local(async move {
-                    let (returned, at) = store::run_attempt(&hub, call, store, address, until, &done).await;
-                    hub.attempts.borrow_mut().remove(&call);
-                    hub.post(Input::AttemptFinished { attempt: call, outcome: returned, finished_at: at });
-                });
-                self.attempts
-                    .borrow_mut()
-                    .insert(call, RunningAttempt { task: task.abort_handle(), written });
-            }
-            Effect::Cancel { attempt: call } => {
-                if let Some(RunningAttempt { task, written }) = self.attempts.borrow_mut().remove(&call) {
-                    task.abort();
-                    let returned =
-                        if written.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverWritten };
-                    self.post(Input::AttemptFinished {
-                        attempt: call,
-                        outcome: returned,
-                        finished_at: self.clock.now(),
-                    });
-                }
-            }
-            Effect::CancelUnlessWritten { attempt: call } => {
-                let mut work = self.attempts.borrow_mut();
-                if let Entry::Occupied(entry) = work.entry(call)
-                    && !entry.get().written.get()
-                {
-                    entry.remove().task.abort();
-                    self.post(Input::AttemptFinished {
-                        attempt: call,
-                        outcome: AttemptOutcome::Withheld,
-                        finished_at: self.clock.now(),
-                    });
-                }
-            }
-            Effect::CheckHealth { store, address } => {
-                let hub = self.clone();
-                tokio::task::spawn_local(async move {
-                    let returned = store::check_health(&hub, address).await;
-                    hub.post(Input::HealthChecked { store, outcome: returned });
-                });
-            }
-            Effect::CloseIdleConnections { address } => {
-                let closed = self.pools.close_idle(address);
-                (0..closed).for_each(|_| self.counters.count(StoreCloseReason::StoreLeft));
-                tracing::debug!(store = %address, closed, reason = %StoreCloseReason::StoreLeft, "store connections closed");
+    fn apply(self: &Rc<EventLoop>, effect: Effect) -> Result<(), FatalError> {
+        match effect {
+            Effect::Respond { client, response } => self.respond(client, response),
+            Effect::StartAttempt { attempt, store, address, deadline } => {
+                self.spawn_attempt(attempt, store, address, deadline);
             }
+            Effect::Cancel { attempt } => self.cancel(attempt),
+            Effect::CancelUnlessWritten { attempt } => self.cancel_unless_written(attempt),
+            Effect::CheckHealth { store, address } => self.spawn_health_check(store, address),
+            Effect::CloseIdleConnections { address } => self.close_idle_connections(address),
             Effect::WatchEndpoints => self.watch_requested.notify_one(),
             Effect::FetchEndpoints => self.fetch_requested.notify_one(),
-            Effect::Log(text) => tracing::info!(text, "said"),
-            Effect::Fatal(text) => return Err(text),
+            Effect::Log(text) => tracing::info!(text, "core message"),
+            Effect::Fatal(reason) => return Err(FatalError(reason)),
         }
         Ok(())
     }
+
+    fn respond(&self, client: ClientId, response: FinalResponse) {
+        if let Some(sender) = self.waiting_clients.borrow_mut().remove(&client) {
+            // Fails for a client that has disconnected, which has been posted.
+            _ = sender.send(response);
+        }
+    }
+
+    fn spawn_attempt(
+        self: &Rc<EventLoop>,
+        attempt: AttemptId,
+        store: StoreId,
+        address: SocketAddr,
+        deadline: Duration,
+    ) {
+        let written = Rc::new(Cell::new(false));
+        let event_loop = self.clone();
+        let is_written = written.clone();
+        let task = tokio::task::spawn_local(async move {
+            let finished =
+                attempt::run_attempt(&event_loop, attempt, store, address, deadline, &is_written).await;
+            event_loop.attempts.borrow_mut().remove(&attempt);
+            event_loop.post_finished(attempt, finished.outcome, finished.at);
+        });
+        let running = RunningAttempt { task: task.abort_handle(), written };
+        self.attempts.borrow_mut().insert(attempt, running);
+    }
+
+    fn cancel(&self, attempt: AttemptId) {
+        let Some(running) = self.attempts.borrow_mut().remove(&attempt) else { return };
+        running.task.abort();
+        let outcome =
+            if running.written.get() { AttemptOutcome::Cancelled } else { AttemptOutcome::NeverWritten };
+        self.post_finished(attempt, outcome, self.clock.now());
+    }
+
+    fn cancel_unless_written(&self, attempt: AttemptId) {
+        let mut attempts = self.attempts.borrow_mut();
+        if let Entry::Occupied(running) = attempts.entry(attempt)
+            && !running.get().written.get()
+        {
+            running.remove().task.abort();
+            self.post_finished(attempt, AttemptOutcome::Withheld, self.clock.now());
+        }
+    }
+
+    fn post_finished(&self, attempt: AttemptId, outcome: AttemptOutcome, finished_at: Duration) {
+        self.post(Input::AttemptFinished { attempt, outcome, finished_at });
+    }
+
+    fn spawn_health_check(self: &Rc<EventLoop>, store: StoreId, address: SocketAddr) {
+        let event_loop = self.clone();
+        tokio::task::spawn_local(async move {
+            let outcome = attempt::check_health(&event_loop, address).await;
+            event_loop.post(Input::HealthChecked { store, outcome });
+        });
+    }
+
+    fn close_idle_connections(&self, address: SocketAddr) {
+        let reason = StoreCloseReason::StoreLeft;
+        let closed = self.pools.close_idle(address);
+        (0..closed).for_each(|_| self.counters.count(reason));
+        tracing::debug!(store = %address, closed, %reason, "store connections closed");
+    }
 }
 
 /// Turns the core until it cannot go on.
-pub async fn run(hub: Rc<EventLoop>) -> Result<(), String> {
+pub(crate) async fn run(event_loop: Rc<EventLoop>) -> Result<(), FatalError> {
     loop {
-        hub.turn()?;
-        let wake = hub.core.borrow().next_deadline();
-        let woken = async {
-            match wake {
-                Some(at) => sleep_until(hub.clock.instant(at).into()).await,
+        event_loop.turn()?;
+        let deadline = event_loop.core.borrow().next_deadline();
+        let timer = async {
+            match deadline {
+                Some(at) => sleep_until(event_loop.clock.instant(at).into()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = hub.wake.notified() => {}
-            () = woken => {}
+            () = event_loop.wake.notified() => {}
+            () = timer => {}
         }
         // What else can be read by now belongs to the same moment.
         yield_now().await;
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -1,17 +1,20 @@
-//! The platform's front on sockets: clients, stores, discovery and signals around [`umbertray_http_api::Core`]. It
-//! moves bytes and decides nothing. All of it runs on one thread, in one `LocalSet`.
+//! The HTTP gateway on sockets: clients, stores, discovery and signals around [`umbertray_http_api::Core`]. It moves bytes and
+//! decides nothing. All of it runs on one thread, in one `LocalSet`.
 //!
-//! One task owns the core's turns (`hub`), one each client's connection (`client`), one each dispatch (`store`), one
-//! the watch of the list (`watch`), which waits as `patience` says. What each may hold is in `bounds`.
+//! One task owns the core's turns (`event_loop`), one each client's connection (`client`), one each attempt (`attempt`), one
+//! the watch on the endpoint list (`watch`), which waits as `backoff` says. What each may hold is in `resource_limits`.
 
-mod bounds;
+mod attempt;
+mod backoff;
 mod client;
 mod client_connections;
 mod event_loop;
 mod listener;
-mod patience;
+mod resource_limits;
 mod response;
-mod store;
+mod response_memory;
+mod shutdown;
+mod store_pool;
 mod watch;
 
 use std::io;
@@ -21,83 +24,139 @@
 use std::time::Duration;
 
 use tokio::net::TcpListener;
-use tokio::signal::unix::{SignalKind, signal};
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch as watched};
-use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
+use tokio::task::JoinError;
+use tokio::time::sleep;
 use umbertray_clock::Clock;
 use umbertray_http_api::config::ConfigError;
-use umbertray_http_api::{Config, Core, Input};
-use umbertray_lifecycle::{Timeouts, connection};
+use umbertray_http_api::{Config, Core, StartError};
 use umbertray_socket::Socket;
 
-use crate::bounds::ResourceLimits;
-use crate::event_loop::{EventLoop, Phase};
+pub use crate::event_loop::{FatalError, ReconfigureError};
+pub use crate::resource_limits::LimitsError;
+
+use crate::event_loop::EventLoop;
+use crate::resource_limits::ResourceLimits;
 use crate::watch::DiscoverySource;
 
+/// Why a gateway cannot start, or cannot go on.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
+    /// The configuration file cannot be read.
     #[error("{}: {error}", file.display())]
-    Unread { file: PathBuf, error: io::Error },
+    Unread {
+        /// The file.
+        file: PathBuf,
+        /// Why.
+        error: io::Error,
+    },
+    /// The configuration cannot be parsed.
     #[error("{}: {error}", file.display())]
-    Config { file: PathBuf, error: ConfigError },
-    #[error("{0}")]
-    Settings(String),
+    Config {
+        /// The file.
+        file: PathBuf,
+        /// Why.
+        error: ConfigError,
+    },
+    /// The core cannot start with the settings.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// Limits cannot be derived from the configuration.
+    #[error(transparent)]
+    Limits(#[from] LimitsError),
+    /// A configuration that was read again cannot be put in force.
+    #[error(transparent)]
+    Reconfigure(#[from] ReconfigureError),
+    /// The gateway cannot listen.
     #[error("listening at {address}: {error}")]
-    Listen { address: SocketAddr, error: io::Error },
+    Listen {
+        /// Where it should.
+        address: SocketAddr,
+        /// Why it cannot.
+        error: io::Error,
+    },
+    /// Signals cannot be handled.
     #[error("signals: {0}")]
     Signals(io::Error),
-    #[error("the decisions cannot go on: {0}")]
-    Fatal(String),
+    /// The scheduler cannot go on.
+    #[error("the scheduler cannot go on: {0}")]
+    Fatal(#[from] FatalError),
+    /// The task that owns the core has panicked.
+    #[error("the scheduler cannot go on: {0}")]
+    TaskFailed(#[from] JoinError),
 }
 
+/// Reads a configuration file.
+///
+/// # Errors
+/// The file cannot be read, or is no configuration.
 pub fn read(file: &Path) -> Result<Config, GatewayError> {
     let text =
         std::fs::read_to_string(file).map_err(|error| GatewayError::Unread { file: file.into(), error })?;
     Config::read(&text).map_err(|error| GatewayError::Config { file: file.into(), error })
 }
 
-/// Runs one gateway until SIGTERM or SIGINT; to be awaited inside a `LocalSet`.
-/// `listening` is told the address once it listens.
+/// The signals that the gateway handles.
+struct Signals {
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, GatewayError> {
+        let install = |kind| signal(kind).map_err(GatewayError::Signals);
+        Ok(Signals {
+            hangup: install(SignalKind::hangup())?,
+            terminate: install(SignalKind::terminate())?,
+            interrupt: install(SignalKind::interrupt())?,
+        })
+    }
+}
+
+/// Runs one gateway until SIGTERM or SIGINT; to be awaited inside a `LocalSet`. `listening` gets the address once the gateway
+/// listens.
+///
+/// # Errors
+/// The gateway cannot start, or its scheduler cannot go on.
 pub async fn run(file: PathBuf, listening: impl FnOnce(SocketAddr)) -> Result<(), GatewayError> {
-    // Danger: a signal that comes before this ends the process at once.
-    let mut hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signals)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signals)?;
-    let mut interrupt = signal(SignalKind::interrupt()).map_err(GatewayError::Signals)?;
+    // Hazard: a signal that comes before this ends the process at once.
+    let mut signals = Signals::install()?;
     let mut config = read(&file)?;
     let clock = Clock::start();
-    let core =
-        Core::start(&config, clock.now()).map_err(|error| GatewayError::Settings(error.to_string()))?;
-    let bounds = ResourceLimits::from_config(&config).map_err(GatewayError::Settings)?;
-    let listen = |error| GatewayError::Listen { address: config.listen, error };
-    let listener = TcpListener::bind(config.listen).await.map_err(listen)?;
-    let address = listener.local_addr().map_err(listen)?;
-    let hub = Rc::new(EventLoop::new(core, clock, bounds));
+    let core = Core::start(&config, clock.now())?;
+    let limits = ResourceLimits::from_config(&config)?;
+    let listen_error = |error| GatewayError::Listen { address: config.listen, error };
+    let listener = TcpListener::bind(config.listen).await.map_err(listen_error)?;
+    let address = listener.local_addr().map_err(listen_error)?;
+    let event_loop = Rc::new(EventLoop::new(core, clock, limits));
     let (to_watch, source) = watched::channel(DiscoverySource::from_config(&config));
-    let dial = Socket::connect;
-    let followed = watch::follow(dial, hub.clone(), source, config.known.version, config.seed);
-    tokio::task::spawn_local(followed);
-    tokio::task::spawn_local(store::tidy(hub.clone()));
-    tokio::task::spawn_local(report_counters(hub.clone()));
-    tokio::task::spawn_local(listener::accept(hub.clone(), listener));
-    tracing::info!(name = config.name, listen = %address, discovery = %config.discovery, "serving");
+    let connect = Socket::connect;
+    let watch = watch::follow(connect, event_loop.clone(), source, config.known.version, config.seed);
+    tokio::task::spawn_local(watch);
+    tokio::task::spawn_local(store_pool::sweep_pools(event_loop.clone()));
+    tokio::task::spawn_local(report_counters(event_loop.clone()));
+    tokio::task::spawn_local(listener::accept(event_loop.clone(), listener));
+    tracing::info!(name = config.name, listen = %address, discovery = %config.discovery, "gateway started");
     listening(address);
-    let mut turns = tokio::task::spawn_local(event_loop::run(hub.clone()));
-    let told_to_end = Notify::new();
-    let mut stopped = std::pin::pin!(stop(&hub, &told_to_end));
+    let mut turns = tokio::task::spawn_local(event_loop::run(event_loop.clone()));
+    let terminate = Notify::new();
+    let mut shutdown = std::pin::pin!(shutdown::run(&event_loop, &terminate));
     loop {
         tokio::select! {
             // What has come together is taken in this order: a drain goes by the configuration before it.
             biased;
-            ended = &mut turns => return ended.unwrap_or_else(|e| Err(e.to_string())).map_err(GatewayError::Fatal),
-            () = &mut stopped => return Ok(()),
-            _ = hangup.recv() => {
-                if let Err(error) = reconfigure(&file, &mut config, &hub, &to_watch) {
+            ended = &mut turns => return Ok(ended??),
+            () = &mut shutdown => return Ok(()),
+            _ = signals.hangup.recv() => {
+                if let Err(error) = reconfigure(&file, &mut config, &event_loop, &to_watch) {
                     // Hazard: a half-written or wrong file must not end a gateway that serves.
-                    tracing::error!(%error, "configuration not read again, the former holds");
+                    tracing::error!(%error, "configuration rejected, the former holds");
                 }
             }
-            _ = terminate.recv() => told_to_end.notify_one(),
-            _ = interrupt.recv() => told_to_end.notify_one(),
+            _ = signals.terminate.recv() => terminate.notify_one(),
+            _ = signals.interrupt.recv() => terminate.notify_one(),
         }
     }
 }
@@ -106,7 +165,7 @@
 fn reconfigure(
     file: &Path,
     config: &mut Config,
-    hub: &EventLoop,
+    event_loop: &EventLoop,
     to_watch: &watched::Sender<DiscoverySource>,
 ) -> Result<(), GatewayError> {
     let new = read(file)?;
@@ -114,63 +173,28 @@
         tracing::warn!(listen = %new.listen, name = new.name, "listen, name and seed need a restart");
     }
     if (&new.settings, new.limits) != (&config.settings, config.limits) {
-        hub.reconfigure(&new).map_err(GatewayError::Settings)?;
+        event_loop.reconfigure(&new)?;
     }
     let source = DiscoverySource::from_config(&new);
-    to_watch.send_if_modified(|held| std::mem::replace(held, source) != source);
-    tracing::info!(discovery = %new.discovery, counters = %hub.counters, "configuration read again");
+    to_watch.send_if_modified(|current| std::mem::replace(current, source) != source);
+    let counters = &event_loop.counters;
+    tracing::info!(discovery = %new.discovery, %counters, "configuration applied");
     *config = new;
     Ok(())
 }
 
-/// How often the counts by reason are told, where they have changed.
+/// How often the counters are logged, where they have changed.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Tells the counts by reason at an interval, for as long as the gateway runs.
-async fn report_counters(hub: Rc<EventLoop>) {
+/// Logs the counters at an interval, for as long as the gateway runs.
+async fn report_counters(event_loop: Rc<EventLoop>) {
     let mut last = String::new();
     loop {
         sleep(COUNTERS_INTERVAL).await;
-        let now = hub.counters.to_string();
-        if now != last {
-            tracing::info!(counters = %now, "lifecycle counters");
-            last = now;
+        let counters = event_loop.counters.to_string();
+        if counters != last {
+            tracing::info!(%counters, "lifecycle counters");
+            last = counters;
         }
     }
 }
-
-/// Once told so, goes on serving for as long as what comes can still be answered before SIGKILL: nobody else serves
-/// these clients until the next run of this gateway. Then ends idle connections, and returns when all that was taken
-/// is answered.
-async fn stop(hub: &EventLoop, told: &Notify) {
-    told.notified().await;
-    let Timeouts { accept_until, retry_until, drain_deadline, response_write, drain_close, .. } =
-        hub.limits().timeouts;
-    let at = |span| hub.clock.instant(hub.clock.now() + span).into();
-    let (closing, end): (Instant, Instant) = (at(accept_until), at(drain_deadline));
-    tracing::info!(open = hub.open_requests(), clients = hub.clients.len(), counters = %hub.counters, "stopping");
-    hub.post(Input::ShuttingDown(hub.clock.now() + retry_until));
-    hub.enter(Phase::Draining);
-    sleep_until(closing).await;
-    hub.enter(Phase::Closing);
-    if timeout_at(end, hub.clients.empty()).await.is_ok() {
-        tracing::info!(counters = %hub.counters, "lifecycle counters");
-        return;
-    }
-    // Danger: what was taken is lost without its whole answer, and this process may have come to it late. Who has sent
-    // no whole request by now is turned away.
-    let answered = timeout(response_write, hub.clients.all_answered()).await.is_ok();
-    // Danger: bytes that lie unread when the process ends reset their connections, and answers go with them.
-    let parted = timeout(drain_close, hub.clients.empty()).await.is_ok();
-    let clients = hub.clients.len();
-    let may_exit = connection::may_exit(hub.clients.obligations());
-    if let Err(violation) = may_exit {
-        hub.counters.count(violation);
-        tracing::error!(%violation, clients, "lifecycle rule violated");
-    }
-    tracing::info!(counters = %hub.counters, "lifecycle counters");
-    match answered {
-        true => tracing::info!(clients, parted, "stopped with open connections"),
-        false => tracing::warn!(open = hub.open_requests(), clients, "stopped with requests unanswered"),
-    }
-}
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -3,16 +3,17 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::pending;
+use std::time::Duration;
 
-use tokio::io::DuplexStream;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 use umbertray_clock::Clock;
-use umbertray_http_api::{Config, Core};
+use umbertray_http_api::{Config, Core, fields};
 
 use super::*;
-use crate::bounds::ResourceLimits;
-use crate::patience::last_attempt_begins_within;
+use crate::backoff::{self, last_attempt_begins_within};
+use crate::resource_limits::ResourceLimits;
 
 const ADDRESS: &str = "127.0.0.1:9";
 const NEXT_ADDRESS: &str = "127.0.0.1:10";
@@ -269,38 +270,38 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_falls_silent_once() {
+async fn watch_silent_once_tells_changes_in_time() {
     in_paused_time(tells_in_time(&[Act::Once(1), Act::Alive(2)])).await;
 }
 
 #[tokio::test]
-async fn a_watch_whose_next_is_silent_at_once_and_again() {
+async fn watch_silent_three_times_tells_changes_in_time() {
     in_paused_time(tells_in_time(&[Act::Once(1), Act::Silent, Act::Silent, Act::Alive(2)])).await;
 }
 
 #[tokio::test]
-async fn a_connect_that_hangs_then_a_silent_watch() {
+async fn hanging_connect_then_silent_watch_tells_changes_in_time() {
     in_paused_time(tells_in_time(&[Act::Once(1), Act::Hang, Act::Silent, Act::Alive(2)])).await;
 }
 
 #[tokio::test]
-async fn a_whole_list_that_trickles() {
+async fn trickling_list_tells_changes_in_time() {
     in_paused_time(tells_in_time(&[Act::Once(1), Act::Trickle, Act::Trickle, Act::Alive(2)])).await;
 }
 
 #[tokio::test]
-async fn a_line_that_trickles() {
+async fn trickling_line_tells_changes_in_time() {
     in_paused_time(tells_in_time(&[Act::Unending(1), Act::Hang, Act::Trickle, Act::Alive(2)])).await;
 }
 
 #[tokio::test]
-async fn an_older_list_after_a_silence_is_refused() {
+async fn older_list_after_silence_is_rejected() {
     in_paused_time(tells_in_time(&[Act::Once(1), Act::Once(0), Act::Alive(2)])).await;
 }
 
 /// Discovery has started anew, and counts from its beginning: what a watch tells is refused, the whole list is not.
 #[tokio::test]
-async fn versions_that_begin_anew_are_taken_with_the_whole_list() {
+async fn restarted_versions_with_whole_list_are_accepted() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Once(5), Act::Alive(3)]);
         world.list(3).await;
@@ -313,7 +314,7 @@
 
 /// A whole list ends the row, so its watch is not waited for as an outage is.
 #[tokio::test]
-async fn a_watch_that_says_nothing_after_a_whole_list_is_given_up_soon() {
+async fn watch_silent_after_whole_list_is_abandoned_soon() {
     in_paused_time(async {
         let mut acts = vec![Act::Hang; 8];
         acts.extend([Act::Unopened(1), Act::Alive(2)]);
@@ -321,15 +322,14 @@
         world.list(1).await;
         let listed = Instant::now();
         world.list(2).await;
-        let (took, bound) =
-            (listed.elapsed(), last_attempt_begins_within(2) - patience::watch_idle_timeout());
+        let (took, bound) = (listed.elapsed(), last_attempt_begins_within(2) - backoff::watch_idle_timeout());
         assert!(took <= bound, "{took:?}, at most {bound:?}");
     })
     .await;
 }
 
 #[tokio::test]
-async fn the_first_whole_list_of_all_that_trickles() {
+async fn first_list_trickling_is_accepted() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Trickle, Act::Trickle, Act::Alive(2)]);
         let begun = Instant::now();
@@ -340,7 +340,7 @@
 }
 
 #[tokio::test]
-async fn a_large_list_on_a_slow_path_comes_through() {
+async fn large_list_on_slow_path_is_accepted() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Slow(20_000)]);
         world.list(1).await;
@@ -350,7 +350,7 @@
 }
 
 #[tokio::test]
-async fn a_large_list_on_a_slow_path_comes_through_whatever_is_tried_beside_it() {
+async fn large_list_on_slow_path_beside_other_attempts_is_accepted() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Slow(20_000), Act::Hang]);
         world.list(1).await;
@@ -361,7 +361,7 @@
 
 /// Where the module lets time pass too: it is the only call.
 #[tokio::test]
-async fn a_list_that_is_slow_goes_on_while_the_module_waits() {
+async fn slow_list_while_scheduler_waits_continues() {
     in_paused_time(async {
         let world = World::new(Told::AskedOnce, &[Act::Slow(20_000)]);
         world.list(1).await;
@@ -371,7 +371,7 @@
 }
 
 #[tokio::test]
-async fn a_list_that_is_slow_is_not_heard_after_the_address_has_moved() {
+async fn slow_list_after_address_change_is_ignored() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Slow(20_000), Act::Hang]);
         world.dialed_so_often(2).await;
@@ -385,7 +385,7 @@
 
 /// The first list, and the first object of its watch too.
 #[tokio::test]
-async fn a_watch_on_a_slow_path_opens_and_stays() {
+async fn watch_on_slow_path_stays_open() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Slow(20_000)]);
         sleep(MINUTE).await;
@@ -398,7 +398,7 @@
 
 /// A sign of life is no list, but it may be all that there is to say.
 #[tokio::test]
-async fn a_watch_with_nothing_to_tell_opens_and_stays() {
+async fn watch_without_changes_stays_open() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Unchanged]);
         sleep(MINUTE).await;
@@ -411,7 +411,7 @@
 }
 
 #[tokio::test]
-async fn signs_of_life_keep_a_watch_open() {
+async fn watch_with_heartbeats_stays_open() {
     in_paused_time(async {
         let world = World::new(Told::Asked, &[Act::Alive(1)]);
         sleep(10 * MINUTE).await;
@@ -436,7 +436,7 @@
 
 /// After a long outage, discovery is back in the moment in which an attempt has begun that is lost, and so is the next one.
 #[tokio::test]
-async fn two_attempts_that_are_lost_in_any_way_after_an_outage_leave_a_third_in_time() {
+async fn two_lost_attempts_after_outage_leave_third_in_time() {
     in_paused_time(async {
         for (first, second) in OF_NO_USE.iter().flat_map(|first| OF_NO_USE.map(|second| (*first, second))) {
             let mut acts = vec![Act::Once(1)];
@@ -457,7 +457,7 @@
 
 /// What is had at the return counts at once.
 #[tokio::test]
-async fn an_agent_that_refused_for_long_is_asked_within_a_short_grace_of_its_return() {
+async fn agent_back_after_long_refusal_is_queried_within_short_grace() {
     in_paused_time(async {
         for outage in [Act::Refused, Act::Ended, Act::Cut] {
             let world = World::new(Told::Pushed, &[outage]);
@@ -474,7 +474,7 @@
 
 /// What cannot be read costs time to read, and lists that are asked for are priced.
 #[tokio::test]
-async fn neither_garbage_nor_asking_spins() {
+async fn unreadable_lists_and_polling_do_not_spin() {
     in_paused_time(async {
         let garbage = [Act::Unreadable, Act::Unwatched(1)].map(|act| (Told::Pushed, act));
         let asked = [Act::Refused, Act::Ended].map(|act| (Told::Asked, act));
@@ -490,7 +490,7 @@
 
 /// What the old address failed at says nothing of the new one: two attempts there may hang, as after a silence.
 #[tokio::test]
-async fn an_address_that_moves_after_an_outage_gets_fresh_patience() {
+async fn address_change_after_outage_resets_backoff() {
     in_paused_time(async {
         // In the middle of an attempt, or of the wait after it.
         for outage in [Act::Hang, Act::Refused] {
@@ -511,7 +511,7 @@
 
 /// What the old address had last may be heard from the new one alone: it must not pass for new.
 #[tokio::test]
-async fn a_watch_that_moves_is_told_as_broken() {
+async fn moved_watch_is_reported_broken() {
     in_paused_time(async {
         let world = World::new(Told::Pushed, &[Act::Alive(1)]);
         world.list(1).await;
@@ -524,7 +524,7 @@
 
 /// The module lets more time pass after each failure, up to the whole of `ask_within`.
 #[tokio::test]
-async fn an_address_that_moves_is_asked_although_the_module_waits() {
+async fn changed_address_while_scheduler_waits_is_queried() {
     in_paused_time(async {
         // While the module lets time pass, or in the wait before.
         for (outage, since) in [(Act::Hang, MINUTE), (Act::Refused, DRIP / 10)] {
@@ -542,7 +542,7 @@
 
 /// A watch that has long been open has ended the row of failures before it, also where it ends by order.
 #[tokio::test]
-async fn a_whole_list_that_is_fetched_on_order_gets_fresh_patience() {
+async fn list_fetched_on_request_resets_backoff() {
     in_paused_time(async {
         let mut acts = vec![Act::Hang; 8];
         acts.extend([Act::Alive(1), Act::Hang, Act::Silent, Act::Alive(2)]);
@@ -552,7 +552,7 @@
         world.hub.fetch_requested.notify_one();
         world.list(2).await;
         let (took, bound) =
-            (ordered.elapsed(), last_attempt_begins_within(3) - patience::watch_idle_timeout());
+            (ordered.elapsed(), last_attempt_begins_within(3) - backoff::watch_idle_timeout());
         assert!(took <= bound, "{took:?}, at most {bound:?}");
     })
     .await;
