--- /dev/null
+++ b/src/scheduler/fair_queue.rs
@@ -0,0 +1,190 @@
+//! The volumes that share one store: Argon's quanta, given out by virtual time.
+//!
+//! One volume at a time holds the store for a quantum, bounded by a count of ops and by time. The next quantum goes to
+//! the volume of the smallest virtual time, which grows by the units served over the weight of the volume's plan.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::interface::{Op, OpId, VolumeId};
+
+/// A volume without ops at a store for so long is forgotten there; what a snapshot tells fades within the same time.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// One volume at one store.
+#[derive(Default)]
+pub(super) struct VolumeQueue {
+    /// Queued ops as they were enqueued.
+    queued: Vec<OpId>,
+    /// The same with their keys, of the greatest priority weight first, then as they arrived.
+    ranked: Vec<(OpId, Option<u64>)>,
+    in_flight: usize,
+    /// Units served over the weight of the volume's plan.
+    pub(super) virtual_time: f64,
+    /// Seconds of an average answer.
+    pub(super) latency: f64,
+    pub(super) last_used: Duration,
+    /// When its next paced op may go to the store while that is in slow start.
+    pub(super) next_paced_send_at: Duration,
+}
+
+impl VolumeQueue {
+    fn is_active(&self) -> bool {
+        !self.queued.is_empty() || self.in_flight > 0
+    }
+
+    pub(super) fn queued(&self) -> &[OpId] {
+        &self.queued
+    }
+
+    pub(super) fn ranked(&self) -> &[(OpId, Option<u64>)] {
+        &self.ranked
+    }
+
+    fn start_attempt(&mut self, now: Duration, units_by_weight: f64, pacing: Duration) {
+        self.last_used = now;
+        self.next_paced_send_at = now + pacing;
+        self.in_flight += 1;
+        self.virtual_time += units_by_weight;
+    }
+
+    /// Units served elsewhere count too: Argon assumes that one scheduler sees the whole load.
+    pub(super) fn finish_attempt(&mut self, now: Duration, elsewhere_by_weight: f64) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.last_used = now;
+        self.virtual_time += elsewhere_by_weight;
+    }
+}
+
+/// A volume's exclusive use of a store.
+pub(super) struct Quantum {
+    pub(super) volume: VolumeId,
+    /// Ops that it may still start, at least one.
+    pub(super) ops_left: f64,
+    pub(super) ends_at: Duration,
+}
+
+/// An op to be enqueued.
+pub(super) struct NewEntry {
+    pub(super) op: OpId,
+    pub(super) key: Option<u64>,
+    pub(super) volume: VolumeId,
+    /// Seconds of an average answer that a volume new to the store starts with.
+    pub(super) initial_latency: f64,
+}
+
+/// All volumes at one store.
+///
+/// Invariant: `queued_count` is the sum of the queues' lengths.
+#[derive(Default)]
+pub(super) struct FairQueue {
+    volumes: BTreeMap<VolumeId, VolumeQueue>,
+    pub(super) quantum: Option<Quantum>,
+    /// The key of the last op sent: runs on one key stay together.
+    pub(super) last_key: Option<u64>,
+    queued_count: usize,
+}
+
+impl FairQueue {
+    pub(super) fn queued_count(&self) -> usize {
+        self.queued_count
+    }
+
+    pub(super) fn volume(&self, id: VolumeId) -> Option<&VolumeQueue> {
+        self.volumes.get(&id)
+    }
+
+    pub(super) fn volume_mut(&mut self, id: VolumeId) -> Option<&mut VolumeQueue> {
+        self.volumes.get_mut(&id)
+    }
+
+    /// All queued ops, by volume, as they were enqueued.
+    pub(super) fn queued_ops(&self) -> Vec<OpId> {
+        self.volumes.values().flat_map(|queue| queue.queued.iter().copied()).collect()
+    }
+
+    pub(super) fn virtual_times(&self) -> Vec<(VolumeId, f64)> {
+        self.volumes.iter().map(|(id, queue)| (*id, queue.virtual_time)).collect()
+    }
+
+    /// The virtual time that a volume starts at, or returns at if its own is smaller.
+    ///
+    /// With no volume active it is the greatest: at the smallest, a volume that was served alone would wait until the
+    /// newcomer was served as much.
+    fn virtual_time_floor(&self) -> f64 {
+        let times = |is_active: bool| {
+            let queues = self.volumes.values().filter(move |queue| queue.is_active() == is_active);
+            queues.map(|queue| queue.virtual_time)
+        };
+        let of_active = times(true).reduce(f64::min);
+        of_active.or_else(|| times(false).reduce(f64::max)).unwrap_or(0.0)
+    }
+
+    /// `rank` orders the ops of a volume, smallest first.
+    pub(super) fn enqueue<R: PartialOrd>(
+        &mut self,
+        entry: &NewEntry,
+        now: Duration,
+        rank: impl Fn(&OpId) -> R,
+    ) {
+        self.queued_count += 1;
+        let floor = self.virtual_time_floor();
+        let newcomer =
+            VolumeQueue { virtual_time: floor, latency: entry.initial_latency, ..VolumeQueue::default() };
+        let queue = self.volumes.entry(entry.volume).or_insert(newcomer);
+        queue.virtual_time = queue.virtual_time.max(floor);
+        queue.last_used = now;
+        let position = queue.ranked.partition_point(|(other, _)| rank(other) < rank(&entry.op));
+        queue.ranked.insert(position, (entry.op, entry.key));
+        queue.queued.push(entry.op);
+    }
+
+    pub(super) fn dequeue(&mut self, op: OpId, volume: VolumeId) {
+        self.queued_count -= 1;
+        if let Some(queue) = self.volumes.get_mut(&volume) {
+            queue.queued.retain(|other| *other != op);
+            queue.ranked.retain(|(other, _)| *other != op);
+        }
+    }
+
+    /// An op of a known volume starts, `units_by_weight` its units over the weight of the volume's plan.
+    pub(super) fn on_attempt_started(
+        &mut self,
+        op: &Op,
+        now: Duration,
+        units_by_weight: f64,
+        pacing: Duration,
+    ) {
+        self.last_key = op.key;
+        if let Some(queue) = self.volumes.get_mut(&op.volume) {
+            queue.start_attempt(now, units_by_weight, pacing);
+        }
+        if let Some(quantum) = &mut self.quantum {
+            quantum.ops_left -= 1.0;
+        }
+    }
+
+    /// Volumes with queued ops, of the smallest virtual time first.
+    pub(super) fn waiting_volumes(&self) -> Vec<VolumeId> {
+        let waiting = self.volumes.iter().filter(|(_, queue)| !queue.queued.is_empty());
+        let mut waiting: Vec<_> = waiting.map(|(id, queue)| (queue.virtual_time, *id)).collect();
+        waiting.sort_by(|(a, _), (b, _)| a.total_cmp(b));
+        waiting.into_iter().map(|(_, id)| id).collect()
+    }
+
+    pub(super) fn drop_idle(&mut self, now: Duration) {
+        self.volumes.retain(|_, queue| queue.is_active() || queue.last_used + IDLE_TIMEOUT > now);
+    }
+
+    /// Adds an earlier run's virtual time, as far as it is trusted.
+    pub(super) fn restore(
+        &mut self,
+        volume: VolumeId,
+        virtual_time: f64,
+        initial_latency: f64,
+        now: Duration,
+    ) {
+        let newcomer = || VolumeQueue { latency: initial_latency, last_used: now, ..VolumeQueue::default() };
+        self.volumes.entry(volume).or_insert_with(newcomer).virtual_time += virtual_time;
+    }
+}
--- /dev/null
+++ b/src/scheduler/store_table.rs
@@ -0,0 +1,170 @@
+//! All stores, and which of them need looking at.
+//!
+//! A sweep looks only at active stores. What it would have done to the others is caught up with, to the bit, before they
+//! are used next, and for one of them at the end of each sweep.
+
+use std::collections::btree_map::Entry;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound::{Excluded, Unbounded};
+use std::ops::Index;
+use std::time::Duration;
+
+use super::fair_queue::NewEntry;
+use super::settings::SchedulerSettings;
+use super::store::{Store, StoreBaseline};
+use super::sweep::SweepTime;
+use crate::interface::{Endpoint, OpId, StoreId, VolumeId};
+
+/// Stores by id, with the indices that keep events from looking at all of them.
+///
+/// Invariant: `by_shard`, `with_queued_ops` and `active_stores` name only stores that are in `stores`, the second just
+/// those with queued ops, the last all that have work or are gone.
+#[derive(Default)]
+pub(super) struct StoreTable {
+    stores: BTreeMap<StoreId, Store>,
+    by_shard: BTreeSet<(u32, StoreId)>,
+    with_queued_ops: BTreeSet<StoreId>,
+    /// Gone, or with ops queued or in flight since the last sweep.
+    active_stores: BTreeSet<StoreId>,
+    last_sweep: SweepTime,
+    /// The store that the sweep under way has come to, in the order of ids.
+    sweep_cursor: Option<StoreId>,
+    /// The store that was last caught up with at the end of a sweep.
+    catch_up_cursor: Option<StoreId>,
+}
+
+impl Index<StoreId> for StoreTable {
+    type Output = Store;
+
+    fn index(&self, id: StoreId) -> &Store {
+        &self.stores[&id]
+    }
+}
+
+impl StoreTable {
+    pub(super) fn get(&self, id: StoreId) -> Option<&Store> {
+        self.stores.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: StoreId) -> Option<&mut Store> {
+        self.stores.get_mut(&id)
+    }
+
+    /// In the order of ids.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (StoreId, &Store)> {
+        self.stores.iter().map(|(id, store)| (*id, store))
+    }
+
+    /// The stores of a shard, in the order of ids.
+    pub(super) fn of_shard(&self, shard: u32) -> impl Iterator<Item = (StoreId, &Store)> {
+        let ids = self.by_shard.range((shard, StoreId(0))..=(shard, StoreId(u32::MAX)));
+        ids.map(|(_, id)| (*id, &self.stores[id]))
+    }
+
+    pub(super) fn with_queued_ops(&self) -> impl Iterator<Item = StoreId> {
+        self.with_queued_ops.iter().copied()
+    }
+
+    pub(super) fn active_count(&self) -> usize {
+        self.active_stores.len()
+    }
+
+    /// Makes the store one that sweeps look at, as those up to now would have left it.
+    pub(super) fn activate(
+        &mut self,
+        id: StoreId,
+        now: Duration,
+        settings: &SchedulerSettings,
+    ) -> Option<&mut Store> {
+        // The sweep under way counts for the stores that it has passed.
+        let sweep = if Some(id) <= self.sweep_cursor {
+            SweepTime { number: self.last_sweep.number + 1, at: now }
+        } else {
+            self.last_sweep
+        };
+        let store = self.stores.get_mut(&id)?;
+        self.active_stores.insert(id);
+        store.apply_missed_sweeps(sweep, settings);
+        Some(store)
+    }
+
+    /// Before anything that judges all stores as they are now.
+    pub(super) fn apply_all_missed_sweeps(&mut self, settings: &SchedulerSettings) {
+        for store in self.stores.values_mut() {
+            store.apply_missed_sweeps(self.last_sweep, settings);
+        }
+    }
+
+    /// Indexes a listed store, a new one if it is not known yet, and activates it.
+    pub(super) fn list(
+        &mut self,
+        endpoint: &Endpoint,
+        baseline: StoreBaseline,
+        now: Duration,
+        settings: &SchedulerSettings,
+    ) -> Option<&mut Store> {
+        let id = endpoint.store;
+        match self.stores.entry(id) {
+            Entry::Occupied(known) => {
+                self.by_shard.remove(&(known.get().endpoint.shard, id));
+            }
+            Entry::Vacant(unknown) => {
+                unknown.insert(Store::new(baseline, now, self.last_sweep.number));
+            }
+        }
+        self.by_shard.insert((endpoint.shard, id));
+        self.activate(id, now, settings)
+    }
+
+    pub(super) fn enqueue<R: PartialOrd>(
+        &mut self,
+        id: StoreId,
+        entry: &NewEntry,
+        now: Duration,
+        rank: impl Fn(&OpId) -> R,
+        settings: &SchedulerSettings,
+    ) {
+        if let Some(store) = self.activate(id, now, settings) {
+            store.queues.enqueue(entry, now, rank);
+            self.with_queued_ops.insert(id);
+        }
+    }
+
+    pub(super) fn dequeue(&mut self, id: StoreId, op: OpId, volume: VolumeId) {
+        let Some(store) = self.stores.get_mut(&id) else { return };
+        store.queues.dequeue(op, volume);
+        if store.queues.queued_count() == 0 {
+            self.with_queued_ops.remove(&id);
+        }
+    }
+
+    /// Drops stores of which nothing counts any more, and leaves idle ones out of the next sweeps.
+    pub(super) fn begin_sweep(&mut self) {
+        if self.active_stores.iter().any(|id| self.stores[id].can_be_dropped()) {
+            self.stores.retain(|_, store| !store.can_be_dropped());
+            self.by_shard.retain(|(_, id)| self.stores.contains_key(id));
+        }
+        let stays = |store: &Store| store.has_work() || store.is_gone();
+        self.active_stores.retain(|id| self.stores.get(id).is_some_and(stays));
+    }
+
+    /// Moves the sweep under way to the next active store.
+    pub(super) fn next_to_sweep(&mut self) -> Option<StoreId> {
+        let after = self.sweep_cursor.map_or(Unbounded, Excluded);
+        let next = self.active_stores.range((after, Unbounded)).next().copied()?;
+        self.sweep_cursor = Some(next);
+        Some(next)
+    }
+
+    /// Ends the sweep under way and catches up with one store, in turn: none keeps for long what is over.
+    pub(super) fn finish_sweep(&mut self, now: Duration, settings: &SchedulerSettings) {
+        self.last_sweep = SweepTime { number: self.last_sweep.number + 1, at: now };
+        self.sweep_cursor = None;
+        let after = self.catch_up_cursor.map_or(Unbounded, Excluded);
+        let next = self.stores.range_mut((after, Unbounded)).next();
+        self.catch_up_cursor = next.map(|(id, store)| {
+            store.apply_missed_sweeps(self.last_sweep, settings);
+            *id
+        });
+    }
+}
--- /dev/null
+++ b/src/scheduler/sweep.rs
@@ -0,0 +1,82 @@
+//! The sweep: what only the passing of time changes, looked at in short intervals.
+
+use std::time::Duration;
+
+use super::SchedulerState;
+use super::pending_op::PendingOp;
+use crate::interface::{Action, OpId, StoreId};
+
+/// The time between sweeps, in shortest latency objectives.
+pub(super) const SWEEP_INTERVAL_PER_OBJECTIVE: f64 = 0.0625;
+/// The token of the sweep's timer, the only one that is set.
+const SWEEP_TIMER: u64 = 0;
+
+/// The number of a sweep and when it began.
+#[derive(Clone, Copy, Default)]
+pub(super) struct SweepTime {
+    pub(super) number: u64,
+    pub(super) at: Duration,
+}
+
+impl SchedulerState {
+    pub(super) fn sweep_interval(&self) -> Duration {
+        self.shortest_objective.mul_f64(SWEEP_INTERVAL_PER_OBJECTIVE)
+    }
+
+    pub(super) fn sweep(&mut self) {
+        self.next_sweep_at = self.now + self.sweep_interval();
+        self.actions.push(Action::SetTimer { token: SWEEP_TIMER, at: self.next_sweep_at });
+        if self.endpoint_watch.take_due_retry(self.now) {
+            self.actions.push(Action::WatchEndpoints);
+        }
+        self.end_overdue_ops();
+        self.stores.begin_sweep();
+        while let Some(id) = self.stores.next_to_sweep() {
+            self.sweep_store(id);
+        }
+        self.stores.finish_sweep(self.now, &self.settings);
+        self.retry_budget.drop_old(self.settings.retry_budget.window, self.now);
+        self.key_orders.drop_finished(self.now);
+    }
+
+    fn end_overdue_ops(&mut self) {
+        let is_overdue = |(id, pending): (&OpId, &PendingOp)| {
+            (!pending.has_ended && self.now >= pending.deadline_at).then_some(*id)
+        };
+        let overdue: Vec<OpId> = self.ops.iter().filter_map(is_overdue).collect();
+        for op in overdue {
+            self.end_unserved(op);
+        }
+    }
+
+    fn sweep_store(&mut self, id: StoreId) {
+        let Some(store) = self.stores.activate(id, self.now, &self.settings) else { return };
+        if !self.is_stalled && store.is_silent(self.now) {
+            store.outlier.suspect(self.now);
+        }
+        let queued = store.queues.queued_ops();
+        if store.outlier.is_suspected() || !store.is_ready() {
+            // Another store may do, or a successor: a drain that is not known yet looks like a silent store.
+            for op in &queued {
+                self.enqueue(*op);
+            }
+        }
+        self.end_late_ops(id, queued);
+    }
+
+    /// Ops that would be answered late are ended at the next sweep: kept, they fill gaps that other gateways' ops could
+    /// use.
+    fn end_late_ops(&mut self, id: StoreId, queued: Vec<OpId>) {
+        let store = &self.stores[id];
+        let is_over = |op: &OpId| {
+            self.ops.get(op).is_some_and(|pending| {
+                pending.queued_store == Some(id)
+                    && (self.misses_objective(pending, store) || !self.may_attempt_at(pending, id))
+            })
+        };
+        let over: Vec<OpId> = queued.into_iter().filter(is_over).collect();
+        for op in over {
+            self.end_unserved(op);
+        }
+    }
+}
