--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -6,7 +6,10 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use umbertray::interface::*;
+use umbertray::interface::{
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Settings, StoreId,
+    StoreState, VolumeId,
+};
 use umbertray::scheduler::Scheduler;
 
 const ANSWER: Duration = Duration::from_millis(1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The decisions of a storage gateway: which op goes to which store, when, and which is turned away.
+//! The decisions of a storage gateway: which op goes to which store, when, and which is rejected.
 //!
 //! [`scheduler`] decides; [`interface`] holds the events it is told, the actions it asks for and their plain types.
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -75,6 +75,11 @@
     length: Duration,
 }
 
+/// One of several, of which there is at least one.
+fn choose<T: Copy>(g: &mut Gen, of: &[T]) -> T {
+    *g.choose(of).expect("there is something to choose from")
+}
+
 impl Arbitrary for Spell {
     fn arbitrary(g: &mut Gen) -> Spell {
         use Cause::*;
@@ -97,13 +102,13 @@
             Restart,
         ];
         Spell {
-            cause: *g.choose(&causes).unwrap(),
-            clients: *g.choose(&[1, 4, 32, 100]).unwrap(),
-            volumes: *g.choose(&[1, 3, 8]).unwrap(),
-            units: *g.choose(&[0.5, 2.0, 2.0, 16.0]).unwrap(),
-            plan: *g.choose(&[0, 1]).unwrap(),
-            op_type: *g.choose(&[Option::None, Some(0), Some(1), Some(2)]).unwrap(),
-            length: ms(*g.choose(&[50, 400, 1600]).unwrap()),
+            cause: choose(g, &causes),
+            clients: choose(g, &[1, 4, 32, 100]),
+            volumes: choose(g, &[1, 3, 8]),
+            units: choose(g, &[0.5, 2.0, 2.0, 16.0]),
+            plan: choose(g, &[0, 1]),
+            op_type: choose(g, &[Option::None, Some(0), Some(1), Some(2)]),
+            length: ms(choose(g, &[50, 400, 1600])),
         }
     }
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -17,41 +17,45 @@
     World::new(at(0), vec![listing(0, 0, None, StoreState::Ready)])
 }
 
+const OUTCOMES: [Outcome; 11] = [
+    Outcome::Succeeded,
+    Outcome::Succeeded,
+    Outcome::Succeeded,
+    Outcome::Failed,
+    Outcome::Rejected,
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+    Outcome::Unknown,
+];
+
+/// The op that a step of a day stands for.
+fn drawn_op(id: u32, bits: usize) -> Op {
+    let mut op = op(id, (bits / 128 % 4) as u32, bits / 512 % 4);
+    op.plan = bits / 128 % 2;
+    op.gateways = 2.0;
+    op.units = (1 + bits / 2048 % 6) as f64;
+    op.shard = (bits / 8192 > 1).then_some((bits / 2 % 3) as u32);
+    op.key = Some(1 + (bits / 4096 % 2) as u64);
+    op.time_left = ms([1000, 400, 30, 1000][bits / 16384]);
+    op
+}
+
 /// Plays a day drawn by the bytes; the world panics where an action breaks a rule.
 fn day(steps: &[u16]) -> World {
     let mut list: Vec<Endpoint> = (0..3).map(|i| listing(i, i, None, StoreState::Ready)).collect();
     let mut world = World::new(at(0), list.clone());
-    let outcomes = [
-        Outcome::Succeeded,
-        Outcome::Succeeded,
-        Outcome::Succeeded,
-        Outcome::Failed,
-        Outcome::Rejected,
-        Outcome::TimedOut,
-        Outcome::ConnectFailed,
-        Outcome::Reset,
-        Outcome::Cancelled,
-        Outcome::NotSent,
-        Outcome::Unknown,
-    ];
     for (i, step) in steps.iter().enumerate() {
         let bits = usize::from(*step);
         let (side, which) = (bits % 2, bits / 2 % 3);
         match bits / 8 % 16 {
-            0..7 => {
-                let mut op = op(i as u32, (bits / 128 % 4) as u32, bits / 512 % 4);
-                op.plan = bits / 128 % 2;
-                op.gateways = 2.0;
-                op.units = (1 + bits / 2048 % 6) as f64;
-                op.shard = (bits / 8192 > 1).then_some(which as u32);
-                op.key = Some(1 + (bits / 4096 % 2) as u64);
-                op.time_left = ms([1000, 400, 30, 1000][bits / 16384]);
-                world.arrive(side, op);
-            }
+            0..7 => world.arrive(side, drawn_op(i as u32, bits)),
             7..13 => {
                 let out = world.out(side);
                 if let Some((id, n, _)) = out.get(bits / 128 % out.len().max(1)) {
-                    world.answer(side, *id, *n, outcomes[bits / 2048 % outcomes.len()]);
+                    world.answer(side, *id, *n, OUTCOMES[bits / 2048 % OUTCOMES.len()]);
                 }
             }
             13 => {
@@ -91,6 +95,7 @@
 
 #[test]
 fn generated_days_keep_the_rules() {
+    #[allow(clippy::needless_pass_by_value)] // The generator hands over what it made.
     fn keeps(steps: Vec<u16>) -> bool {
         let actions = |world: World| world.sides.into_iter().map(|side| side.actions).collect::<Vec<_>>();
         actions(day(&steps)) == actions(day(&steps))
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,24 +6,24 @@
 use umbertray::interface::*;
 use umbertray::scheduler::Scheduler;
 
-pub const GATEWAYS: usize = 2;
-pub const COLD_UNITS: f64 = 12.0;
-pub const LIMIT: (f64, f64, f64) = (20.0, 24.0, 2.4);
+pub(crate) const GATEWAYS: usize = 2;
+pub(crate) const COLD_UNITS: f64 = 12.0;
+pub(crate) const LIMIT: (f64, f64, f64) = (20.0, 24.0, 2.4);
 const COLD: (f64, f64, f64) = (0.25, 8.0, 1.0);
 const FURTHER: (f64, f64, f64) = (1.0, 0.2, 2.0);
 const PAUSE: Duration = Duration::from_millis(300);
 type Memory = (Duration, Duration, Vec<StoreSnapshot>, Vec<VolumeSnapshot>);
 
 /// Twice the least time between two saves.
-pub const PROMISED: Duration = Duration::from_millis(400);
-pub const GRACE: Duration = Duration::from_millis(1000);
+pub(crate) const PROMISED: Duration = Duration::from_millis(400);
+pub(crate) const GRACE: Duration = Duration::from_millis(1000);
 
-pub fn ms(millis: u64) -> Duration {
+pub(crate) fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 /// Four op types: replayable, deduplicated in a cell, once-only, and replayable in order.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let text = format!(
         "gateways={GATEWAYS} tick=0.002 stores.mean_units=2 stores.cold_units={COLD_UNITS} limits.max_dispatches=3 \
          limits.max_retry_after=1 rules.drain_grace=1 rules.cold_from={} rules.cold_time={} rules.fall_time={} rules.order_pause=0.3 \
@@ -48,11 +48,11 @@
     pairs.filter_map(|pair| pair.split_once('=').map(|(k, v)| (k.to_string(), v.to_string()))).collect()
 }
 
-pub fn listing(store: u32, shard: u32, started: Option<Duration>, state: StoreState) -> Endpoint {
+pub(crate) fn listing(store: u32, shard: u32, started: Option<Duration>, state: StoreState) -> Endpoint {
     Endpoint { store: StoreId(store), shard, zone: 0, started_at: started, state }
 }
 
-pub fn op(id: u32, volume: u32, op_type: usize) -> Op {
+pub(crate) fn op(id: u32, volume: u32, op_type: usize) -> Op {
     let (volume, left) = (VolumeId(volume), ms(1000));
     let name = volume.0.into();
     Op {
@@ -69,37 +69,37 @@
     }
 }
 
-pub struct Sent {
-    pub store: StoreId,
-    pub at: Duration,
-    pub ends: Duration,
-    pub outcome: Option<(Outcome, Duration)>,
+pub(crate) struct Sent {
+    pub(crate) store: StoreId,
+    pub(crate) at: Duration,
+    pub(crate) ends: Duration,
+    pub(crate) outcome: Option<(Outcome, Duration)>,
 }
 
 /// One op as the model sees it.
-pub struct Seen {
-    pub op: Op,
-    pub at: Duration,
-    pub sent: Vec<Sent>,
-    pub ended: bool,
-    pub order: usize,
+pub(crate) struct Seen {
+    pub(crate) op: Op,
+    pub(crate) at: Duration,
+    pub(crate) sent: Vec<Sent>,
+    pub(crate) ended: bool,
+    pub(crate) order: usize,
 }
 
 #[derive(Default)]
-pub struct Side {
+pub(crate) struct Side {
     gateway: Scheduler,
-    pub ops: BTreeMap<OpId, Seen>,
+    pub(crate) ops: BTreeMap<OpId, Seen>,
     timers: Vec<(Duration, u64)>,
     taken: Vec<Duration>,
     further: Vec<Duration>,
-    pub actions: Vec<Action>,
+    pub(crate) actions: Vec<Action>,
 }
 
 #[derive(Default)]
-pub struct World {
-    pub now: Duration,
-    pub sides: Vec<Side>,
-    pub list: Vec<Endpoint>,
+pub(crate) struct World {
+    pub(crate) now: Duration,
+    pub(crate) sides: Vec<Side>,
+    pub(crate) list: Vec<Endpoint>,
     /// What each side acts on.
     settings: Vec<Settings>,
     barred: BTreeMap<StoreId, Duration>,
@@ -109,16 +109,16 @@
 }
 
 impl World {
-    pub fn new(now: Duration, list: Vec<Endpoint>) -> World {
+    pub(crate) fn new(now: Duration, list: Vec<Endpoint>) -> World {
         World::with(now, list, settings())
     }
 
-    pub fn with(now: Duration, list: Vec<Endpoint>, settings: Settings) -> World {
+    pub(crate) fn with(now: Duration, list: Vec<Endpoint>, settings: Settings) -> World {
         World::wide(now, list, settings, GATEWAYS)
     }
 
     /// The same with so many gateways.
-    pub fn wide(now: Duration, list: Vec<Endpoint>, settings: Settings, gateways: usize) -> World {
+    pub(crate) fn wide(now: Duration, list: Vec<Endpoint>, settings: Settings, gateways: usize) -> World {
         let mut world = World { now, list, settings: vec![settings; gateways], ..World::default() };
         for side in 0..gateways {
             world.sides.push(Side::default());
@@ -127,14 +127,14 @@
         world
     }
 
-    pub fn restart(&mut self, side: usize) {
+    pub(crate) fn restart(&mut self, side: usize) {
         self.sides[side] = Side::default();
         let start = Event::Start { seed: side as u64, settings: self.settings[side].clone() };
         self.tell(side, vec![start, Event::EndpointList(EndpointListUpdate::Cached(self.list.clone()))]);
     }
 
     /// A side acts on another limit and burst of plan 1 from now on; 0: none.
-    pub fn limit(&mut self, side: usize, limit: f64, burst: f64) {
+    pub(crate) fn limit(&mut self, side: usize, limit: f64, burst: f64) {
         let volumes: Vec<VolumeId> = self.limits.keys().copied().collect();
         volumes.into_iter().for_each(|volume| _ = self.left(volume));
         let settings = &mut self.settings[side];
@@ -158,7 +158,7 @@
     }
 
     /// What a side would keep now, at its moment.
-    pub fn remember(&mut self, side: usize) {
+    pub(crate) fn remember(&mut self, side: usize) {
         self.tell(side, vec![Event::TakeSnapshot { promise_duration: PROMISED }]);
         let known = self.sides[side].actions.pop();
         let Some(Action::Snapshot { stores, volumes }) = known else { panic!("not told: {known:?}") };
@@ -171,7 +171,7 @@
     }
 
     /// Restarts a side that recalls what it kept last; its age may be unknown.
-    pub fn recall(&mut self, side: usize, sure: bool) {
+    pub(crate) fn recall(&mut self, side: usize, sure: bool) {
         self.restart(side);
         if let Some((at, promised, stores, volumes)) = self.memories.get(&side).cloned() {
             let age = sure.then_some(self.now - at);
@@ -180,7 +180,7 @@
         }
     }
 
-    pub fn relist(&mut self, list: Vec<Endpoint>) {
+    pub(crate) fn relist(&mut self, list: Vec<Endpoint>) {
         for known in &self.list {
             let now = list.iter().find(|l| l.store == known.store);
             if now.is_none_or(|l| l.state != StoreState::Ready) {
@@ -194,7 +194,7 @@
         }
     }
 
-    pub fn arrive(&mut self, side: usize, op: Op) {
+    pub(crate) fn arrive(&mut self, side: usize, op: Op) {
         let order = self.sides[side].taken.len();
         self.sides[side].taken.push(self.now);
         let seen = Seen { op: op.clone(), at: self.now, sent: vec![], ended: false, order };
@@ -202,7 +202,7 @@
         self.tell(side, vec![Event::OpArrived(op)]);
     }
 
-    pub fn answer(&mut self, side: usize, id: OpId, dispatch: usize, outcome: Outcome) {
+    pub(crate) fn answer(&mut self, side: usize, id: OpId, dispatch: usize, outcome: Outcome) {
         let now = self.now;
         let seen = self.sides[side].ops.get_mut(&id).expect("an op that was sent");
         let sent = &mut seen.sent[dispatch];
@@ -225,7 +225,7 @@
     }
 
     /// Lets time pass: timers ring, dispatches time out, and every final answer must be in.
-    pub fn pass(&mut self, span: Duration) {
+    pub(crate) fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = until.min(self.now + ms(2));
@@ -248,7 +248,7 @@
         }
     }
 
-    pub fn out(&self, side: usize) -> Vec<(OpId, usize, Duration)> {
+    pub(crate) fn out(&self, side: usize) -> Vec<(OpId, usize, Duration)> {
         let sent = self.sides[side]
             .ops
             .iter()
@@ -256,7 +256,7 @@
         sent.filter(|(_, (_, s))| s.outcome.is_none()).map(|(id, (n, s))| (id, n, s.ends)).collect()
     }
 
-    pub fn sent_to(&self, side: usize, store: u32) -> Vec<OpId> {
+    pub(crate) fn sent_to(&self, side: usize, store: u32) -> Vec<OpId> {
         let to = |a: &Action| match a {
             Action::StartAttempt { op, store: s, .. } if s.0 == store => Some(*op),
             _ => None,
@@ -264,7 +264,7 @@
         self.sides[side].actions.iter().filter_map(to).collect()
     }
 
-    pub fn tell(&mut self, side: usize, events: Vec<Event>) {
+    pub(crate) fn tell(&mut self, side: usize, events: Vec<Event>) {
         let actions = self.sides[side].gateway.handle(self.now, events);
         for action in actions {
             self.judge(side, &action);
@@ -288,7 +288,7 @@
                 seen.ended = true;
             }
             Action::StartAttempt { op, store, timeout } => {
-                self.judge_dispatch(side, *op, *store, now + *timeout)
+                self.judge_dispatch(side, *op, *store, now + *timeout);
             }
             Action::Fatal(text) => panic!("fatal: {text}"),
             _ => {}
