--- /dev/null
+++ b/crates/adapter/src/codec/read.rs
@@ -0,0 +1,140 @@
+//! Reading batches.
+
+use super::{Batch, Demand, EVENT_BYTES, Entry, Item, Load, Record, ReportBack};
+use crate::error::Malformed;
+
+const HEADER_BYTES: usize = 12;
+const ENTRY_BYTES: usize = 24;
+/// Values that a load report may have.
+const MAX_LOAD_VALUES: usize = 4;
+
+/// A record, or an entry, of which fields are read by their offset.
+struct Fields<'a>(&'a [u8]);
+
+impl Fields<'_> {
+    fn bytes<const N: usize>(&self, at: usize) -> [u8; N] {
+        self.0[at..at + N].try_into().expect("a field lies inside its record")
+    }
+
+    fn u16(&self, at: usize) -> u16 {
+        u16::from_le_bytes(self.bytes(at))
+    }
+
+    fn u32(&self, at: usize) -> u32 {
+        u32::from_le_bytes(self.bytes(at))
+    }
+
+    fn u64(&self, at: usize) -> u64 {
+        u64::from_le_bytes(self.bytes(at))
+    }
+
+    fn f32(&self, at: usize) -> f32 {
+        f32::from_le_bytes(self.bytes(at))
+    }
+
+    fn f64(&self, at: usize) -> f64 {
+        f64::from_le_bytes(self.bytes(at))
+    }
+
+    fn load(&self, at: usize) -> Load {
+        let count = usize::from(self.0[at]).min(MAX_LOAD_VALUES);
+        let first = at + 1;
+        Load((0..count).map(|index| self.f32(first + 4 * index)).collect())
+    }
+
+    /// The bytes of the tail that the offset and length at `at` tell of, the length in items of `width` bytes.
+    fn in_tail<'t>(&self, tail: &'t [u8], at: usize, width: usize) -> Result<&'t [u8], Malformed> {
+        let (offset, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
+        let end = length.checked_mul(width).and_then(|bytes| offset.checked_add(bytes));
+        let bytes = end.and_then(|end| tail.get(offset..end));
+        bytes.ok_or(Malformed::OutsideTail { offset, length, tail: tail.len() })
+    }
+}
+
+/// Reads what follows a frame's length field.
+///
+/// # Errors
+///
+/// Names what in the frame does not follow the wire's page, with the record's index.
+pub fn read_batch(frame: &[u8]) -> Result<Batch, Malformed> {
+    if frame.len() < HEADER_BYTES {
+        return Err(Malformed::ShorterThanHeader { bytes: frame.len() });
+    }
+    let header = Fields(frame);
+    let (count, now) = (header.u32(0) as usize, header.f64(4));
+    if !(now.is_finite() && now >= 0.0) {
+        return Err(Malformed::Clock(now));
+    }
+    let tail_at = count.checked_mul(EVENT_BYTES).and_then(|bytes| bytes.checked_add(HEADER_BYTES));
+    let tail_at = tail_at.filter(|at| *at <= frame.len());
+    let tail_at = tail_at.ok_or(Malformed::RecordCount { count, bytes: frame.len() })?;
+    let tail = &frame[tail_at..];
+    let mut items = Vec::with_capacity(count);
+    for (index, record) in frame[HEADER_BYTES..tail_at].chunks_exact(EVENT_BYTES).enumerate() {
+        let in_record = |error| Malformed::Record { index, error: Box::new(error) };
+        items.push(read_item(record, tail).map_err(in_record)?);
+    }
+    Ok(Batch { now, items })
+}
+
+fn read_item(record: &[u8], tail: &[u8]) -> Result<Item, Malformed> {
+    let f = Fields(record);
+    let record = match record[0] {
+        1 => Record::OpenInstance { seed: f.u64(3), boot_info: read_settings(&f, tail)? },
+        2 => Record::Registry { scope: record[3], page: f.u32(12) },
+        3 => Record::Demand(read_demand(&f)),
+        4 => Record::Accepted { tid: f.u64(3) },
+        5 => Record::ReportBack(read_report_back(&f)),
+        6 => Record::ClientLeft { tid: f.u64(3) },
+        7 => Record::Bell { label: f.u64(3) },
+        8 => Record::Pong { address: f.bytes(3), how: f.u16(9), load: f.load(19) },
+        9 => Record::Datagram,
+        10 => Record::Stop,
+        11 => return read_sheet(&f, tail),
+        code => return Err(Malformed::UnknownEventCode(code)),
+    };
+    Ok(Item::For { instance: f.u16(1), record })
+}
+
+fn read_settings(f: &Fields<'_>, tail: &[u8]) -> Result<String, Malformed> {
+    let bytes = f.in_tail(tail, 11, 1)?;
+    String::from_utf8(bytes.to_vec()).map_err(|_| Malformed::SettingsEncoding)
+}
+
+fn read_demand(f: &Fields<'_>) -> Demand {
+    Demand {
+        tid: f.u64(3),
+        price_units: f.f32(11),
+        owner: f.u64(15),
+        chunk: f.u64(23),
+        home_cell: f.f32(31),
+        budget: f.f64(35),
+        policy: f.u32(43),
+        qos: f.u16(47),
+        writers: f.f32(49),
+    }
+}
+
+fn read_report_back(f: &Fields<'_>) -> ReportBack {
+    ReportBack {
+        tid: f.u64(3),
+        n: f.0[11],
+        address: f.bytes(12),
+        how: f.u16(18),
+        time_taken: f.f64(20),
+        complete: f.0[28] != 0,
+        volume_use: f.u16(29),
+        delta: f.u16(31),
+        load: f.load(33),
+    }
+}
+
+fn read_sheet(f: &Fields<'_>, tail: &[u8]) -> Result<Item, Malformed> {
+    let entries = f.in_tail(tail, 5, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
+    Ok(Item::Sheet { page: f.u32(1), entries: entries.map(read_entry).collect() })
+}
+
+fn read_entry(entry: &[u8]) -> Entry {
+    let f = Fields(entry);
+    Entry { zone: f.u16(0), started: f.f64(2), shard: f.u16(14), address: f.bytes(16), state: entry[23] }
+}
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,42 +1,53 @@
-//! The simulator's wire on one side, the decision module on the other.
+//! The simulator's wire on one side, the scheduler on the other.
+//!
+//! [`codec`] turns frames into records and back, [`host`] keeps a scheduler for each instance. Nothing is decided here.
 
 pub mod codec;
+pub mod error;
 pub mod host;
 
-use std::io::{self, Read, Write};
+use std::io::{Read, Write};
 
-use codec::Malformed;
+use error::{FrameError, ServeError};
+
+/// Bytes of the length field before each frame.
+const LENGTH_BYTES: usize = 4;
 
 /// Answers frames until the input ends.
-pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Malformed> {
+///
+/// # Errors
+///
+/// A frame that cannot be read or is malformed, or a reply that cannot be written, ends serving.
+pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = host::Host::default();
-    let lost = |error: io::Error| Malformed(format!("reply: {error}"));
-    for frame_no in 0u64.. {
-        let at = |Malformed(what)| Malformed(format!("frame {frame_no}: {what}"));
-        let Some(frame) = read_frame(&mut input).map_err(at)? else {
-            break;
-        };
-        let reply = codec::read_batch(&frame).and_then(|batch| host.handle(batch)).map_err(at)?;
-        output.write_all(&reply.frame()).and_then(|()| output.flush()).map_err(lost)?;
+    for number in 0u64.. {
+        let in_frame = |error| ServeError::Frame { number, error };
+        let Some(frame) = read_frame(&mut input).map_err(in_frame)? else { break };
+        let batch = codec::read_batch(&frame).map_err(|error| in_frame(error.into()))?;
+        let reply = host.handle(batch).map_err(|error| in_frame(error.into()))?;
+        let written = output.write_all(&reply.frame()).and_then(|()| output.flush());
+        written.map_err(|error| ServeError::Write(error.to_string()))?;
     }
     Ok(())
 }
 
-fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, Malformed> {
-    let mut length = Vec::with_capacity(4);
-    let io = |error: io::Error| Malformed(format!("input: {error}"));
-    input.take(4).read_to_end(&mut length).map_err(io)?;
+/// The next frame without its length field; absent: the input ended before it.
+fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
+    let length = read_up_to(input, LENGTH_BYTES as u64)?;
     if length.is_empty() {
         return Ok(None);
     }
-    let Ok(bytes) = <[u8; 4]>::try_from(length.as_slice()) else {
-        return Err(Malformed("input ends inside the length field".into()));
-    };
-    let size = u32::from_le_bytes(bytes);
-    let mut frame = Vec::new();
-    input.take(size.into()).read_to_end(&mut frame).map_err(io)?;
+    let length = <[u8; LENGTH_BYTES]>::try_from(length.as_slice()).map_err(|_| FrameError::EndsInLength)?;
+    let size = u32::from_le_bytes(length);
+    let frame = read_up_to(input, size.into())?;
     if frame.len() < size as usize {
-        return Err(Malformed(format!("input ends after {} of {size} bytes", frame.len())));
+        return Err(FrameError::Truncated { read: frame.len(), size });
     }
     Ok(Some(frame))
 }
+
+fn read_up_to(input: &mut impl Read, limit: u64) -> Result<Vec<u8>, FrameError> {
+    let mut bytes = Vec::new();
+    input.take(limit).read_to_end(&mut bytes).map_err(|error| FrameError::Read(error.to_string()))?;
+    Ok(bytes)
+}
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,14 +1,16 @@
+//! Answers the simulator's frames on standard input with replies on standard output.
+
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-use umbertray_adapter::codec::Malformed;
-
 fn main() -> ExitCode {
     std::panic::set_hook(Box::new(|info| eprintln!("umbertray-adapter: {info}")));
-    match umbertray_adapter::serve(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
+    let input = BufReader::new(io::stdin().lock());
+    let output = BufWriter::new(io::stdout().lock());
+    match umbertray_adapter::serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Malformed(what)) => {
-            eprintln!("umbertray-adapter: {what}");
+        Err(error) => {
+            eprintln!("umbertray-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,8 +1,8 @@
-//! Frames in and out, and what is said of malformed ones.
+//! Frames in and out, and the errors that name what is malformed.
 
 use std::time::Duration;
 
-use umbertray_adapter::codec::{self, Item, Malformed, Record, Reply};
+use umbertray_adapter::codec::{self, Item, Record, Reply};
 use umbertray_adapter::serve;
 
 fn frame(records: &[Vec<u8>], count: u32, tail: &[u8]) -> Vec<u8> {
@@ -23,12 +23,12 @@
 }
 
 fn complaint(input: &[u8]) -> String {
-    let Err(Malformed(what)) = serve(input, Vec::new()) else { panic!("accepted") };
-    what
+    let Err(error) = serve(input, Vec::new()) else { panic!("accepted") };
+    error.to_string()
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_is_clean() {
+fn empty_batch_gives_empty_reply_and_clean_end() {
     let mut output = Vec::new();
     assert_eq!(serve(&frame(&[], 0, &[])[..], &mut output), Ok(()));
     assert_eq!(output, [4, 0, 0, 0, 0, 0, 0, 0]);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn malformed_frames_are_named() {
+fn malformed_frame_gives_error_that_names_fault() {
     assert!(complaint(&[1, 2]).contains("inside the length field"));
     assert!(complaint(&[200, 0, 0, 0, 1]).contains("after 1 of 200 bytes"));
     assert!(complaint(&[2, 0, 0, 0, 1, 1]).contains("shorter than its header"));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_fatal_by_name() {
+fn missing_setting_at_open_gives_fatal_with_its_name() {
     let text = "tickS=0.002";
     let mut output = Vec::new();
     assert_eq!(serve(&frame(&[open_instance(text)], 1, text.as_bytes())[..], &mut output), Ok(()));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn settings_take_our_words() {
+fn boot_info_is_translated_to_setting_names() {
     let settings = umbertray_setting_names::from_lines(
         "profiles.0.promiseS=0.3\nprofiles.0.effect=single_shot\nbad line\ndiscovery=subscribe",
     );
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn records_read_back_as_written() {
+fn record_and_reply_have_bytes_of_wire() {
     let mut record = vec![6u8, 5, 0];
     record.extend(77u64.to_le_bytes());
     let batch = codec::read_batch(&frame(&[record], 1, &[])[4..]).expect("well formed");
