--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -12,9 +12,9 @@
 /// An op that yields may go to an idle store whose latency is up to this part of the target latency and as much again as
 /// the op's own part of the limit: many gateways see an idle store each.
 const IDLE_STORE_LATENCY_SLACK: f64 = 0.75;
-/// The latency that is expected of a store is never taken for more than this part of the objective.
-const MAX_EXPECTED_PART_OF_OBJECTIVE: u32 = 2;
-/// Ticks by which a final answer may reach the client late.
+/// The latency that is expected of a store is never taken for more than the objective over this.
+const EXPECTED_LATENCY_DIVISOR: u32 = 2;
+/// Ticks before the client's own time is up by which the final answer is due, beside a sweep interval.
 const ANSWER_MARGIN_TICKS: u32 = 3;
 
 /// The longest time that a client still waited when its op arrived, and when that was.
@@ -54,7 +54,7 @@
             self.key_orders.push(key, id);
         }
         self.quotas.assign(op.volume, op.plan, op.gateways, self.started_at, self.now);
-        let pending = self.pending(op);
+        let pending = self.new_pending_op(op);
         let is_overdue = pending.deadline_at <= self.now;
         self.ops.insert(id, pending);
         if is_overdue {
@@ -64,8 +64,9 @@
         }
     }
 
-    /// The final answer must reach the client before its own time is up (rule 1), and a sweep may come late.
-    fn pending(&self, op: Op) -> PendingOp {
+    /// The op with its times: the final answer must be in before the client's own time is up (rule 1), and a sweep may come
+    /// this much late.
+    fn new_pending_op(&self, op: Op) -> PendingOp {
         let op_type = &self.settings.op_types[op.op_type];
         let margin = self.sweep_interval() + ANSWER_MARGIN_TICKS * self.settings.tick;
         let waited = self.longest_remaining[op.op_type].waited_before(op.time_left, op_type.op_timeout);
@@ -113,7 +114,7 @@
     /// Hazard: with the store's whole latency expected, a slow spell would make all ops late and never show its end.
     pub(super) fn misses_objective(&self, pending: &PendingOp, store: &Store) -> bool {
         let objective = self.op_type(pending).latency_objective;
-        let expected = Duration::from_secs_f64(store.latency).min(objective / MAX_EXPECTED_PART_OF_OBJECTIVE);
+        let expected = Duration::from_secs_f64(store.latency).min(objective / EXPECTED_LATENCY_DIVISOR);
         self.now + expected > pending.objective_at
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -8,7 +8,7 @@
 use super::store::Store;
 use crate::interface::{Action, OpId, StoreId, VolumeId};
 
-/// The time of a quantum, in the shortest latency objective: an op that waits for one other's quantum is not late.
+/// The time of a quantum, in shortest latency objectives (docs/design.md, "Kept on the ordinary path").
 const QUANTUM_PER_OBJECTIVE: f64 = 0.25;
 
 /// What of a store decides whether one of its queued ops may go, the same for all ops of a volume.
@@ -36,6 +36,7 @@
 }
 
 impl SchedulerState {
+    /// Starts all attempts that may start now.
     pub(super) fn dispatch_ready(&mut self) {
         let stores: Vec<StoreId> = self.stores.with_queued_ops().collect();
         for store in stores {
@@ -115,6 +116,7 @@
         run.or_else(|| ranked.iter().find(|(op, _)| self.may_go(&context, *op))).map(|(op, _)| *op)
     }
 
+    /// Whether all rules allow an attempt of this op at the store now.
     fn may_go(&self, context: &SelectionContext<'_>, op: OpId) -> bool {
         let pending = &self.ops[&op];
         let bears = |progress| self.has_slow_start_budget(context.store, &pending.op, progress);
@@ -143,6 +145,7 @@
         }
     }
 
+    /// Sends a queued op that `next_op` chose, and accounts for it with its volume, its store and the retry budget.
     fn start_attempt(&mut self, id: OpId, to: StoreId) {
         let progress = self.slow_start_progress(&self.stores[to].endpoint);
         let Some(pending) = self.ops.get_mut(&id) else { return };
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -8,8 +8,8 @@
 use super::sweep::SWEEP_INTERVAL_PER_OBJECTIVE;
 use crate::interface::{Endpoint, EndpointListUpdate, StoreId, StoreState};
 
-/// The backoff after failures doubles this many times at most, up to half the time within which to ask again.
-const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// The backoff doubles with each failure up to this one; from there on it is half the time within which to ask again.
+const MAX_BACKOFF_FAILURES: u32 = 4;
 /// A store that is back is first used within the window of the rule on slow starts times what it lacks to be warm, and
 /// at least this part of it.
 const MIN_COLDNESS: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
@@ -29,7 +29,7 @@
     /// Asks again later after each failure, and not in step with other gateways, as the list serves few calls at once.
     fn on_failure(&mut self, retry_within: Duration, now: Duration, random_fraction: f64) {
         self.failures += 1;
-        let halvings = MAX_BACKOFF_DOUBLINGS + 1 - self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let halvings = MAX_BACKOFF_FAILURES + 1 - self.failures.min(MAX_BACKOFF_FAILURES);
         let backoff = retry_within / 2u32.pow(halvings);
         self.retry_at = Some(now + backoff.mul_f64(1.0 + random_fraction));
     }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -11,7 +11,7 @@
 const LOAD_STEP: f64 = 0.25;
 /// The load from which a store has enough, in limits.
 const FULL_LOAD: f64 = 1.0;
-/// The part of the grace for draining stores that is not used, as news of the drain may be late.
+/// The part of the grace for draining stores that is left unused, to be on the safe side of the rule.
 const DRAIN_GRACE_MARGIN: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
 
 impl SchedulerState {
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -11,7 +11,7 @@
 
 /// The part of a volume's tokens that a snapshot's promise keeps undrawn.
 const RESERVED_TOKEN_SHARE: f64 = 0.5;
-/// How much longer than promised reserved tokens are kept, for clocks that differ.
+/// Reserved tokens are kept this many times as long as was promised, as a margin.
 const RESERVATION_MARGIN: f64 = 1.25;
 /// So many former limits of a plan are told apart; of earlier ones the least counts.
 const MAX_PREVIOUS_LIMITS: usize = 16;
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -35,7 +35,7 @@
         retries + 1.0 <= settings.free + per_arrival * arrivals
     }
 
-    /// Twice the window is kept, since a change of settings may lengthen it.
+    /// Forgets what is older than twice the window.
     pub(super) fn drop_old(&mut self, window: Duration, now: Duration) {
         let kept = 2 * window;
         for times in [&mut self.arrivals, &mut self.retries] {
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -108,7 +108,7 @@
     pub(super) retry_budget: RetryBudgetSettings,
     /// Gateways that share the stores, at least one.
     pub(super) gateways: f64,
-    /// The longest that an event may reach the scheduler after it happened.
+    /// Events come in batches at least this far apart.
     pub(super) tick: Duration,
     /// Attempts of one op at most, for the op type of the greatest weight; at least one.
     pub(super) max_attempts: f64,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -31,7 +31,7 @@
         recent.map(|(_, units)| units).sum()
     }
 
-    /// Twice the window is kept, since a change of settings may lengthen it.
+    /// A store's sends count against its next start for twice the window.
     pub(super) fn drop_old(&mut self, window: Duration, now: Duration) {
         self.0.retain(|(at, _)| *at + 2 * window >= now);
     }
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -23,6 +23,7 @@
         self.shortest_objective.mul_f64(SWEEP_INTERVAL_PER_OBJECTIVE)
     }
 
+    /// Ends ops that are overdue or late, and brings what is known of active stores up to date.
     pub(super) fn sweep(&mut self) {
         self.next_sweep_at = self.now + self.sweep_interval();
         self.actions.push(Action::SetTimer { token: SWEEP_TIMER, at: self.next_sweep_at });
@@ -49,6 +50,7 @@
         }
     }
 
+    /// Suspects the store if it is silent, and moves or ends queued ops that it will not serve in time.
     fn sweep_store(&mut self, id: StoreId) {
         let Some(store) = self.stores.activate(id, self.now, &self.settings) else { return };
         if !self.is_stalled && store.is_silent(self.now) {
