--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -43,7 +43,7 @@
 }
 
 /// Products and quotients from left to right, then sums; nothing where a word is no number.
-fn worth(sum: &str) -> Option<f64> {
+fn evaluate(sum: &str) -> Option<f64> {
     let (mut whole, mut term, mut sign, mut operator) = (0.0, 1.0, 1.0, "x");
     for word in sum.split_whitespace() {
         match word {
@@ -65,17 +65,17 @@
 }
 
 /// Figures are written short: within a fiftieth, or half of the last digit of small ones.
-fn near(told: f64, worth: f64) -> bool {
+fn is_near(told: f64, worth: f64) -> bool {
     (told - worth).abs() <= (worth.abs() / 50.0).max(0.0051)
 }
 
 /// All that is wrong at once: a page is mended in one go.
-fn all_right(wrong: &[String]) {
+fn assert_none_wrong(wrong: &[String]) {
     assert!(wrong.is_empty(), "docs/CAPACITY.md\n{}", wrong.join("\n"));
 }
 
 #[test]
-fn every_row_has_one_of_the_four_marks_and_a_run_or_a_sum() {
+fn capacity_row_has_known_mark_and_a_run_or_a_sum() {
     let rows = rows();
     assert!(rows.len() > 100, "{} rows: the page's tables are not found", rows.len());
     let mut wrong = Vec::new();
@@ -91,29 +91,29 @@
             wrong.push(format!("line {}: {mark}, and neither a run nor a sum", row.line));
         }
     }
-    all_right(&wrong);
+    assert_none_wrong(&wrong);
 }
 
 #[test]
-fn sums_add_up() {
+fn capacity_sum_equals_its_stated_result() {
     let (mut sums, mut wrong) = (0, Vec::new());
     for row in rows() {
         for (head, cell) in &row.cells {
             let Some((sum, rest)) = cell.split_once(" = ") else { continue };
-            let Some(worth) = worth(sum) else { continue };
+            let Some(worth) = evaluate(sum) else { continue };
             sums += 1;
             let told = rest.split_whitespace().find_map(number);
-            if !told.is_some_and(|told| near(told, worth)) {
+            if !told.is_some_and(|told| is_near(told, worth)) {
                 wrong.push(format!("line {}, {head}: {sum} is {worth}, not {rest}", row.line));
             }
         }
     }
-    all_right(&wrong);
+    assert_none_wrong(&wrong);
     assert!(sums > 60, "only {sums} sums are found");
 }
 
 #[test]
-fn ratios_are_need_over_budget() {
+fn capacity_ratio_is_need_over_budget() {
     let (mut ratios, mut wrong) = (0, Vec::new());
     for row in rows() {
         let cells = (row.cell("need"), row.cell("budget"), row.cell("ratio"));
@@ -121,16 +121,16 @@
         let Some(ratio) = number(ratio) else { continue };
         ratios += 1;
         let of = figure(need).zip(figure(budget));
-        if !of.is_some_and(|(need, budget)| near(ratio, need / budget)) {
+        if !of.is_some_and(|(need, budget)| is_near(ratio, need / budget)) {
             wrong.push(format!("line {}: {need} over {budget} is not {ratio}", row.line));
         }
     }
-    all_right(&wrong);
+    assert_none_wrong(&wrong);
     assert!(ratios > 40, "only {ratios} ratios are found");
 }
 
 #[test]
-fn the_ranking_falls() {
+fn capacity_ranking_is_ordered_by_ratio() {
     let of = |row: &Row| Some((row.line, number(row.cell("rank")?)?, number(row.cell("ratio")?)?));
     let ranked: Vec<(usize, f64, f64)> = rows().iter().filter_map(of).collect();
     assert!(ranked.len() > 5, "no ranking");
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn with_nothing_at_work_no_store_is_looked_at() {
+fn sweep_without_work_looks_at_no_store() {
     let mut idle = Idle::new();
     assert_eq!(idle.gateway.at_work(), 0);
     idle.sweep(100);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn stores_with_ops_are_looked_at_until_they_have_none() {
+fn store_with_ops_stays_active_until_it_has_none() {
     let mut idle = Idle::new();
     for id in 0..30 {
         assert_eq!(idle.tell(vec![Event::OpArrived(op(id, id * 100))]), [StoreId(id * 100)]);
@@ -121,7 +121,7 @@
 
 /// What a store that is gone was sent counts against its next start for twice the fall time, one second here.
 #[test]
-fn a_store_that_is_gone_is_looked_at_until_it_is_dropped() {
+fn store_that_is_gone_stays_active_until_dropped() {
     let mut idle = Idle::new();
     idle.tell(vec![Event::OpArrived(op(1, 5))]);
     idle.acked(1, 5);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -329,17 +329,17 @@
 }
 
 #[test]
-fn all_told_at_one_moment_send_a_cold_store_what_it_bears() {
+fn cold_store_all_gateways_notified_at_once_stays_within_capacity() {
     holds(0.0, 0.0);
 }
 
 /// A restart forgets what was sent.
 #[test]
-fn gateways_that_restart_send_a_cold_store_what_it_bears() {
+fn cold_store_gateways_restarting_stays_within_capacity() {
     holds(0.0, 4.0);
 }
 
 #[test]
-fn gateways_told_late_send_a_cold_store_what_it_bears() {
+fn cold_store_gateways_notified_late_stays_within_capacity() {
     holds(3.0, 0.0);
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -320,7 +320,7 @@
 
 /// What clients saw of it: more work than stores can do for two seconds, then a quiet client was never served again.
 #[test]
-fn after_a_flood_a_quiet_client_is_served() {
+fn quiet_client_after_flood_is_served() {
     for op_type in 0..TYPES {
         let within = recovers(&[Spell { cause: Cause::Slow(20), ..FLOOD }], op_type, 2.0);
         assert!(within <= ms(4000), "ops of type {op_type}: {within:?}");
@@ -328,13 +328,13 @@
 }
 
 #[test]
-fn clients_that_wait_longer_than_the_settings_tell_make_no_others_late() {
+fn client_waiting_longer_than_op_timeout_makes_no_other_late() {
     let within = recovers(&[Spell { cause: Cause::Patient, clients: 4, ..FLOOD }], 0, 2.0);
     assert!(within <= ms(1000), "{within:?}");
 }
 
 #[test]
-fn whatever_the_state_once_its_cause_is_gone_an_op_is_served_in_the_stated_time() {
+fn op_after_any_fault_is_gone_is_served_in_stated_time() {
     let mut drawn = Gen::from_size_and_seed(4, 7);
     for day in 0..120 {
         let spells = Vec::<Spell>::arbitrary(&mut drawn);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn generated_days_keep_the_rules() {
+fn generated_day_keeps_rules_and_repeats() {
     #[allow(clippy::needless_pass_by_value)] // The generator hands over what it made.
     fn keeps(steps: Vec<u16>) -> bool {
         let actions = |world: World| world.sides.into_iter().map(|side| side.actions).collect::<Vec<_>>();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_missing_setting_is_named() {
+fn missing_setting_at_start_is_named_in_fatal() {
     let mut lacking = settings();
     lacking.remove("rules.fall_time");
     let actions = Scheduler::default().handle(at(0), vec![Event::Start { seed: 1, settings: lacking }]);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_op_with_no_time_left_is_answered_on_arrival() {
+fn op_without_time_left_is_answered_on_arrival() {
     let mut world = one_store();
     world.arrive(0, Op { time_left: ms(5), ..op(1, 1, 0) });
     assert!(world.sides[0].ops[&OpId(1)].ended);
@@ -123,7 +123,7 @@
 
 /// Each alone, 350 gateways keep to what a cold store bears and to plans' limits, and their parts do not round to nothing.
 #[test]
-fn hundreds_of_gateways_keep_the_rules_in_sum_and_serve() {
+fn hundreds_of_gateways_keep_rules_in_sum_and_serve() {
     const HOSTS: u32 = 8;
     let mut wide = settings();
     wide.insert("rules.fall_multiple".into(), "2".into());
@@ -155,7 +155,7 @@
 
 /// What a gateway had taken was lost with it, its clients' time being longer than the gateway's own.
 #[test]
-fn all_that_is_open_has_its_answer_before_the_gateway_ends() {
+fn open_ops_at_shutdown_are_answered_before_it() {
     let mut patient = settings();
     for i in 0..4 {
         patient.insert(format!("op_types.{i}.target_latency"), "4".into());
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_late_op_is_given_up_at_once_and_not_kept() {
+fn late_op_is_ended_at_next_sweep() {
     let mut world = one_store();
     (0..30).for_each(|id| world.arrive(0, op(id, 1, 0)));
     world.pass(ms(250));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_clients_earlier_wait_counts_against_the_longest_seen() {
+fn earlier_wait_of_client_counts_against_longest_remaining() {
     let mut world = one_store();
     (0..4).for_each(|id| world.arrive(0, Op { time_left: ms(500), ..op(id, 1, 0) }));
     world.arrive(0, Op { time_left: ms(500), ..op(9, 2, 0) });
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn turns_go_to_the_smallest_tag_by_weight() {
+fn quantum_goes_to_smallest_virtual_time_by_weight() {
     let mut world = one_store();
     (0..40).for_each(|id| world.arrive(0, Op { plan: 0, ..op(id, 1, 0) }));
     let full = world.sent_to(0, 0).len();
@@ -220,14 +220,14 @@
 }
 
 #[test]
-fn the_cap_bounds_units_out() {
+fn concurrency_limit_bounds_units_in_flight() {
     let mut world = one_store();
     (0..40).for_each(|id| world.arrive(0, op(id, id, 0)));
     assert_eq!(world.sent_to(0, 0).len(), 4, "four average ops at first");
 }
 
 #[test]
-fn an_op_of_less_utility_leaves_room() {
+fn op_of_less_priority_leaves_capacity() {
     let mut world = one_store();
     world.arrive(0, op(0, 1, 0));
     world.arrive(0, op(1, 1, 0));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_volume_past_its_due_leaves_room() {
+fn volume_beyond_guaranteed_rate_leaves_capacity() {
     let mut world = one_store();
     for id in 0..20 {
         world.arrive(0, op(id, 1, 0));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_warm_store_is_kept_to_while_its_successor_is_cold() {
+fn warm_store_with_cold_successor_is_preferred() {
     let mut world = one_store();
     let mut list =
         vec![listing(0, 0, None, StoreState::Ready), listing(1, 0, Some(at(0)), StoreState::Ready)];
@@ -266,7 +266,7 @@
 
 /// While nothing else has its data, a store that drains is sent to within the grace; the model panics beyond it.
 #[test]
-fn a_draining_store_serves_its_data_for_the_grace() {
+fn draining_store_within_grace_serves_its_data() {
     let mut world = one_store();
     world.relist(vec![listing(0, 0, None, StoreState::Draining)]);
     let grace = world::GRACE;
@@ -281,7 +281,7 @@
 
 /// The wait before the first op to a store just back is for the cold: one that is nearly warm has a short one.
 #[test]
-fn a_store_back_nearly_warm_is_used_soon() {
+fn store_back_nearly_warm_is_used_soon() {
     let mut asked = settings();
     asked.insert("rules.cold_from".into(), "0.9".into());
     let mut world = World::with(at(0), vec![listing(0, 0, None, StoreState::Ready)], asked);
@@ -295,7 +295,7 @@
 /// Answers are lost with their connections while the store goes on: once that has shown, neither the rotation nor
 /// volumes that yield, as they ask for more than is due to them, wait for the time-outs.
 #[test]
-fn dispatches_that_hang_by_their_connections_cost_their_store_little() {
+fn stuck_attempts_take_little_from_their_store() {
     let mut world = one_store();
     let lost = |id: OpId| id.0 % 25 == 5;
     for step in 0..400 {
@@ -317,7 +317,7 @@
 
 /// Taken for good, a store that once lost an answer could be sent any number of ops that it never answers.
 #[test]
-fn a_store_that_lost_an_answer_long_ago_has_its_cap_again() {
+fn store_that_dropped_answer_long_ago_has_its_limit_again() {
     let mut world = one_store();
     world.arrive(0, op(0, 1, 0));
     world.pass(ms(10));
@@ -339,7 +339,7 @@
 
 /// What a volume was served while no other asked is no debt to those that come later.
 #[test]
-fn a_volume_served_alone_does_not_wait_for_as_much_of_anothers() {
+fn volume_served_alone_does_not_wait_for_newcomer_to_catch_up() {
     let mut world = one_store();
     for id in 0..100 {
         world.arrive(0, op(id, 1, 0));
@@ -357,7 +357,7 @@
 
 /// A heavy op is answered later than an average one by a store that is well.
 #[test]
-fn heavy_ops_alone_bring_a_cap_back() {
+fn heavy_ops_alone_restore_concurrency_limit() {
     let mut world = one_store();
     for id in 0..40 {
         world.arrive(0, op(id, 1, 0));
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_silent_store_does_not_freeze_the_rotation() {
+fn silent_store_does_not_block_other_volumes() {
     let mut world = one_store();
     (0..4).for_each(|id| world.arrive(0, op(id, 1, 0)));
     world.pass(ms(400));
@@ -391,7 +391,7 @@
 
 /// Answers that waited for this gateway's own stall must not make a quick store look slow or silent.
 #[test]
-fn a_stall_of_this_gateway_is_no_stores_doing() {
+fn stall_of_gateway_leaves_store_unsuspected() {
     let mut world = one_store();
     for id in 0..4 {
         world.arrive(0, op(id, id, 0));
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn a_new_object_goes_to_the_same_store_from_every_gateway() {
+fn new_object_goes_to_same_store_from_every_gateway() {
     let list = (0..5).map(|i| listing(i, i, None, StoreState::Ready)).collect();
     let mut world = World::new(at(0), list);
     (0..2).for_each(|side| world.arrive(side, Op { shard: None, ..op(0, 7, 0) }));
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn a_cold_store_gets_no_more_than_it_bears_and_warms_up() {
+fn cold_store_stays_within_capacity_and_warms_up() {
     let mut world = one_store();
     world.pass(ms(1500));
     world.relist(vec![listing(0, 0, Some(world.now), StoreState::Ready)]);
@@ -451,13 +451,13 @@
 }
 
 #[test]
-fn a_cold_store_is_used_by_many_gateways_in_proportion() {
+fn cold_store_with_many_gateways_is_used_in_proportion() {
     let (few, many) = (sent_while_cold(300.0), sent_while_cold(3000.0));
     assert!(few > 4 && many < few && many <= 8, "an even part alone would allow none: {few}, {many}");
 }
 
 #[test]
-fn a_store_answering_late_is_sent_ops_spaced_in_time() {
+fn overloaded_store_is_sent_ops_spaced_in_time() {
     let mut world = one_store();
     let mut sent = Vec::new();
     for id in 0..120 {
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn a_limit_is_kept_by_the_gateways_together_and_used() {
+fn limit_is_kept_by_gateways_together_and_used() {
     let sent = flood(&mut one_store(), 1);
     assert!(sent.iter().all(|n| *n > 50), "both gateways use their part: {sent:?}");
 }
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn a_part_of_a_limit_that_was_kept_undrawn_is_there_after_a_restart() {
+fn reserved_tokens_are_available_after_restart() {
     let kept = |after: u64, sure: bool| {
         sent_at_once(|world| {
             world.arrive(0, Op { plan: 1, gateways: 2.0, units: 0.5, ..op(101, 1, 0) });
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn what_is_recalled_of_a_store_counts_the_less_the_older_it_is() {
+fn restored_store_knowledge_counts_less_with_age() {
     let cap = |age: u64| {
         let mut world = one_store();
         let memory = StoreSnapshot {
@@ -553,7 +553,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_fills_at_what_was_in_force_at_each_time() {
+fn changed_limit_fills_at_what_was_in_force_at_each_time() {
     assert_eq!(sent_after(|_| {}), 6, "a burst of twelve units");
     assert_eq!(sent_after(|world| world.limit(0, 20.0, 8.0)), 2, "lowered below what had filled");
     assert_eq!(sent_after(|world| world.limit(0, 20.0, 80.0)), 6, "raised: it was full at twelve until now");
@@ -590,7 +590,7 @@
 }
 
 #[test]
-fn a_volume_that_moves_takes_no_more_along_than_either_plan_gives() {
+fn moved_volume_takes_along_no_more_than_either_plan_gives() {
     let moved = |world: &mut World, plan| {
         world.tell(0, vec![Event::VolumeMoved { volume: VolumeId(1), plan, gateways: 2.0 }]);
     };
@@ -612,7 +612,7 @@
 }
 
 #[test]
-fn a_weight_that_changes_neither_rewards_nor_punishes_what_was_served() {
+fn changed_weight_leaves_served_units_as_they_counted() {
     // Volume 1 of plan 0 has been served four ops alone; volume 2 of plan 1 comes, and the weights are swapped at once.
     let served = |swap: bool| {
         let mut world = one_store();
@@ -641,7 +641,7 @@
 }
 
 #[test]
-fn settings_that_lack_what_was_there_are_not_taken() {
+fn changed_settings_with_fewer_entries_are_refused() {
     let mut world = one_store();
     for lacking in ["plans.count", "op_types.count"] {
         let mut fewer = settings();
@@ -660,7 +660,7 @@
 
 /// Taken for absent, each of these would put a rule out of force, or have the module look at all of it without end.
 #[test]
-fn a_setting_that_cannot_be_read_is_named_at_the_start_and_in_service() {
+fn unreadable_setting_is_named_at_start_and_in_service() {
     for (name, value) in [
         ("discovery", "told"),
         ("gateways", "some"),
