--- a/crates/adapter/src/codec/mod.rs
+++ b/crates/adapter/src/codec/mod.rs
@@ -125,7 +125,7 @@
     pub time_taken: f64,
     /// The request has ended, by this outcome or earlier.
     pub complete: bool,
-    /// 1 + the volume's use of its plan's rate over all instances, in percent; 0: not told.
+    /// 1 + the volume's use of its plan's rate over all instances, in percent; 0: not reported.
     pub volume_use: u16,
     /// Units served for the volume through other instances since the shard's last answer here.
     pub delta: u16,
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -14,7 +14,7 @@
     Clock(f64),
     /// The header tells of more records than the frame can hold.
     RecordCount {
-        /// As told.
+        /// As the header has it.
         count: usize,
         /// Of the frame.
         bytes: usize,
@@ -23,7 +23,7 @@
     OutsideTail {
         /// From the tail's start.
         offset: usize,
-        /// As told: in bytes, or in entries of a list.
+        /// As the record has it: in bytes, or in entries of a list.
         length: usize,
         /// Bytes of the tail.
         tail: usize,
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A store reports 1 + percents, so that 0 can stand for nothing told.
+/// A store reports 1 + percents, so that 0 can stand for no report.
 fn plan_rate_used(volume_use: u16) -> Option<f64> {
     (volume_use > 0).then(|| (f64::from(volume_use) - 1.0) / 100.0)
 }
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,4 +1,6 @@
-//! Time in [`Scheduler::handle`] for each op done, as open ops and listed stores grow. `cargo run --release --example cost`
+//! Time in [`Scheduler::handle`] for each op done, as open ops and listed stores grow.
+//!
+//! `cargo run --release --example cost`
 //!
 //! One gateway in its own time: each attempt succeeds after 1 ms, and for each op that ends another comes, so that as
 //! many stay open. All ops are of one plan and type, one unit each.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told and what it asks for, free of any wire.
+//! The events that the scheduler takes and the actions that it asks for, free of any wire.
 //!
 //! Ids are small indices that the caller hands out where ops, stores and volumes enter. Times are durations since the
 //! zero of the caller's clock, which must not run backwards.
@@ -170,7 +170,7 @@
     pub reserved_tokens: f64,
 }
 
-/// What the scheduler is told.
+/// Something that happened, as the scheduler takes it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The gateway starts; what was known before is forgotten.
@@ -203,8 +203,8 @@
         /// The shard that binds its further attempts.
         shard: u32,
     },
-    /// The figures of plans, op types and rules from now on. Those in force stay in their places, new ones follow; a plan
-    /// that is no more has no weight.
+    /// The figures of plans, op types and rules from now on. Those in force stay in their places, new ones follow; a
+    /// plan that is no more has no weight.
     SettingsChanged {
         /// All settings, not only those that changed.
         settings: Settings,
@@ -256,7 +256,7 @@
     },
 }
 
-/// What the scheduler asks for.
+/// Something that the scheduler asks its caller to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the op to the store. Its end must come as an [`Event::AttemptFinished`].
@@ -287,7 +287,7 @@
         /// Which of the op's attempts, from 0.
         attempt: u32,
     },
-    /// Set a timer; it is told of by [`Event::Timer`].
+    /// Set a timer; when it fires an [`Event::Timer`] must come.
     SetTimer {
         /// Comes back with the event.
         token: u64,
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -9,8 +9,8 @@
 use super::store::{INITIAL_LATENCY_PER_OBJECTIVE, Store};
 use crate::interface::{Action, Op, OpId};
 
-/// An op that yields may go to an idle store whose latency is up to this part of the target latency and as much again as
-/// the op's own part of the limit: many gateways see an idle store each.
+/// An op that yields may go to an idle store whose latency is up to this part of the target latency and as much again
+/// as the op's own part of the limit: many gateways see an idle store each.
 const IDLE_STORE_LATENCY_SLACK: f64 = 0.75;
 /// The latency that is expected of a store is never taken for more than the objective over this.
 const EXPECTED_LATENCY_DIVISOR: u32 = 2;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The op with its times: the final answer must be in before the client's own time is up (rule 1), and a sweep may come
-    /// this much late.
+    /// The op with its times: the final answer must be in before the client's own time is up (rule 1), and a sweep
+    /// may come this much late.
     fn new_pending_op(&self, op: Op) -> PendingOp {
         let op_type = &self.settings.op_types[op.op_type];
         let margin = self.sweep_interval() + ANSWER_MARGIN_TICKS * self.settings.tick;
--- a/src/scheduler/concurrency_limit.rs
+++ b/src/scheduler/concurrency_limit.rs
@@ -9,8 +9,8 @@
 const INITIAL_LIMIT_OPS: f64 = 4.0;
 /// Mean ops in flight at most.
 const MAX_LIMIT_OPS: f64 = 16.0;
-/// The least limit, in mean ops: three ops that it spaces take about 28 latency objectives, each answer bringing it back
-/// (docs/design.md, "No state that outlasts its cause").
+/// The least limit, in mean ops: three ops that it spaces take about 28 latency objectives, each answer bringing it
+/// back (docs/design.md, "No state that outlasts its cause").
 const MIN_LIMIT_OPS: f64 = 0.015625;
 /// How far an answer moves the limit: down by this part of itself, up by this part of a mean op times the weight.
 const LIMIT_STEP: f64 = 0.03;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -83,8 +83,8 @@
         Some(Headroom { units_in_flight, limit, is_spacing_over })
     }
 
-    /// A holder that ran out with ops queued waits for those in flight. Departure from Argon: not for stuck ones, nor at a
-    /// suspected store, or one stuck op would hold up all volumes until it times out.
+    /// A holder that ran out with ops queued waits for those in flight. Departure from Argon: not for stuck ones, nor
+    /// at a suspected store, or one stuck op would hold up all volumes until it times out.
     fn must_wait_for_holder(&self, store: &Store, holder: VolumeId) -> bool {
         let is_holders = |op: OpId| self.ops[&op].op.volume == holder;
         !store.outlier.is_suspected() && store.has_in_flight(self.now, is_holders)
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -10,9 +10,9 @@
 
 /// The backoff doubles with each failure up to this one; from there on it is half the time within which to ask again.
 const MAX_BACKOFF_FAILURES: u32 = 4;
-/// A store that is back is first used within the window of the rule on slow starts times what it lacks to be warm, and
-/// at least this part of it.
-const MIN_COLDNESS: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
+/// A store that is back is first used within the window of the rule on slow starts times the progress that it lacks,
+/// and at least this part of it.
+const MIN_MISSING_PROGRESS: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
 
 /// When to ask for the endpoint list.
 pub(super) struct EndpointWatch {
@@ -94,12 +94,13 @@
         store.endpoint = endpoint;
     }
 
-    /// A store just back meets all gateways at once: a random wait, longer for a colder one, spreads them.
+    /// A store just back meets all gateways at once: a random wait, longer for one that can carry less, spreads them.
     fn draw_first_use(&mut self, endpoint: &Endpoint) -> Duration {
         let progress = self.slow_start_progress(endpoint);
-        let coldness = progress.map_or(MIN_COLDNESS, |progress| (1.0 - progress).max(MIN_COLDNESS));
+        let missing =
+            progress.map_or(MIN_MISSING_PROGRESS, |progress| (1.0 - progress).max(MIN_MISSING_PROGRESS));
         let random_fraction = self.random.random_fraction();
-        self.now + self.settings.slow_start.window.mul_f64(coldness * random_fraction)
+        self.now + self.settings.slow_start.window.mul_f64(missing * random_fraction)
     }
 }
 
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -44,8 +44,8 @@
         if load < FULL_LOAD { 0 } else { (load / LOAD_STEP) as u64 }
     }
 
-    /// Whether ops may be sent to the store (rule 3). Departure: one that is draining serves on within the grace, as ops
-    /// on its data have no other place.
+    /// Whether ops may be sent to the store (rule 3). Departure: one that is draining serves on within the grace, as
+    /// ops on its data have no other place.
     pub(super) fn is_usable(&self, store: &Store) -> bool {
         if store.is_ready() {
             return true;
--- a/src/scheduler/random.rs
+++ b/src/scheduler/random.rs
@@ -1,6 +1,7 @@
 //! Random numbers that repeat for a seed.
 //!
-//! Invariant: the order of draws and the types that are hashed decide the numbers; a change of either changes decisions.
+//! Invariant: the order of draws and the types that are hashed decide the numbers; a change of either changes
+//! decisions.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 use std::time::Duration;
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -24,8 +24,8 @@
         self.actions.push(Action::Snapshot { stores, volumes: volumes.collect() });
     }
 
-    /// Believes an earlier run the less the older it is, and not at all if nobody can tell how old. Of a limit only what
-    /// it promised to leave undrawn is there, for as long as it promised (rule 7).
+    /// Believes an earlier run the less the older it is, and not at all if nobody can tell how old. Of a limit only
+    /// what it promised to leave undrawn is there, for as long as it promised (rule 7).
     pub(super) fn restore(
         &mut self,
         age: Option<Duration>,
--- a/src/scheduler/store_table.rs
+++ b/src/scheduler/store_table.rs
@@ -1,7 +1,7 @@
 //! All stores, and which of them need looking at.
 //!
-//! A sweep looks only at active stores. What it would have done to the others is caught up with, to the bit, before they
-//! are used next, and for one of them at the end of each sweep.
+//! A sweep looks only at active stores. What it would have done to the others is caught up with, to the bit, before
+//! they are used next, and for one of them at the end of each sweep.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -210,8 +210,8 @@
         self.deliver(gateway, vec![Event::SettingsChanged { settings }]);
     }
 
-    /// Rule 7: the tokens left of a volume's limit. They fill as fast, and are as many at most, as the parts are that the
-    /// gateways act on.
+    /// Rule 7: the tokens left of a volume's limit. They fill as fast, and are as many at most, as the parts are that
+    /// the gateways act on.
     fn fill_tokens(&mut self, volume: VolumeId) -> f64 {
         let mean = |name: &str| {
             let figures = self.settings.iter().map(|settings| settings[name].parse::<f64>());
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -122,7 +122,8 @@
     assert!(fleet.gateways[0].ops[&OpId(1)].has_ended);
 }
 
-/// Each alone, 350 gateways keep to what a cold store bears and to plans' limits, and their parts do not round to nothing.
+/// Each alone, 350 gateways keep to what a cold store bears and to plans' limits, and their parts do not round to
+/// nothing.
 #[test]
 fn hundreds_of_gateways_keep_rules_in_sum_and_serve() {
     const HOSTS: u32 = 8;
