--- /dev/null
+++ b/crates/nbd-gateway/src/changes/folder.rs
@@ -0,0 +1,67 @@
+//! The log of changes in the writer's folder.
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use umbertray_config_log::Follower;
+use umbertray_config_log::follow::{AppliedVersion, FollowError};
+use umbertray_snapshot::Disk;
+
+use super::publisher::{ChangePublisher, EventLoopEnded};
+use super::rate_limited::LogRateLimit;
+use super::record_applied;
+
+/// Between two reads of the folder.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Polls a folder. It reads and decodes off the runtime's own threads, which a disk that hangs must not hold.
+pub(super) struct FolderPoller {
+    disk: Disk,
+    follower: Box<Follower>,
+    /// The folder of the applied version.
+    applied_folder: Option<PathBuf>,
+}
+
+impl FolderPoller {
+    pub(super) fn new(disk: Disk, follower: Box<Follower>, applied_folder: Option<PathBuf>) -> FolderPoller {
+        FolderPoller { disk, follower, applied_folder }
+    }
+
+    /// Follows until the event loop ends.
+    pub(super) async fn follow(mut self, publisher: &ChangePublisher) {
+        let mut log_limit = LogRateLimit::default();
+        record_applied(self.applied_folder.as_deref(), &self.follower.replica);
+        loop {
+            let polling = tokio::task::spawn_blocking(move || {
+                let polled = self.poll();
+                (self, polled)
+            });
+            let Ok((poller, polled)) = polling.await else { return };
+            self = poller;
+            match polled {
+                Ok(applied) => {
+                    if let Err(EventLoopEnded) = publisher.publish(applied).await {
+                        return;
+                    }
+                }
+                Err(error) if log_limit.allow() => {
+                    let version = self.follower.replica.version.number;
+                    tracing::error!(%error, version, "change log rejected");
+                }
+                Err(_) => {}
+            }
+            tokio::select! {
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
+                () = publisher.event_loop_ended() => return,
+            }
+        }
+    }
+
+    fn poll(&mut self) -> Result<Vec<AppliedVersion>, FollowError> {
+        let applied = self.follower.poll(&self.disk)?;
+        if !applied.is_empty() {
+            record_applied(self.applied_folder.as_deref(), &self.follower.replica);
+        }
+        Ok(applied)
+    }
+}
--- /dev/null
+++ b/crates/nbd-gateway/src/changes/mod.rs
@@ -0,0 +1,62 @@
+//! Following the log of changes: what is committed becomes the settings in force.
+
+mod folder;
+mod log_copy;
+mod publisher;
+mod rate_limited;
+mod relayed;
+
+use std::path::{Path, PathBuf};
+
+use umbertray_config_log::{Follower, Replica, acted};
+use umbertray_snapshot::Disk;
+
+pub(crate) use self::publisher::ChangePublisher;
+pub use self::relayed::{PATIENCE, RelaySource, RelayedChanges};
+
+use self::folder::FolderPoller;
+
+/// The log of changes that a gateway follows, read up to the settings that it starts with.
+pub enum ChangeSource {
+    /// The writer's folder.
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// Where in the log it is.
+        follower: Box<Follower>,
+        /// The folder of the applied version, which outlives a restart.
+        acted: Option<PathBuf>,
+    },
+    /// Relays.
+    Relays(Box<RelayedChanges>),
+}
+
+impl ChangeSource {
+    /// The state that the gateway starts with.
+    pub fn at(&self) -> &Replica {
+        match self {
+            ChangeSource::Folder { follower, .. } => &follower.replica,
+            ChangeSource::Relays(relayed) => &relayed.at,
+        }
+    }
+
+    /// Follows until the event loop ends.
+    pub(crate) async fn follow(self, publisher: ChangePublisher) {
+        match self {
+            ChangeSource::Folder { folder, follower, acted } => {
+                FolderPoller::new(Disk::read_only(&folder), follower, acted).follow(&publisher).await;
+            }
+            ChangeSource::Relays(relayed) => relayed.follow(&publisher).await,
+        }
+    }
+}
+
+/// Records the version that is about to be applied. Hazard: applied before it is recorded, a version could be followed by an
+/// older one after a crash.
+fn record_applied(folder: Option<&Path>, state: &Replica) {
+    let written = folder.map(|folder| acted::write(folder, state.version.number, state.hash));
+    if let Some(Err(error)) = written {
+        // An older log would be accepted after a restart.
+        tracing::error!(%error, "applied version write failed");
+    }
+}
--- /dev/null
+++ b/crates/nbd-gateway/src/changes/relayed.rs
@@ -0,0 +1,169 @@
+//! The log of changes as relays tell it.
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use umbertray_config::Upstream;
+use umbertray_config_log::chain::Corruption;
+use umbertray_config_log::follow::AppliedVersion;
+use umbertray_config_log::{Replica, Update, acted};
+use umbertray_relay::{ReplicationSource, follow, position};
+use umbertray_store_protocol::changes::Position;
+use umbertray_store_protocol::volume_id;
+
+use super::log_copy::{DurableLog, OpenedLog};
+use super::publisher::{ChangePublisher, EventLoopEnded};
+use super::rate_limited::LogRateLimit;
+use crate::error::GatewayError;
+
+/// How long a gateway without a copy of the log waits for the relays: the longest backoff between two attempts, and the time
+/// for a checkpoint.
+pub const PATIENCE: Duration = Duration::from_secs(30);
+
+/// The relays that a gateway follows, and its name among them.
+pub struct RelaySource {
+    /// A name of its own among all relays and gateways.
+    pub name: String,
+    /// The zone it runs in.
+    pub zone: String,
+    /// The relays.
+    pub upstreams: Vec<Upstream>,
+    /// Number of relays that must agree.
+    pub quorum: usize,
+    /// Seed of its jitter.
+    pub seed: u64,
+    /// How long it waits for the relays where it has no copy of the log.
+    pub patience: Duration,
+    /// Its own folder, with the applied version and a copy of the log to start from when no relay can be reached.
+    pub state: Option<PathBuf>,
+}
+
+/// A gateway's position in the log that relays tell.
+pub struct RelayedChanges {
+    /// The state that is applied.
+    pub at: Replica,
+    source: ReplicationSource,
+    log: DurableLog,
+}
+
+/// What a batch of updates brought.
+struct AppliedBatch {
+    versions: Vec<AppliedVersion>,
+    /// The last update that could not be applied.
+    corruption: Option<Corruption>,
+}
+
+impl RelayedChanges {
+    /// Follows relays; returns once there is a version to start with, that of its own copy or one that they agree on.
+    ///
+    /// # Errors
+    /// The configuration is rejected, the applied version cannot be read, or the relays tell nothing that can be used in time.
+    pub async fn start(relays: RelaySource) -> Result<RelayedChanges, GatewayError> {
+        let RelaySource { name, zone, upstreams, quorum, seed, patience, state: folder } = relays;
+        let applied = folder.as_deref().map(acted::read).transpose().map_err(GatewayError::AppliedVersion)?;
+        let applied = applied.flatten().map(|(version, hash)| Position { version, hash });
+        let OpenedLog { mut log, state } = DurableLog::open(folder);
+        // A copy that ends before the applied version is an older one.
+        let state = state.filter(|state| {
+            applied.is_none_or(|applied| state.version.number > applied.version || position(state) == applied)
+        });
+        let held = state.as_ref().map(position);
+        let relays = upstreams.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
+        let no_quorum = GatewayError::NoQuorum { quorum, relays, timeout: patience };
+        let seed = volume_id(&name) ^ seed;
+        let mut source = follow((name, zone), (upstreams, quorum), (held, applied), seed)?;
+        let at = match state {
+            Some(state) => state,
+            None => {
+                let min_version = applied.map_or(1, |applied| applied.version);
+                let first = first_state(&mut source, &mut log, min_version);
+                tokio::time::timeout(patience, first).await.unwrap_or(Ok(None))?.ok_or(no_quorum)?
+            }
+        };
+        log.record_applied(&at);
+        _ = source.applied.send(at.version.number).await;
+        Ok(RelayedChanges { at, source, log })
+    }
+
+    /// Applies what the relays tell until the event loop ends. It writes and decodes off the runtime's own threads.
+    pub(super) async fn follow(mut self: Box<Self>, publisher: &ChangePublisher) {
+        let mut log_limit = LogRateLimit::default();
+        loop {
+            // A cancelled branch loses nothing: updates stay in their channel.
+            let batch = tokio::select! {
+                batch = self.source.updates.recv() => batch,
+                () = publisher.event_loop_ended() => return,
+            };
+            let Some(batch) = batch else { return };
+            let applying = tokio::task::spawn_blocking(move || {
+                let applied = self.apply(&batch);
+                (self, applied)
+            });
+            let Ok((changes, applied)) = applying.await else { return };
+            self = changes;
+            if let Some(error) = applied.corruption.filter(|_| log_limit.allow()) {
+                let version = self.at.version.number;
+                tracing::error!(%error, version, "change log rejected");
+            }
+            if let Err(EventLoopEnded) = publisher.publish(applied.versions).await {
+                return;
+            }
+            if self.source.applied.send(self.at.version.number).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Applies the updates that are right, each after it is copied.
+    fn apply(&mut self, batch: &[Update]) -> AppliedBatch {
+        let mut applied = AppliedBatch { versions: Vec::new(), corruption: None };
+        for update in batch {
+            let before = self.at.clone();
+            match self.at.apply(update) {
+                Ok(Some(version)) => {
+                    self.log.append(update, Some(&before));
+                    applied.versions.push(version);
+                }
+                Ok(None) => {}
+                // A state further on may be right.
+                Err(corruption) => applied.corruption = Some(corruption),
+            }
+        }
+        if !applied.versions.is_empty() {
+            self.log.record_applied(&self.at);
+        }
+        applied
+    }
+}
+
+/// The first state that is not before `min_version`; nothing where the source has ended.
+async fn first_state(
+    source: &mut ReplicationSource,
+    log: &mut DurableLog,
+    min_version: u64,
+) -> Result<Option<Replica>, GatewayError> {
+    let mut state: Option<Replica> = None;
+    while let Some(batch) = source.updates.recv().await {
+        for update in batch {
+            log.append(&update, state.as_ref());
+            state = apply_first(state, &update)
+                .map_err(|corruption| GatewayError::Unreadable { version: update.version(), corruption })?;
+        }
+        if state.as_ref().is_some_and(|state| state.version.number >= min_version) {
+            return Ok(state);
+        }
+    }
+    Ok(None)
+}
+
+/// The state after an update; entries before the first checkpoint are passed over.
+fn apply_first(state: Option<Replica>, update: &Update) -> Result<Option<Replica>, Corruption> {
+    match (state, update) {
+        (Some(mut state), update) => {
+            state.apply(update)?;
+            Ok(Some(state))
+        }
+        (None, Update::Checkpoint(header)) => Ok(Some(Replica::from_header(header)?)),
+        (None, Update::Entry(_)) => Ok(None),
+    }
+}
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that hosts the core: one task, which alone touches it.
+//! The loop that hosts the core: one task, which alone accesses it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,242 +6,293 @@
 use std::time::Duration;
 
 use tokio::sync::{mpsc, watch};
+use umbertray_clock::Clock;
 use umbertray_routing::{
-    BufferGuard, Input, Output, ReplyPart, RequestHandler, RequestId, SessionId, Settings, StoreId,
+    BufferGuard, Input, Output, ReplyPart, RequestHandler, RequestId, SessionId, Settings, Snapshot, StoreId,
 };
-use umbertray_store_protocol::list::ToList;
-use umbertray_store_protocol::store::ToStore;
-
-use crate::list::Service;
-use crate::snapshot_writer::SnapshotWriter;
-use crate::{link, list};
-use umbertray_clock::Clock;
 use umbertray_snapshot::Stamp;
 use umbertray_snapshot::decide::{EVERY, PROMISED};
 use umbertray_snapshot::folder::{self, LoadResult};
+use umbertray_store_protocol::list::ToList;
+
+use crate::error::GatewayError;
+use crate::service_connection::{self, Service, ServiceContext};
+use crate::snapshot_writer::{OpenedSnapshots, SnapshotWriter};
+use crate::store_connection::{StoreConnection, StoreMessage};
+
+/// Events taken from the queue at once, at most; the module sees them as one moment.
+const MAX_EVENTS_PER_STEP: usize = 128;
 
 /// A part of a reply on its way to its session.
-pub struct SessionReply {
-    pub tag: u64,
-    pub part: ReplyPart,
-    pub hold: BufferGuard,
+pub(crate) struct SessionReply {
+    /// The request's cookie.
+    pub(crate) cookie: u64,
+    /// The part.
+    pub(crate) part: ReplyPart,
+    /// To be held until the part is sent.
+    pub(crate) hold: BufferGuard,
+}
+
+/// What the other tasks tell the loop.
+pub(crate) enum LoopEvent {
+    /// A client has connected; its replies go to this sender.
+    SessionOpened { session: SessionId, replies: mpsc::UnboundedSender<SessionReply> },
+    /// An input for the core, from a session or from a service.
+    CoreInput(Input),
+    /// An input for the core from a store's connection; those of an earlier connection are dropped.
+    FromStoreConnection { store: StoreId, connection_id: u64, input: Input },
+    /// The writer of snapshots has written, or failed to write, what it was given.
+    SnapshotFinished,
 }
 
-pub enum LoopEvent {
-    Attach(SessionId, mpsc::UnboundedSender<SessionReply>),
-    Input(Input),
-    /// From the link of this generation to the store; what an earlier one still says is not heard.
-    Link(StoreId, u64, Input),
-    /// The coordinator has written, or failed to, what it was given.
-    Kept,
+/// What the loop receives.
+pub(crate) struct LoopChannels {
+    /// Events of the other tasks.
+    pub(crate) events: mpsc::UnboundedReceiver<LoopEvent>,
+    /// Changes of the settings, in parts.
+    pub(crate) changes: mpsc::Receiver<Input>,
+    /// Turns true once, when the gateway is to drain.
+    pub(crate) is_stopping: watch::Receiver<bool>,
 }
 
-struct LinkEnd {
-    generation: u64,
-    /// Dropping it ends the link.
-    to_link: mpsc::UnboundedSender<(ToStore, Option<BufferGuard>)>,
+/// The services that the loop connects to.
+#[derive(Clone, Copy)]
+pub(crate) struct ServiceAddresses {
+    /// The endpoint list.
+    pub(crate) endpoint_list: SocketAddr,
+    /// The coordinator, where it has the map.
+    pub(crate) coordinator: Option<SocketAddr>,
 }
 
-pub struct EventLoop {
+struct StoreConnectionHandle {
+    connection_id: u64,
+    /// Dropping it ends the connection, once what is queued is written.
+    messages: mpsc::UnboundedSender<StoreMessage>,
+}
+
+/// The core, and what carries its outputs out.
+pub(crate) struct EventLoop {
     core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
     /// The longest op timeout that was in force since the start: what is open may have it.
     longest_timeout: Duration,
-    run: u64,
-    to_hub: mpsc::UnboundedSender<LoopEvent>,
-    to_list: mpsc::UnboundedSender<ToList>,
-    /// Where the map is another service than the list.
-    to_keeper: Option<mpsc::UnboundedSender<ToList>>,
+    run_id: u64,
+    events: mpsc::UnboundedSender<LoopEvent>,
+    endpoint_list: mpsc::UnboundedSender<ToList>,
+    /// Present where the map is another service than the endpoint list.
+    coordinator: Option<mpsc::UnboundedSender<ToList>>,
     sessions: HashMap<SessionId, mpsc::UnboundedSender<SessionReply>>,
-    links: HashMap<StoreId, LinkEnd>,
-    generation: u64,
-    wake_at: Duration,
-    keeper: Option<SnapshotWriter>,
+    store_connections: HashMap<StoreId, StoreConnectionHandle>,
+    last_connection_id: u64,
+    /// When the core's timer expires.
+    timer_at: Duration,
+    snapshot_writer: Option<SnapshotWriter>,
     /// What an earlier run saved, until the core has it.
-    recalled: Option<LoadResult>,
-    /// The moment that the next save speaks of.
-    saving: Option<Stamp>,
-    save_at: Duration,
+    loaded_snapshot: Option<LoadResult>,
+    /// The moment of the snapshot that the core was asked for and has not returned.
+    snapshot_stamp: Option<Stamp>,
+    next_snapshot_at: Duration,
 }
 
-/// So many messages are taken at a time; the module sees them as one moment.
-const TURN: usize = 128;
-
 impl EventLoop {
-    pub fn new(
+    /// A loop that hosts `core`; it starts the tasks that connect to the services.
+    pub(crate) fn new(
         core: Box<dyn RequestHandler>,
         clock: Clock,
         settings: Arc<Settings>,
-        (list, keeper): (SocketAddr, Option<SocketAddr>),
-        run: u64,
-        to_hub: mpsc::UnboundedSender<LoopEvent>,
+        services: ServiceAddresses,
+        run_id: u64,
+        events: mpsc::UnboundedSender<LoopEvent>,
     ) -> EventLoop {
-        let ask = |service, address| {
-            let (to_service, from_hub) = mpsc::unbounded_channel();
-            let patience = settings.connect_timeout;
-            tokio::spawn(list::run(service, address, run, patience, from_hub, to_hub.clone()));
-            to_service
+        let connect_timeout = settings.connect_timeout;
+        let connect = |service, address| {
+            let (sender, messages) = mpsc::unbounded_channel();
+            let context =
+                ServiceContext { service, address, run_id, connect_timeout, events: events.clone() };
+            tokio::spawn(service_connection::run(context, messages));
+            sender
         };
-        let to_list = ask(Service::List, list);
-        let to_keeper = keeper.map(|address| ask(Service::Keeper, address));
+        let endpoint_list = connect(Service::EndpointList, services.endpoint_list);
+        let coordinator = services.coordinator.map(|address| connect(Service::Coordinator, address));
         EventLoop {
             core,
             clock,
             longest_timeout: settings.longest_timeout(),
             settings,
-            run,
-            to_hub,
-            to_list,
-            to_keeper,
+            run_id,
+            events,
+            endpoint_list,
+            coordinator,
             sessions: HashMap::new(),
-            links: HashMap::new(),
-            generation: 0,
-            wake_at: clock.now(),
-            keeper: None,
-            recalled: None,
-            saving: None,
-            save_at: clock.now() + EVERY,
+            store_connections: HashMap::new(),
+            last_connection_id: 0,
+            timer_at: clock.now(),
+            snapshot_writer: None,
+            loaded_snapshot: None,
+            snapshot_stamp: None,
+            next_snapshot_at: clock.now() + EVERY,
         }
     }
 
-    /// Keeps state with a coordinator, and recalls what it found.
-    pub fn keeping(self, keeper: Option<SnapshotWriter>, recalled: Option<LoadResult>) -> EventLoop {
-        EventLoop { keeper, recalled, ..self }
+    /// Saves snapshots with a writer, and restores the one that it loaded.
+    pub(crate) fn with_snapshots(self, snapshots: Option<OpenedSnapshots>) -> EventLoop {
+        let Some(OpenedSnapshots { writer, loaded }) = snapshots else { return self };
+        EventLoop { snapshot_writer: Some(writer), loaded_snapshot: loaded, ..self }
     }
 
-    /// Runs until told to stop and all is answered, at most the longest op timeout after that.
-    pub async fn run(
-        mut self,
-        mut from_all: mpsc::UnboundedReceiver<LoopEvent>,
-        mut changed: mpsc::Receiver<Input>,
-        mut stopping: watch::Receiver<bool>,
-    ) -> Result<(), String> {
-        let mut messages = Vec::with_capacity(TURN);
-        let mut end_at = None;
-        let recalled = self
-            .recalled
-            .take()
-            .map(|recalled| Input::Restore { snapshot: recalled.snapshot, age: recalled.age.known() });
-        self.turn(recalled.into_iter().collect())?;
+    /// Runs until it is told to stop and all is answered, at most the longest op timeout after that.
+    ///
+    /// # Errors
+    /// The core cannot go on.
+    pub(crate) async fn run(mut self, mut channels: LoopChannels) -> Result<(), GatewayError> {
+        let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
+        let mut drain_deadline = None;
+        let restored = self.loaded_snapshot.take().map(restore_input);
+        self.handle(restored.into_iter().collect())?;
         loop {
-            let wake_at = tokio::time::Instant::from_std(self.clock.instant(self.wake_at));
+            let timer_at = tokio::time::Instant::from_std(self.clock.instant(self.timer_at));
+            // A cancelled branch loses nothing: events and changes stay in their channels.
             tokio::select! {
                 biased;
-                _ = stopping.wait_for(|stop| *stop), if end_at.is_none() => {
-                    end_at = Some(self.clock.now() + self.longest_timeout);
-                    tracing::info!(open = self.core.open_requests(), sessions = self.sessions.len(), "stopping");
-                }
-                // One part of a change a turn: however long it is, what flows goes on between them.
-                Some(change) = changed.recv() => {
-                    if let Input::SettingsChanged { settings, .. } = &change {
-                        self.longest_timeout = self.longest_timeout.max(settings.longest_timeout());
-                    }
-                    self.turn(vec![change])?;
+                _ = channels.is_stopping.wait_for(|stop| *stop), if drain_deadline.is_none() => {
+                    drain_deadline = Some(self.start_drain());
                 }
-                _ = from_all.recv_many(&mut messages, TURN) => {
-                    let inputs = messages.drain(..).filter_map(|message| self.heard(message)).collect();
-                    self.turn(inputs)?;
+                // One part of a change a step: however long it is, what flows goes on between them.
+                Some(change) = channels.changes.recv() => self.on_change(change)?,
+                _ = channels.events.recv_many(&mut events, MAX_EVENTS_PER_STEP) => {
+                    let inputs = events.drain(..).filter_map(|event| self.on_loop_event(event)).collect();
+                    self.handle(inputs)?;
                 }
-                () = tokio::time::sleep_until(wake_at) => self.turn(vec![Input::TimerExpired])?,
+                () = tokio::time::sleep_until(timer_at) => self.handle(vec![Input::TimerExpired])?,
             }
-            self.save()?;
-            let over = |end: Duration| self.sessions.is_empty() || self.clock.now() >= end;
-            if end_at.is_some_and(over) {
-                self.save_at = Duration::ZERO;
-                self.save()?;
-                return Ok(());
+            self.request_snapshot()?;
+            if drain_deadline.is_some_and(|deadline| self.is_drained(deadline)) {
+                self.next_snapshot_at = Duration::ZERO;
+                return self.request_snapshot();
             }
         }
     }
 
-    /// Asks the core what is to be saved, when it is time to and the coordinator is idle: a slow disk is not waited for. The
-    /// sweep wakes this loop often enough.
-    fn save(&mut self) -> Result<(), String> {
+    /// When the drain ends at the latest.
+    fn start_drain(&self) -> Duration {
+        let open_requests = self.core.open_requests();
+        tracing::info!(open_requests, sessions = self.sessions.len(), "drain started");
+        self.clock.now() + self.longest_timeout
+    }
+
+    fn is_drained(&self, deadline: Duration) -> bool {
+        self.sessions.is_empty() || self.clock.now() >= deadline
+    }
+
+    fn on_change(&mut self, change: Input) -> Result<(), GatewayError> {
+        if let Input::SettingsChanged { settings, .. } = &change {
+            self.longest_timeout = self.longest_timeout.max(settings.longest_timeout());
+        }
+        self.handle(vec![change])
+    }
+
+    /// Asks the core for a snapshot when one is due and the writer is idle: a slow disk is not waited for. The core's own
+    /// timer wakes this loop often enough.
+    fn request_snapshot(&mut self) -> Result<(), GatewayError> {
         let now = self.clock.now();
-        if now < self.save_at
-            || self.saving.is_some()
-            || !self.keeper.as_ref().is_some_and(SnapshotWriter::idle)
-        {
+        let is_due = now >= self.next_snapshot_at && self.snapshot_stamp.is_none();
+        if !is_due || !self.snapshot_writer.as_ref().is_some_and(SnapshotWriter::is_idle) {
             return Ok(());
         }
-        // The moment is taken first: what is kept is then never younger than it says.
-        self.saving = Some(folder::current_stamp());
-        self.save_at = now + EVERY;
-        self.turn(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
+        // The moment is taken first: a snapshot is then never younger than it says.
+        self.snapshot_stamp = Some(folder::current_stamp());
+        self.next_snapshot_at = now + EVERY;
+        self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
     }
 
-    fn heard(&mut self, message: LoopEvent) -> Option<Input> {
-        match message {
-            LoopEvent::Kept => {
-                self.keeper.iter_mut().for_each(SnapshotWriter::kept);
+    /// The input for the core that an event brings, if any.
+    fn on_loop_event(&mut self, event: LoopEvent) -> Option<Input> {
+        match event {
+            LoopEvent::SnapshotFinished => {
+                self.snapshot_writer.iter_mut().for_each(SnapshotWriter::on_finished);
                 None
             }
-            LoopEvent::Attach(session, sender) => {
-                self.sessions.insert(session, sender);
+            LoopEvent::SessionOpened { session, replies } => {
+                self.sessions.insert(session, replies);
                 None
             }
-            LoopEvent::Input(input) => {
+            LoopEvent::CoreInput(input) => {
                 if let Input::SessionClosed(session) = &input {
                     self.sessions.remove(session);
                 }
                 Some(input)
             }
-            LoopEvent::Link(store, generation, input) => {
-                self.links.get(&store).filter(|link| link.generation == generation)?;
+            LoopEvent::FromStoreConnection { store, connection_id, input } => {
+                self.store_connections
+                    .get(&store)
+                    .filter(|connection| connection.connection_id == connection_id)?;
                 if matches!(input, Input::StoreUnreachable { .. } | Input::StoreDisconnected { .. }) {
-                    self.links.remove(&store);
+                    self.store_connections.remove(&store);
                 }
                 Some(input)
             }
         }
     }
 
-    fn turn(&mut self, inputs: Vec<Input>) -> Result<(), String> {
+    fn handle(&mut self, inputs: Vec<Input>) -> Result<(), GatewayError> {
         let outputs = self.core.handle(self.clock.now(), inputs);
-        outputs.into_iter().try_for_each(|output| self.act(output))
+        outputs.into_iter().try_for_each(|output| self.apply(output))
     }
 
-    fn act(&mut self, output: Output) -> Result<(), String> {
+    fn apply(&mut self, output: Output) -> Result<(), GatewayError> {
         match output {
-            Output::Reply { id: RequestId(session, tag), part, hold } => {
-                if let Some(sender) = self.sessions.get(&session) {
-                    _ = sender.send(SessionReply { tag, part, hold });
+            Output::Reply { id: RequestId(session, cookie), part, hold } => {
+                if let Some(replies) = self.sessions.get(&session) {
+                    _ = replies.send(SessionReply { cookie, part, hold });
                 }
             }
-            Output::ConnectStore { store, address } => {
-                self.generation += 1;
-                let (to_link, from_hub) = mpsc::unbounded_channel();
-                self.links.insert(store, LinkEnd { generation: self.generation, to_link });
-                let link = link::Link {
-                    store,
-                    generation: self.generation,
-                    run: self.run,
-                    connect_timeout: self.settings.connect_timeout,
-                    clock: self.clock,
-                    to_hub: self.to_hub.clone(),
-                };
-                tokio::spawn(link.run(address, from_hub));
-            }
-            Output::DisconnectStore { store } => _ = self.links.remove(&store),
+            Output::ConnectStore { store, address } => self.connect_store(store, address),
+            Output::DisconnectStore { store } => _ = self.store_connections.remove(&store),
             Output::ToStore { store, message, hold } => {
-                if let Some(link) = self.links.get(&store) {
-                    _ = link.to_link.send((message, hold));
+                if let Some(connection) = self.store_connections.get(&store) {
+                    _ = connection.messages.send(StoreMessage { message, hold });
                 }
             }
-            Output::ToList(message) => {
-                let to = self.to_keeper.as_ref().filter(|_| message.concerns_map()).unwrap_or(&self.to_list);
-                _ = to.send(message);
-            }
-            Output::SaveSnapshot(saved) => {
-                if let Some((keeper, stamp)) = self.keeper.as_mut().zip(self.saving.take()) {
-                    keeper.keep(self.clock.now(), stamp, saved);
-                }
-            }
-            Output::SetTimer(at) => self.wake_at = at,
-            Output::Log(text) => tracing::info!(text, "said"),
-            Output::Fatal(text) => return Err(text),
+            Output::ToList(message) => self.send_service(message),
+            Output::SaveSnapshot(snapshot) => self.save_snapshot(snapshot),
+            Output::SetTimer(at) => self.timer_at = at,
+            Output::Log(text) => tracing::info!(text, "routing event"),
+            Output::Fatal(text) => return Err(GatewayError::Core(text)),
         }
         Ok(())
     }
+
+    fn connect_store(&mut self, store: StoreId, address: SocketAddr) {
+        self.last_connection_id += 1;
+        let connection_id = self.last_connection_id;
+        let (sender, messages) = mpsc::unbounded_channel();
+        self.store_connections.insert(store, StoreConnectionHandle { connection_id, messages: sender });
+        let connection = StoreConnection {
+            store,
+            connection_id,
+            run_id: self.run_id,
+            connect_timeout: self.settings.connect_timeout,
+            clock: self.clock,
+            events: self.events.clone(),
+        };
+        tokio::spawn(connection.run(address, messages));
+    }
+
+    /// Sends a message to the coordinator, if it concerns the map and there is one, else to the endpoint list.
+    fn send_service(&self, message: ToList) {
+        let coordinator = self.coordinator.as_ref().filter(|_| message.concerns_map());
+        _ = coordinator.unwrap_or(&self.endpoint_list).send(message);
+    }
+
+    fn save_snapshot(&mut self, snapshot: Snapshot) {
+        let stamp = self.snapshot_stamp.take();
+        if let Some((writer, stamp)) = self.snapshot_writer.as_mut().zip(stamp) {
+            writer.save(self.clock.now(), stamp, snapshot);
+        }
+    }
+}
+
+fn restore_input(loaded: LoadResult) -> Input {
+    Input::Restore { snapshot: loaded.snapshot, age: loaded.age.known() }
 }
--- /dev/null
+++ b/crates/nbd-gateway/src/session/close_reason.rs
@@ -0,0 +1,48 @@
+//! Why a session was closed.
+
+use std::io;
+
+use umbertray_nbd::ProtocolError;
+
+/// Why a session was closed, for the log.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum CloseReason {
+    /// The gateway drains, and nothing is open.
+    #[error("the gateway is stopping")]
+    GatewayStopping,
+    /// The volume was removed, and nothing is open.
+    #[error("its volume was removed")]
+    VolumeRemoved,
+    /// The client has sent a disconnect, and all it asked before is answered.
+    #[error("the client disconnected")]
+    ClientDisconnected,
+    /// The client has closed the connection without a disconnect.
+    #[error("the client closed the connection")]
+    ConnectionClosed,
+    /// The event loop has ended: nobody answers any more.
+    #[error("the gateway ended")]
+    EventLoopEnded,
+    /// The rest of a message, or the end of the negotiation, did not come in time.
+    #[error("the client's bytes came too slowly")]
+    MessageTimeout,
+    /// The client breaks the protocol.
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    /// The socket failed.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+}
+
+impl CloseReason {
+    /// Whether the client or the connection is at fault.
+    pub(super) fn is_fault(&self) -> bool {
+        match self {
+            CloseReason::GatewayStopping
+            | CloseReason::VolumeRemoved
+            | CloseReason::ClientDisconnected
+            | CloseReason::ConnectionClosed
+            | CloseReason::EventLoopEnded => false,
+            CloseReason::MessageTimeout | CloseReason::Protocol(_) | CloseReason::Socket(_) => true,
+        }
+    }
+}
--- /dev/null
+++ b/crates/nbd-gateway/src/session/exports.rs
@@ -0,0 +1,44 @@
+//! The volumes, as NBD clients see them.
+
+use std::sync::Arc;
+
+use umbertray_nbd::proto::{CAN_MULTI_CONN, SEND_DF, SEND_FLUSH, SEND_FUA, SEND_TRIM, SEND_WRITE_ZEROES};
+use umbertray_nbd::{BlockSizes, Export, Exports};
+use umbertray_routing::Settings;
+use umbertray_routing::settings::Volume;
+
+/// The smallest range that a request may name, bytes.
+const MINIMUM_BLOCK: u32 = 512;
+/// The range that clients do best to use, bytes.
+const PREFERRED_BLOCK: u32 = 4096;
+
+/// The volumes of some settings.
+pub(super) struct VolumeExports(pub(super) Arc<Settings>);
+
+impl VolumeExports {
+    fn export(&self, volume: &Volume) -> Export {
+        // A flush reaches all shards that hold extents of the volume, whichever gateway wrote them, so that several
+        // connections may be used as one.
+        let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
+        let maximum = self.0.bounds.request_bytes;
+        let preferred = PREFERRED_BLOCK.min(maximum);
+        Export {
+            name: volume.name.clone(),
+            description: format!("plan {}", self.0.plans[volume.plan].name),
+            size: volume.size,
+            flags,
+            blocks: BlockSizes { minimum: MINIMUM_BLOCK, preferred, maximum },
+        }
+    }
+}
+
+impl Exports for VolumeExports {
+    fn find(&self, name: &str) -> Option<Export> {
+        let index = self.0.volume_indices.get(name)?;
+        Some(self.export(&self.0.volumes[*index]))
+    }
+
+    fn names(&self) -> Vec<String> {
+        self.0.volumes.iter().filter(|volume| !volume.is_removed).map(|volume| volume.name.clone()).collect()
+    }
+}
--- /dev/null
+++ b/crates/nbd-gateway/src/store_connection.rs
@@ -0,0 +1,173 @@
+//! A connection to a store. What is written never waits for what is read, nor the other way round.
+
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::mpsc;
+use umbertray_clock::Clock;
+use umbertray_routing::{BufferGuard, Input, StoreId};
+use umbertray_socket::{ReadHalf, Socket, WriteHalf};
+use umbertray_store_protocol::store::{FromStore, ToStore};
+use umbertray_store_protocol::{Message, next_frame};
+
+use crate::buffer_queue::{advance, slices};
+use crate::event_loop::LoopEvent;
+
+/// A connection that was idle for so long sends a heartbeat: it finds a half-open connection, and a fresh reading of the
+/// store's clock keeps the fence in time sharp (docs/fences.md).
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
+/// The token of a heartbeat; health checks of the module have others.
+const HEARTBEAT_TOKEN: u64 = 0;
+/// After so many heartbeats without an answer the connection is closed.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+/// Bytes read at a time, at least.
+const READ_BYTES: usize = 64 * 1024;
+/// Messages taken from the queue at once, at most.
+const MAX_MESSAGES_PER_STEP: usize = 64;
+
+/// A message on its way to a store.
+pub(crate) struct StoreMessage {
+    /// The message.
+    pub(crate) message: ToStore,
+    /// To be held until the message is sent.
+    pub(crate) hold: Option<BufferGuard>,
+}
+
+type MessageReceiver = mpsc::UnboundedReceiver<StoreMessage>;
+
+/// One connection to a store.
+pub(crate) struct StoreConnection {
+    /// The store.
+    pub(crate) store: StoreId,
+    /// Counts the connections of this gateway.
+    pub(crate) connection_id: u64,
+    /// This run of the gateway, told in the hello.
+    pub(crate) run_id: u64,
+    /// How long the connection may take to come up.
+    pub(crate) connect_timeout: Duration,
+    /// The gateway's clock.
+    pub(crate) clock: Clock,
+    /// Where what the store says goes.
+    pub(crate) events: mpsc::UnboundedSender<LoopEvent>,
+}
+
+/// A connection whose store has identified itself.
+struct Welcomed {
+    socket: Socket,
+    /// Bytes that came after the welcome.
+    input: BytesMut,
+    connected: Input,
+}
+
+impl StoreConnection {
+    /// Connects, then moves messages until the connection ends, or the sender of messages is dropped.
+    pub(crate) async fn run(self, address: SocketAddr, messages: MessageReceiver) {
+        let store = self.store;
+        let connected = tokio::time::timeout(self.connect_timeout, self.connect(address)).await;
+        let connected = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
+        let Welcomed { socket, input, connected } = match connected {
+            Ok(welcomed) => welcomed,
+            Err(error) => {
+                tracing::info!(store = %address, %error, "store connection failed");
+                return self.send(Input::StoreUnreachable { store });
+            }
+        };
+        tracing::info!(store = %address, "store connected");
+        self.send(connected);
+        let (reader, writer) = socket.into_split();
+        // What the other half was about to read or write is lost: the core counts it as perhaps executed.
+        let ended = tokio::select! {
+            ended = self.read(reader, input) => ended,
+            ended = write(writer, messages) => ended,
+        };
+        let reason = ended.err().map_or("closed".into(), |error| error.to_string());
+        tracing::info!(store = %address, reason, "store connection closed");
+        self.send(Input::StoreDisconnected { store });
+    }
+
+    fn send(&self, input: Input) {
+        let event =
+            LoopEvent::FromStoreConnection { store: self.store, connection_id: self.connection_id, input };
+        _ = self.events.send(event);
+    }
+
+    async fn connect(&self, address: SocketAddr) -> io::Result<Welcomed> {
+        let mut socket = Socket::connect(address).await?;
+        socket.set_nodelay(true)?;
+        socket.write_all(&ToStore::Hello { run: self.run_id }.frame()).await?;
+        let mut input = BytesMut::new();
+        loop {
+            match next_frame(&mut input).map_err(io::Error::other)? {
+                Some(FromStore::Welcome { store: lasting, shard, clock }) => {
+                    let connected = Input::StoreConnected { store: self.store, lasting, shard, clock };
+                    return Ok(Welcomed { socket, input, connected });
+                }
+                Some(_) => return Err(io::Error::other("the store's first frame is not its welcome")),
+                None if socket.read_buf(&mut input).await? == 0 => {
+                    return Err(io::ErrorKind::UnexpectedEof.into());
+                }
+                None => {}
+            }
+        }
+    }
+
+    async fn read(&self, mut reader: ReadHalf, mut input: BytesMut) -> io::Result<()> {
+        loop {
+            let at = self.clock.now();
+            while let Some(message) = next_frame(&mut input).map_err(io::Error::other)? {
+                self.send(Input::FromStore { store: self.store, message, at });
+            }
+            input.reserve(READ_BYTES);
+            let idle_timeout = HEARTBEAT_INTERVAL * MAX_MISSED_HEARTBEATS;
+            match tokio::time::timeout(idle_timeout, reader.read_buf(&mut input)).await {
+                Ok(Ok(0)) => return Ok(()),
+                Ok(read) => _ = read?,
+                Err(_) => return Err(io::ErrorKind::TimedOut.into()),
+            }
+        }
+    }
+}
+
+/// Writes messages, and heartbeats where there are none, until the sender of messages is dropped.
+async fn write(mut writer: WriteHalf, mut messages: MessageReceiver) -> io::Result<()> {
+    let mut batch = Vec::new();
+    let mut holds = Vec::new();
+    loop {
+        // A cancelled branch loses nothing: messages stay in their channel.
+        tokio::select! {
+            count = messages.recv_many(&mut batch, MAX_MESSAGES_PER_STEP) => if count == 0 {
+                return Ok(());
+            },
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => batch.push(heartbeat()),
+        }
+        let mut queue = VecDeque::new();
+        let mut frames = BytesMut::new();
+        for StoreMessage { message, hold } in batch.drain(..) {
+            put_message(&message, &mut frames, &mut queue);
+            holds.push(hold);
+        }
+        queue.push_back(frames.freeze());
+        while !queue.is_empty() {
+            let written = writer.write_vectored(&slices(&queue)).await?;
+            advance(&mut queue, written);
+        }
+        holds.clear();
+    }
+}
+
+fn heartbeat() -> StoreMessage {
+    StoreMessage { message: ToStore::HealthCheck { token: HEARTBEAT_TOKEN }, hold: None }
+}
+
+/// Appends a message to `frames`; a payload goes uncopied to `queue`, after all the frames before it.
+fn put_message(message: &ToStore, frames: &mut BytesMut, queue: &mut VecDeque<Bytes>) {
+    message.put(frames);
+    if let Some(payload) = message.payload().filter(|payload| !payload.is_empty()) {
+        queue.push_back(frames.split().freeze());
+        queue.push_back(payload.clone());
+    }
+}
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -17,14 +17,14 @@
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
 use umbertray_config_log::{FolderReader, Update};
 use umbertray_nbd_gateway::{
-    ChangeSource, GatewayOptions, RelaySource, RelayedChanges, RelayedError, RunningGateway,
+    ChangeSource, GatewayError, GatewayOptions, RelaySource, RelayedChanges, RunningGateway,
 };
 use umbertray_relay::{RelayError, RunningRelay as Relay};
 use umbertray_snapshot::Disk;
 use umbertray_store_protocol::changes::{Checkpoint, FromUpstream, Position, ToUpstream, digest};
 use umbertray_store_protocol::{Message, next_frame};
 
-const SHARED: &str = r#"
+const SHARED_SETTINGS: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
 op_type("get", target_latency = 0.5, op_timeout = 3.0, utility = 2)
 op_type("put", target_latency = 0.3, op_timeout = 1.0, utility = 2)
@@ -34,18 +34,18 @@
 volume("vol", size = 16 * MiB, plan = "p", gateways = 2)
 "#;
 
-pub fn any_port() -> SocketAddr {
+pub(crate) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// A test that waits for ever is a failure that names nothing: it ends here instead.
-pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
+pub(crate) async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     let ended = tokio::time::timeout(Duration::from_secs(40), future).await;
-    ended.unwrap_or_else(|_| panic!("{what}: not within 40 s; the log:\n{}", lines().join("\n")))
+    ended.unwrap_or_else(|_| panic!("{what}: not within 40 s; the log:\n{}", log_lines().join("\n")))
 }
 
 /// A folder of this test's own, emptied first.
-pub fn folder(name: &str) -> PathBuf {
+pub(crate) fn test_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder for the test");
@@ -53,35 +53,35 @@
 }
 
 /// The one writer of a log.
-pub struct Writer {
-    pub folder: PathBuf,
+pub(crate) struct Writer {
+    pub(crate) folder: PathBuf,
     log: Log,
 }
 
 impl Writer {
     /// Begins a log of version 1.
-    pub fn begin(folder: &Path) -> Writer {
+    pub(crate) fn create(folder: &Path) -> Writer {
         let folder = folder.join("log");
         let disk = Disk::open(&folder).expect("nobody else has it");
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).expect("a log");
         let mut writer = Writer { folder, log };
-        let document = umbertray_config::read("shared.star", SHARED.into()).expect("right");
+        let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("right");
         let wanted = Configuration::of_calls(&document.calls());
         writer.commit(Configuration::default().diff(&wanted));
         writer
     }
 
-    pub fn commit(&mut self, edits: Vec<Edit>) -> u64 {
+    pub(crate) fn commit(&mut self, edits: Vec<Edit>) -> u64 {
         let base = self.log.head().number;
         self.log.commit(change(base, edits)).expect("right").version
     }
 
-    pub fn adds(&mut self, volume: &str) -> u64 {
-        self.commit(vec![added(volume)])
+    pub(crate) fn add_volume(&mut self, volume: &str) -> u64 {
+        self.commit(vec![add_volume_edit(volume)])
     }
 
     /// The log's folder as it is now, under another name.
-    pub fn copy(&self, to: &Path) -> PathBuf {
+    pub(crate) fn copy_folder(&self, to: &Path) -> PathBuf {
         std::fs::create_dir_all(to).expect("room");
         for file in std::fs::read_dir(&self.folder).expect("there") {
             let file = file.expect("there");
@@ -91,7 +91,7 @@
     }
 }
 
-pub fn change(base: u64, edits: Vec<Edit>) -> Change {
+pub(crate) fn change(base: u64, edits: Vec<Edit>) -> Change {
     Change {
         id: format!("c{base}"),
         base,
@@ -103,37 +103,37 @@
     }
 }
 
-pub fn added(volume: &str) -> Edit {
-    sized(volume, 1 << 20)
+pub(crate) fn add_volume_edit(volume: &str) -> Edit {
+    put_volume_edit(volume, 1 << 20)
 }
 
-pub fn sized(volume: &str, size: u64) -> Edit {
+pub(crate) fn put_volume_edit(volume: &str, size: u64) -> Edit {
     let fields = json!({ "size": size, "plan": "p", "gateways": 1 });
     let fields = serde_json::from_value(fields).expect("an object");
     Edit::Put { key: Key::new(Kind::Volume, volume), fields }
 }
 
-pub fn upstream(name: &str, address: SocketAddr) -> Upstream {
+pub(crate) fn upstream(name: &str, address: SocketAddr) -> Upstream {
     Upstream { name: name.into(), zone: "z".into(), address }
 }
 
-pub fn of(name: &str, relay: &Relay) -> Upstream {
+pub(crate) fn upstream_of(name: &str, relay: &Relay) -> Upstream {
     upstream(name, relay.address)
 }
 
-pub fn relay_options(name: &str, changes: Source) -> umbertray_relay::RelayOptions {
+pub(crate) fn relay_options(name: &str, changes: Source) -> umbertray_relay::RelayOptions {
     let (name, zone) = (name.into(), "z".into());
     umbertray_relay::RelayOptions { listen: any_port(), name, zone, changes, folder: None, seed: 1 }
 }
 
 /// One that reads the writer's folder.
-pub async fn top(name: &str, folder: &Path) -> Relay {
+pub(crate) async fn start_folder_relay(name: &str, folder: &Path) -> Relay {
     let changes = Source::Folder(folder.display().to_string());
     umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
 }
 
 /// One that reads the writer's folder where another listened: that one's task may be a moment from its end.
-pub async fn back(name: &str, listen: SocketAddr, folder: &Path) -> Relay {
+pub(crate) async fn restart_folder_relay(name: &str, listen: SocketAddr, folder: &Path) -> Relay {
     let starting = async {
         loop {
             let changes = Source::Folder(folder.display().to_string());
@@ -148,20 +148,20 @@
 }
 
 /// One that follows others.
-pub async fn hop(name: &str, upstreams: Vec<Upstream>, vouch: usize) -> Relay {
-    let changes = Source::Relays { upstreams, quorum: vouch };
+pub(crate) async fn start_relay(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> Relay {
+    let changes = Source::Relays { upstreams, quorum };
     umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
 }
 
-pub fn relays(name: &str, upstreams: Vec<Upstream>, vouch: usize) -> RelaySource {
+pub(crate) fn relay_source(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> RelaySource {
     let (name, zone, patience) = (name.into(), "z".into(), Duration::from_secs(30));
-    RelaySource { name, zone, upstreams, quorum: vouch, seed: 1, patience, state: None }
+    RelaySource { name, zone, upstreams, quorum, seed: 1, patience, state: None }
 }
 
-pub async fn try_gateway(relays: RelaySource) -> Result<RunningGateway, RelayedError> {
+pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
     let state = relays.state.clone();
     let relayed = RelayedChanges::start(relays).await?;
-    let document = umbertray_config::read("shared.star", SHARED.into()).expect("right");
+    let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("right");
     let settings = relayed.at.version.settings(&document.settings);
     let options = GatewayOptions {
         listen: vec![any_port()],
@@ -174,32 +174,34 @@
     Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("it listens"))
 }
 
-pub async fn gateway(relays: RelaySource) -> RunningGateway {
-    try_gateway(relays).await.unwrap_or_else(|error| panic!("{error}; the log:\n{}", lines().join("\n")))
+pub(crate) async fn start_gateway(relays: RelaySource) -> RunningGateway {
+    try_start_gateway(relays)
+        .await
+        .unwrap_or_else(|error| panic!("{error}; the log:\n{}", log_lines().join("\n")))
 }
 
-pub async fn acts_on(gateway: &RunningGateway, version: u64) {
+pub(crate) async fn wait_until_applied(gateway: &RunningGateway, version: u64) {
     let mut acted = gateway.applied_version();
     let acting = acted.wait_for(|acted| *acted >= version);
     within(&format!("acting on version {version}"), acting).await.expect("it runs");
 }
 
-pub fn has(gateway: &RunningGateway, volume: &str) -> bool {
+pub(crate) fn exports_volume(gateway: &RunningGateway, volume: &str) -> bool {
     gateway.exports().iter().any(|known| known == volume)
 }
 
 /// What an honest relay of a folder says that it holds.
 #[derive(Clone)]
-pub struct Held {
-    pub checkpoint: Checkpoint,
-    pub bytes: Bytes,
-    pub head: Position,
+pub(crate) struct RelayContents {
+    pub(crate) checkpoint: Checkpoint,
+    pub(crate) bytes: Bytes,
+    pub(crate) head: Position,
     /// The entries since the checkpoint.
-    pub entries: Vec<(Position, Vec<u8>)>,
+    pub(crate) entries: Vec<(Position, Vec<u8>)>,
 }
 
 /// What the folder holds: the state that its newest segment begins with, and its newest position.
-pub fn held(folder: &Path) -> Held {
+pub(crate) fn folder_contents(folder: &Path) -> RelayContents {
     let (_, told) = FolderReader::open(&Disk::read_only(folder)).expect("a log");
     let at = |told: &Update| Position { version: told.version(), hash: told.hash() };
     let Some(Update::Checkpoint(head)) = told.first() else { panic!("a checkpoint comes first") };
@@ -210,11 +212,16 @@
         Update::Entry(entry) => Some((at(told), entry.body.clone())),
         Update::Checkpoint(_) => None,
     });
-    Held { checkpoint, bytes, head: told.last().map(at).expect("something"), entries: entries.collect() }
+    RelayContents {
+        checkpoint,
+        bytes,
+        head: told.last().map(at).expect("something"),
+        entries: entries.collect(),
+    }
 }
 
 /// Waits until a gateway that was dropped has let go of its folder, as the end of a process would.
-pub async fn let_go(state: &Path) {
+pub(crate) async fn wait_until_unlocked(state: &Path) {
     let free = async {
         while [state.to_path_buf(), state.join("changes")].iter().any(|folder| Disk::open(folder).is_err()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -225,9 +232,9 @@
 
 /// All that this process has logged.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("not poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -237,12 +244,12 @@
     }
 }
 
-static LOG: OnceLock<Lines> = OnceLock::new();
+static LOG: OnceLock<LogBuffer> = OnceLock::new();
 
 /// Begins to keep the log; all tests of this process share it.
-pub fn logged() {
+pub(crate) fn capture_log() {
     LOG.get_or_init(|| {
-        let lines = Lines::default();
+        let lines = LogBuffer::default();
         let writer = lines.clone();
         let subscriber = tracing_subscriber::fmt().json().with_writer(move || writer.clone());
         subscriber.with_max_level(tracing_subscriber::filter::LevelFilter::INFO).init();
@@ -250,14 +257,14 @@
     });
 }
 
-fn lines() -> Vec<String> {
+fn log_lines() -> Vec<String> {
     let Some(lines) = LOG.get() else { return Vec::new() };
     let bytes = lines.0.lock().expect("not poisoned").clone();
     String::from_utf8_lossy(&bytes).lines().map(str::to_string).collect()
 }
 
 /// Waits for a line of the log with these fields.
-pub async fn said(fields: &[(&str, &str)]) {
+pub(crate) async fn wait_for_log(fields: &[(&str, &str)]) {
     let fits = |line: &String| {
         let line: Value = serde_json::from_str(line).unwrap_or_default();
         fields.iter().all(|(name, value)| {
@@ -266,7 +273,7 @@
         })
     };
     let waiting = async {
-        while !lines().iter().any(fits) {
+        while !log_lines().iter().any(fits) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
@@ -274,27 +281,27 @@
 }
 
 /// A connection that speaks frames, whoever has the other end.
-pub struct Wire {
-    pub stream: TcpStream,
+pub(crate) struct FrameConnection {
+    pub(crate) stream: TcpStream,
     input: BytesMut,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> Wire {
-        Wire { stream, input: BytesMut::new() }
+impl FrameConnection {
+    pub(crate) fn new(stream: TcpStream) -> FrameConnection {
+        FrameConnection { stream, input: BytesMut::new() }
     }
 
-    pub async fn to(address: SocketAddr) -> Wire {
-        Wire::new(TcpStream::connect(address).await.expect("it listens"))
+    pub(crate) async fn connect(address: SocketAddr) -> FrameConnection {
+        FrameConnection::new(TcpStream::connect(address).await.expect("it listens"))
     }
 
-    pub async fn send(&mut self, frame: impl Message) {
+    pub(crate) async fn send(&mut self, frame: impl Message) {
         // Whoever has left does not hear it.
         _ = self.stream.write_all(&frame.frame()).await;
     }
 
     /// The next frame; nothing once the connection has ended.
-    pub async fn next<M: Message>(&mut self) -> Option<M> {
+    pub(crate) async fn next<M: Message>(&mut self) -> Option<M> {
         loop {
             if let Some(frame) = next_frame(&mut self.input).expect("frames") {
                 return Some(frame);
@@ -307,7 +314,11 @@
     }
 
     /// The next that is looked for; what else is said is passed over.
-    pub async fn until<T>(&mut self, what: &str, wanted: impl Fn(&FromUpstream) -> Option<T>) -> T {
+    pub(crate) async fn receive_until<T>(
+        &mut self,
+        what: &str,
+        wanted: impl Fn(&FromUpstream) -> Option<T>,
+    ) -> T {
         let looking = async {
             loop {
                 let frame = self.next::<FromUpstream>().await.expect("it is open");
@@ -320,15 +331,15 @@
     }
 
     /// Reads until the other end has closed.
-    pub async fn ends(&mut self) {
+    pub(crate) async fn wait_until_closed(&mut self) {
         within("the end of a connection", async { while self.next::<FromUpstream>().await.is_some() {} })
             .await;
     }
 
-    pub async fn hello(address: SocketAddr, name: &str) -> Wire {
-        let mut wire = Wire::to(address).await;
+    pub(crate) async fn connect_as_follower(address: SocketAddr, name: &str) -> FrameConnection {
+        let mut connection = FrameConnection::connect(address).await;
         let role = umbertray_store_protocol::changes::Role::Gateway;
-        wire.send(ToUpstream::Hello { name: name.into(), zone: "z".into(), role }).await;
-        wire
+        connection.send(ToUpstream::Hello { name: name.into(), zone: "z".into(), role }).await;
+        connection
     }
 }
--- a/crates/nbd-gateway/tests/relays/slow.rs
+++ b/crates/nbd-gateway/tests/relays/slow.rs
@@ -7,60 +7,60 @@
 use crate::common::*;
 
 /// A change of half a megabyte, always of the same volumes: the state stays as large as one of them.
-fn large(writer: &mut Writer, number: u64) -> u64 {
+fn commit_large_change(writer: &mut Writer, number: u64) -> u64 {
     let size = (1 << 20) + 512 * number;
-    writer.commit((0..1500).map(|volume| sized(&format!("{volume:0>240}"), size)).collect())
+    writer.commit((0..1500).map(|volume| put_volume_edit(&format!("{volume:0>240}"), size)).collect())
 }
 
 /// One that says it is alive and takes nothing falls out of what is held; the others are served, and the relay holds no more
 /// than its bound.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_follower_that_takes_nothing_costs_no_more_than_the_tail() {
-    logged();
-    let folder = folder("slow");
-    let mut writer = Writer::begin(&folder);
-    let top = top("w1", &writer.folder).await;
-    let gateway = gateway(relays("wg", vec![of("w1", &top)], 1)).await;
-    let mut slow = Wire::hello(top.address, "slow").await;
+async fn follower_takes_nothing_relay_memory_stays_bounded() {
+    capture_log();
+    let folder = test_folder("slow");
+    let mut writer = Writer::create(&folder);
+    let top = start_folder_relay("w1", &writer.folder).await;
+    let gateway = start_gateway(relay_source("wg", vec![upstream_of("w1", &top)], 1)).await;
+    let mut slow = FrameConnection::connect_as_follower(top.address, "slow").await;
     slow.send(ToUpstream::Follow { after: Position::START }).await;
-    let (mut version, mut most) = (1, 0);
+    let (mut version, mut max_held) = (1, 0);
     for number in 0..30 {
-        version = large(&mut writer, number);
+        version = commit_large_change(&mut writer, number);
         slow.send(ToUpstream::Heartbeat).await;
-        acts_on(&gateway, version).await;
-        most = most.max(client::status(top.address).await.expect("it answers").held_bytes);
+        wait_until_applied(&gateway, version).await;
+        max_held = max_held.max(client::status(top.address).await.expect("it answers").held_bytes);
     }
     let status = client::status(top.address).await.expect("it answers");
-    let checkpoint = held(&writer.folder).checkpoint.length as usize;
+    let checkpoint = folder_contents(&writer.folder).checkpoint.length as usize;
     // Half as much again was written.
     assert!(
-        most as usize <= MAX_SUFFIX_BYTES + checkpoint,
-        "{most} bytes held, {checkpoint} of them the state"
+        max_held as usize <= MAX_SUFFIX_BYTES + checkpoint,
+        "{max_held} bytes held, {checkpoint} of them the state"
     );
     assert!(
-        most as usize > MAX_SUFFIX_BYTES - (1 << 20),
-        "{most} bytes held: too little was written to show anything"
+        max_held as usize > MAX_SUFFIX_BYTES - (1 << 20),
+        "{max_held} bytes held: too little was written to show anything"
     );
     assert_eq!((status.head.version, status.followers), (version, 2), "the gateway and the slow one");
     // Once it takes something, it hears that what comes next is gone.
     slow.send(ToUpstream::WindowUpdate { bytes: 128 << 10 }).await;
-    said(&[("message", "follower needs a checkpoint"), ("follower", "slow")]).await;
+    wait_for_log(&[("message", "follower needs a checkpoint"), ("follower", "slow")]).await;
 }
 
 /// One that asks and asks, and reads no answer, is cut off at the bound on what was said and not sent.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_follower_that_asks_and_does_not_read_is_cut_off() {
-    logged();
-    let folder = folder("asks");
-    let mut writer = Writer::begin(&folder);
+async fn follower_requests_without_reading_is_disconnected() {
+    capture_log();
+    let folder = test_folder("asks");
+    let mut writer = Writer::create(&folder);
     // A checkpoint of many parts begins the newest segment.
     for number in 0..12 {
-        large(&mut writer, number);
+        commit_large_change(&mut writer, number);
     }
-    let top = top("a1", &writer.folder).await;
-    let mut asks = Wire::hello(top.address, "asks").await;
+    let top = start_folder_relay("a1", &writer.folder).await;
+    let mut asks = FrameConnection::connect_as_follower(top.address, "asks").await;
     let checkpoint = asks
-        .until("a checkpoint", |frame| match frame {
+        .receive_until("a checkpoint", |frame| match frame {
             FromUpstream::Head { checkpoint, .. } => *checkpoint,
             _ => None,
         })
@@ -77,9 +77,11 @@
         }
     };
     within("the end of one that does not read", asking).await;
-    said(&[("peer", &peer), ("reason", "it takes nothing")]).await;
+    wait_for_log(&[("peer", &peer), ("reason", "it takes nothing")]).await;
     // The relay is there for others.
-    let mut other = Wire::hello(top.address, "other").await;
+    let mut other = FrameConnection::connect_as_follower(top.address, "other").await;
     other.send(ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 }).await;
-    other.until("a part", |frame| matches!(frame, FromUpstream::CheckpointPart { .. }).then_some(())).await;
+    other
+        .receive_until("a part", |frame| matches!(frame, FromUpstream::CheckpointPart { .. }).then_some(()))
+        .await;
 }
