--- a/crates/store-protocol/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Every message there and back, the bytes of one pinned, and frames that are wrong.
+//! Every message written and read back, the bytes of some pinned, and frames that are rejected.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
@@ -14,7 +14,7 @@
 };
 use umbertray_store_protocol::{MAX_FRAME, Malformed, Message, next_frame};
 
-fn dispatch() -> Attempt {
+fn attempt() -> Attempt {
     Attempt {
         number: 1,
         op: 2,
@@ -32,15 +32,15 @@
     }
 }
 
-const SPAN: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const MARK: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
+const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
+const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
 
 fn content() -> ExtentContent {
     ExtentContent { extent: 3, change_count: 4, pages: vec![(7, Bytes::from(vec![1; PAGE]))] }
 }
 
 fn orders() -> [Order; 12] {
-    let (span, epoch) = (SPAN, 6);
+    let (span, epoch) = (RANGE, 6);
     [
         Order::Prepare { span, epoch },
         Order::TrackChanges { span },
@@ -48,7 +48,7 @@
         Order::Put { span, epoch, content: ExtentContent { pages: vec![], ..content() } },
         Order::Fence { span, epoch },
         Order::FetchExecuted { span },
-        Order::RecordExecuted { span, epoch, marks: vec![MARK] },
+        Order::RecordExecuted { span, epoch, marks: vec![EXECUTED_OP] },
         Order::Sync { span, epoch },
         Order::Activate { span, epoch },
         Order::Reactivate { span, epoch },
@@ -57,9 +57,9 @@
     ]
 }
 
-fn round<M: Message + PartialEq + std::fmt::Debug>(messages: &[M]) {
-    let whole: Vec<u8> = messages.iter().flat_map(|message| message.frame().to_vec()).collect();
-    let mut input = BytesMut::from(&whole[..]);
+fn assert_round_trip<M: Message + PartialEq + std::fmt::Debug>(messages: &[M]) {
+    let frames: Vec<u8> = messages.iter().flat_map(|message| message.frame().to_vec()).collect();
+    let mut input = BytesMut::from(&frames[..]);
     for message in messages {
         assert_eq!(next_frame::<M>(&mut input).as_ref(), Ok(&Some(M::read_back(message))));
         let frame = message.frame();
@@ -87,15 +87,19 @@
 }
 
 #[test]
-fn messages_come_back_as_they_went() {
-    round(&[
+fn messages_to_store_written_read_back_equal() {
+    assert_round_trip(&[
         ToStore::Hello { run: 9 },
-        ToStore::Attempt(dispatch()),
+        ToStore::Attempt(attempt()),
         ToStore::Cancel { number: 8 },
         ToStore::HealthCheck { token: 7 },
     ]);
-    round(&orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
-    assert_eq!(ToStore::read_back(&ToStore::Attempt(dispatch())), ToStore::Attempt(dispatch()));
+    assert_round_trip(&orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
+    assert_eq!(ToStore::read_back(&ToStore::Attempt(attempt())), ToStore::Attempt(attempt()));
+}
+
+#[test]
+fn messages_from_store_written_read_back_equal() {
     let report = vec![("queue".to_string(), 2.5)];
     let answer = |code| AttemptResult {
         number: 1,
@@ -107,7 +111,7 @@
         load_report: report.clone(),
         data_ranges: vec![DataRange { length: 4, has_data: true }],
     };
-    let all = [
+    let messages = [
         FromStore::Welcome { store: 1, shard: 2, clock: 3 },
         FromStore::Data { number: 1, offset: 2, data: Bytes::from_static(b"xyz") },
         FromStore::Hole { number: 1, offset: 2, length: 3 },
@@ -118,12 +122,16 @@
         FromStore::OrderReply { token: 1, reply: OrderReply::ExtentsLeft(2) },
         FromStore::OrderReply { token: 1, reply: OrderReply::NextExtent(None) },
         FromStore::OrderReply { token: 1, reply: OrderReply::NextExtent(Some(content())) },
-        FromStore::OrderReply { token: 1, reply: OrderReply::ExecutedOps(vec![MARK]) },
+        FromStore::OrderReply { token: 1, reply: OrderReply::ExecutedOps(vec![EXECUTED_OP]) },
         FromStore::OrderReply { token: 1, reply: OrderReply::StaleTerm(9) },
         FromStore::OrderReply { token: 1, reply: OrderReply::WrongState },
     ];
-    round(&all);
-    all.iter().for_each(|message| assert_eq!(&FromStore::read_back(message), message));
+    assert_round_trip(&messages);
+    messages.iter().for_each(|message| assert_eq!(&FromStore::read_back(message), message));
+}
+
+#[test]
+fn list_messages_written_read_back_equal() {
     let entry = |age| ListedStore {
         store: 1,
         address: "127.0.0.1:80".parse().expect("an address"),
@@ -133,7 +141,7 @@
         incarnation: 4,
         age,
     };
-    round(&[
+    assert_round_trip(&[
         ToList::Hello { run: 1 },
         ToList::Watch,
         ToList::Fetch,
@@ -143,7 +151,7 @@
         ToList::Claim { token: 1, volume: 2, extent: 3, shard: 4 },
         ToList::Shards { token: 1, volume: 2 },
     ]);
-    let all = [
+    let messages = [
         FromList::Welcome { term: 3 },
         FromList::Full(vec![entry(None), entry(Some(5))]),
         FromList::Changes(vec![entry(Some(5))]),
@@ -155,29 +163,30 @@
         FromList::Move { token: 1, number: Err("why".into()) },
         FromList::MoveStatus { token: 1, state: "over".into(), over: true },
     ];
-    round(&all);
-    all.iter().for_each(|message| assert_eq!(&FromList::read_back(message), message));
+    assert_round_trip(&messages);
+    messages.iter().for_each(|message| assert_eq!(&FromList::read_back(message), message));
 }
 
 /// Version 2 on the wire: a change of these bytes is a change of version.
 #[test]
-fn the_bytes_of_a_dispatch_are_those_of_version_2() {
-    let mut wanted = vec![0, 0, 0, 74, 2];
-    [1u64, 2, 3, 4, 5].iter().for_each(|number| wanted.extend(number.to_be_bytes()));
-    wanted.extend([1, 0, 0, 0, 5, 0, 0, 0, 3]);
-    wanted.extend(1.0f64.to_be_bytes());
-    wanted.extend(6u64.to_be_bytes());
-    wanted.extend([0, 1]);
-    wanted.extend(7u64.to_be_bytes());
-    wanted.push(1);
-    wanted.extend(b"abc");
-    wanted[3] = (wanted.len() - 4) as u8;
-    assert_eq!(ToStore::Attempt(dispatch()).frame(), wanted);
+fn attempt_written_has_bytes_of_version_2() {
+    let mut expected = vec![0, 0, 0, 74, 2];
+    [1u64, 2, 3, 4, 5].iter().for_each(|number| expected.extend(number.to_be_bytes()));
+    expected.extend([1, 0, 0, 0, 5, 0, 0, 0, 3]);
+    expected.extend(1.0f64.to_be_bytes());
+    expected.extend(6u64.to_be_bytes());
+    expected.extend([0, 1]);
+    expected.extend(7u64.to_be_bytes());
+    expected.push(1);
+    expected.extend(b"abc");
+    expected[3] = (expected.len() - 4) as u8;
+    assert_eq!(ToStore::Attempt(attempt()).frame(), expected);
 }
 
 #[test]
-fn wrong_frames_are_named() {
-    let read = |bytes: &[u8]| next_frame::<ToStore>(&mut BytesMut::from(bytes)).unwrap_err();
+fn malformed_frames_read_name_their_fault() {
+    let read =
+        |bytes: &[u8]| next_frame::<ToStore>(&mut BytesMut::from(bytes)).expect_err("a rejected frame");
     assert_eq!(read(&[0; 4]), Malformed::Empty);
     assert_eq!(read(&[255; 4]), Malformed::TooLong { length: u32::MAX, max: MAX_FRAME });
     assert_eq!(read(&[0, 0, 0, 1, 99]), Malformed::Kind(99));
@@ -189,14 +198,14 @@
     let mut hello = ToStore::Hello { run: 1 }.frame().to_vec();
     hello[10] = 1;
     assert!(matches!(read(&hello), Malformed::Version { version: 1, .. }));
-    let lying = ToStore::Attempt(Attempt { length: 9, ..dispatch() });
-    assert!(matches!(read(&lying.frame()), Malformed::Value { field: "length", .. }));
-    let endless = ToStore::Attempt(Attempt { units: f64::NAN, ..dispatch() });
-    assert!(matches!(read(&endless.frame()), Malformed::Value { field: "units", .. }));
+    let wrong_length = ToStore::Attempt(Attempt { length: 9, ..attempt() });
+    assert!(matches!(read(&wrong_length.frame()), Malformed::Value { field: "length", .. }));
+    let infinite_units = ToStore::Attempt(Attempt { units: f64::NAN, ..attempt() });
+    assert!(matches!(read(&infinite_units.frame()), Malformed::Value { field: "units", .. }));
 }
 
 #[test]
-fn no_bytes_panic() {
+fn arbitrary_bytes_read_never_panic() {
     fn survives(kind: u8, noise: Vec<u8>) -> bool {
         let mut frame = ((noise.len() + 1) as u32).to_be_bytes().to_vec();
         frame.push(kind % 110);
@@ -223,27 +232,27 @@
 }
 
 #[test]
-fn frames_of_the_log_of_changes_come_back_as_they_went() {
+fn change_frames_written_read_back_equal() {
     let name = || "relay-1".to_string();
-    let behind = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
-    let sums =
-        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![behind] };
-    round(&[
+    let lagging = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
+    let progress =
+        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![lagging] };
+    assert_round_trip(&[
         ToUpstream::Hello { name: name(), zone: "a".into(), role: Role::Gateway },
         ToUpstream::Follow { after: AT },
         ToUpstream::QueryHash { version: 3 },
         ToUpstream::Fetch { version: 7, offset: 65536 },
         ToUpstream::WindowUpdate { bytes: 9 },
-        ToUpstream::Progress(sums.clone()),
+        ToUpstream::Progress(progress.clone()),
         ToUpstream::Heartbeat,
         ToUpstream::Status,
     ]);
     assert_eq!(
-        ToUpstream::read_back(&ToUpstream::Progress(sums.clone())),
-        ToUpstream::Progress(sums.clone())
+        ToUpstream::read_back(&ToUpstream::Progress(progress.clone())),
+        ToUpstream::Progress(progress.clone())
     );
     let part = Bytes::from_static(b"part");
-    let all = [
+    let messages = [
         FromUpstream::Hello { name: name(), path: vec!["top".into(), name()] },
         FromUpstream::Path(vec![name()]),
         FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint()) },
@@ -260,86 +269,104 @@
             path: vec![name()],
             followers: 2,
             held_bytes: 3,
-            progress: sums,
+            progress,
         }),
     ];
-    round(&all);
-    all.iter().for_each(|message| assert_eq!(&FromUpstream::read_back(message), message));
+    assert_round_trip(&messages);
+    messages.iter().for_each(|message| assert_eq!(&FromUpstream::read_back(message), message));
 }
 
 /// A change of these bytes is a change of version.
 #[test]
-fn the_bytes_of_where_an_upstream_stands() {
+fn head_frame_written_has_recorded_bytes() {
     let frame = FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint()) }.frame();
-    let mut wanted = vec![0, 0, 0, 126, 99];
-    wanted.extend(7u64.to_be_bytes());
-    wanted.extend([5; 32]);
-    wanted.extend(3u64.to_be_bytes());
-    wanted.push(1);
-    wanted.extend(7u64.to_be_bytes());
-    wanted.extend([5; 32]);
-    wanted.extend([6; 32]);
-    wanted.extend(9u32.to_be_bytes());
-    assert_eq!(frame, wanted);
+    let mut expected = vec![0, 0, 0, 126, 99];
+    expected.extend(7u64.to_be_bytes());
+    expected.extend([5; 32]);
+    expected.extend(3u64.to_be_bytes());
+    expected.push(1);
+    expected.extend(7u64.to_be_bytes());
+    expected.extend([5; 32]);
+    expected.extend([6; 32]);
+    expected.extend(9u32.to_be_bytes());
+    assert_eq!(frame, expected);
     assert_eq!(FromUpstream::Heartbeat.frame(), [0, 0, 0, 1, 104][..]);
 }
 
 #[test]
-fn frames_of_the_log_of_changes_keep_their_bounds() {
-    let up =
-        |frame: ToUpstream| next_frame::<ToUpstream>(&mut BytesMut::from(&frame.frame()[..])).unwrap_err();
-    let down = |frame: FromUpstream| {
-        next_frame::<FromUpstream>(&mut BytesMut::from(&frame.frame()[..])).unwrap_err()
+fn change_frames_over_bounds_are_rejected() {
+    let to_upstream = |frame: ToUpstream| {
+        next_frame::<ToUpstream>(&mut BytesMut::from(&frame.frame()[..])).expect_err("a rejected frame")
+    };
+    let from_upstream = |frame: FromUpstream| {
+        next_frame::<FromUpstream>(&mut BytesMut::from(&frame.frame()[..])).expect_err("a rejected frame")
     };
-    let value = |error: Malformed| match error {
+    let field = |error: Malformed| match error {
         Malformed::Value { field, .. } => field,
         other => panic!("{other}"),
     };
     let long = "n".repeat(MAX_NAME + 1);
     let hello = |name: &str| ToUpstream::Hello { name: name.into(), zone: "a".into(), role: Role::Relay };
-    assert_eq!(value(up(hello(&long))), "name");
+    assert_eq!(field(to_upstream(hello(&long))), "name");
     let levels = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS + 1];
-    assert_eq!(value(up(ToUpstream::Progress(ProgressSummary { levels, lagging: vec![] }))), "count");
-    let behind = vec![LaggingMember { name: "g".into(), version: 1, lag_seconds: 1 }; MAX_LAGGING + 1];
-    assert_eq!(value(up(ToUpstream::Progress(ProgressSummary { levels: vec![], lagging: behind }))), "count");
-    assert_eq!(value(down(FromUpstream::Path(vec!["r".into(); MAX_PATH + 1]))), "count");
+    assert_eq!(
+        field(to_upstream(ToUpstream::Progress(ProgressSummary { levels, lagging: vec![] }))),
+        "count"
+    );
+    let lagging = vec![LaggingMember { name: "g".into(), version: 1, lag_seconds: 1 }; MAX_LAGGING + 1];
+    assert_eq!(
+        field(to_upstream(ToUpstream::Progress(ProgressSummary { levels: vec![], lagging }))),
+        "count"
+    );
+    assert_eq!(field(from_upstream(FromUpstream::Path(vec!["r".into(); MAX_PATH + 1]))), "count");
     let entry = |length, offset, part: usize| FromUpstream::Entry {
         at: AT,
         length,
         offset,
         part: Bytes::from(vec![0; part]),
     };
-    assert_eq!(value(down(entry(MAX_BODY + 1, 0, 1))), "length");
-    assert_eq!(value(down(entry(9, 8, 2))), "part");
-    assert_eq!(value(down(entry(u32::MAX >> 8, 0, MAX_PART + 1))), "part");
-    assert_eq!(value(down(entry(9, u32::MAX, 1))), "part");
+    assert_eq!(field(from_upstream(entry(MAX_BODY + 1, 0, 1))), "length");
+    assert_eq!(field(from_upstream(entry(9, 8, 2))), "part");
+    assert_eq!(field(from_upstream(entry(u32::MAX >> 8, 0, MAX_PART + 1))), "part");
+    assert_eq!(field(from_upstream(entry(9, u32::MAX, 1))), "part");
     let part = |offset, part: usize| FromUpstream::CheckpointPart {
         version: 1,
         offset,
         part: Bytes::from(vec![0; part]),
     };
-    assert_eq!(value(down(part(0, MAX_PART + 1))), "part");
-    assert_eq!(value(down(part(MAX_CHECKPOINT, 1))), "part");
+    assert_eq!(field(from_upstream(part(0, MAX_PART + 1))), "part");
+    assert_eq!(field(from_upstream(part(MAX_CHECKPOINT, 1))), "part");
     let far = Checkpoint { length: MAX_CHECKPOINT + 1, ..checkpoint() };
     assert_eq!(
-        value(down(FromUpstream::Head { head: AT, oldest_version: 0, checkpoint: Some(far) })),
+        field(from_upstream(FromUpstream::Head { head: AT, oldest_version: 0, checkpoint: Some(far) })),
         "length"
     );
-    assert_eq!(value(down(FromUpstream::RetryAfter { after: MAX_RETRY_AFTER * 2 })), "wait");
-    let wide = |length: u32| {
+    assert_eq!(field(from_upstream(FromUpstream::RetryAfter { after: MAX_RETRY_AFTER * 2 })), "wait");
+}
+
+#[test]
+fn change_frame_length_over_bound_is_rejected() {
+    let read_length = |length: u32| {
         let mut head = BytesMut::from(&length.to_be_bytes()[..]);
         next_frame::<FromUpstream>(&mut head)
     };
-    assert_eq!(wide(MAX_CHANGE_FRAME), Ok(None));
+    assert_eq!(read_length(MAX_CHANGE_FRAME), Ok(None));
     let length = MAX_CHANGE_FRAME + 1;
-    assert_eq!(wide(length), Err(Malformed::TooLong { length, max: MAX_CHANGE_FRAME }));
-    // The longest sums there are fit.
+    assert_eq!(read_length(length), Err(Malformed::TooLong { length, max: MAX_CHANGE_FRAME }));
+}
+
+#[test]
+fn progress_summary_at_bounds_is_accepted() {
     let name = "n".repeat(MAX_NAME);
-    let behind = vec![LaggingMember { name: name.clone(), version: 1, lag_seconds: 1 }; MAX_LAGGING];
+    let lagging = vec![LaggingMember { name, version: 1, lag_seconds: 1 }; MAX_LAGGING];
     let levels = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS];
-    let sums = ToUpstream::Progress(ProgressSummary { levels, lagging: behind });
-    assert_eq!(ToUpstream::read_back(&sums), sums);
-    let other = ToUpstream::Hello { name, zone: "a".into(), role: Role::Relay }.frame();
+    let progress = ToUpstream::Progress(ProgressSummary { levels, lagging });
+    assert_eq!(ToUpstream::read_back(&progress), progress);
+}
+
+#[test]
+fn follower_hello_of_other_version_is_rejected() {
+    let other = ToUpstream::Hello { name: "n".repeat(MAX_NAME), zone: "a".into(), role: Role::Relay }.frame();
     let mut other = BytesMut::from(&other[..]);
     other[10] = 1;
     assert!(matches!(next_frame::<ToUpstream>(&mut other), Err(Malformed::Version { version: 1, .. })));
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -31,30 +31,26 @@
     }
 }
 
-fn dispatch(work: OperationKind, data: Bytes) -> ToStore {
-    let (number, op, volume, extent, epoch) = (1, 2, 3, 4, 0);
-    let (offset, length, units, not_after, voids) = (0, 4096, 1.0, 9, Vec::new());
-    let durable = false;
-    let fields = Attempt {
-        number,
-        op,
-        volume,
-        extent,
-        epoch,
-        kind: work,
-        offset,
-        length,
-        units,
-        not_after,
-        supersedes: voids,
-        durable,
+fn attempt(kind: OperationKind, data: Bytes) -> ToStore {
+    ToStore::Attempt(Attempt {
+        number: 1,
+        op: 2,
+        volume: 3,
+        extent: 4,
+        epoch: 0,
+        kind,
+        offset: 0,
+        length: 4096,
+        units: 1.0,
+        not_after: 9,
+        supersedes: Vec::new(),
+        durable: false,
         data,
-    };
-    ToStore::Attempt(fields)
+    })
 }
 
 #[test]
-fn the_list_has_the_bytes_that_the_page_counts_with() {
+fn list_frames_have_sizes_of_the_page() {
     let warm = page("entry of the list, store wire, warm store");
     let (head, cold) =
         (page("head of a list, store wire"), page("entry of the list, store wire, cold store"));
@@ -65,7 +61,7 @@
 }
 
 #[test]
-fn questions_of_the_map_have_the_bytes_that_the_page_counts_with() {
+fn map_requests_have_sizes_of_the_page() {
     let (token, volume, extent) = (1, 2, 3);
     let place = Some(Location { shard: 4, epoch: 5 });
     assert_eq!(ToList::Lookup { token, volume, extent, min_epoch: 0 }.frame().len(), page("lookup"));
@@ -76,17 +72,17 @@
 }
 
 #[test]
-fn a_link_to_a_store_has_the_bytes_that_the_page_counts_with() {
+fn store_frames_have_sizes_of_the_page() {
     let clock = 1;
     assert_eq!(ToStore::Hello { run: 1 }.frame().len(), page("hello"));
     assert_eq!(FromStore::Welcome { store: 1, shard: 2, clock }.frame().len(), page("welcome of a store"));
     assert_eq!(ToStore::HealthCheck { token: 0 }.frame().len(), page("sign of life, asked"));
-    let probed = FromStore::Healthy { token: 0, clock, load_report: Vec::new() };
-    assert_eq!(probed.frame().len(), page("sign of life, told, without a report"));
-    assert_eq!(dispatch(OperationKind::Read, Bytes::new()).frame().len(), page("dispatch without its data"));
+    let healthy = FromStore::Healthy { token: 0, clock, load_report: Vec::new() };
+    assert_eq!(healthy.frame().len(), page("sign of life, told, without a report"));
+    assert_eq!(attempt(OperationKind::Read, Bytes::new()).frame().len(), page("dispatch without its data"));
     let data = Bytes::from(vec![0; 4096]);
-    assert_eq!(dispatch(OperationKind::Write, data).frame().len(), page("dispatch without its data") + 4096);
-    let answer = AttemptResult {
+    assert_eq!(attempt(OperationKind::Write, data).frame().len(), page("dispatch without its data") + 4096);
+    let result = AttemptResult {
         number: 1,
         code: Ok(ResultCode::Succeeded),
         clock,
@@ -96,5 +92,5 @@
         load_report: Vec::new(),
         data_ranges: Vec::new(),
     };
-    assert_eq!(FromStore::AttemptResult(answer).frame().len(), page("answer without a report"));
+    assert_eq!(FromStore::AttemptResult(result).frame().len(), page("answer without a report"));
 }
