--- a/crates/nbd-gateway/src/replies.rs
+++ b/crates/nbd-gateway/src/replies.rs
@@ -106,18 +106,18 @@
                 None
             }
             (ReplyPart::Data { offset, data }, _) => {
-                session.chunk(cookie, Chunk::Data { offset, data }, false)
+                session.put_chunk(cookie, Chunk::Data { offset, data }, false)
             }
             // The buffer of a whole read is zeros at first.
             (ReplyPart::Hole { .. }, ReplyForm::WholeRead(_)) => None,
             (ReplyPart::Hole { offset, length }, _) => {
-                session.chunk(cookie, Chunk::Hole { offset, length }, false)
+                session.put_chunk(cookie, Chunk::Hole { offset, length }, false)
             }
             (ReplyPart::DataRanges(ranges), form) => {
                 let is_first_only = matches!(form, ReplyForm::BlockStatus { extent_limit: ExtentLimit::One });
                 let mut extents = extents(&ranges);
                 extents.truncate(if is_first_only { 1 } else { usize::MAX });
-                session.chunk(cookie, Chunk::BlockStatus { context: ALLOCATION_ID, extents }, false)
+                session.put_chunk(cookie, Chunk::BlockStatus { context: ALLOCATION_ID, extents }, false)
             }
         }
     }
@@ -127,11 +127,11 @@
         match result {
             FinalResult::Succeeded => put_success(session, cookie, form),
             FinalResult::Rejected { retry_after } => {
-                session.error(cookie, Errno::NoMem, rejection_text(retry_after));
+                session.put_error(cookie, Errno::NoMem, rejection_text(retry_after));
                 None
             }
             FinalResult::Failed => {
-                session.error(cookie, Errno::Io, "aborted".into());
+                session.put_error(cookie, Errno::Io, "aborted".into());
                 None
             }
         }
@@ -143,12 +143,12 @@
         ReplyForm::WholeRead(read) => Some((read.offset, read.into_buffer())),
         _ => None,
     };
-    if !session.structured() {
-        session.simple(cookie);
+    if !session.has_structured_replies() {
+        session.put_simple_reply(cookie);
         return data.map(|(_, data)| data);
     }
     let chunk = data.map_or(Chunk::None, |(offset, data)| Chunk::Data { offset, data });
-    session.chunk(cookie, chunk, true)
+    session.put_chunk(cookie, chunk, true)
 }
 
 /// The text of a rejection (docs/errors.md).
--- a/crates/nbd-gateway/src/session/input.rs
+++ b/crates/nbd-gateway/src/session/input.rs
@@ -150,7 +150,7 @@
         self.start_next_message();
         let Some(volume) = self.volume else { return };
         let Some(kind) = replies::operation_kind(request.command) else { return };
-        self.replies.open(&request, self.session.structured());
+        self.replies.open(&request, self.session.has_structured_replies());
         let request = Request {
             id: RequestId(self.id, request.cookie),
             volume,
--- a/crates/nbd/src/client.rs
+++ b/crates/nbd/src/client.rs
@@ -1,36 +1,63 @@
-//! The client's side: negotiation by GO, then requests and replies in any order.
+//! The client's side of a session: negotiation by GO, then requests, and replies in any order.
 
 use std::collections::HashMap;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use crate::ProtocolError;
-use crate::proto::*;
+use crate::proto::{
+    BASE_ALLOCATION, BlockSizes, CHUNK_DONE, Chunk, Command, Errno, Export, FLAG_FIXED_NEWSTYLE,
+    FLAG_NO_ZEROES, IHAVEOPT, INFO_BLOCK_SIZE, INFO_EXPORT, NBDMAGIC, OPT_GO, OPT_LIST, OPT_SET_META_CONTEXT,
+    OPT_STRUCTURED_REPLY, OPTION_REPLY, REP_ACK, REP_ERR, REP_INFO, REP_SERVER, Request, SIMPLE_REPLY_MAGIC,
+    STRUCTURED_REPLY_MAGIC, put_request, read_chunk,
+};
 
 /// A reply, or one chunk of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A whole simple reply; `data` is a read's.
-    Simple { cookie: u64, error: Option<Errno>, data: Bytes },
-    /// One chunk; with `done` the reply is whole.
-    Chunk { cookie: u64, chunk: Chunk, done: bool },
+    /// A whole simple reply.
+    Simple {
+        /// That of the request.
+        cookie: u64,
+        /// Absent: success.
+        error: Option<Errno>,
+        /// A read's data.
+        data: Bytes,
+    },
+    /// One chunk of a structured reply.
+    Chunk {
+        /// That of the request.
+        cookie: u64,
+        /// Its content.
+        chunk: Chunk,
+        /// Whether it is the reply's last.
+        done: bool,
+    },
 }
 
+/// What the next message of a server is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
+    /// There is no whole message; read more.
     More,
+    /// Negotiation has ended in this export; requests may be sent.
     Ready(Export),
+    /// The names of the exports, after [`Negotiation::List`].
     Names(Vec<String>),
+    /// A reply, or a chunk of one.
     Reply(Reply),
 }
 
 /// What to negotiate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Negotiation {
-    /// The exports' names, then the end.
+    /// The names of the exports; then the connection is to be closed.
     List,
+    /// An export, to send requests to.
     Export {
+        /// Its name.
         name: String,
+        /// Whether structured replies, and `base:allocation`, are wanted.
         structured: bool,
     },
 }
@@ -41,107 +68,141 @@
     Transmission,
 }
 
+/// A session with a server.
 pub struct Client {
-    wish: Negotiation,
+    negotiation: Negotiation,
     state: State,
     names: Vec<String>,
     export: Export,
     /// Lengths of reads without a reply, by cookie.
     reads: HashMap<u64, u32>,
-    out: BytesMut,
+    output: BytesMut,
 }
 
-/// No server of ours sends more in a chunk than a payload may hold, and its fixed part.
-const MAX_CHUNK: u32 = 64 << 20;
+/// Bytes of an option reply or a chunk, at most; servers send no more than a payload may hold, and its fixed part.
+const MAX_REPLY_BYTES: u32 = 64 << 20;
+/// Bytes of a greeting.
+const GREETING_BYTES: usize = 18;
+/// Bytes of an option reply's header.
+const OPTION_REPLY_HEADER_BYTES: usize = 20;
+/// Bytes of a simple reply's header.
+const SIMPLE_REPLY_HEADER_BYTES: usize = 16;
+/// Bytes of a structured reply chunk's header.
+const CHUNK_HEADER_BYTES: usize = 20;
+/// Block sizes of a server that tells none, bytes ("Block size constraints").
+const DEFAULT_BLOCKS: BlockSizes = BlockSizes { minimum: 1, preferred: 4096, maximum: 32 << 20 };
 
 impl Client {
-    pub fn new(wish: Negotiation) -> Client {
-        let name = if let Negotiation::Export { name, .. } = &wish { name.clone() } else { String::new() };
-        let blocks = BlockSizes { minimum: 1, preferred: 4096, maximum: 32 << 20 };
-        let export = Export { name, description: String::new(), size: 0, flags: 0, blocks };
-        let out = BytesMut::new();
-        Client { wish, state: State::Greeting, names: Vec::new(), export, reads: HashMap::new(), out }
+    /// A new session; nothing is sent before the server's greeting.
+    pub fn new(negotiation: Negotiation) -> Client {
+        let name =
+            if let Negotiation::Export { name, .. } = &negotiation { name.clone() } else { String::new() };
+        let description = String::new();
+        let export = Export { name, description, size: 0, flags: 0, blocks: DEFAULT_BLOCKS };
+        Client {
+            negotiation,
+            state: State::Greeting,
+            names: Vec::new(),
+            export,
+            reads: HashMap::new(),
+            output: BytesMut::new(),
+        }
     }
 
     /// Bytes for the server, in order; the caller drains them.
     pub fn output(&mut self) -> &mut BytesMut {
-        &mut self.out
+        &mut self.output
     }
 
+    /// Writes a request to the output.
     pub fn request(&mut self, request: &Request) {
         if request.command == Command::Read {
             self.reads.insert(request.cookie, request.length);
         }
-        put_request(&mut self.out, request);
+        put_request(&mut self.output, request);
     }
 
+    /// Removes the next whole message from `input`.
+    ///
+    /// # Errors
+    /// The server breaks the protocol, or refuses; the session can only be closed.
     pub fn receive(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
         loop {
-            match self.state {
-                State::Greeting => {
-                    if input.len() < 18 {
-                        return Ok(ClientEvent::More);
-                    }
-                    let (magic, style) = (input.get_u64(), input.get_u64());
-                    if magic != NBDMAGIC || style != IHAVEOPT {
-                        return Err(ProtocolError::Magic { place: "the greeting", found: magic });
-                    }
-                    let flags = input.get_u16() & (FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
-                    self.out.put_u32(flags.into());
-                    self.ask();
-                    self.state = State::Options;
-                }
-                State::Options => match self.option_reply(input)? {
-                    Some(step) => return Ok(step),
-                    None => continue,
-                },
-                State::Transmission => return self.reply(input),
+            let event = match self.state {
+                State::Greeting => self.receive_greeting(input)?,
+                State::Options => self.receive_option_reply(input)?,
+                State::Transmission => Some(self.receive_reply(input)?),
+            };
+            if let Some(event) = event {
+                return Ok(event);
             }
         }
     }
 
-    fn ask(&mut self) {
-        match self.wish.clone() {
-            Negotiation::List => self.option(OPT_LIST, &[]),
+    /// Reads the greeting and answers with the flags and the options; an event where there are too few bytes.
+    fn receive_greeting(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
+        if input.len() < GREETING_BYTES {
+            return Ok(Some(ClientEvent::More));
+        }
+        let magic = input.get_u64();
+        let style = input.get_u64();
+        if magic != NBDMAGIC || style != IHAVEOPT {
+            return Err(ProtocolError::Magic { place: "the greeting", found: magic });
+        }
+        let flags = input.get_u16() & (FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
+        self.output.put_u32(flags.into());
+        self.put_options();
+        self.state = State::Options;
+        Ok(None)
+    }
+
+    fn put_options(&mut self) {
+        match self.negotiation.clone() {
+            Negotiation::List => self.put_option(OPT_LIST, &[]),
             Negotiation::Export { name, structured } => {
                 let mut named = BytesMut::new();
                 named.put_u32(name.len() as u32);
                 named.put_slice(name.as_bytes());
                 if structured {
-                    self.option(OPT_STRUCTURED_REPLY, &[]);
+                    self.put_option(OPT_STRUCTURED_REPLY, &[]);
                     let mut context = named.clone();
                     context.put_u32(1);
                     context.put_u32(BASE_ALLOCATION.len() as u32);
                     context.put_slice(BASE_ALLOCATION.as_bytes());
-                    self.option(OPT_SET_META_CONTEXT, &context);
+                    self.put_option(OPT_SET_META_CONTEXT, &context);
                 }
                 named.put_u16(0);
-                self.option(OPT_GO, &named);
+                self.put_option(OPT_GO, &named);
             }
         }
     }
 
-    fn option(&mut self, option: u32, data: &[u8]) {
-        self.out.put_u64(IHAVEOPT);
-        self.out.put_u32(option);
-        self.out.put_u32(data.len() as u32);
-        self.out.put_slice(data);
+    fn put_option(&mut self, option: u32, data: &[u8]) {
+        self.output.put_u64(IHAVEOPT);
+        self.output.put_u32(option);
+        self.output.put_u32(data.len() as u32);
+        self.output.put_slice(data);
     }
 
-    fn option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
-        let Some(mut head) = input.get(..20) else { return Ok(Some(ClientEvent::More)) };
-        let magic = head.get_u64();
+    /// Reads an option reply; an event where there are too few bytes, or negotiation has ended.
+    fn receive_option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
+        let Some(mut header) = input.get(..OPTION_REPLY_HEADER_BYTES) else {
+            return Ok(Some(ClientEvent::More));
+        };
+        let magic = header.get_u64();
         if magic != OPTION_REPLY {
             return Err(ProtocolError::Magic { place: "an option reply", found: magic });
         }
-        let (option, kind, length) = (head.get_u32(), head.get_u32(), head.get_u32());
-        if length > MAX_CHUNK {
-            return Err(ProtocolError::LongPayload { length, bound: MAX_CHUNK });
+        let option = header.get_u32();
+        let kind = header.get_u32();
+        let length = header.get_u32();
+        if length > MAX_REPLY_BYTES {
+            return Err(ProtocolError::LongPayload { length, bound: MAX_REPLY_BYTES });
         }
-        if input.len() < 20 + length as usize {
+        if input.len() < OPTION_REPLY_HEADER_BYTES + length as usize {
             return Ok(Some(ClientEvent::More));
         }
-        input.advance(20);
+        input.advance(OPTION_REPLY_HEADER_BYTES);
         let mut data = input.split_to(length as usize).freeze();
         match (option, kind) {
             (_, kind) if kind & REP_ERR != 0 && option != OPT_SET_META_CONTEXT => {
@@ -152,7 +213,7 @@
                 self.names.push(String::from_utf8_lossy(&data).into_owned());
             }
             (OPT_LIST, REP_ACK) => return Ok(Some(ClientEvent::Names(std::mem::take(&mut self.names)))),
-            (OPT_GO, REP_INFO) => self.info(&mut data),
+            (OPT_GO, REP_INFO) => self.on_info(&mut data),
             (OPT_GO, REP_ACK) => {
                 self.state = State::Transmission;
                 return Ok(Some(ClientEvent::Ready(self.export.clone())));
@@ -162,57 +223,71 @@
         Ok(None)
     }
 
-    fn info(&mut self, data: &mut Bytes) {
+    fn on_info(&mut self, data: &mut Bytes) {
         if data.len() < 2 {
             return;
         }
         match data.get_u16() {
             INFO_EXPORT if data.len() == 10 => {
-                (self.export.size, self.export.flags) = (data.get_u64(), data.get_u16());
+                self.export.size = data.get_u64();
+                self.export.flags = data.get_u16();
             }
             INFO_BLOCK_SIZE if data.len() == 12 => {
-                let (minimum, preferred, maximum) = (data.get_u32(), data.get_u32(), data.get_u32());
-                self.export.blocks = BlockSizes { minimum, preferred, maximum };
+                self.export.blocks = BlockSizes {
+                    minimum: data.get_u32(),
+                    preferred: data.get_u32(),
+                    maximum: data.get_u32(),
+                };
             }
             _ => {}
         }
     }
 
-    fn reply(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
-        let Some(mut head) = input.get(..16) else { return Ok(ClientEvent::More) };
-        match head.get_u32() {
-            SIMPLE_REPLY_MAGIC => {
-                let (error, cookie) = (head.get_u32(), head.get_u64());
-                let expected = self.reads.get(&cookie).copied().filter(|_| error == 0).unwrap_or(0) as usize;
-                if input.len() < 16 + expected {
-                    return Ok(ClientEvent::More);
-                }
-                input.advance(16);
-                self.reads.remove(&cookie);
-                let error = (error != 0).then(|| Errno::from_number(error));
-                let data = input.split_to(expected).freeze();
-                Ok(ClientEvent::Reply(Reply::Simple { cookie, error, data }))
-            }
-            STRUCTURED_REPLY_MAGIC => {
-                let Some(mut head) = input.get(4..20) else { return Ok(ClientEvent::More) };
-                let (flags, kind) = (head.get_u16(), head.get_u16());
-                let (cookie, length) = (head.get_u64(), head.get_u32());
-                if length > MAX_CHUNK {
-                    return Err(ProtocolError::LongPayload { length, bound: MAX_CHUNK });
-                }
-                if input.len() < 20 + length as usize {
-                    return Ok(ClientEvent::More);
-                }
-                input.advance(20);
-                let chunk = read_chunk(kind, input.split_to(length as usize).freeze())
-                    .ok_or(ProtocolError::Reply("a chunk's length and kind"))?;
-                let done = flags & CHUNK_DONE != 0;
-                if done {
-                    self.reads.remove(&cookie);
-                }
-                Ok(ClientEvent::Reply(Reply::Chunk { cookie, chunk, done }))
-            }
+    fn receive_reply(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
+        let Some(mut header) = input.get(..SIMPLE_REPLY_HEADER_BYTES) else { return Ok(ClientEvent::More) };
+        match header.get_u32() {
+            SIMPLE_REPLY_MAGIC => Ok(self.receive_simple_reply(input)),
+            STRUCTURED_REPLY_MAGIC => self.receive_chunk(input),
             other => Err(ProtocolError::Magic { place: "a reply", found: other.into() }),
         }
     }
+
+    /// Reads a simple reply, of which the header has come; a read's data follows it.
+    fn receive_simple_reply(&mut self, input: &mut BytesMut) -> ClientEvent {
+        let mut header = &input[4..SIMPLE_REPLY_HEADER_BYTES];
+        let error = header.get_u32();
+        let cookie = header.get_u64();
+        let data_length = self.reads.get(&cookie).copied().filter(|_| error == 0).unwrap_or(0) as usize;
+        if input.len() < SIMPLE_REPLY_HEADER_BYTES + data_length {
+            return ClientEvent::More;
+        }
+        input.advance(SIMPLE_REPLY_HEADER_BYTES);
+        self.reads.remove(&cookie);
+        let error = (error != 0).then(|| Errno::from_number(error));
+        let data = input.split_to(data_length).freeze();
+        ClientEvent::Reply(Reply::Simple { cookie, error, data })
+    }
+
+    /// Reads a chunk of a structured reply, of which the magic has come.
+    fn receive_chunk(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
+        let Some(mut header) = input.get(4..CHUNK_HEADER_BYTES) else { return Ok(ClientEvent::More) };
+        let flags = header.get_u16();
+        let kind = header.get_u16();
+        let cookie = header.get_u64();
+        let length = header.get_u32();
+        if length > MAX_REPLY_BYTES {
+            return Err(ProtocolError::LongPayload { length, bound: MAX_REPLY_BYTES });
+        }
+        if input.len() < CHUNK_HEADER_BYTES + length as usize {
+            return Ok(ClientEvent::More);
+        }
+        input.advance(CHUNK_HEADER_BYTES);
+        let chunk = read_chunk(kind, input.split_to(length as usize).freeze())
+            .ok_or(ProtocolError::Reply("a chunk's length and kind"))?;
+        let done = flags & CHUNK_DONE != 0;
+        if done {
+            self.reads.remove(&cookie);
+        }
+        Ok(ClientEvent::Reply(Reply::Chunk { cookie, chunk, done }))
+    }
 }
--- a/crates/nbd/tests/golden.rs
+++ b/crates/nbd/tests/golden.rs
@@ -159,13 +159,13 @@
             put_request(&mut bytes, &request);
             receive(&mut session, &bytes).0.expect("a right request");
         }
-        let data = session.chunk(1, Chunk::Data { offset: 4096, data: Bytes::from(vec![9; 8]) }, true);
+        let data = session.put_chunk(1, Chunk::Data { offset: 4096, data: Bytes::from(vec![9; 8]) }, true);
         let mut written = session.output().split();
         written.put(data.unwrap_or_default());
         transcript.bytes(&format!("{form} reply, data"), &written);
-        session.simple(2);
+        session.put_simple_reply(2);
         transcript.bytes(&format!("{form} reply, done"), &session.output().split());
-        session.error(4, Errno::Io, "failed".into());
+        session.put_error(4, Errno::Io, "failed".into());
         transcript.bytes(&format!("{form} reply, error"), &session.output().split());
     }
     let mut session = session_in_transmission(true);
@@ -174,10 +174,10 @@
         put_request(&mut bytes, &request);
         receive(&mut session, &bytes).0.expect("a right request");
     }
-    session.chunk(1, Chunk::Hole { offset: 4096, length: 512 }, true);
+    session.put_chunk(1, Chunk::Hole { offset: 4096, length: 512 }, true);
     transcript.bytes("structured reply, hole", &session.output().split());
     let extents = vec![Extent { length: 256, flags: 0 }, Extent { length: 256, flags: STATE_HOLE }];
-    session.chunk(7, Chunk::BlockStatus { context: ALLOCATION_ID, extents }, true);
+    session.put_chunk(7, Chunk::BlockStatus { context: ALLOCATION_ID, extents }, true);
     transcript.bytes("structured reply, block status", &session.output().split());
     for errno in Errno::ALL {
         transcript.text("errno", &errno.number().to_string());
--- a/crates/nbd/tests/session.rs
+++ b/crates/nbd/tests/session.rs
@@ -1,4 +1,4 @@
-//! Negotiation and transmission by bytes alone: the protocol's ways, and what a bad peer may send.
+//! Negotiation and transmission by bytes alone: all forms of the protocol, and what a faulty peer may send.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
@@ -9,9 +9,9 @@
     Reply, Request, Session, SessionEvent,
 };
 
-struct One;
+struct OneExport;
 
-impl Exports for One {
+impl Exports for OneExport {
     fn find(&self, name: &str) -> Option<Export> {
         let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
         let blocks = BlockSizes { minimum: 512, preferred: 4096, maximum: 65536 };
@@ -23,7 +23,7 @@
     }
 }
 
-fn flags() -> BytesMut {
+fn client_flags() -> BytesMut {
     let mut out = BytesMut::new();
     out.put_u32(u32::from(FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES));
     out
@@ -43,25 +43,25 @@
     data
 }
 
-/// All steps that the input comes to, in pieces of so many bytes, and what the session wrote.
+/// All events of the input, received in pieces of so many bytes, and what the session wrote.
 fn feed(
     session: &mut Session,
     input: &[u8],
     piece: usize,
 ) -> (Vec<SessionEvent>, Result<(), ProtocolError>, Bytes) {
-    let (mut buffer, mut steps) = (BytesMut::new(), Vec::new());
+    let (mut buffer, mut events) = (BytesMut::new(), Vec::new());
     for part in input.chunks(piece) {
         buffer.put_slice(part);
         loop {
-            match session.receive(&mut buffer, &One) {
+            match session.receive(&mut buffer, &OneExport) {
                 Ok(SessionEvent::More) => break,
                 Ok(SessionEvent::Pending { .. }) => {}
-                Ok(step) => steps.push(step),
-                Err(fault) => return (steps, Err(fault), session.output().split().freeze()),
+                Ok(event) => events.push(event),
+                Err(fault) => return (events, Err(fault), session.output().split().freeze()),
             }
         }
     }
-    (steps, Ok(()), session.output().split().freeze())
+    (events, Ok(()), session.output().split().freeze())
 }
 
 /// Kinds of the option replies in an output after its greeting.
@@ -78,9 +78,9 @@
 }
 
 /// A session in transmission.
-fn attached(structured: bool) -> Session {
+fn session_in_transmission(structured: bool) -> Session {
     let mut session = Session::new(Limits::default());
-    let mut input = flags();
+    let mut input = client_flags();
     if structured {
         option(&mut input, OPT_STRUCTURED_REPLY, &[]);
         let mut context = go("vol");
@@ -91,12 +91,12 @@
         option(&mut input, OPT_SET_META_CONTEXT, &context);
     }
     option(&mut input, OPT_GO, &go("vol"));
-    let (steps, ended, _) = feed(&mut session, &input, usize::MAX);
-    assert!(matches!(&steps[..], [SessionEvent::Attached(export)] if export.name == "vol") && ended.is_ok());
+    let (events, ended, _) = feed(&mut session, &input, usize::MAX);
+    assert!(matches!(&events[..], [SessionEvent::Attached(export)] if export.name == "vol") && ended.is_ok());
     session
 }
 
-fn bytes(command: u16, flags: u16, cookie: u64, offset: u64, length: u32) -> BytesMut {
+fn request_bytes(command: u16, flags: u16, cookie: u64, offset: u64, length: u32) -> BytesMut {
     let mut out = BytesMut::new();
     out.put_u32(REQUEST_MAGIC);
     out.put_u16(flags);
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn a_negotiation_goes_on_past_what_is_unknown_or_wrong() {
-    let mut input = flags();
+fn negotiation_unknown_or_invalid_options_continues() {
+    let mut input = client_flags();
     option(&mut input, 4711, b"what");
     option(&mut input, OPT_LIST, b"junk");
     option(&mut input, OPT_LIST, &[]);
@@ -121,8 +121,8 @@
     option(&mut input, OPT_GO, &go("vol"));
     for piece in [1, 7, usize::MAX] {
         let mut session = Session::new(Limits::default());
-        let (steps, ended, out) = feed(&mut session, &input, piece);
-        assert!(ended.is_ok() && steps.len() == 1 && session.structured(), "{steps:?}");
+        let (events, ended, out) = feed(&mut session, &input, piece);
+        assert!(ended.is_ok() && events.len() == 1 && session.has_structured_replies(), "{events:?}");
         let kinds: Vec<u32> = option_replies(out).into_iter().map(|(_, kind)| kind).collect();
         let facts = [REP_INFO, REP_INFO, REP_ACK];
         let wrong = [REP_ERR_UNSUP, REP_ERR_INVALID, REP_SERVER, REP_ACK, REP_ERR_UNKNOWN, REP_ERR_INVALID];
@@ -131,47 +131,51 @@
 }
 
 #[test]
-fn export_name_pads_unless_asked_not_to_and_abort_ends() {
+fn export_name_pads_reply_unless_declined_and_abort_ends() {
     for (client, padding) in [(1u32, 124), (3, 0)] {
         let mut input = BytesMut::from(&client.to_be_bytes()[..]);
         option(&mut input, OPT_EXPORT_NAME, b"vol");
         let mut session = Session::new(Limits::default());
-        let (steps, _, out) = feed(&mut session, &input, usize::MAX);
-        assert!(matches!(steps[..], [SessionEvent::Attached(_)]));
+        let (events, _, out) = feed(&mut session, &input, usize::MAX);
+        assert!(matches!(events[..], [SessionEvent::Attached(_)]));
         assert_eq!(out.len(), 18 + 10 + padding);
     }
-    let mut input = flags();
+    let mut input = client_flags();
     option(&mut input, OPT_ABORT, &[]);
-    let (steps, _, out) = feed(&mut Session::new(Limits::default()), &input, usize::MAX);
-    assert_eq!((steps, option_replies(out)), (vec![SessionEvent::Disconnected], vec![(OPT_ABORT, REP_ACK)]));
+    let (events, _, out) = feed(&mut Session::new(Limits::default()), &input, usize::MAX);
+    assert_eq!((events, option_replies(out)), (vec![SessionEvent::Disconnected], vec![(OPT_ABORT, REP_ACK)]));
 }
 
 #[test]
-fn a_peer_that_breaks_the_protocol_is_named_its_fault() {
-    let fault = |input: &[u8]| feed(&mut Session::new(Limits::default()), input, 5).1.unwrap_err();
+fn protocol_violation_returns_its_error() {
+    let fault = |input: &[u8]| {
+        feed(&mut Session::new(Limits::default()), input, 5).1.expect_err("a protocol violation")
+    };
     assert_eq!(fault(&[0, 0, 0, 9]), ProtocolError::ClientFlags(9));
-    let mut input = flags();
+    let mut input = client_flags();
     input.put_slice(&[7; 16]);
     assert!(matches!(fault(&input), ProtocolError::Magic { place: "an option", .. }));
-    let mut input = flags();
+    let mut input = client_flags();
     option(&mut input, OPT_LIST, &[0; 9000]);
     assert!(matches!(fault(&input), ProtocolError::LongOption { length: 9000, .. }));
-    let mut input = flags();
+    let mut input = client_flags();
     (0..200).for_each(|_| option(&mut input, OPT_LIST, &[]));
     assert_eq!(fault(&input), ProtocolError::ManyOptions(101));
-    let mut input = flags();
+    let mut input = client_flags();
     option(&mut input, OPT_EXPORT_NAME, b"other");
     assert_eq!(fault(&input), ProtocolError::NoSuchExport("other".into()));
-    let fault = |input: &[u8]| feed(&mut attached(true), input, 5).1.unwrap_err();
+    let fault = |input: &[u8]| {
+        feed(&mut session_in_transmission(true), input, 5).1.expect_err("a protocol violation")
+    };
     assert!(matches!(fault(&[1; 28]), ProtocolError::Magic { place: "a request", .. }));
     let bound = 65536;
-    assert_eq!(fault(&bytes(1, 0, 1, 0, 65537)), ProtocolError::LongPayload { length: 65537, bound });
-    let twice = [bytes(0, 0, 5, 0, 512), bytes(0, 0, 5, 0, 512)].concat();
+    assert_eq!(fault(&request_bytes(1, 0, 1, 0, 65537)), ProtocolError::LongPayload { length: 65537, bound });
+    let twice = [request_bytes(0, 0, 5, 0, 512), request_bytes(0, 0, 5, 0, 512)].concat();
     assert_eq!(fault(&twice), ProtocolError::ReusedCookie(5));
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_and_the_session_goes_on() {
+fn invalid_requests_are_rejected_and_session_continues() {
     let cases = [
         (99, 0, 0, 512, Errno::Inval),
         (0, CMD_FLAG_FUA, 0, 512, Errno::Inval),
@@ -184,35 +188,35 @@
         (6, CMD_FLAG_REQ_ONE, 0, 512, Errno::Inval),
         (3, 0, 512, 0, Errno::Inval),
     ];
-    let mut session = attached(true);
+    let mut session = session_in_transmission(true);
     for (cookie, (command, flags, offset, length, wanted)) in cases.into_iter().enumerate() {
-        let input = bytes(command, flags, cookie as u64, offset, length);
-        let (steps, ended, _) = feed(&mut session, &input, 9);
-        let refused = matches!(&steps[..], [SessionEvent::Rejected { errno, .. }] if *errno == wanted);
-        assert!(refused && ended.is_ok(), "{command} {offset}: {steps:?}");
+        let input = request_bytes(command, flags, cookie as u64, offset, length);
+        let (events, ended, _) = feed(&mut session, &input, 9);
+        let refused = matches!(&events[..], [SessionEvent::Rejected { errno, .. }] if *errno == wanted);
+        assert!(refused && ended.is_ok(), "{command} {offset}: {events:?}");
     }
-    let (steps, ..) = feed(&mut session, &bytes(0, CMD_FLAG_DF, 0, 0, 512), 1);
-    assert!(matches!(&steps[..], [SessionEvent::Request(_)]), "a cookie of a refused request is free again");
-    let (steps, ..) = feed(&mut attached(false), &bytes(7, 0, 1, 0, 512), 28);
-    assert!(matches!(&steps[..], [SessionEvent::Rejected { .. }]), "no context was selected");
+    let (events, ..) = feed(&mut session, &request_bytes(0, CMD_FLAG_DF, 0, 0, 512), 1);
+    assert!(matches!(&events[..], [SessionEvent::Request(_)]), "a cookie of a refused request is free again");
+    let (events, ..) = feed(&mut session_in_transmission(false), &request_bytes(7, 0, 1, 0, 512), 28);
+    assert!(matches!(&events[..], [SessionEvent::Rejected { .. }]), "no context was selected");
     session.shut_down();
-    let (steps, ..) = feed(&mut session, &bytes(0, 0, 9, 0, 512), 28);
-    assert!(matches!(&steps[..], [SessionEvent::Rejected { errno: Errno::Shutdown, .. }]));
-    let (steps, ..) = feed(&mut session, &bytes(2, 0, 9, 0, 0), 28);
-    assert_eq!(steps, [SessionEvent::Disconnected]);
+    let (events, ..) = feed(&mut session, &request_bytes(0, 0, 9, 0, 512), 28);
+    assert!(matches!(&events[..], [SessionEvent::Rejected { errno: Errno::Shutdown, .. }]));
+    let (events, ..) = feed(&mut session, &request_bytes(2, 0, 9, 0, 0), 28);
+    assert_eq!(events, [SessionEvent::Disconnected]);
 }
 
-/// Moves bytes between the two ends until neither has anything to say.
-fn shake(client: &mut Client, session: &mut Session) -> ClientEvent {
+/// Moves bytes between the two ends until the client has an event.
+fn exchange(client: &mut Client, session: &mut Session) -> ClientEvent {
     let (mut to_client, mut to_server) = (BytesMut::new(), BytesMut::new());
     loop {
         to_client.put_slice(&session.output().split());
-        let step = client.receive(&mut to_client).expect("a good server");
+        let event = client.receive(&mut to_client).expect("a good server");
         to_server.put_slice(&client.output().split());
-        if step != ClientEvent::More {
-            return step;
+        if event != ClientEvent::More {
+            return event;
         }
-        assert_ne!(session.receive(&mut to_server, &One), Ok(SessionEvent::Request(read(0))));
+        assert_ne!(session.receive(&mut to_server, &OneExport), Ok(SessionEvent::Request(read(0))));
     }
 }
 
@@ -221,21 +225,21 @@
 }
 
 #[test]
-fn both_ends_understand_each_other() {
+fn client_and_server_exchange_requests_and_replies() {
     let wish = |structured| Negotiation::Export { name: "vol".into(), structured };
     let mut session = Session::new(Limits::default());
     assert_eq!(
-        shake(&mut Client::new(Negotiation::List), &mut session),
+        exchange(&mut Client::new(Negotiation::List), &mut session),
         ClientEvent::Names(vec!["vol".into()])
     );
     for structured in [false, true] {
         let (mut client, mut session) = (Client::new(wish(structured)), Session::new(Limits::default()));
-        let ready = shake(&mut client, &mut session);
+        let ready = exchange(&mut client, &mut session);
         assert!(matches!(&ready, ClientEvent::Ready(export) if export.size == 1 << 20), "{ready:?}");
         client.request(&read(1));
         let mut input = client.output().split();
-        assert_eq!(session.receive(&mut input, &One), Ok(SessionEvent::Pending { bytes: 1024 }));
-        assert_eq!(session.receive(&mut input, &One), Ok(SessionEvent::Request(read(1))));
+        assert_eq!(session.receive(&mut input, &OneExport), Ok(SessionEvent::Pending { bytes: 1024 }));
+        assert_eq!(session.receive(&mut input, &OneExport), Ok(SessionEvent::Request(read(1))));
         let chunks = [
             Chunk::Data { offset: 512, data: Bytes::from_static(&[7; 512]) },
             Chunk::Hole { offset: 0, length: 512 },
@@ -244,7 +248,7 @@
             Chunk::None,
         ];
         if !structured {
-            session.simple(1);
+            session.put_simple_reply(1);
             let mut out = session.output().split();
             out.put_slice(&[3; 1024]);
             let data = Bytes::from_static(&[3; 1024]);
@@ -254,7 +258,7 @@
         }
         for (i, chunk) in chunks.iter().enumerate() {
             let done = i + 1 == chunks.len();
-            let tail = session.chunk(1, chunk.clone(), done);
+            let tail = session.put_chunk(1, chunk.clone(), done);
             let mut out = session.output().split();
             tail.into_iter().for_each(|tail| out.put_slice(&tail));
             let wanted = Reply::Chunk { cookie: 1, chunk: chunk.clone(), done };
@@ -265,14 +269,16 @@
 }
 
 #[test]
-fn no_bytes_panic_either_end() {
+fn arbitrary_bytes_never_panic_either_end() {
+    #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes owned arguments")]
     fn survives(noise: Vec<u8>, transmission: bool) -> bool {
-        let mut session = if transmission { attached(true) } else { Session::new(Limits::default()) };
-        let mut input = if transmission { BytesMut::new() } else { flags() };
+        let mut session =
+            if transmission { session_in_transmission(true) } else { Session::new(Limits::default()) };
+        let mut input = if transmission { BytesMut::new() } else { client_flags() };
         input.put_slice(&noise);
         _ = feed(&mut session, &input, 3);
         let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured: true });
-        shake(&mut client, &mut Session::new(Limits::default()));
+        exchange(&mut client, &mut Session::new(Limits::default()));
         let mut replies = BytesMut::new();
         replies.put_u32(STRUCTURED_REPLY_MAGIC);
         replies.put_u16(0);
@@ -289,13 +295,13 @@
         .quickcheck(survives as fn(Vec<u8>, bool) -> bool);
 }
 
-/// A request that there is no room for is answered at once, its payload dropped in whatever pieces it comes; what follows it
-/// is understood. A goodbye is never turned away.
+/// A request without a buffer is answered at once, its payload discarded in whatever pieces it comes; what follows it is
+/// understood. A disconnect is never rejected.
 #[test]
-fn a_request_turned_away_is_answered_and_its_payload_dropped() {
+fn rejected_request_is_answered_and_its_payload_discarded() {
     for piece in [1, 7, 64, 8192] {
         let mut session = Session::new(Limits::default());
-        let mut opening = flags();
+        let mut opening = client_flags();
         option(&mut opening, OPT_GO, &go("vol"));
         assert!(feed(&mut session, &opening, 64).1.is_ok());
         let mut input = BytesMut::new();
@@ -306,22 +312,22 @@
         put_request(&mut input, &request(1, Command::Write, Bytes::from(vec![9; 4096])));
         put_request(&mut input, &request(2, Command::Read, Bytes::new()));
         put_request(&mut input, &request(3, Command::Disc, Bytes::new()));
-        let (mut buffer, mut away, mut taken) = (BytesMut::new(), Vec::new(), Vec::new());
+        let (mut buffer, mut rejected, mut accepted) = (BytesMut::new(), Vec::new(), Vec::new());
         for part in input.chunks(piece) {
             buffer.put_slice(part);
             loop {
-                match session.receive(&mut buffer, &One).expect("a good client") {
+                match session.receive(&mut buffer, &OneExport).expect("a good client") {
                     SessionEvent::More => break,
                     SessionEvent::Pending { bytes } => {
-                        away.push((bytes, session.reject(Errno::NoMem, "full".into())))
+                        rejected.push((bytes, session.reject(Errno::NoMem, "full".into())));
                     }
-                    step => taken.push(step),
+                    event => accepted.push(event),
                 }
             }
-            assert!(buffer.len() < 64, "nothing is kept of what was turned away");
+            assert!(buffer.len() < 64, "nothing is kept of what was rejected");
         }
-        assert_eq!(away, [(4096, true), (4096, true), (0, false)]);
-        assert_eq!(taken, [SessionEvent::Disconnected]);
+        assert_eq!(rejected, [(4096, true), (4096, true), (0, false)]);
+        assert_eq!(accepted, [SessionEvent::Disconnected]);
         let out = session.output().split().freeze();
         let cookies: Vec<u64> = out
             .windows(4)
