--- a/crates/nbd-gateway/src/service_connection.rs
+++ b/crates/nbd-gateway/src/service_connection.rs
@@ -48,7 +48,7 @@
     pub(crate) service: Service,
     /// Where it listens.
     pub(crate) address: SocketAddr,
-    /// This run of the gateway, told in the hello.
+    /// Identifies this run of the gateway, in the hello.
     pub(crate) run_id: u64,
     /// How long a connection may take to come up.
     pub(crate) connect_timeout: Duration,
--- a/crates/nbd-gateway/src/snapshot_writer/mod.rs
+++ b/crates/nbd-gateway/src/snapshot_writer/mod.rs
@@ -116,7 +116,7 @@
         self.is_writing |= is_sent;
     }
 
-    /// The thread has told that it is finished.
+    /// The thread has finished a snapshot.
     pub(crate) fn on_finished(&mut self) {
         self.is_writing = false;
     }
--- a/crates/nbd-gateway/src/store_connection.rs
+++ b/crates/nbd-gateway/src/store_connection.rs
@@ -45,7 +45,7 @@
     pub(crate) store: StoreId,
     /// Counts the connections of this gateway.
     pub(crate) connection_id: u64,
-    /// This run of the gateway, told in the hello.
+    /// Identifies this run of the gateway, in the hello.
     pub(crate) run_id: u64,
     /// How long the connection may take to come up.
     pub(crate) connect_timeout: Duration,
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -1,4 +1,4 @@
-//! A writer, relays and gateways in this process, and stand-ins for relays that are none.
+//! A writer, relays and gateways in this process, and connections that pose as either end.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A test that waits for ever is a failure that names nothing: it ends here instead.
+/// Bounds a wait: the failure names what was waited for, and shows the log.
 pub(crate) async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     let ended = tokio::time::timeout(Duration::from_secs(40), future).await;
     ended.unwrap_or_else(|_| panic!("{what}: not within 40 s; the log:\n{}", log_lines().join("\n")))
@@ -59,7 +59,7 @@
 }
 
 impl Writer {
-    /// Begins a log of version 1.
+    /// Creates a log with one version.
     pub(crate) fn create(folder: &Path) -> Writer {
         let folder = folder.join("log");
         let disk = Disk::open(&folder).expect("nobody else has it");
@@ -80,7 +80,7 @@
         self.commit(vec![add_volume_edit(volume)])
     }
 
-    /// The log's folder as it is now, under another name.
+    /// Copies the log's folder as it is now.
     pub(crate) fn copy_folder(&self, to: &Path) -> PathBuf {
         std::fs::create_dir_all(to).expect("room");
         for file in std::fs::read_dir(&self.folder).expect("there") {
@@ -126,13 +126,13 @@
     umbertray_relay::RelayOptions { listen: any_port(), name, zone, changes, folder: None, seed: 1 }
 }
 
-/// One that reads the writer's folder.
+/// Starts a relay that reads the writer's folder.
 pub(crate) async fn start_folder_relay(name: &str, folder: &Path) -> Relay {
     let changes = Source::Folder(folder.display().to_string());
     umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
 }
 
-/// One that reads the writer's folder where another listened: that one's task may be a moment from its end.
+/// Starts a relay of the writer's folder at the address of one that was dropped, whose task may not have ended yet.
 pub(crate) async fn restart_folder_relay(name: &str, listen: SocketAddr, folder: &Path) -> Relay {
     let starting = async {
         loop {
@@ -147,7 +147,7 @@
     within("a relay where another listened", starting).await
 }
 
-/// One that follows others.
+/// Starts a relay that follows others.
 pub(crate) async fn start_relay(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> Relay {
     let changes = Source::Relays { upstreams, quorum };
     umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
@@ -181,16 +181,16 @@
 }
 
 pub(crate) async fn wait_until_applied(gateway: &RunningGateway, version: u64) {
-    let mut acted = gateway.applied_version();
-    let acting = acted.wait_for(|acted| *acted >= version);
-    within(&format!("acting on version {version}"), acting).await.expect("it runs");
+    let mut applied = gateway.applied_version();
+    let applying = applied.wait_for(|applied| *applied >= version);
+    within(&format!("applying version {version}"), applying).await.expect("it runs");
 }
 
 pub(crate) fn exports_volume(gateway: &RunningGateway, volume: &str) -> bool {
     gateway.exports().iter().any(|known| known == volume)
 }
 
-/// What an honest relay of a folder says that it holds.
+/// What an honest relay of a folder holds.
 #[derive(Clone)]
 pub(crate) struct RelayContents {
     pub(crate) checkpoint: Checkpoint,
@@ -200,27 +200,27 @@
     pub(crate) entries: Vec<(Position, Vec<u8>)>,
 }
 
-/// What the folder holds: the state that its newest segment begins with, and its newest position.
+/// The contents of a folder: the checkpoint of its newest segment, the entries since, and the newest position.
 pub(crate) fn folder_contents(folder: &Path) -> RelayContents {
-    let (_, told) = FolderReader::open(&Disk::read_only(folder)).expect("a log");
-    let at = |told: &Update| Position { version: told.version(), hash: told.hash() };
-    let Some(Update::Checkpoint(head)) = told.first() else { panic!("a checkpoint comes first") };
+    let (_, updates) = FolderReader::open(&Disk::read_only(folder)).expect("a log");
+    let at = |update: &Update| Position { version: update.version(), hash: update.hash() };
+    let Some(Update::Checkpoint(head)) = updates.first() else { panic!("a checkpoint comes first") };
     let length = head.checkpoint.len() as u32;
-    let checkpoint = Checkpoint { at: at(&told[0]), digest: digest(&head.checkpoint), length };
+    let checkpoint = Checkpoint { at: at(&updates[0]), digest: digest(&head.checkpoint), length };
     let bytes = Bytes::copy_from_slice(&head.checkpoint);
-    let entries = told.iter().filter_map(|told| match told {
-        Update::Entry(entry) => Some((at(told), entry.body.clone())),
+    let entries = updates.iter().filter_map(|update| match update {
+        Update::Entry(entry) => Some((at(update), entry.body.clone())),
         Update::Checkpoint(_) => None,
     });
     RelayContents {
         checkpoint,
         bytes,
-        head: told.last().map(at).expect("something"),
+        head: updates.last().map(at).expect("something"),
         entries: entries.collect(),
     }
 }
 
-/// Waits until a gateway that was dropped has let go of its folder, as the end of a process would.
+/// Waits until a gateway that was dropped has unlocked its folder, as the end of a process would.
 pub(crate) async fn wait_until_unlocked(state: &Path) {
     let free = async {
         while [state.to_path_buf(), state.join("changes")].iter().any(|folder| Disk::open(folder).is_err()) {
@@ -246,7 +246,7 @@
 
 static LOG: OnceLock<LogBuffer> = OnceLock::new();
 
-/// Begins to keep the log; all tests of this process share it.
+/// Captures the log; all tests of this process share it.
 pub(crate) fn capture_log() {
     LOG.get_or_init(|| {
         let lines = LogBuffer::default();
@@ -265,22 +265,22 @@
 
 /// Waits for a line of the log with these fields.
 pub(crate) async fn wait_for_log(fields: &[(&str, &str)]) {
-    let fits = |line: &String| {
+    let matches = |line: &String| {
         let line: Value = serde_json::from_str(line).unwrap_or_default();
         fields.iter().all(|(name, value)| {
-            let said = &line["fields"][name];
-            said.as_str().map_or_else(|| said.to_string(), str::to_string).contains(value)
+            let field = &line["fields"][name];
+            field.as_str().map_or_else(|| field.to_string(), str::to_string).contains(value)
         })
     };
     let waiting = async {
-        while !log_lines().iter().any(fits) {
+        while !log_lines().iter().any(matches) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     within(&format!("a line with {fields:?}"), waiting).await;
 }
 
-/// A connection that speaks frames, whoever has the other end.
+/// A connection that sends and receives frames.
 pub(crate) struct FrameConnection {
     pub(crate) stream: TcpStream,
     input: BytesMut,
@@ -296,7 +296,7 @@
     }
 
     pub(crate) async fn send(&mut self, frame: impl Message) {
-        // Whoever has left does not hear it.
+        // The peer may have closed the connection.
         _ = self.stream.write_all(&frame.frame()).await;
     }
 
@@ -313,7 +313,7 @@
         }
     }
 
-    /// The next that is looked for; what else is said is passed over.
+    /// The first frame that is wanted; others are passed over.
     pub(crate) async fn receive_until<T>(
         &mut self,
         what: &str,
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -1,4 +1,4 @@
-//! Relays that do what they are to, die, come back, or follow each other.
+//! Relays that work, die, restart, or follow each other.
 
 use umbertray_config::ChangeSource as Source;
 use umbertray_nbd_gateway::GatewayError;
@@ -30,20 +30,20 @@
         wait_until_applied(gateway, version).await;
         assert!(exports_volume(gateway, "new") && exports_volume(gateway, "vol"));
     }
-    // Every gateway counts once, at the hop that it follows, whatever else it is connected to.
+    // Every gateway counts once, at the relay that it follows, whatever else it is connected to.
     let sum = async {
         loop {
-            let mut acted = 0;
+            let mut applied = 0;
             for top in &top_relays {
                 let status = client::status(top.address).await.expect("it answers");
                 assert_eq!(status.head.version, version);
                 let levels = status.progress.levels.iter().filter(|level| level.version == version);
-                acted += levels.map(|level| level.members).sum::<u32>();
+                applied += levels.map(|level| level.members).sum::<u32>();
             }
-            if acted == 4 {
+            if applied == 4 {
                 return;
             }
-            assert!(acted < 4, "{acted} of 4 gateways");
+            assert!(applied < 4, "{applied} of 4 gateways");
         }
     };
     within("the sum of four gateways", sum).await;
@@ -65,7 +65,7 @@
         start_gateway(relay_source("dg1", upstreams(), 2)).await,
         start_gateway(relay_source("dg2", upstreams(), 2)).await,
     ];
-    // Whichever they follow, one by one is gone and back.
+    // Each relay is stopped and restarted in turn, so also the one that a gateway follows.
     for (place, name) in ["d1", "d2", "d3"].into_iter().enumerate() {
         let gone = top_relays.remove(place);
         let address = gone.address;
@@ -75,8 +75,8 @@
             wait_until_applied(gateway, version).await;
         }
         top_relays.insert(place, restart_folder_relay(name, address, &writer.folder).await);
-        let mut carried = top_relays[place].relayed_version.clone();
-        within("it carries again", carried.wait_for(|carried| *carried == version)).await.expect("it runs");
+        let mut relayed = top_relays[place].relayed_version.clone();
+        within("it relays again", relayed.wait_for(|relayed| *relayed == version)).await.expect("it runs");
     }
 }
 
@@ -99,12 +99,12 @@
     wait_until_applied(&first, version).await;
     drop((first, top_relays));
     wait_until_unlocked(&state).await;
-    // Nobody is there, and it starts.
+    // No relay is running, and the gateway starts.
     let alone = start_gateway(with_state(upstreams)).await;
     assert_eq!((*alone.applied_version().borrow(), exports_volume(&alone, "kept")), (version, true));
     drop(alone);
     wait_until_unlocked(&state).await;
-    // All are there, and carry a log that was put back.
+    // All relays are running, with an older copy of the log.
     let top_relays = [start_folder_relay("s1", &old).await, start_folder_relay("s2", &old).await];
     let upstreams = vec![upstream_of("s1", &top_relays[0]), upstream_of("s2", &top_relays[1])];
     let returned = start_gateway(with_state(upstreams)).await;
@@ -115,7 +115,7 @@
     let addresses = top_relays.each_ref().map(|top| top.address);
     drop(top_relays);
     assert_eq!((*returned.applied_version().borrow(), exports_volume(&returned, "kept")), (version, true));
-    // They have the right one again: it goes on from where it is.
+    // They have the newest log again: the gateway goes on from its version.
     let mut top_relays = Vec::new();
     for (name, listen) in ["s1", "s2"].into_iter().zip(addresses) {
         top_relays.push(restart_folder_relay(name, listen, &writer.folder).await);
@@ -125,7 +125,7 @@
     assert!(exports_volume(&returned, "kept") && exports_volume(&returned, "later"));
     drop((returned, top_relays));
     wait_until_unlocked(&state).await;
-    // With what it acted on and no copy, it would rather not start.
+    // With a recorded version and no copy of the log, it does not start from an older one.
     std::fs::remove_dir_all(state.join("changes")).expect("there");
     let patience = std::time::Duration::from_secs(2);
     let top_relays = [start_folder_relay("s1", &old).await, start_folder_relay("s2", &old).await];
@@ -140,7 +140,7 @@
     capture_log();
     let folder = test_folder("loops");
     let writer = Writer::create(&folder);
-    // An upstream that is itself, by name and by address.
+    // A relay that follows itself, by name and by address.
     let named = Source::Relays { upstreams: vec![upstream("me", any_port())], quorum: 1 };
     let refused = umbertray_relay::start(relay_options("me", named)).await;
     assert!(refused.is_err_and(|error| error.to_string().contains("\"me\" follows itself")));
@@ -151,7 +151,7 @@
     let options = umbertray_relay::RelayOptions { listen: address, ..relay_options("me", same) };
     let refused = umbertray_relay::start(options).await;
     assert!(matches!(refused, Err(RelayError::Config(_))));
-    // Two that follow each other: the one above the other does not take from it.
+    // Two relays that follow each other: neither replicates from the other.
     let top = start_folder_relay("l0", &writer.folder).await;
     let held = std::net::TcpListener::bind(any_port()).expect("a port");
     let address = held.local_addr().expect("bound");
@@ -161,8 +161,8 @@
         Source::Relays { upstreams: vec![upstream_of("l2", &low), upstream_of("l0", &top)], quorum: 1 };
     let options = umbertray_relay::RelayOptions { listen: address, ..relay_options("l1", both) };
     let _high = umbertray_relay::start(options).await.expect("the port is free");
-    let mut carried = low.relayed_version.clone();
-    within("the low one has it by the high one", carried.wait_for(|carried| *carried == 1))
+    let mut relayed = low.relayed_version.clone();
+    within("the low one has it by the high one", relayed.wait_for(|relayed| *relayed == 1))
         .await
         .expect("it runs");
     wait_for_log(&[("message", "loop of relays"), ("upstream", "l2"), ("path", "\"l1\", \"l2\"")]).await;
@@ -185,33 +185,34 @@
         let options = umbertray_relay::RelayOptions { folder, ..relay_options("o3", changes) };
         umbertray_relay::start(options).await.expect("it starts")
     };
-    let carries = async |relay: &umbertray_relay::RunningRelay| {
-        let mut carried = relay.relayed_version.clone();
-        within("it carries", carried.wait_for(|carried| *carried == version)).await.expect("it runs");
+    let relays_version = async |relay: &umbertray_relay::RunningRelay| {
+        let mut relayed = relay.relayed_version.clone();
+        within("it relays", relayed.wait_for(|relayed| *relayed == version)).await.expect("it runs");
     };
-    carries(&starts().await).await;
+    relays_version(&starts().await).await;
     top_relays.clear();
     for (name, address) in ["o1", "o2"].into_iter().zip(addresses) {
         top_relays.push(restart_folder_relay(name, address, &old).await);
     }
     let again = starts().await;
-    // It has heard the old state, and does not put it in force: all that it ever does is the newer one.
-    let mut carried = again.relayed_version.clone();
+    // It has heard of the old state, and does not commit it: all that it ever commits is the newer one.
+    let mut relayed = again.relayed_version.clone();
     let seen = tokio::spawn(async move {
         let mut seen = Vec::new();
-        while carried.changed().await.is_ok() {
-            seen.push(*carried.borrow_and_update());
+        while relayed.changed().await.is_ok() {
+            seen.push(*relayed.borrow_and_update());
             if seen.last() == Some(&version) {
                 break;
             }
         }
         seen
     });
-    let heard = async { while client::status(again.address).await.expect("it answers").head.version != 1 {} };
-    within("it has heard the old state", heard).await;
+    let has_heard =
+        async { while client::status(again.address).await.expect("it answers").head.version != 1 {} };
+    within("it has heard the old state", has_heard).await;
     top_relays.clear();
     for (name, address) in ["o1", "o2"].into_iter().zip(addresses) {
         top_relays.push(restart_folder_relay(name, address, &writer.folder).await);
     }
-    assert_eq!(within("it carries again", seen).await.expect("it ran"), [version]);
+    assert_eq!(within("it relays again", seen).await.expect("it ran"), [version]);
 }
--- a/crates/nbd-gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/lies.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak as relays and are none: they send what is no frame, what does not follow, or what nobody wrote.
+//! Faulty peers: they send invalid frames, entries that do not follow, or changes that nobody wrote.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use crate::common::*;
 
-/// Says what an honest relay would until it is asked for entries; then this.
+/// Starts a fake relay: honest until it is asked for entries, after which it sends `final_frames`.
 async fn start_fake_relay(
     name: &'static str,
     contents: RelayContents,
@@ -67,17 +67,17 @@
     (address, serving)
 }
 
-/// An entry's frame at a place, with a whole body.
+/// The frame of an entry with a whole body.
 fn entry(at: Position, body: &[u8]) -> Bytes {
     let part = Bytes::copy_from_slice(body);
     FromUpstream::Entry { at, length: body.len() as u32, offset: 0, part }.frame()
 }
 
-/// What is sent in place of what comes after a position.
+/// Makes the bytes that are sent in place of the entry after a position.
 type FrameAfter = fn(Position) -> Bytes;
 
-/// Cut, of wrong length, unknown, out of the chain: each ends its connection, the reason and the peer are in the log, nothing
-/// has changed, and what the honest ones carry arrives.
+/// Cut off, of wrong length, of unknown kind, out of the chain: each closes its connection, the reason and the peer are in the
+/// log, nothing has changed, and what the honest relays tell arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn upstream_invalid_frame_or_entry_closes_connection_and_changes_nothing() {
     capture_log();
@@ -104,7 +104,7 @@
         let contents = folder_contents(&writer.folder);
         let bytes = bytes(contents.head);
         let (address, serving) = start_fake_relay(name, contents, vec![bytes]).await;
-        // It alone is asked for entries first: it is in the gateway's zone, and the others are not.
+        // The fake is asked for entries first: it alone is in the gateway's zone.
         let far = |upstream: umbertray_config::Upstream| umbertray_config::Upstream {
             zone: "far".into(),
             ..upstream
@@ -118,15 +118,15 @@
         wait_for_log(&[("peer", &address.to_string()), ("reason", reason)]).await;
         let before = *gateway.applied_version().borrow();
         let version = writer.add_volume(&format!("after-{name}"));
-        assert!(before < version, "{name}: acted on {before}");
+        assert!(before < version, "{name}: applied {before}");
         wait_until_applied(&gateway, version).await;
         assert_eq!(*gateway.applied_version().borrow(), version, "{name}");
         serving.abort();
     }
 }
 
-/// A change that nobody wrote, rightly chained to the newest: a gateway that asks for two voices never acts on it. One that
-/// asks for one does, which is what two are for.
+/// A change that nobody wrote, correctly chained to the newest: a gateway with a quorum of two never applies it. One with a
+/// quorum of one does, which is what the quorum is for.
 #[tokio::test(flavor = "multi_thread")]
 async fn gateway_quorum_two_one_lying_relay_changes_nothing() {
     capture_log();
@@ -158,7 +158,7 @@
     let version = writer.add_volume("more");
     wait_until_applied(&sure, version).await;
     assert!(exports_volume(&sure, "more") && !exports_volume(&sure, "forged"), "{:?}", sure.exports());
-    // What a single voice could do: it goes on from what it holds, and the liar's history follows on that.
+    // A quorum of one: it goes on from its own copy, which the forged change follows.
     let state = folder.join("trusting");
     let trusting = |upstreams| umbertray_nbd_gateway::RelaySource {
         state: Some(state.clone()),
@@ -177,7 +177,7 @@
     assert!(exports_volume(&trusting, "forged"));
 }
 
-/// What a follower sends that is no frame ends its connection alone.
+/// An invalid frame of a follower closes its connection and no other.
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_invalid_frame_is_disconnected_alone() {
     capture_log();
--- a/crates/nbd-gateway/tests/relays/slow.rs
+++ b/crates/nbd-gateway/tests/relays/slow.rs
@@ -1,4 +1,4 @@
-//! Followers that do not read, and what a relay holds meanwhile.
+//! Followers that do not read, and the memory of their relay.
 
 use umbertray_control_plane::relay::MAX_SUFFIX_BYTES;
 use umbertray_relay::client;
@@ -6,14 +6,14 @@
 
 use crate::common::*;
 
-/// A change of half a megabyte, always of the same volumes: the state stays as large as one of them.
+/// Commits a change of half a megabyte, always of the same volumes: the state stays as large as one change.
 fn commit_large_change(writer: &mut Writer, number: u64) -> u64 {
     let size = (1 << 20) + 512 * number;
     writer.commit((0..1500).map(|volume| put_volume_edit(&format!("{volume:0>240}"), size)).collect())
 }
 
-/// One that says it is alive and takes nothing falls out of what is held; the others are served, and the relay holds no more
-/// than its bound.
+/// A follower that sends heartbeats and accepts no entries falls behind the suffix that the relay holds; the others are served,
+/// and the relay holds no more than its bound.
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_takes_nothing_relay_memory_stays_bounded() {
     capture_log();
@@ -42,12 +42,12 @@
         "{max_held} bytes held: too little was written to show anything"
     );
     assert_eq!((status.head.version, status.followers), (version, 2), "the gateway and the slow one");
-    // Once it takes something, it hears that what comes next is gone.
+    // Once it accepts entries, it is told that the next one is not held any more.
     slow.send(ToUpstream::WindowUpdate { bytes: 128 << 10 }).await;
     wait_for_log(&[("message", "follower needs a checkpoint"), ("follower", "slow")]).await;
 }
 
-/// One that asks and asks, and reads no answer, is cut off at the bound on what was said and not sent.
+/// A follower that requests and reads no answer is disconnected at the bound on unsent bytes.
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_requests_without_reading_is_disconnected() {
     capture_log();
@@ -67,7 +67,7 @@
         .await;
     let peer = asks.stream.local_addr().expect("bound").to_string();
     let asking = async {
-        // Until the relay has closed: what it was asked is lost then, and so is the connection.
+        // Until the relay has closed the connection.
         while asks.stream.writable().await.is_ok() {
             let frame = ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 };
             match asks.stream.try_write(&umbertray_store_protocol::Message::frame(&frame)) {
@@ -78,7 +78,7 @@
     };
     within("the end of one that does not read", asking).await;
     wait_for_log(&[("peer", &peer), ("reason", "it takes nothing")]).await;
-    // The relay is there for others.
+    // The relay still serves others.
     let mut other = FrameConnection::connect_as_follower(top.address, "other").await;
     other.send(ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 }).await;
     other
--- a/crates/store-protocol/src/list/to_list.rs
+++ b/crates/store-protocol/src/list/to_list.rs
@@ -26,7 +26,7 @@
         volume: u64,
         /// The extent's index in the volume.
         extent: u64,
-        /// The answer waits until the map has this epoch for the extent: a store has told that its range has moved so often.
+        /// The answer waits until the map has this epoch for the extent: a store has answered that its range has this epoch.
         min_epoch: u64,
     },
     /// The extent is claimed for a shard, unless it has a location already: the first claim wins for good.
