--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -1,98 +1,121 @@
-//! `umbertray coordinator`: the process that holds the map of where data lies, and what operators ask of it.
+//! `umbertray coordinator`: the process that holds the map of extents, and the requests that operators send to it.
 
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::str::FromStr;
 use std::time::Duration;
 
+use serde_json::json;
+use thiserror::Error;
+use umbertray_config::CoordinatorSettings;
 use umbertray_coordinator::{CoordinatorOptions, Takeover, client};
 use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
+use crate::error::CommandError;
 use crate::{output, serve};
 
+/// How often a move is polled until it ends.
+const MOVE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+
 #[derive(clap::Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The coordinator's script: keeper(listen = ..., list = ..., folder = ...).
     #[arg(long)]
     config: PathBuf,
-    /// Takes over from a coordinator whose process stands still with the folder's lock.
+    /// Takes over from a coordinator whose process is stalled and still holds the folder's lock.
     #[arg(long)]
     take_over: bool,
     /// Asks the coordinator that listens there to move extents: VOLUME:FROM..TO=SHARD, without TO itself. Waits for the end.
     #[arg(long, value_name = "MOVE", conflicts_with = "take_over")]
-    r#move: Option<Wish>,
-    /// Asks how far a move is.
+    r#move: Option<MoveRequest>,
+    /// Asks for the progress of a move.
     #[arg(long, value_name = "NUMBER", conflicts_with_all = ["take_over", "move"])]
     moving: Option<u64>,
-    /// Gives a move up, where it has not come so far that it can only go on.
+    /// Abandons the move, unless it has come so far that it can only be completed.
     #[arg(long, requires = "moving")]
     give_up: bool,
 }
 
-#[derive(Clone, Debug)]
-struct Wish {
-    span: ExtentRange,
+/// A range of extents and the shard that they must move to.
+#[derive(Clone, Debug, PartialEq)]
+struct MoveRequest {
+    range: ExtentRange,
     shard: u32,
 }
 
-impl FromStr for Wish {
-    type Err = String;
+#[derive(Debug, Error)]
+#[error("{text:?} is not VOLUME:FROM..TO=SHARD, as in central:0..16=3")]
+struct InvalidMoveRequest {
+    text: String,
+}
+
+impl FromStr for MoveRequest {
+    type Err = InvalidMoveRequest;
 
-    fn from_str(text: &str) -> Result<Wish, String> {
-        let parts = || {
-            let (volume, rest) = text.rsplit_once(':')?;
-            let (range, shard) = rest.split_once('=')?;
-            let (from, to) = range.split_once("..")?;
-            let (from, to) = (from.parse().ok()?, to.parse().ok()?);
-            let span = ExtentRange { volume: volume_id(volume), start: from, end: to };
-            Some(Wish { span, shard: shard.parse().ok()? })
-        };
-        parts().ok_or_else(|| format!("{text:?} is not VOLUME:FROM..TO=SHARD, as in central:0..16=3"))
+    fn from_str(text: &str) -> Result<MoveRequest, InvalidMoveRequest> {
+        MoveRequest::parse(text).ok_or_else(|| InvalidMoveRequest { text: text.into() })
     }
 }
 
-/// How often a move is looked at that is waited for.
-const LOOK: Duration = Duration::from_millis(200);
-
-fn tell(number: u64, state: &str, over: bool) {
-    output::print_line(&serde_json::json!({ "move": number, "state": state, "over": over }).to_string());
+impl MoveRequest {
+    fn parse(text: &str) -> Option<MoveRequest> {
+        let (volume, rest) = text.rsplit_once(':')?;
+        let (extents, shard) = rest.split_once('=')?;
+        let (start, end) = extents.split_once("..")?;
+        let range =
+            ExtentRange { volume: volume_id(volume), start: start.parse().ok()?, end: end.parse().ok()? };
+        Some(MoveRequest { range, shard: shard.parse().ok()? })
+    }
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
-    let name = arguments.config.display().to_string();
-    let text = std::fs::read_to_string(&arguments.config).map_err(|error| format!("{name}: {error}"))?;
-    let keeper =
-        umbertray_config::read_coordinator(&name, text).map_err(|problems| serve::said(&problems))?;
-    let said = |error: client::RequestError| error.to_string();
-    if let Some(Wish { span, shard }) = arguments.r#move {
-        let number = client::request_move(keeper.listen, span, shard).await.map_err(said)?;
-        loop {
-            let (state, over) = client::move_status(keeper.listen, number, false).await.map_err(said)?;
-            tell(number, &state, over);
-            if over {
-                return Ok(());
-            }
-            tokio::time::sleep(LOOK).await;
-        }
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
+    let file = arguments.config.display().to_string();
+    let text = std::fs::read_to_string(&arguments.config).map_err(CommandError::io(&file))?;
+    let settings = umbertray_config::read_coordinator(&file, text).map_err(CommandError::Settings)?;
+    if let Some(request) = arguments.r#move {
+        return move_extents(settings.listen, request).await;
     }
     if let Some(number) = arguments.moving {
-        let (state, over) =
-            client::move_status(keeper.listen, number, arguments.give_up).await.map_err(said)?;
-        tell(number, &state, over);
+        print_move_status(settings.listen, number, arguments.give_up).await?;
         return Ok(());
     }
     let takeover = if arguments.take_over { Takeover::FromStalled } else { Takeover::Never };
+    host(settings, takeover).await
+}
+
+/// Runs the coordinator until a signal or its end.
+async fn host(settings: CoordinatorSettings, takeover: Takeover) -> Result<(), CommandError> {
     let options = CoordinatorOptions {
-        listen: keeper.listen,
-        endpoint_list: keeper.endpoint_list,
-        folder: keeper.folder.into(),
+        listen: settings.listen,
+        endpoint_list: settings.endpoint_list,
+        folder: settings.folder.into(),
         takeover,
     };
-    let mut running = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
-    let said = serde_json::json!({ "keeper": running.address.to_string(), "term": running.term });
-    output::print_line(&said.to_string());
+    let mut coordinator = umbertray_coordinator::start(options).await?;
+    output::print_json(&json!({ "keeper": coordinator.address.to_string(), "term": coordinator.term }));
     tokio::select! {
-        told = serve::told_to_stop() => told,
-        ended = running.ended() => ended.map_err(|error| error.to_string()),
+        signal = serve::stop_signal() => signal,
+        ended = coordinator.ended() => Ok(ended?),
+    }
+}
+
+/// Starts a move and prints its progress until it ends.
+async fn move_extents(coordinator: SocketAddr, request: MoveRequest) -> Result<(), CommandError> {
+    let number = client::request_move(coordinator, request.range, request.shard).await?;
+    while !print_move_status(coordinator, number, false).await? {
+        tokio::time::sleep(MOVE_POLL_INTERVAL).await;
     }
+    Ok(())
+}
+
+/// Whether the move is over.
+async fn print_move_status(
+    coordinator: SocketAddr,
+    number: u64,
+    abandon: bool,
+) -> Result<bool, CommandError> {
+    let (state, is_over) = client::move_status(coordinator, number, abandon).await?;
+    output::print_json(&json!({ "move": number, "state": state, "over": is_over }));
+    Ok(is_over)
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,13 +1,20 @@
-//! `umbertray demo`: everything in one process, no file needed.
+//! `umbertray demo`: gateways, coordinator and fakes in one process, without a file.
 
+use std::path::PathBuf;
+
+use serde_json::json;
+use tokio::task::JoinSet;
 use umbertray_config::SettingsDocument;
+use umbertray_coordinator::{CoordinatorOptions, RunningCoordinator, Takeover};
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Power;
+use umbertray_nbd_gateway::RunningGateway;
 
+use crate::error::{CommandError, ScriptProblems};
 use crate::{output, serve};
 
 #[derive(clap::Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=32))]
     gateways: u32,
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u32).range(1..=64))]
@@ -15,49 +22,72 @@
 }
 
 /// The settings that the demo and the measurements run on.
-pub fn document(gateways: u32) -> Result<SettingsDocument, String> {
+pub(crate) fn document(gateways: u32) -> Result<SettingsDocument, ScriptProblems> {
     let script = include_str!("demo.star").to_string();
-    let mut document = umbertray_config::read("demo.star", script)
-        .map_err(|problems| problems.iter().map(|problem| format!("{problem}\n")).collect::<String>())?;
+    let mut document = umbertray_config::read("demo.star", script).map_err(ScriptProblems)?;
     document.settings.gateways = gateways;
-    document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
+    for volume in &mut document.settings.volumes {
+        volume.gateways = gateways;
+    }
     Ok(document)
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let document = document(arguments.gateways)?;
     let power = Power { unit_ms: 1.0, ..Power::default() };
-    let fleet = Fleet::start(arguments.stores, power, 1).await.map_err(|error| format!("stores: {error}"))?;
-    // The demo's map is not to outlive it; what it is for is seen with `umbertray keeper`.
+    let fleet = Fleet::start(arguments.stores, power, 1).await.map_err(CommandError::io("stores"))?;
     let folder = std::env::temp_dir().join(format!("umbertray-demo-{}", std::process::id()));
-    let options = umbertray_coordinator::CoordinatorOptions {
+    let coordinator = start_coordinator(&fleet, folder.clone()).await?;
+    let gateways = start_gateways(arguments.gateways, &document, &fleet, &coordinator).await?;
+    let addresses: Vec<String> =
+        gateways.iter().flat_map(|gateway| &gateway.addresses).map(ToString::to_string).collect();
+    let exports: Vec<&String> = document.settings.volumes.iter().map(|volume| &volume.name).collect();
+    let keeper = coordinator.address.to_string();
+    output::print_json(&json!({ "nbd": addresses, "exports": exports, "keeper": keeper }));
+    serve::stop_signal().await?;
+    stop_gateways(gateways).await?;
+    drop(coordinator);
+    // The demo's map does not outlive it: the stores' data has gone too.
+    _ = std::fs::remove_dir_all(folder);
+    Ok(())
+}
+
+async fn start_coordinator(fleet: &Fleet, folder: PathBuf) -> Result<RunningCoordinator, CommandError> {
+    let options = CoordinatorOptions {
         listen: umbertray_fakes::fleet::any_port(),
         endpoint_list: fleet.list.address,
-        folder: folder.clone(),
-        takeover: umbertray_coordinator::Takeover::Never,
+        folder,
+        takeover: Takeover::Never,
     };
-    let keeper = umbertray_coordinator::start(options).await.map_err(|error| error.to_string())?;
+    Ok(umbertray_coordinator::start(options).await?)
+}
+
+/// Starts gateways that differ in their seed only.
+async fn start_gateways(
+    count: u32,
+    document: &SettingsDocument,
+    fleet: &Fleet,
+    coordinator: &RunningCoordinator,
+) -> Result<Vec<RunningGateway>, CommandError> {
     let mut gateways = Vec::new();
-    for seed in 0..arguments.gateways {
+    for seed in 0..count {
         let mut document = document.clone();
-        (document.endpoint_list, document.seed) = (fleet.list.address, seed.into());
-        document.coordinator = Some(keeper.address);
+        document.endpoint_list = fleet.list.address;
+        document.seed = seed.into();
+        document.coordinator = Some(coordinator.address);
         gateways.push(serve::start(document, None).await?);
     }
-    let addresses: Vec<String> =
-        gateways.iter().flat_map(|gateway| &gateway.addresses).map(ToString::to_string).collect();
-    let exports: Vec<&String> = document.settings.volumes.iter().map(|volume| &volume.name).collect();
-    output::print_line(
-        &serde_json::json!({ "nbd": addresses, "exports": exports, "keeper": keeper.address.to_string() })
-            .to_string(),
-    );
-    serve::told_to_stop().await?;
-    let mut stopping = tokio::task::JoinSet::new();
-    gateways.into_iter().for_each(|gateway| _ = stopping.spawn(gateway.stop()));
+    Ok(gateways)
+}
+
+/// Stops all at once, since each may drain for as long as its longest deadline.
+async fn stop_gateways(gateways: Vec<RunningGateway>) -> Result<(), CommandError> {
+    let mut stopping = JoinSet::new();
+    for gateway in gateways {
+        stopping.spawn(gateway.stop());
+    }
     while let Some(stopped) = stopping.join_next().await {
-        stopped.map_err(|error| error.to_string())??;
+        stopped?.map_err(CommandError::Ended)?;
     }
-    drop(keeper);
-    _ = std::fs::remove_dir_all(folder);
     Ok(())
 }
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -3,16 +3,18 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use serde_json::json;
 use umbertray_fakes::book::Book;
 use umbertray_fakes::list::{self, Listed};
 use umbertray_fakes::model::Power;
 use umbertray_fakes::store::{self, Identity};
 use umbertray_store_protocol::list::EndpointState;
 
-use crate::output;
+use crate::error::CommandError;
+use crate::{output, serve};
 
 #[derive(clap::Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// The list of stores with the directory of extents.
     List {
         #[arg(long, default_value = "127.0.0.1:0")]
@@ -21,7 +23,7 @@
         #[arg(long)]
         store: Vec<SocketAddr>,
     },
-    /// One warm store.
+    /// One store that is warmed up.
     Store {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
@@ -32,29 +34,37 @@
     },
 }
 
-pub async fn run(command: Command) -> Result<(), String> {
-    let address = |address: SocketAddr| {
-        output::print_line(&serde_json::json!({ "address": address.to_string() }).to_string());
-    };
+pub(crate) async fn run(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::List { listen, store } => {
-            let list = list::start(listen).await.map_err(|error| format!("{listen}: {error}"))?;
-            for (shard, address) in store.into_iter().enumerate() {
-                let shard = shard as u32;
-                let listed =
-                    Listed { address, shard, zone: 0, state: EndpointState::Ready, start: 1, started: None };
-                list.list(u64::from(shard) + 1, listed);
-            }
-            address(list.address);
-            crate::serve::told_to_stop().await
-        }
-        Command::Store { listen, id, shard } => {
-            let (power, medium, book) = (Power::default(), Arc::default(), Book::default());
-            let identity = Identity { store: id, shard, power, medium, book, seed: id };
-            let store = store::start(identity, listen, false).await;
-            let store = store.map_err(|error| format!("{listen}: {error}"))?;
-            address(store.address);
-            crate::serve::told_to_stop().await
-        }
+        Command::List { listen, store: stores } => run_list(listen, stores).await,
+        Command::Store { listen, id, shard } => run_store(listen, id, shard).await,
     }
 }
+
+async fn run_list(listen: SocketAddr, stores: Vec<SocketAddr>) -> Result<(), CommandError> {
+    let list = list::start(listen).await.map_err(CommandError::io(listen))?;
+    for (shard, address) in (0u32..).zip(stores) {
+        let listed = Listed { address, shard, zone: 0, state: EndpointState::Ready, start: 1, started: None };
+        list.list(u64::from(shard) + 1, listed);
+    }
+    print_address(list.address);
+    serve::stop_signal().await
+}
+
+async fn run_store(listen: SocketAddr, id: u64, shard: u32) -> Result<(), CommandError> {
+    let identity = Identity {
+        store: id,
+        shard,
+        power: Power::default(),
+        medium: Arc::default(),
+        book: Book::default(),
+        seed: id,
+    };
+    let store = store::start(identity, listen, false).await.map_err(CommandError::io(listen))?;
+    print_address(store.address);
+    serve::stop_signal().await
+}
+
+fn print_address(address: SocketAddr) {
+    output::print_json(&json!({ "address": address.to_string() }));
+}
--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -1,71 +1,81 @@
-//! `umbertray fault-test`: a scripted day through real gateways, and its verdict.
+//! `umbertray fault-test`: a scripted fault scenario through real gateways, and its verdict.
 
 use std::fs::File;
-use std::io::{BufWriter, Write};
+use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
 use serde::Serialize;
-use umbertray_fault_tests::judge::Count;
+use umbertray_fault_tests::judge::{Count, Service};
 use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
 
+use crate::error::{CommandError, ScriptProblems};
 use crate::output;
 
 #[derive(clap::Args)]
-pub struct Arguments {
-    /// The day, a script.
+pub(crate) struct Arguments {
+    /// The scenario, a script.
     day: PathBuf,
-    /// What is drawn by chance; the first of the seeds.
+    /// Seed of all that is drawn at random; the first of the seeds.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after another.
+    /// Number of seeds, one after another.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Where the day, both sides' records and the verdict go, a folder a seed.
+    /// Where the scenario, both sides' records and the verdict go, one folder for each seed.
     #[arg(long, default_value = "rehearsals")]
     out: PathBuf,
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let name = arguments.day.display().to_string();
-    let text = std::fs::read_to_string(&arguments.day).map_err(|error| format!("{name}: {error}"))?;
-    let day = Day::read(&name, text)
-        .map_err(|problems| problems.iter().map(|problem| format!("{problem}\n")).collect::<String>())?;
-    let program = std::env::current_exe().map_err(|error| format!("this program: {error}"))?;
+    let text = std::fs::read_to_string(&arguments.day).map_err(CommandError::io(&name))?;
+    let scenario = Day::read(&name, text).map_err(ScriptProblems)?;
+    let program = std::env::current_exe().map_err(CommandError::io("this program"))?;
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.repeat {
         let folder = arguments.out.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-        let record = run_scenario(&day, seed, &program, &folder).await;
-        let record = record.map_err(|error| format!("seed {seed}: {error}"))?;
-        let verdict = judge(&day, &record);
-        keep(&folder, &day, &record, &verdict).map_err(|error| format!("{}: {error}", folder.display()))?;
-        say(seed, &verdict);
-        broken += u64::from(!verdict.kept);
+        let verdict = run_seed(&scenario, seed, &program, &folder).await?;
+        print_verdict(seed, &verdict);
         if !verdict.kept {
+            broken += 1;
             output::print_line(&format!("  again: umbertray fault-test {name} --seed {seed}"));
         }
     }
-    if broken > 0 { Err(format!("{broken} of {} runs broke a rule", arguments.repeat)) } else { Ok(()) }
+    if broken > 0 {
+        return Err(CommandError::RunsBrokeRules { broken, runs: arguments.repeat });
+    }
+    Ok(())
 }
 
-fn keep(folder: &Path, day: &Day, record: &Record, verdict: &Verdict) -> std::io::Result<()> {
-    fn lines<T: Serialize>(path: PathBuf, items: &[T]) -> std::io::Result<()> {
-        let mut file = BufWriter::new(File::create(path)?);
-        for item in items {
-            serde_json::to_writer(&mut file, item)?;
-            file.write_all(b"\n")?;
-        }
-        file.flush()
-    }
-    std::fs::write(folder.join("day.star"), &day.text)?;
-    lines(folder.join("clients.jsonl"), &record.asked)?;
-    lines(folder.join("stores.jsonl"), &record.stores)?;
-    lines(folder.join("deeds.jsonl"), &record.deeds)?;
+async fn run_seed(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> Result<Verdict, CommandError> {
+    std::fs::create_dir_all(folder).map_err(CommandError::io(folder.display()))?;
+    let record = run_scenario(scenario, seed, program, folder).await;
+    let record = record.map_err(CommandError::io(format!("seed {seed}")))?;
+    let verdict = judge(scenario, &record);
+    save(folder, scenario, &record, &verdict).map_err(CommandError::io(folder.display()))?;
+    Ok(verdict)
+}
+
+fn save(folder: &Path, scenario: &Day, record: &Record, verdict: &Verdict) -> io::Result<()> {
+    std::fs::write(folder.join("day.star"), &scenario.text)?;
+    write_json_lines(&folder.join("clients.jsonl"), &record.asked)?;
+    write_json_lines(&folder.join("stores.jsonl"), &record.stores)?;
+    write_json_lines(&folder.join("deeds.jsonl"), &record.deeds)?;
     std::fs::write(folder.join("verdict.json"), serde_json::to_vec_pretty(verdict)?)
 }
 
-fn say(seed: u64, verdict: &Verdict) {
-    let all = &verdict.service.all;
+fn write_json_lines<T: Serialize>(path: &Path, items: &[T]) -> io::Result<()> {
+    let mut file = BufWriter::new(File::create(path)?);
+    for item in items {
+        serde_json::to_writer(&mut file, item)?;
+        file.write_all(b"\n")?;
+    }
+    file.flush()
+}
+
+fn print_verdict(seed: u64, verdict: &Verdict) {
+    let service = &verdict.service;
+    let all = &service.all;
     output::print_line(&format!(
         "seed {seed}: {} - {} requests: {} acked ({} in target latency), {} throttled, {} aborted, {} lost; {}",
         if verdict.kept { "kept" } else { "BROKEN" },
@@ -75,42 +85,49 @@
         all.throttled,
         all.aborted,
         all.lost,
-        served(all)
+        utility_served(all)
     ));
     for finding in &verdict.findings {
         output::print_line(&format!(
             "  {:32} looked {:6}  broken {:4}  {:.3} {}",
             finding.rule, finding.looked, finding.broken, finding.figure, finding.unit
         ));
-        finding.breaches.iter().for_each(|breach| output::print_line(&format!("    {breach}")));
-    }
-    let returned = &verdict.service;
-    for (what, count) in
-        [("10 s after a return", &returned.after_return), ("others then", &returned.others_then)]
-    {
-        if count.asked > 0 {
-            let (asked, throttled) = (count.asked, count.throttled);
-            output::print_line(&format!(
-                "  {what:32} asked {asked:6}  throttled {throttled:6}  {}",
-                served(count)
-            ));
+        for breach in &finding.breaches {
+            output::print_line(&format!("    {breach}"));
         }
     }
-    if !returned.recovered.is_empty() {
-        let mut times: Vec<u64> = returned.recovered.iter().map(|time| time.unwrap_or(u64::MAX)).collect();
-        times.sort_unstable();
-        let median = times[times.len() / 2] as f64 / 1e6;
-        let never = returned.recovered.iter().filter(|time| time.is_none()).count();
-        let what = format!("of {} returns", times.len());
-        output::print_line(&format!(
-            "  {what:32} as good as others after {median:.1} s (median); {never} never"
-        ));
+    print_after_return("10 s after a return", &service.after_return);
+    print_after_return("others then", &service.others_then);
+    print_recovery(service);
+    for (name, count) in service.by_op_type.iter().chain(&service.by_plan) {
+        output::print_line(&format!("  {name:32} asked {:6}  {}", count.asked, utility_served(count)));
     }
-    for (name, count) in verdict.service.by_op_type.iter().chain(&verdict.service.by_plan) {
-        output::print_line(&format!("  {name:32} asked {:6}  {}", count.asked, served(count)));
+}
+
+/// Requests in the seconds after a gateway's return, where there were any.
+fn print_after_return(label: &str, count: &Count) {
+    let Count { asked, throttled, .. } = count;
+    if *asked > 0 {
+        let served = utility_served(count);
+        output::print_line(&format!("  {label:32} asked {asked:6}  throttled {throttled:6}  {served}"));
     }
 }
 
-fn served(count: &Count) -> String {
+/// How long gateways took after their returns until they served as well as the others.
+fn print_recovery(service: &Service) {
+    if service.recovered.is_empty() {
+        return;
+    }
+    let mut times: Vec<u64> = service.recovered.iter().map(|time| time.unwrap_or(u64::MAX)).collect();
+    times.sort_unstable();
+    let median_seconds = times[times.len() / 2] as f64 / 1e6;
+    let never = service.recovered.iter().filter(|time| time.is_none()).count();
+    let label = format!("of {} returns", times.len());
+    output::print_line(&format!(
+        "  {label:32} as good as others after {median_seconds:.1} s (median); {never} never"
+    ));
+}
+
+fn utility_served(count: &Count) -> String {
     format!("utility in target latency {:.3} of what was asked", count.served())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -3,6 +3,7 @@
 mod config;
 mod coordinator;
 mod demo;
+mod error;
 mod fake;
 mod fault_test;
 mod measure;
@@ -18,14 +19,18 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use tokio::runtime::Runtime;
+use tracing_subscriber::EnvFilter;
+
+use error::CommandError;
 
 /// A storage gateway: NBD clients on one side, storage nodes on the other, and each volume kept to its plan.
 #[derive(Parser)]
 #[command(name = "umbertray", version)]
 struct Arguments {
-    /// The form of the log on standard error.
+    /// The format of the log on standard error.
     #[arg(long, value_enum, default_value = "pretty", global = true)]
-    log: LogForm,
+    log: LogFormat,
     /// What is logged, such as "info" or "umbertray_nbd_gateway=debug".
     #[arg(long, default_value = "info", global = true)]
     log_level: String,
@@ -34,7 +39,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Pretty,
     Json,
 }
@@ -45,32 +50,32 @@
     Serve(serve::Arguments),
     /// Runs one gateway on the platform, over HTTP, until SIGTERM.
     Node(node::Arguments),
-    /// Runs the coordinator of the map of where data lies, until SIGTERM or SIGINT.
+    /// Runs the coordinator, which holds the map of extents to shards, until SIGTERM or SIGINT.
     #[command(alias = "keeper")]
     Coordinator(coordinator::Arguments),
     /// Runs a relay, which carries the log of changes to gateways and other relays, until SIGTERM or SIGINT.
     Relay(relay::Arguments),
-    /// Runs gateways with stand-in stores and list on loopback; prints their addresses as one line of JSON.
+    /// Runs gateways with fake stores and endpoint list on loopback; prints their addresses as one line of JSON.
     Demo(demo::Arguments),
-    /// Checks settings, and changes plans, volumes, op types and rules in service, each change on record.
+    /// Checks settings, and changes plans, volumes, op types and rules in service; each change is logged.
     #[command(subcommand)]
     Config(config::Command),
-    /// Looks into a folder of state kept over restarts.
+    /// Inspects a folder of state that is restored at a restart.
     #[command(subcommand)]
     State(state::Command),
     /// Runs a scripted store or list, for trying a gateway by hand.
     #[command(subcommand, alias = "stand-in")]
     Fake(fake::Command),
-    /// Plays a scripted day through real gateways and judges it by what crossed the sockets.
+    /// Runs a scripted fault scenario through real gateways and judges it by what crossed the sockets.
     #[command(alias = "rehearse")]
     FaultTest(fault_test::Arguments),
-    /// Plays randomized faults, drawn from a seed, on processes of `umbertray node`, and judges what crossed the sockets.
+    /// Injects randomized faults, drawn from a seed, into processes of `umbertray node`, and judges what crossed the sockets.
     Soak(soak::Arguments),
-    /// Measures the gateway against a pass-through of the same sockets and codecs, on loopback; a line of JSON a case.
+    /// Measures the gateway against a pass-through of the same sockets and codecs, on loopback; a line of JSON for each case.
     Measure(measure::Arguments),
-    /// Measures what a fleet's size costs each gateway: hollow ones beside real ones; a line of JSON a point and role.
+    /// Measures what a fleet's size costs each gateway, hollow ones beside real ones; a line of JSON for each point and role.
     Scale(scale::Arguments),
-    /// A process of `umbertray scale`, told by it what to do.
+    /// A worker process of `umbertray scale`, controlled by it over standard input.
     #[command(hide = true)]
     ScaleWorker,
     /// A small NBD client.
@@ -80,54 +85,61 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    if let Err(error) = log(&arguments) {
+    if let Err(error) = init_logging(&arguments) {
         eprintln!("umbertray: --log-level: {error}");
         return ExitCode::from(2);
     }
-    if let Command::Node(arguments) = arguments.command {
-        return node::run(arguments).map_or_else(failed, |()| ExitCode::SUCCESS);
+    match arguments.command {
+        // Builds a runtime of its own, of one thread.
+        Command::Node(arguments) => exit_code(node::run(arguments)),
+        Command::Config(command) => config::run(command),
+        Command::State(command) => exit_code(state::run(command)),
+        Command::Serve(arguments) => run_async(serve::run(arguments)),
+        Command::Coordinator(arguments) => run_async(coordinator::run(arguments)),
+        Command::Relay(arguments) => run_async(relay::run(arguments)),
+        Command::Demo(arguments) => run_async(demo::run(arguments)),
+        Command::Fake(command) => run_async(fake::run(command)),
+        Command::FaultTest(arguments) => run_async(fault_test::run(arguments)),
+        Command::Soak(arguments) => run_async(soak::run(arguments)),
+        Command::Measure(arguments) => run_async(measure::run(arguments)),
+        Command::Scale(arguments) => block_on(scale::run(arguments)),
+        Command::ScaleWorker => run_async(scale::worker()),
+        Command::Nbd(command) => run_async(nbd::run(command)),
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = match runtime {
+}
+
+fn run_async(command: impl Future<Output = Result<(), CommandError>>) -> ExitCode {
+    block_on(async { exit_code(command.await) })
+}
+
+/// Runs a command on a runtime with a thread for each core.
+fn block_on(command: impl Future<Output = ExitCode>) -> ExitCode {
+    let runtime = match Runtime::new() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(format!("no runtime: {error}")),
+        Err(error) => return exit_code(Err(CommandError::io("no runtime")(error))),
     };
-    let ended = match arguments.command {
-        Command::Serve(arguments) => runtime.block_on(serve::run(arguments)),
-        Command::Coordinator(arguments) => runtime.block_on(coordinator::run(arguments)),
-        Command::Relay(arguments) => runtime.block_on(relay::run(arguments)),
-        Command::Demo(arguments) => runtime.block_on(demo::run(arguments)),
-        Command::Node(_) => Ok(()),
-        Command::Config(command) => return config::run(command),
-        Command::State(command) => state::run(command),
-        Command::Fake(command) => runtime.block_on(fake::run(command)),
-        Command::FaultTest(arguments) => runtime.block_on(fault_test::run(arguments)),
-        Command::Soak(arguments) => runtime.block_on(soak::run(arguments)),
-        Command::Measure(arguments) => runtime.block_on(measure::run(arguments)),
-        Command::Scale(arguments) => {
-            let status = runtime.block_on(scale::run(arguments));
-            runtime.shutdown_background();
-            return status;
-        }
-        Command::ScaleWorker => runtime.block_on(scale::worker()),
-        Command::Nbd(command) => runtime.block_on(nbd::run(command)),
-    };
-    // What still waits for a clock or a socket must not hold up the exit.
+    let exit_code = runtime.block_on(command);
+    // What still waits for a clock or a socket must not delay the exit.
     runtime.shutdown_background();
-    ended.map_or_else(failed, |()| ExitCode::SUCCESS)
+    exit_code
 }
 
-fn failed(why: String) -> ExitCode {
-    eprintln!("umbertray: {why}");
-    ExitCode::FAILURE
+fn exit_code(result: Result<(), CommandError>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("umbertray: {error}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
-fn log(arguments: &Arguments) -> Result<(), String> {
-    let filter = tracing_subscriber::EnvFilter::try_new(&arguments.log_level).map_err(|e| e.to_string())?;
+fn init_logging(arguments: &Arguments) -> Result<(), tracing_subscriber::filter::ParseError> {
+    let filter = EnvFilter::try_new(&arguments.log_level)?;
     let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     match arguments.log {
-        LogForm::Pretty => builder.init(),
-        LogForm::Json => builder.json().init(),
+        LogFormat::Pretty => builder.init(),
+        LogFormat::Json => builder.json().init(),
     }
     Ok(())
 }
--- /dev/null
+++ b/crates/cli/src/measure/testbed.rs
@@ -0,0 +1,149 @@
+//! What is measured: a gateway on loopback, deciding or passing through, with stores too fast to limit it.
+
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use bytes::Bytes;
+use umbertray_config::SettingsDocument;
+use umbertray_fakes::client::Connection;
+use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::model::Power;
+use umbertray_nbd_gateway::{ChangeSource, Clock, GatewayOptions, RunningGateway};
+use umbertray_routing::{Core, RequestHandler, Settings};
+
+use super::error::MeasureError;
+use super::pass_through::PassThrough;
+use super::timed_handler::TimedHandler;
+use crate::demo;
+use crate::error::ScriptProblems;
+
+/// The volume that the load goes to.
+pub(super) const VOLUME: &str = "central";
+/// Bytes of each request of the load.
+pub(super) const BLOCK_BYTES: u32 = 4096;
+/// Requests go to this many blocks of the volume, written beforehand.
+pub(super) const BLOCKS: u64 = 4096;
+/// Blocks written at once to fill the volume.
+const BLOCKS_PER_FILL: u64 = 16;
+/// Attempts of each write that fills the volume: those at the start are throttled.
+const FILL_ATTEMPTS: u32 = 100;
+/// Both kinds of gateway draw from the same seed.
+const SEED: u64 = 1;
+
+/// What decides in a measured gateway.
+pub(super) enum HandlerKind {
+    Core,
+    PassThrough,
+}
+
+/// A gateway in this process, and how long its handler has occupied the event loop.
+pub(super) struct MeasuredGateway {
+    pub(super) gateway: RunningGateway,
+    busy_nanos: Arc<AtomicU64>,
+}
+
+impl MeasuredGateway {
+    /// Starts one on the demo's settings, with or without a state folder.
+    pub(super) async fn start(
+        kind: HandlerKind,
+        fleet: &Fleet,
+        state: Option<PathBuf>,
+    ) -> Result<MeasuredGateway, MeasureError> {
+        let document = settings_document()?;
+        let settings = Arc::new(document.settings.clone());
+        let options = options(document, fleet, state, None);
+        MeasuredGateway::host(kind, settings, options).await
+    }
+
+    /// Starts one that follows a log of changes.
+    pub(super) async fn start_following(
+        fleet: &Fleet,
+        settings: Arc<Settings>,
+        changes: ChangeSource,
+    ) -> Result<MeasuredGateway, MeasureError> {
+        let options = options(settings_document()?, fleet, None, Some(changes));
+        MeasuredGateway::host(HandlerKind::Core, settings, options).await
+    }
+
+    async fn host(
+        kind: HandlerKind,
+        settings: Arc<Settings>,
+        options: GatewayOptions,
+    ) -> Result<MeasuredGateway, MeasureError> {
+        let clock = Clock::start();
+        let busy_nanos = Arc::new(AtomicU64::new(0));
+        let handler: Box<dyn RequestHandler> = match kind {
+            HandlerKind::Core => {
+                let core = Core::new(settings.clone(), SEED, clock.now());
+                Box::new(TimedHandler::new(core, busy_nanos.clone()))
+            }
+            HandlerKind::PassThrough => {
+                Box::new(TimedHandler::new(PassThrough::new(&settings), busy_nanos.clone()))
+            }
+        };
+        let gateway = umbertray_nbd_gateway::start_hosting(handler, clock, settings, options).await?;
+        Ok(MeasuredGateway { gateway, busy_nanos })
+    }
+
+    /// How long the handler has occupied the event loop since the start.
+    pub(super) fn busy_nanos(&self) -> u64 {
+        self.busy_nanos.load(Ordering::Relaxed)
+    }
+
+    pub(super) async fn connect(&self) -> Result<Connection, MeasureError> {
+        Ok(Connection::open(self.gateway.addresses[0], VOLUME, true).await?)
+    }
+
+    /// Writes all blocks that the load reads.
+    pub(super) async fn fill(&self) -> Result<(), MeasureError> {
+        let connection = self.connect().await?;
+        for block in (0..BLOCKS).step_by(BLOCKS_PER_FILL as usize) {
+            fill_blocks(&connection, block).await;
+        }
+        Ok(())
+    }
+}
+
+async fn fill_blocks(connection: &Connection, first: u64) {
+    let data = Bytes::from(vec![7; BLOCKS_PER_FILL as usize * BLOCK_BYTES as usize]);
+    for _ in 0..FILL_ATTEMPTS {
+        let reply = connection.write(first * u64::from(BLOCK_BYTES), data.clone()).await;
+        if reply.is_some_and(|reply| reply.error.is_none()) {
+            return;
+        }
+    }
+}
+
+/// Starts stores so fast that only the gateway limits the throughput.
+pub(super) async fn start_fleet() -> Result<Fleet, MeasureError> {
+    let power = Power { cores: 16, unit_ms: 0.0005, queue: 100_000, put_off: 0.0, ..Power::default() };
+    Fleet::start(4, power, 1).await.map_err(MeasureError::Stores)
+}
+
+/// The demo's settings, with plans as large as the stores, so that their rates delay nothing.
+pub(super) fn settings_document() -> Result<SettingsDocument, ScriptProblems> {
+    let mut document = demo::document(1)?;
+    document.settings.bounds.bytes = 256 << 20;
+    for plan in &mut document.settings.plans {
+        plan.rate = 1e6;
+        plan.reserve = 0.0;
+    }
+    Ok(document)
+}
+
+fn options(
+    document: SettingsDocument,
+    fleet: &Fleet,
+    state: Option<PathBuf>,
+    changes: Option<ChangeSource>,
+) -> GatewayOptions {
+    GatewayOptions {
+        listen: document.listen,
+        endpoint_list: fleet.list.address,
+        coordinator: None,
+        seed: SEED,
+        state,
+        changes,
+    }
+}
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -1,15 +1,22 @@
-//! `umbertray nbd`: a client of our own codec, for operators and tests.
+//! `umbertray nbd`: an NBD client on the project's own codec, for operators and tests.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-use umbertray_fakes::client::{self, Connection, Ended};
-use umbertray_nbd::Command as Kind;
+use bytes::Bytes;
+use serde_json::json;
+use umbertray_fakes::client::{self, Connection, Ended, Whole};
+use umbertray_nbd::Command as NbdCommand;
+use umbertray_nbd::proto::CMD_FLAG_FUA;
 
+use crate::error::CommandError;
 use crate::output;
 
+/// In a block status reply: the extent is a hole (`NBD_STATE_HOLE` of `base:allocation`).
+const STATE_HOLE: u32 = 1;
+
 #[derive(clap::Args)]
-pub struct Target {
+pub(crate) struct Target {
     /// The gateway, as HOST:PORT.
     address: SocketAddr,
     /// The export, a volume's name.
@@ -17,7 +24,7 @@
 }
 
 #[derive(clap::Args)]
-pub struct Range {
+pub(crate) struct Range {
     /// Bytes from the export's start.
     #[arg(long, default_value_t = 0)]
     offset: u64,
@@ -27,8 +34,8 @@
 }
 
 #[derive(clap::Subcommand)]
-pub enum Command {
-    /// Prints the exports, or one export's facts, as JSON.
+pub(crate) enum Command {
+    /// Prints the exports, or one export's properties, as JSON.
     Info { address: SocketAddr, export: Option<String> },
     /// Copies a range to standard output.
     Read {
@@ -43,11 +50,11 @@
         target: Target,
         #[arg(long, default_value_t = 0)]
         offset: u64,
-        /// Make it safe before saying so.
+        /// Makes the data durable before the write is acknowledged.
         #[arg(long)]
         fua: bool,
     },
-    /// Makes all acked writes safe.
+    /// Makes all acknowledged writes durable.
     Flush {
         #[command(flatten)]
         target: Target,
@@ -61,72 +68,94 @@
     },
 }
 
-async fn open(target: &Target) -> Result<Connection, String> {
-    let opened = Connection::open(target.address, &target.export, true).await;
-    opened.map_err(|error| format!("{} {}: {error}", target.address, target.export))
+pub(crate) async fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Info { address, export: None } => list_exports(address).await,
+        Command::Info { address, export: Some(export) } => info(Target { address, export }).await,
+        Command::Read { target, range } => read(target, range).await,
+        Command::Write { target, offset, fua } => write(target, offset, fua).await,
+        Command::Flush { target } => flush(target).await,
+        Command::Status { target, range } => status(target, range).await,
+    }
 }
 
-fn reply(ended: Ended) -> Result<client::Whole, String> {
-    let whole = ended.ok_or("the connection ended before the reply")?;
-    match &whole.error {
-        None => Ok(whole),
-        Some((errno, text)) => Err(format!("{errno:?}: {text}")),
+async fn list_exports(address: SocketAddr) -> Result<(), CommandError> {
+    let names = client::names(address).await.map_err(CommandError::io(address))?;
+    output::print_json(&json!({ "exports": names }));
+    Ok(())
+}
+
+async fn info(target: Target) -> Result<(), CommandError> {
+    let connection = connect(target).await?;
+    let export = &connection.export;
+    output::print_json(&json!({
+        "name": export.name, "size": export.size, "flags": export.flags,
+        "minimum_block": export.blocks.minimum, "preferred_block": export.blocks.preferred,
+        "maximum_payload": export.blocks.maximum,
+    }));
+    Ok(())
+}
+
+async fn read(target: Target, range: Range) -> Result<(), CommandError> {
+    let connection = connect(target).await?;
+    let max_payload = u64::from(connection.export.blocks.maximum);
+    let end = range.offset + u64::from(range.length);
+    let mut offset = range.offset;
+    while offset < end {
+        let length = max_payload.min(end - offset) as u32;
+        let reply = check_reply(connection.read(offset, length).await)?;
+        let data = reply.bytes(offset, length).ok_or(CommandError::IncompleteReply)?;
+        std::io::stdout().write_all(&data)?;
+        offset += u64::from(length);
     }
+    Ok(())
 }
 
-pub async fn run(command: Command) -> Result<(), String> {
-    match command {
-        Command::Info { address, export: None } => {
-            let names = client::names(address).await.map_err(|error| format!("{address}: {error}"))?;
-            output::print_line(&serde_json::json!({ "exports": names }).to_string());
-        }
-        Command::Info { address, export: Some(export) } => {
-            let connection = open(&Target { address, export }).await?;
-            let export = &connection.export;
-            let facts = serde_json::json!({
-                "name": export.name, "size": export.size, "flags": export.flags,
-                "minimum_block": export.blocks.minimum, "preferred_block": export.blocks.preferred,
-                "maximum_payload": export.blocks.maximum,
-            });
-            output::print_line(&facts.to_string());
-        }
-        Command::Read { target, range: Range { offset, length } } => {
-            let connection = open(&target).await?;
-            let step = connection.export.blocks.maximum;
-            let (mut at, end) = (offset, offset + u64::from(length));
-            while at < end {
-                let part = u64::from(step).min(end - at) as u32;
-                let whole = reply(connection.read(at, part).await)?;
-                let bytes = whole.bytes(at, part).ok_or("the reply does not cover the range")?;
-                std::io::stdout().write_all(&bytes).map_err(|error| error.to_string())?;
-                at += u64::from(part);
-            }
-        }
-        Command::Write { target, offset, fua } => {
-            let connection = open(&target).await?;
-            let (step, mut at) = (connection.export.blocks.maximum as u64, offset);
-            let flags = if fua { umbertray_nbd::proto::CMD_FLAG_FUA } else { 0 };
-            loop {
-                let mut data = Vec::new();
-                let mut input = std::io::stdin().lock().take(step);
-                input.read_to_end(&mut data).map_err(|error| error.to_string())?;
-                if data.is_empty() {
-                    return Ok(());
-                }
-                let length = data.len() as u32;
-                let sent = connection.send(Kind::Write, flags, at, length, data.into());
-                reply(sent.await.ok().flatten())?;
-                at += u64::from(length);
-            }
-        }
-        Command::Flush { target } => _ = reply(open(&target).await?.flush().await)?,
-        Command::Status { target, range: Range { offset, length } } => {
-            let connection = open(&target).await?;
-            let sent = connection.send(Kind::BlockStatus, 0, offset, length, bytes::Bytes::new());
-            let whole = reply(sent.await.ok().flatten())?;
-            let extents: Vec<_> = whole.extents.iter().map(|e| (e.length, e.flags & 1 == 0)).collect();
-            output::print_line(&serde_json::json!({ "stretches": extents }).to_string());
+async fn write(target: Target, start: u64, fua: bool) -> Result<(), CommandError> {
+    let connection = connect(target).await?;
+    let max_payload = u64::from(connection.export.blocks.maximum);
+    let flags = if fua { CMD_FLAG_FUA } else { 0 };
+    let mut offset = start;
+    loop {
+        let mut data = Vec::new();
+        std::io::stdin().lock().take(max_payload).read_to_end(&mut data)?;
+        if data.is_empty() {
+            return Ok(());
         }
+        let length = data.len() as u32;
+        let sent = connection.send(NbdCommand::Write, flags, offset, length, data.into());
+        check_reply(sent.await.ok().flatten())?;
+        offset += u64::from(length);
     }
+}
+
+async fn flush(target: Target) -> Result<(), CommandError> {
+    let connection = connect(target).await?;
+    check_reply(connection.flush().await)?;
+    Ok(())
+}
+
+async fn status(target: Target, range: Range) -> Result<(), CommandError> {
+    let connection = connect(target).await?;
+    let sent = connection.send(NbdCommand::BlockStatus, 0, range.offset, range.length, Bytes::new());
+    let reply = check_reply(sent.await.ok().flatten())?;
+    let extents: Vec<(u32, bool)> =
+        reply.extents.iter().map(|extent| (extent.length, extent.flags & STATE_HOLE == 0)).collect();
+    output::print_json(&json!({ "stretches": extents }));
     Ok(())
 }
+
+async fn connect(target: Target) -> Result<Connection, CommandError> {
+    let Target { address, export } = target;
+    let connection = Connection::open(address, &export, true).await;
+    connection.map_err(CommandError::io(format!("{address} {export}")))
+}
+
+/// The reply, where there is one and it is no error.
+fn check_reply(reply: Ended) -> Result<Whole, CommandError> {
+    let reply = reply.ok_or(CommandError::NoReply)?;
+    match reply.error {
+        None => Ok(reply),
+        Some((errno, text)) => Err(CommandError::Reply { errno, text }),
+    }
+}
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -7,24 +7,24 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
+use crate::error::CommandError;
 use crate::output;
 
 #[derive(clap::Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The configuration; without it, the file that ROUTER_CONFIG names.
     #[arg(long)]
     config: Option<PathBuf>,
 }
 
-/// All of a gateway runs on one thread: its machine has one core.
-pub fn run(arguments: Arguments) -> Result<(), String> {
+/// Runs the gateway on the calling thread alone: its machine has one core.
+pub(crate) fn run(arguments: Arguments) -> Result<(), CommandError> {
     let file = arguments.config.or_else(|| std::env::var_os("ROUTER_CONFIG").map(PathBuf::from));
-    let file = file.ok_or("neither --config nor ROUTER_CONFIG names a configuration")?;
+    let file = file.ok_or(CommandError::NoConfiguration)?;
     let runtime = Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| format!("no runtime: {error}"))?;
-    let told =
-        |address: SocketAddr| output::print_line(&json!({ "http": [address.to_string()] }).to_string());
-    LocalSet::new()
-        .block_on(&runtime, umbertray_http_gateway::run(file, told))
-        .map_err(|error| error.to_string())
+    let runtime = runtime.map_err(CommandError::io("no runtime"))?;
+    let on_listening = |address: SocketAddr| {
+        output::print_json(&json!({ "http": [address.to_string()] }));
+    };
+    Ok(LocalSet::new().block_on(&runtime, umbertray_http_gateway::run(file, on_listening))?)
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -2,12 +2,16 @@
 
 use std::io::Write;
 
-pub fn print(text: &str) {
+pub(crate) fn print(text: &str) {
     let mut out = std::io::stdout().lock();
-    // A reader that has seen enough is no failure.
+    // A reader that closes the pipe early, as `head` does, is no failure of the command.
     _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
 
-pub fn print_line(text: &str) {
+pub(crate) fn print_line(text: &str) {
     print(&format!("{text}\n"));
 }
+
+pub(crate) fn print_json(value: &serde_json::Value) {
+    print_line(&value.to_string());
+}
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,80 +1,101 @@
-//! `umbertray relay`: a process that carries the log of changes, and what operators ask of it.
+//! `umbertray relay`: a process that carries the log of changes, and the status that operators ask it for.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use serde_json::json;
+use serde_json::{Value, json};
+use umbertray_config::RelaySettings;
 use umbertray_relay::{RelayOptions, client};
 use umbertray_store_protocol::changes::Status;
 use umbertray_store_protocol::volume_id;
 
+use crate::error::CommandError;
 use crate::{output, serve};
 
 #[derive(clap::Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The relay's script: relay(listen = ..., changes = ...).
     #[arg(long)]
     config: PathBuf,
-    /// Asks the relay that listens there, or those at these addresses, where they stand and how many have acted on the newest
-    /// version.
+    /// Asks the relay that listens there, or those at these addresses, for their version and for how many members have
+    /// applied the newest one.
     #[arg(long, value_name = "HOST:PORT", num_args = 0..)]
     status: Option<Vec<SocketAddr>>,
-    /// Asks how many have acted on this version instead of the newest.
+    /// Asks how many members have applied this version instead of the newest.
     #[arg(long, value_name = "VERSION", requires = "status")]
     in_force: Option<u64>,
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let file = arguments.config.display().to_string();
-    let text = std::fs::read_to_string(&arguments.config).map_err(|error| format!("{file}: {error}"))?;
-    let relay = umbertray_config::read_relay(&file, text).map_err(|problems| serve::said(&problems))?;
-    let umbertray_config::RelaySettings { listen, name, zone, changes, folder } = relay;
-    if let Some(addresses) = arguments.status {
-        let addresses = if addresses.is_empty() { vec![listen] } else { addresses };
-        return status(&addresses, arguments.in_force).await;
+    let text = std::fs::read_to_string(&arguments.config).map_err(CommandError::io(&file))?;
+    let settings = umbertray_config::read_relay(&file, text).map_err(CommandError::Settings)?;
+    match arguments.status {
+        Some(addresses) if addresses.is_empty() => status(&[settings.listen], arguments.in_force).await,
+        Some(addresses) => status(&addresses, arguments.in_force).await,
+        None => host(settings).await,
     }
+}
+
+/// Runs the relay until a signal or its end.
+async fn host(settings: RelaySettings) -> Result<(), CommandError> {
+    let RelaySettings { listen, name, zone, changes, folder } = settings;
     let seed = volume_id(&name);
     let options =
         RelayOptions { listen, name: name.clone(), zone, changes, folder: folder.map(Into::into), seed };
-    let mut running = umbertray_relay::start(options).await.map_err(|error| error.to_string())?;
-    output::print_line(&json!({ "relay": running.address.to_string(), "name": name }).to_string());
+    let mut relay = umbertray_relay::start(options).await?;
+    output::print_json(&json!({ "relay": relay.address.to_string(), "name": name }));
     tokio::select! {
-        told = serve::told_to_stop() => told,
-        ended = running.ended() => ended.map_err(|error| error.to_string()),
+        signal = serve::stop_signal() => signal,
+        ended = relay.ended() => Ok(ended?),
     }
 }
 
-/// Asks each relay once; a line of each, and the sum over those that are not below another of them: members count once.
-async fn status(addresses: &[SocketAddr], in_force: Option<u64>) -> Result<(), String> {
-    let mut all = Vec::new();
+/// Polls each relay once and prints a line for each, then the sum over them.
+async fn status(addresses: &[SocketAddr], in_force: Option<u64>) -> Result<(), CommandError> {
+    let mut statuses = Vec::new();
     for address in addresses {
-        let status = client::status(*address).await.map_err(|error| error.to_string())?;
-        output::print_line(
-            &json!({
-                "relay": status.name, "address": address.to_string(), "version": status.head.version,
-                "path": status.path, "followers": status.followers, "held_bytes": status.held_bytes,
-            })
-            .to_string(),
-        );
-        all.push(status);
+        let status = client::status(*address).await?;
+        print_status(*address, &status);
+        statuses.push(status);
     }
-    let newest = all.iter().map(|status| status.head.version).max().unwrap_or_default();
+    output::print_json(&sum(&statuses, in_force));
+    Ok(())
+}
+
+fn print_status(address: SocketAddr, status: &Status) {
+    output::print_json(&json!({
+        "relay": status.name, "address": address.to_string(), "version": status.head.version,
+        "path": status.path, "followers": status.followers, "held_bytes": status.held_bytes,
+    }));
+}
+
+/// Members that have applied a version, the newest where none is given, and those that lag behind it.
+fn sum(statuses: &[Status], in_force: Option<u64>) -> Value {
+    let newest = statuses.iter().map(|status| status.head.version).max().unwrap_or_default();
     let version = in_force.unwrap_or(newest);
-    let below = |status: &Status| {
-        all.iter().any(|other| other.name != status.name && status.path.contains(&other.name))
-    };
-    let tops = || all.iter().filter(|status| !below(status));
-    let levels = || tops().flat_map(|status| &status.progress.levels);
-    let count = |least: u64| -> u64 {
-        levels().filter(|level| level.version >= least).map(|level| u64::from(level.members)).sum()
-    };
-    let behind = tops().flat_map(|status| &status.progress.lagging).filter(|behind| behind.version < version);
-    let behind: Vec<_> = behind
-        .map(|behind| json!({ "name": behind.name, "version": behind.version, "for_s": behind.lag_seconds }))
+    let topmost = topmost(statuses);
+    let lagging = topmost.iter().flat_map(|status| &status.progress.lagging);
+    let behind: Vec<Value> = lagging
+        .filter(|member| member.version < version)
+        .map(|member| json!({ "name": member.name, "version": member.version, "for_s": member.lag_seconds }))
         .collect();
-    output::print_line(
-        &json!({ "version": version, "in_force": count(version), "of": count(0), "behind": behind })
-            .to_string(),
-    );
-    Ok(())
+    json!({
+        "version": version, "in_force": members_at(&topmost, version), "of": members_at(&topmost, 0),
+        "behind": behind,
+    })
+}
+
+/// The relays that have no other of them upstream: their sums include those below, so that each member counts once.
+fn topmost(statuses: &[Status]) -> Vec<&Status> {
+    let is_downstream = |status: &Status| {
+        statuses.iter().any(|other| other.name != status.name && status.path.contains(&other.name))
+    };
+    statuses.iter().filter(|status| !is_downstream(status)).collect()
+}
+
+/// Members that have applied at least this version.
+fn members_at(statuses: &[&Status], version: u64) -> u64 {
+    let levels = statuses.iter().flat_map(|status| &status.progress.levels);
+    levels.filter(|level| level.version >= version).map(|level| u64::from(level.members)).sum()
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,171 +3,193 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use tokio::signal::unix::{SignalKind, signal};
+use serde_json::json;
+use tokio::signal::unix::{Signal, SignalKind, signal};
 use umbertray_config::{FunctionCall, SettingsDocument};
 use umbertray_config_log::chain::Hash;
 use umbertray_config_log::{Follower, Replica};
-use umbertray_nbd_gateway::{ChangeSource, GatewayOptions, PATIENCE, RelaySource, RelayedChanges};
+use umbertray_nbd_gateway::{
+    ChangeSource, GatewayOptions, PATIENCE, RelaySource, RelayedChanges, RunningGateway,
+};
 use umbertray_routing::Settings;
 use umbertray_snapshot::Disk;
 
+use crate::error::CommandError;
 use crate::output;
 
 #[derive(clap::Args)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     /// The settings script.
     #[arg(long)]
     config: PathBuf,
 }
 
-/// What a script's calls are, and where it stands.
-struct Script {
-    name: String,
-    calls: Vec<FunctionCall>,
-}
-
-impl Script {
-    fn read(file: &Path) -> Result<Script, String> {
-        let name = file.display().to_string();
-        let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
-        let calls = umbertray_config::evaluate(&name, text).map_err(|problem| said(&[problem]))?;
-        Ok(Script { name, calls })
-    }
-
-    /// It names a log of changes, which has what is shared.
-    fn follows(&self) -> bool {
-        let named = |call: &FunctionCall| {
-            call.named.get("changes").is_some_and(|changes| *changes != "" && !changes.is_null())
-        };
-        self.calls.iter().any(|call| call.function == "gateway" && named(call))
-    }
-
-    fn whole(&self) -> Result<SettingsDocument, String> {
-        umbertray_config::parse_whole(&self.name, &self.calls).map_err(|problems| said(&problems))
-    }
-
-    fn own_part(&self) -> Result<SettingsDocument, String> {
-        umbertray_config::own_part(&self.name, &self.calls).map_err(|problems| said(&problems))
-    }
-
-    /// With what the log has.
-    fn with(&self, at: &Replica) -> Result<SettingsDocument, String> {
-        let shared = at.version.configuration.calls();
-        umbertray_config_log::version::document(&shared, &self.calls).map_err(|problems| problems.join("\n"))
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
+    let PreparedGateway { settings, options } = prepare(&arguments.config).await?;
+    let gateway = umbertray_nbd_gateway::start(settings, options).await;
+    let mut gateway = gateway.map_err(CommandError::io("listen"))?;
+    let addresses: Vec<String> = gateway.addresses.iter().map(ToString::to_string).collect();
+    output::print_json(&json!({ "nbd": addresses, "exports": gateway.exports() }));
+    tokio::select! {
+        signal = stop_signal() => signal?,
+        ended = gateway.ended() => return ended.map_err(CommandError::Ended),
     }
+    gateway.stop().await.map_err(CommandError::Ended)
 }
 
-fn follower(folder: &Path, acted: Option<(u64, Hash)>) -> Result<Follower, String> {
-    Follower::open(&Disk::read_only(folder), acted).map_err(|error| format!("{}: {error}", folder.display()))
+/// A gateway's settings, as far as they are known without its relays.
+pub(crate) enum Document {
+    /// The script's, with those of the log of changes where it names a folder.
+    Complete(SettingsDocument),
+    /// The script's alone: relays have the shared settings.
+    OwnPart(SettingsDocument),
 }
 
-/// The settings that a script and the folder that it names, if any, come to. What relays tell is not asked for: the second is
-/// false where it is missing.
-pub fn document(file: &Path) -> Result<(SettingsDocument, bool), String> {
+/// Reads a script and the log of changes in the folder that it names, if any. Relays are not asked.
+pub(crate) fn read_document(file: &Path) -> Result<Document, CommandError> {
     let script = Script::read(file)?;
-    if !script.follows() {
-        return Ok((script.whole()?, true));
+    if !script.follows_log() {
+        return Ok(Document::Complete(script.complete()?));
     }
     let own = script.own_part()?;
     match &own.changes {
         Some(umbertray_config::ChangeSource::Folder(folder)) => {
-            Ok((script.with(&follower(Path::new(folder), None)?.replica)?, true))
+            let follower = open_follower(Path::new(folder), None)?;
+            Ok(Document::Complete(script.with_log(&follower.replica)?))
         }
-        _ => Ok((own, false)),
-    }
-}
-
-/// Reads a script, and the log of changes that it names, if any, from what the gateway has acted on.
-async fn read(file: &Path) -> Result<(SettingsDocument, Option<ChangeSource>), String> {
-    let script = Script::read(file)?;
-    if !script.follows() {
-        return Ok((script.whole()?, None));
+        _ => Ok(Document::OwnPart(own)),
     }
-    let own = script.own_part()?;
-    let state: Option<PathBuf> = own.state.map(PathBuf::from);
-    let changes = match own.changes {
-        Some(umbertray_config::ChangeSource::Folder(folder)) => {
-            let acted = state.as_deref().map(umbertray_nbd_gateway::acted).transpose();
-            let acted = acted.map_err(|error| format!("the version acted on: {error}"))?.flatten();
-            let follower = follower(Path::new(&folder), acted)?;
-            ChangeSource::Folder { folder: folder.into(), follower: Box::new(follower), acted: state }
-        }
-        Some(umbertray_config::ChangeSource::Relays { upstreams, quorum: vouch }) => {
-            let (name, zone, seed) = (own.name, own.zone, own.seed);
-            let relays =
-                RelaySource { name, zone, upstreams, quorum: vouch, seed, patience: PATIENCE, state };
-            let relayed = RelayedChanges::start(relays).await.map_err(|error| error.to_string())?;
-            ChangeSource::Relays(Box::new(relayed))
-        }
-        None => return Ok((script.whole()?, None)),
-    };
-    Ok((script.with(changes.at())?, Some(changes)))
 }
 
-pub fn said(problems: &[umbertray_config::Problem]) -> String {
-    let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
-    format!("{} in the settings\n{}", count(lines.len(), "problem"), lines.join("\n"))
+/// What a gateway is started with.
+pub(crate) struct PreparedGateway {
+    pub(crate) settings: Arc<Settings>,
+    pub(crate) options: GatewayOptions,
 }
 
-fn count(n: usize, what: &str) -> String {
-    format!("{n} {what}{}", if n == 1 { "" } else { "s" })
+impl PreparedGateway {
+    /// Takes the shared settings from the log of changes where the gateway follows one.
+    fn new(document: SettingsDocument, changes: Option<ChangeSource>) -> PreparedGateway {
+        let settings = match &changes {
+            Some(changes) => changes.at().version.settings(&document.settings),
+            None => document.settings,
+        };
+        let options = GatewayOptions {
+            listen: document.listen,
+            endpoint_list: document.endpoint_list,
+            coordinator: document.coordinator,
+            seed: document.seed,
+            state: document.state.map(Into::into),
+            changes,
+        };
+        PreparedGateway { settings: Arc::new(settings), options }
+    }
 }
 
-/// What a document says to start a gateway with; where it follows a log of changes, that has the shared settings.
-fn options(document: SettingsDocument, changes: Option<ChangeSource>) -> (Arc<Settings>, GatewayOptions) {
-    let SettingsDocument { listen, endpoint_list: list, coordinator: keeper, seed, state, settings, .. } =
-        document;
-    let settings = match &changes {
-        Some(changes) => changes.at().version.settings(&settings),
-        None => settings,
-    };
-    let options = GatewayOptions {
-        listen,
-        endpoint_list: list,
-        coordinator: keeper,
-        seed,
-        state: state.map(Into::into),
-        changes,
+/// Reads a script and, where it names one, the log of changes from the version that the gateway applied last.
+pub(crate) async fn prepare(file: &Path) -> Result<PreparedGateway, CommandError> {
+    let script = Script::read(file)?;
+    if !script.follows_log() {
+        return Ok(PreparedGateway::new(script.complete()?, None));
+    }
+    let Some(changes) = open_changes(script.own_part()?).await? else {
+        return Ok(PreparedGateway::new(script.complete()?, None));
     };
-    (Arc::new(settings), options)
+    let document = script.with_log(changes.at())?;
+    Ok(PreparedGateway::new(document, Some(changes)))
 }
 
 /// Starts the gateway that a document describes.
-pub async fn start(
+pub(crate) async fn start(
     document: SettingsDocument,
     changes: Option<ChangeSource>,
-) -> Result<umbertray_nbd_gateway::RunningGateway, String> {
-    let (settings, options) = options(document, changes);
-    umbertray_nbd_gateway::start(settings, options).await.map_err(|error| format!("listen: {error}"))
-}
-
-/// What a script says to start a gateway with, and what its state folder has of earlier runs.
-pub async fn prepare(file: &Path) -> Result<(Arc<Settings>, GatewayOptions), String> {
-    let (document, changes) = read(file).await?;
-    Ok(options(document, changes))
+) -> Result<RunningGateway, CommandError> {
+    let PreparedGateway { settings, options } = PreparedGateway::new(document, changes);
+    umbertray_nbd_gateway::start(settings, options).await.map_err(CommandError::io("listen"))
 }
 
-/// Ends when the program is told to stop.
-pub async fn told_to_stop() -> Result<(), String> {
-    let listen = |kind| signal(kind).map_err(|error| format!("signals: {error}"));
-    let (mut term, mut int) = (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
+/// Returns once the program receives SIGTERM or SIGINT.
+pub(crate) async fn stop_signal() -> Result<(), CommandError> {
+    let mut terminate = listen_for(SignalKind::terminate())?;
+    let mut interrupt = listen_for(SignalKind::interrupt())?;
     tokio::select! {
-        _ = term.recv() => {}
-        _ = int.recv() => {}
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
     }
     Ok(())
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
-    let (settings, options) = prepare(&arguments.config).await?;
-    let gateway = umbertray_nbd_gateway::start(settings, options).await;
-    let mut gateway = gateway.map_err(|error| format!("listen: {error}"))?;
-    let addresses: Vec<String> = gateway.addresses.iter().map(ToString::to_string).collect();
-    let exports: Vec<String> = gateway.exports();
-    output::print_line(&serde_json::json!({ "nbd": addresses, "exports": exports }).to_string());
-    tokio::select! {
-        told = told_to_stop() => told?,
-        ended = gateway.ended() => return ended,
+fn listen_for(kind: SignalKind) -> Result<Signal, CommandError> {
+    signal(kind).map_err(CommandError::io("signals"))
+}
+
+/// An evaluated settings script.
+struct Script {
+    file: String,
+    calls: Vec<FunctionCall>,
+}
+
+impl Script {
+    fn read(file: &Path) -> Result<Script, CommandError> {
+        let name = file.display().to_string();
+        let text = std::fs::read_to_string(file).map_err(CommandError::io(&name))?;
+        let calls = umbertray_config::evaluate(&name, text)
+            .map_err(|problem| CommandError::Settings(vec![problem]))?;
+        Ok(Script { file: name, calls })
+    }
+
+    /// Whether it names a log of changes, which then has the shared settings.
+    fn follows_log(&self) -> bool {
+        self.calls.iter().any(names_log)
     }
-    gateway.stop().await
+
+    fn complete(&self) -> Result<SettingsDocument, CommandError> {
+        umbertray_config::parse_whole(&self.file, &self.calls).map_err(CommandError::Settings)
+    }
+
+    fn own_part(&self) -> Result<SettingsDocument, CommandError> {
+        umbertray_config::own_part(&self.file, &self.calls).map_err(CommandError::Settings)
+    }
+
+    /// The script's own part with the shared settings of the log.
+    fn with_log(&self, log: &Replica) -> Result<SettingsDocument, CommandError> {
+        let shared = log.version.configuration.calls();
+        umbertray_config_log::version::document(&shared, &self.calls).map_err(CommandError::Configuration)
+    }
+}
+
+fn names_log(call: &FunctionCall) -> bool {
+    let changes = call.named.get("changes").filter(|changes| !changes.is_null());
+    call.function == "gateway" && changes.is_some_and(|changes| *changes != "")
+}
+
+async fn open_changes(own: SettingsDocument) -> Result<Option<ChangeSource>, CommandError> {
+    let state: Option<PathBuf> = own.state.map(PathBuf::from);
+    let source = match own.changes {
+        Some(umbertray_config::ChangeSource::Folder(folder)) => {
+            let applied = state.as_deref().map(umbertray_nbd_gateway::acted).transpose();
+            let applied = applied.map_err(CommandError::io("the version acted on"))?.flatten();
+            let follower = Box::new(open_follower(Path::new(&folder), applied)?);
+            ChangeSource::Folder { folder: folder.into(), follower, acted: state }
+        }
+        Some(umbertray_config::ChangeSource::Relays { upstreams, quorum }) => {
+            let relays = RelaySource {
+                name: own.name,
+                zone: own.zone,
+                upstreams,
+                quorum,
+                seed: own.seed,
+                patience: PATIENCE,
+                state,
+            };
+            ChangeSource::Relays(Box::new(RelayedChanges::start(relays).await?))
+        }
+        None => return Ok(None),
+    };
+    Ok(Some(source))
+}
+
+fn open_follower(folder: &Path, applied: Option<(u64, Hash)>) -> Result<Follower, CommandError> {
+    Follower::open(&Disk::read_only(folder), applied)
+        .map_err(|source| CommandError::FollowFolder { folder: folder.display().to_string(), source })
 }
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,65 +1,79 @@
-//! `umbertray soak`: randomized faults on real gateways, and what they broke.
+//! `umbertray soak`: randomized faults on real gateways, and the rules that they broke.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use umbertray_fault_tests::soak::{self, Plan};
+use umbertray_fault_tests::soak::{self, Finding, Plan, Record};
 
+use crate::error::CommandError;
 use crate::output;
 
 #[derive(clap::Args)]
-pub struct Arguments {
-    /// What is drawn by chance; the first of the seeds.
+pub(crate) struct Arguments {
+    /// Seed of all that is drawn at random; the first of the seeds.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after another.
+    /// Number of seeds, one after another.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
     /// Processes of `umbertray node`, each with a proxy on every link.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=40))]
     gateways: u32,
-    /// For how long faults come.
+    /// For how long faults are injected.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(4..=600))]
     seconds: u64,
     /// System calls of the gateways are interrupted, short or fail for a moment now and then; needs a C compiler.
     #[arg(long)]
     failing_calls: bool,
-    /// The program whose `node` is played; this one where it is not given.
+    /// The program whose `node` is run; this one where it is not given.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where configurations and logs go, a folder a seed.
+    /// Where configurations and logs go, one folder for each seed.
     #[arg(long, default_value = "soaks")]
     out: PathBuf,
 }
 
-pub async fn run(arguments: Arguments) -> Result<(), String> {
-    let own = std::env::current_exe().map_err(|error| format!("this program: {error}"))?;
-    let program = arguments.program.unwrap_or(own);
-    let lasts = Duration::from_secs(arguments.seconds);
+pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
+    let own = std::env::current_exe().map_err(CommandError::io("this program"))?;
+    let program = arguments.program.as_deref().unwrap_or(&own);
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.repeat {
-        let plan =
-            Plan { failing_calls: arguments.failing_calls, ..Plan::draw(seed, arguments.gateways, lasts) };
-        let folder = arguments.out.join(format!("seed-{seed}"));
-        std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-        let record = soak::run(&plan, &program, &folder).await;
-        let record = record.map_err(|error| format!("seed {seed}: {error}"))?;
-        let findings = soak::judge(&record);
-        let soak::Record { requests, stopped, attempts, stalls, .. } = &record;
-        output::print_line(&format!(
-            "seed {seed}: {} requests, {} attempts, {} stopped clients, {} faults, held up {} times; {} findings",
-            requests.len(),
-            attempts.len(),
-            stopped.len(),
-            plan.faults.len(),
-            stalls.len(),
-            findings.len()
-        ));
-        findings.iter().for_each(|finding| output::print_line(&format!("  {finding}")));
-        if !findings.is_empty() {
-            broken += 1;
-            output::print_line(&format!("  again: {plan}"));
-        }
+        broken += u64::from(!run_seed(&arguments, seed, program).await?);
+    }
+    if broken > 0 {
+        return Err(CommandError::SeedsBrokeRules { broken, seeds: arguments.repeat });
+    }
+    Ok(())
+}
+
+/// Whether the gateways kept all rules.
+async fn run_seed(arguments: &Arguments, seed: u64, program: &Path) -> Result<bool, CommandError> {
+    let duration = Duration::from_secs(arguments.seconds);
+    let drawn = Plan::draw(seed, arguments.gateways, duration);
+    let plan = Plan { failing_calls: arguments.failing_calls, ..drawn };
+    let folder = arguments.out.join(format!("seed-{seed}"));
+    std::fs::create_dir_all(&folder).map_err(CommandError::io(folder.display()))?;
+    let record = soak::run(&plan, program, &folder).await;
+    let record = record.map_err(CommandError::io(format!("seed {seed}")))?;
+    let findings = soak::judge(&record);
+    print_findings(seed, &plan, &record, &findings);
+    Ok(findings.is_empty())
+}
+
+fn print_findings(seed: u64, plan: &Plan, record: &Record, findings: &[Finding]) {
+    output::print_line(&format!(
+        "seed {seed}: {} requests, {} attempts, {} stopped clients, {} faults, held up {} times; {} findings",
+        record.requests.len(),
+        record.attempts.len(),
+        record.stopped.len(),
+        plan.faults.len(),
+        record.stalls.len(),
+        findings.len()
+    ));
+    for finding in findings {
+        output::print_line(&format!("  {finding}"));
+    }
+    if !findings.is_empty() {
+        output::print_line(&format!("  again: {plan}"));
     }
-    if broken > 0 { Err(format!("{broken} of {} seeds broke a rule", arguments.repeat)) } else { Ok(()) }
 }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,74 +1,94 @@
-//! `umbertray state`: what is in a state folder or file, and what would be believed.
+//! `umbertray state`: what is in a state folder or file, and what a gateway would restore of it.
 
+use std::cmp::Reverse;
 use std::path::{Path, PathBuf};
 
+use serde_json::{Value, json};
 use umbertray_snapshot::decide::{self, FoundFile};
 use umbertray_snapshot::folder::{current_stamp, files};
-use umbertray_snapshot::format::{self, MAX_FILE_BYTES};
-use umbertray_snapshot::{Age, Disk, Storage};
+use umbertray_snapshot::format::{self, MAX_FILE_BYTES, ParsedFile};
+use umbertray_snapshot::{Age, Disk, Stamp, Storage};
 
+use crate::error::CommandError;
 use crate::output;
 
 #[derive(clap::Subcommand)]
-pub enum Command {
-    /// Prints each file: whose, how old, how much is in it, and whether it is whole. A line of JSON each.
+pub(crate) enum Command {
+    /// Prints each file: its gateway, its age, how much is in it, and whether it is complete. A line of JSON each.
     Show { path: PathBuf },
-    /// As show; fails where a file would not be believed, or not wholly.
+    /// Like show; fails where a file would not be restored, or not completely.
     Verify { path: PathBuf },
-    /// Prints all of what would be believed as JSON.
+    /// Prints all that would be restored as JSON.
     Export { path: PathBuf },
 }
 
-fn found(path: &Path) -> Result<Vec<FoundFile>, String> {
-    let failed = |error: std::io::Error| format!("{}: {error}", path.display());
-    if path.is_dir() {
-        return files(&Disk::read_only(path)).map_err(failed);
+pub(crate) fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Show { path } => print_files(&find_files(&path)?),
+        Command::Verify { path } => {
+            let found = find_files(&path)?;
+            print_files(&found);
+            verify(&found)?;
+        }
+        Command::Export { path } => export(find_files(&path)?)?,
     }
-    let (folder, name) = (path.parent().unwrap_or(Path::new(".")), path.file_name().unwrap_or_default());
-    let name = name.to_string_lossy().into_owned();
-    let read = format::parse_file(&Disk::read_only(folder).read(&name, MAX_FILE_BYTES).map_err(failed)?);
-    let generation = read.as_ref().map_or(0, |read| read.head.generation);
-    Ok(vec![(name, generation, read)])
+    Ok(())
 }
 
-pub fn run(command: Command) -> Result<(), String> {
-    let path = match &command {
-        Command::Show { path } | Command::Verify { path } | Command::Export { path } => path,
-    };
-    let mut found = found(path)?;
-    found.sort_by_key(|(_, generation, _)| std::cmp::Reverse(*generation));
-    if let Command::Export { .. } = command {
-        let newest =
-            found.into_iter().find_map(|(_, _, read)| read.ok()).ok_or("nothing in it would be believed")?;
-        let text = serde_json::to_string_pretty(&newest.entry).map_err(|error| error.to_string())?;
-        output::print_line(&text);
-        return Ok(());
+/// The files of a folder, or the one file, by generation, newest first.
+fn find_files(path: &Path) -> Result<Vec<FoundFile>, CommandError> {
+    if path.is_dir() {
+        let mut found = files(&Disk::read_only(path)).map_err(CommandError::io(path.display()))?;
+        found.sort_by_key(|(_, generation, _)| Reverse(*generation));
+        return Ok(found);
     }
-    let (now, mut bad) = (current_stamp(), 0);
-    for (name, generation, read) in &found {
-        let line = match read {
-            Ok(read) => {
-                bad += usize::from(read.torn_bytes > 0 || read.head.generation != *generation);
-                let age = match decide::age(read.entry.at, now) {
-                    Age::Known(age) => serde_json::json!(age.as_secs_f64()),
-                    Age::Unknown => serde_json::json!("very old"),
-                };
-                let saved = &read.entry.saved;
-                serde_json::json!({
-                    "file": name, "gateway": read.head.gateway, "settings": read.head.digest,
-                    "generation": read.head.generation, "entries": read.entries, "torn_bytes": read.torn_bytes,
-                    "age_s": age, "stores": saved.stores.len(), "volumes": saved.volumes.len(),
-                })
-            }
-            Err(why) => {
-                bad += 1;
-                serde_json::json!({ "file": name, "not_believed": why.to_string() })
-            }
+    let folder = path.parent().unwrap_or(Path::new("."));
+    let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
+    let bytes = Disk::read_only(folder).read(&name, MAX_FILE_BYTES);
+    let parsed = format::parse_file(&bytes.map_err(CommandError::io(path.display()))?);
+    let generation = parsed.as_ref().map_or(0, |file| file.head.generation);
+    Ok(vec![(name, generation, parsed)])
+}
+
+fn print_files(found: &[FoundFile]) {
+    let now = current_stamp();
+    for (name, _, parsed) in found {
+        let row = match parsed {
+            Ok(file) => file_row(name, file, now),
+            Err(error) => json!({ "file": name, "not_believed": error.to_string() }),
         };
-        output::print_line(&line.to_string());
+        output::print_json(&row);
     }
-    match (&command, bad) {
-        (Command::Verify { .. }, 1..) => Err(format!("{bad} of {} files are not whole", found.len())),
-        _ => Ok(()),
+}
+
+fn file_row(name: &str, file: &ParsedFile, now: Stamp) -> Value {
+    let age = match decide::age(file.entry.at, now) {
+        Age::Known(age) => json!(age.as_secs_f64()),
+        Age::Unknown => json!("very old"),
+    };
+    let saved = &file.entry.saved;
+    json!({
+        "file": name, "gateway": file.head.gateway, "settings": file.head.digest,
+        "generation": file.head.generation, "entries": file.entries, "torn_bytes": file.torn_bytes,
+        "age_s": age, "stores": saved.stores.len(), "volumes": saved.volumes.len(),
+    })
+}
+
+fn verify(found: &[FoundFile]) -> Result<(), CommandError> {
+    match found.iter().filter(|file| !is_complete(file)).count() {
+        0 => Ok(()),
+        broken => Err(CommandError::DamagedState { broken, files: found.len() }),
     }
 }
+
+/// Whether the file is read to its end and is of the generation that its name says.
+fn is_complete((_, generation, parsed): &FoundFile) -> bool {
+    parsed.as_ref().is_ok_and(|file| file.torn_bytes == 0 && file.head.generation == *generation)
+}
+
+fn export(found: Vec<FoundFile>) -> Result<(), CommandError> {
+    let newest = found.into_iter().find_map(|(_, _, parsed)| parsed.ok());
+    let newest = newest.ok_or(CommandError::NoValidState)?;
+    output::print_line(&serde_json::to_string_pretty(&newest.entry)?);
+    Ok(())
+}
