--- a/crates/cli/src/config/write.rs
+++ b/crates/cli/src/config/write.rs
@@ -138,8 +138,9 @@
 
 fn parse_put(argument: &str) -> Result<Edit, ConfigError> {
     let (place, fields) = argument.split_once('=').ok_or_else(|| invalid_edit(argument, "no = in it"))?;
-    let place: Path = place.parse().map_err(|error| invalid_edit(argument, error))?;
-    let fields: Fields = serde_json::from_str(fields).map_err(|error| invalid_edit(argument, error))?;
+    let place = place.parse::<Path>().map_err(|error| invalid_edit(argument, error.to_string()))?;
+    let fields: Fields =
+        serde_json::from_str(fields).map_err(|error| invalid_edit(argument, error.to_string()))?;
     Ok(Edit::Put { key: place.key, fields })
 }
 
@@ -151,8 +152,8 @@
     Ok(Edit::Remove { key: place.key.clone() })
 }
 
-fn invalid_edit(argument: &str, reason: impl ToString) -> ConfigError {
-    ConfigError::InvalidEdit { argument: argument.into(), reason: reason.to_string() }
+fn invalid_edit(argument: &str, reason: impl Into<String>) -> ConfigError {
+    ConfigError::InvalidEdit { argument: argument.into(), reason: reason.into() }
 }
 
 fn new_change(author: AuthorArguments, base: u64, edits: Vec<Edit>, allow: &[GuardName]) -> Change {
--- a/crates/cli/tests/platform/bad_peers.rs
+++ b/crates/cli/tests/platform/bad_peers.rs
@@ -6,7 +6,7 @@
 
 /// What a client may send that is no op, and the status that it gets before its connection is closed.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_an_error_and_a_close_and_reach_no_store() {
+async fn bad_requests_get_error_and_close_and_reach_no_store() {
     let (node, store, _discovery) = Node::with_store(|_| Act::Write(ok("never"))).await;
     let good = String::from_utf8(op("order", 0, 1, 2000)).expect("text");
     let with = |from: &str, to: &str| {
@@ -43,25 +43,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_body_is_refused_from_its_head_and_not_read() {
+async fn large_body_is_rejected_by_its_head_and_not_read() {
     let (node, _store, _discovery) = Node::with_store(|_| Act::Hold).await;
     let mut caller = node.connect().await;
     let head = String::from_utf8(op("order", 0, 1, 2000))
         .expect("text")
         .replace("Content-Length: 4", "Content-Length: 60000000");
     assert_eq!(caller.ask(head.as_bytes()).await.0, 413);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let part = vec![b'a'; 1 << 16];
     let sending = async {
         use tokio::io::AsyncWriteExt;
         while caller.stream.write_all(&part).await.is_ok() {}
     };
     within(5, "an end to what is taken", sending).await;
-    assert!(began.elapsed() < Duration::from_secs(3));
+    assert!(started_at.elapsed() < Duration::from_secs(3));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_id_of_an_open_request_is_not_taken_twice() {
+async fn id_of_open_request_is_rejected_as_duplicate() {
     let (node, store, _discovery) = Node::with_store(|_| Act::Hold).await;
     let mut first = node.connect().await;
     first.write(&op("look", 0, 7, 800)).await;
@@ -72,19 +72,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn half_a_request_and_silence_end_in_their_time() {
+async fn partial_request_and_silence_time_out() {
     let (node, _store, _discovery) = Node::with_store(|_| Act::Hold).await;
     let (mut half, mut silent) = (node.connect().await, node.connect().await);
     let bytes = op("order", 0, 1, 2000);
     half.write(&bytes[..bytes.len() - 2]).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(half.answer().await.expect("told why").head.status, 408);
     assert_eq!((half.answer().await, silent.answer().await), (None, None));
-    assert!(began.elapsed() < Duration::from_secs(3));
+    assert!(started_at.elapsed() < Duration::from_secs(3));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn silent_connections_by_hundreds_leave_room_for_usual_clients() {
+async fn silent_connections_by_hundreds_leave_capacity_for_clients() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
@@ -108,7 +108,7 @@
 
 /// Days of bad clients lost the first request of usual ones: a connection was closed for room with it unread.
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_who_has_asked_is_closed_without_an_answer_for_want_of_room() {
+async fn requests_over_capacity_are_answered_before_the_close() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Hold).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
@@ -123,8 +123,8 @@
     // The store says nothing, so that those there is room for stay at work: the last is answered before the first.
     let last = callers.pop().expect("one of many").answer().await.expect("a whole answer");
     assert_eq!(last.head.status, 503);
-    let told = last.head.headers.one("Retry-After").expect("once").expect("when to come back");
-    assert_eq!(told, b"0.400");
+    let retry_after = last.head.headers.one("Retry-After").expect("once").expect("when to come back");
+    assert_eq!(retry_after, b"0.400");
     let mut refused = 0;
     for caller in &mut callers {
         refused += u32::from(caller.answer().await.expect("a whole answer").head.status == 503);
@@ -134,8 +134,8 @@
 
 /// A store's answers that are none: the dispatch may have run, nothing of the answer reaches the client.
 #[tokio::test(flavor = "multi_thread")]
-async fn spoilt_answers_are_failed_dispatches() {
-    let spoilt: [Vec<u8>; 6] = [
+async fn malformed_store_responses_are_failed_attempts() {
+    let malformed: [Vec<u8>; 6] = [
         b"\x00\x01\x02 noise \xff\r\n\r\n".to_vec(),
         [&b"HTTP/1.1 200 OK\r\nX-Endless: "[..], &[b'a'; 20_000]].concat(),
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\nbad!".to_vec(),
@@ -143,7 +143,7 @@
         [&b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"[..], &[b'a'; 200_000]].concat(),
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nbad!".to_vec(),
     ];
-    for answer in spoilt {
+    for answer in malformed {
         let what = String::from_utf8_lossy(&answer[..60.min(answer.len())]).into_owned();
         let (node, store, _discovery) = Node::with_store(move |_| Act::Write(answer.clone())).await;
         let (status, body) = node.connect().await.ask(&op("order", 0, 1, 1000)).await;
@@ -156,7 +156,7 @@
 
 /// The platform tells of 64 KiB at most, but stores send more: it is their answer, and the memory bounds it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_larger_than_told_is_served_while_there_is_room() {
+async fn response_larger_than_configured_is_served_within_memory() {
     let large = "x".repeat(400_000);
     let endless = [&b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"[..], &[b'a'; 100_000]].concat();
     let body = large.clone();
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_good_answer_counts_whatever_surrounds_it_and_what_follows_it_is_never_taken() {
+async fn good_response_counts_and_bytes_after_it_are_dropped() {
     let answer = [
         &b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"[..],
         &ok("first"),
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -10,46 +10,47 @@
 
 use crate::common::{Node, op, within};
 
-/// How many clients ask at once, as fast as they are answered.
+/// Clients that send requests at once, as fast as they are answered.
 const CLIENTS: u64 = 8;
-/// For so long after the store has come back; its start is 4 s in the settings, in which it bears 4 units a second.
-const WATCHED: Duration = Duration::from_millis(1500);
+/// How long requests are counted after the store has restarted; its slow start is 4 s in the settings, at 4 units a second.
+const WATCH_DURATION: Duration = Duration::from_millis(1500);
 /// Far more than the budget of that time, and far less than what the clients ask for.
 const BUDGET: usize = 60;
 
 /// Milliseconds since 1970 on a clock that is off by so many seconds.
-fn stamp(off: i64) -> u64 {
+fn timestamp_ms(offset_seconds: i64) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
-    (now + 1000 * off) as u64
+    (now + 1000 * offset_seconds) as u64
 }
 
 /// Requests that a store gets in its first moments after it has come back cold.
-async fn cold_requests(off: i64, started_before: bool) -> usize {
+async fn requests_to_cold_store(offset_seconds: i64, started_before: bool) -> usize {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
     let other = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     discovery.list("s1", other.address, 1, "ready");
-    let back = || discovery.list_started("s0", store.address, 0, "ready", stamp(off));
+    let list_restarted =
+        || discovery.list_started("s0", store.address, 0, "ready", timestamp_ms(offset_seconds));
     if started_before {
-        back();
+        list_restarted();
     }
     let node = Node::start(&discovery, 256).await;
     node.ready().await;
     within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
     if !started_before {
-        back();
+        list_restarted();
         // The next news has been read once its store serves.
         discovery.list("s2", other.address, 2, "ready");
         let mut caller = node.connect().await;
-        let read = async {
+        let news_read = async {
             for id in 1.. {
                 if caller.ask(&op("look", 2, id, 2000)).await.0 == 200 {
                     return;
                 }
             }
         };
-        within(5, "the news", read).await;
+        within(5, "the news", news_read).await;
     }
     let before = store.requests().len();
     let ids = Arc::new(AtomicU64::new(1 << 32));
@@ -62,21 +63,26 @@
             }
         });
     }
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(WATCH_DURATION).await;
     clients.shutdown().await;
     store.requests().len() - before
 }
 
 /// With a clock that is ahead of the stamps a cold store was taken for warm: 5,350 requests in its first 3 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cold_store_has_its_budget_whatever_the_wall_clock_says() {
-    let offs = [0, -30, -3600, 30, 3600];
-    let mut over = Vec::new();
-    for (off, started_before) in offs.into_iter().flat_map(|off| [(off, false), (off, true)]) {
-        let requests = cold_requests(off, started_before).await;
+async fn cold_store_with_wrong_wall_clock_keeps_slow_start_budget() {
+    let offsets = [0, -30, -3600, 30, 3600];
+    let mut over_budget = Vec::new();
+    for (offset_seconds, started_before) in
+        offsets.into_iter().flat_map(|offset_seconds| [(offset_seconds, false), (offset_seconds, true)])
+    {
+        let requests = requests_to_cold_store(offset_seconds, started_before).await;
         if requests > BUDGET {
-            over.push((off, started_before, requests));
+            over_budget.push((offset_seconds, started_before, requests));
         }
     }
-    assert!(over.is_empty(), "(clock off by s, started before the gateway, requests): {over:?}");
+    assert!(
+        over_budget.is_empty(),
+        "(clock off by s, started before the gateway, requests): {over_budget:?}"
+    );
 }
--- a/crates/cli/tests/platform/common.rs
+++ b/crates/cli/tests/platform/common.rs
@@ -13,8 +13,8 @@
 use umbertray_http::Limits;
 use umbertray_http::client::{self, Response, ResponseReader};
 
-/// Fails where something that must happen does not, long after it should have.
-pub async fn within<T>(seconds: u64, what: &str, future: impl Future<Output = T>) -> T {
+/// Fails with the name of the event where it does not come long after it was due.
+pub(crate) async fn within<T>(seconds: u64, what: &str, future: impl Future<Output = T>) -> T {
     match tokio::time::timeout(Duration::from_secs(seconds), future).await {
         Ok(value) => value,
         Err(_) => panic!("not within {seconds} s: {what}"),
@@ -22,13 +22,13 @@
 }
 
 /// One gateway process; dropped, it is killed.
-pub struct Node {
-    pub address: SocketAddr,
-    pub config: PathBuf,
+pub(crate) struct Node {
+    pub(crate) address: SocketAddr,
+    pub(crate) config: PathBuf,
     child: Child,
 }
 
-pub fn config(discovery: SocketAddr, sockets: usize) -> String {
+pub(crate) fn config(discovery: SocketAddr, sockets: usize) -> String {
     let types = r#"[{"name":"look","promiseS":0.4,"deadlineS":2.0,"effect":"free","gain":3.0},
         {"name":"order","promiseS":0.4,"deadlineS":3.0,"effect":"single_shot","gain":3.0}]"#;
     format!(
@@ -44,31 +44,31 @@
 }
 
 /// The same for op types whose clients wait far longer than the time from SIGTERM to SIGKILL.
-pub fn patient(discovery: SocketAddr, sockets: usize) -> String {
+pub(crate) fn config_with_long_deadlines(discovery: SocketAddr, sockets: usize) -> String {
     config(discovery, sockets)
         .replace(r#""promiseS":0.4"#, r#""promiseS":2.0"#)
         .replace(r#""deadlineS":2.0"#, r#""deadlineS":20.0"#)
         .replace(r#""deadlineS":3.0"#, r#""deadlineS":30.0"#)
 }
 
-/// The same where the list has to be asked for.
-pub fn asked_for(discovery: SocketAddr, sockets: usize) -> String {
+/// The same with a list that must be subscribed to.
+pub(crate) fn config_with_subscription(discovery: SocketAddr, sockets: usize) -> String {
     config(discovery, sockets)
         .replace("automatic", "subscribe")
         .replace(r#""rules":{"#, r#""rules":{"askWithinS":2.0,"#)
 }
 
 impl Node {
-    pub async fn start(discovery: &Discovery, sockets: usize) -> Node {
+    pub(crate) async fn start(discovery: &Discovery, sockets: usize) -> Node {
         Node::configured(&config(discovery.address, sockets)).await
     }
 
-    pub async fn configured(config: &str) -> Node {
+    pub(crate) async fn configured(config: &str) -> Node {
         Node::with_environment(config, &[]).await
     }
 
     /// One whose process has these variables too.
-    pub async fn with_environment(config: &str, environment: &[(&str, String)]) -> Node {
+    pub(crate) async fn with_environment(config: &str, environment: &[(&str, String)]) -> Node {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let name = format!("node-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -80,19 +80,19 @@
         let mut line = String::new();
         let mut lines = BufReader::new(child.stdout.take().expect("piped"));
         within(10, "the first line", lines.read_line(&mut line)).await.expect("its output");
-        let told: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
-        let address = told["http"][0].as_str().expect("an address").parse().expect("an address");
+        let output: serde_json::Value = serde_json::from_str(&line).expect("a line of JSON");
+        let address = output["http"][0].as_str().expect("an address").parse().expect("an address");
         Node { address, config: file, child }
     }
 
     /// One gateway, and one store that does what the script says and has shard 0.
-    pub async fn with_store(
+    pub(crate) async fn with_store(
         script: impl Fn(usize) -> Act + Send + Sync + 'static,
     ) -> (Node, Store, Discovery) {
         Node::with(config, 256, script).await
     }
 
-    pub async fn with(
+    pub(crate) async fn with(
         config: fn(SocketAddr, usize) -> String,
         sockets: usize,
         script: impl Fn(usize) -> Act + Send + Sync + 'static,
@@ -105,8 +105,8 @@
         (node, store, discovery)
     }
 
-    /// Returns once it says that it is ready.
-    pub async fn ready(&self) {
+    /// Returns once the gateway reports that it is ready.
+    pub(crate) async fn ready(&self) {
         let mut caller = self.connect().await;
         let asked = async {
             loop {
@@ -120,36 +120,36 @@
         within(10, "readiness", asked).await;
     }
 
-    pub async fn connect(&self) -> Caller {
+    pub(crate) async fn connect(&self) -> Caller {
         Caller::connect(self.address).await
     }
 
-    pub fn signal(&self, signal: Signal) {
+    pub(crate) fn signal(&self, signal: Signal) {
         let id = self.child.id().expect("it runs");
         kill(Pid::from_raw(id as i32), signal).expect("our own child");
     }
 
     /// Kilobytes that are its own.
-    pub fn memory(&self) -> u64 {
+    pub(crate) fn memory(&self) -> u64 {
         let id = self.child.id().expect("it runs");
-        let told = std::fs::read_to_string(format!("/proc/{id}/status")).expect("our own child");
-        let line = told.lines().find_map(|line| line.strip_prefix("RssAnon:")).expect("the system tells");
+        let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("our own child");
+        let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:")).expect("the system tells");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub(crate) async fn ended(&mut self) -> ExitStatus {
         within(10, "the end of the program", self.child.wait()).await.expect("our own child")
     }
 }
 
 /// One client's connection.
-pub struct Caller {
-    pub stream: TcpStream,
+pub(crate) struct Caller {
+    pub(crate) stream: TcpStream,
     answers: ResponseReader,
 }
 
 /// A request of an op type for a shard, with this id.
-pub fn op(op_type: &str, shard: i64, id: u64, left_ms: u64) -> Vec<u8> {
+pub(crate) fn op(op_type: &str, shard: i64, id: u64, left_ms: u64) -> Vec<u8> {
     let (id, placement, left) =
         (format!("{id:016x}"), format!("units=1,shard={shard},hosts=1"), left_ms.to_string());
     let fields: [(&str, &[u8]); 4] = [
@@ -164,23 +164,23 @@
 }
 
 impl Caller {
-    pub async fn connect(address: SocketAddr) -> Caller {
+    pub(crate) async fn connect(address: SocketAddr) -> Caller {
         let stream = within(5, "a connection", TcpStream::connect(address)).await.expect("it listens");
         Caller { stream, answers: ResponseReader::new(Limits { head: 8192, body: 1 << 20 }) }
     }
 
-    /// The next answer; nothing once the gateway has closed, or where none comes long after it should have.
-    pub async fn answer_or_nothing(&mut self) -> Option<Response> {
+    /// The next response; none once the gateway has closed, or long after it was due.
+    pub(crate) async fn answer_or_nothing(&mut self) -> Option<Response> {
         tokio::time::timeout(Duration::from_secs(4), self.answer()).await.ok().flatten()
     }
 
-    pub async fn write(&mut self, bytes: &[u8]) {
+    pub(crate) async fn write(&mut self, bytes: &[u8]) {
         // What the gateway closed meanwhile shows when the answer is read.
         _ = self.stream.write_all(bytes).await;
     }
 
-    /// The next answer; nothing once the gateway has closed.
-    pub async fn answer(&mut self) -> Option<Response> {
+    /// The next response; none once the gateway has closed.
+    pub(crate) async fn answer(&mut self) -> Option<Response> {
         let read = async {
             loop {
                 if let Some(answer) = self.answers.response().expect("a whole answer") {
@@ -195,7 +195,7 @@
         within(10, "an answer or a close", read).await
     }
 
-    pub async fn ask(&mut self, bytes: &[u8]) -> (u16, String) {
+    pub(crate) async fn ask(&mut self, bytes: &[u8]) -> (u16, String) {
         self.write(bytes).await;
         let answer = self.answer().await.expect("an answer");
         (answer.head.status, String::from_utf8_lossy(&answer.body).into_owned())
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -1,4 +1,4 @@
-//! What is owed at each ending of a client's connection, and of the process under it.
+//! What the gateway owes at each end of a client's connection, and at the end of its process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,26 +8,26 @@
 use tokio::net::TcpStream;
 use umbertray_fakes::platform::{Act, Discovery, Store, ok};
 
-use crate::common::{Caller, Node, config, op, patient, within};
+use crate::common::{Caller, Node, config, config_with_long_deadlines, op, within};
 
 const HEALTH: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n";
-/// More than the gateway reads ahead, and less than the system holds for it.
-const MUCH: usize = 40_000;
+/// More than the gateway reads ahead, and less than the kernel buffers.
+const READ_AHEAD_BYTES: usize = 40_000;
 
-/// Clients wait for long, and resting connections are closed soon.
-fn impatient_of_rest(discovery: SocketAddr, sockets: usize) -> String {
-    patient(discovery, sockets).replace(r#""connIdleS":20.0"#, r#""connIdleS":4.0"#)
+/// Long deadlines, and a short timeout of idle connections.
+fn config_with_short_idle_timeout(discovery: SocketAddr, sockets: usize) -> String {
+    config_with_long_deadlines(discovery, sockets).replace(r#""connIdleS":20.0"#, r#""connIdleS":4.0"#)
 }
 
-/// The gateway has come to all that was on its sockets before: it has one thread.
-async fn come_round(node: &Node) {
+/// Returns once the gateway has handled all that was on its sockets before: it has one thread.
+async fn wait_for_event_loop(node: &Node) {
     for _ in 0..2 {
         assert_eq!(node.connect().await.ask(HEALTH).await.0, 200);
     }
 }
 
-/// The gateway has shut the connection and reads on: no reset, whatever is written.
-async fn is_shut_and_read_from(caller: &mut Caller, bytes: &[u8]) {
+/// Asserts that the gateway has closed its side and still reads: no reset, whatever is written.
+async fn assert_half_closed(caller: &mut Caller, bytes: &[u8]) {
     assert_eq!(caller.answer().await, None, "shut, without a word");
     for _ in 0..2 {
         caller.stream.write_all(bytes).await.expect("it is not reset");
@@ -36,7 +36,7 @@
     assert_eq!(caller.stream.read(&mut [0]).await.expect("it is not reset"), 0);
 }
 
-fn has_seen(store: &Store, n: u64) -> bool {
+fn has_received(store: &Store, n: u64) -> bool {
     let of = |headers: &umbertray_http::Headers| {
         headers.one("X-Correlation-Id").expect("once").map(<[u8]>::to_vec)
     };
@@ -45,38 +45,43 @@
 
 /// Where much was read ahead the end was looked for every connect time-out only; an op was sent on meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_op_of_a_client_that_left_before_its_first_dispatch_is_not_sent_on() {
+async fn op_of_client_gone_before_first_attempt_is_not_forwarded() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = served().await;
+    let store = start_serving_store().await;
     // The only store of the shard is not to be used yet.
     discovery.list("s0", store.address, 0, "draining");
     let node = Node::start(&discovery, 256).await;
     node.ready().await;
     let mut callers = Vec::new();
-    for (n, much) in [(1, 0), (2, MUCH), (3, MUCH), (4, MUCH)] {
+    for (n, extra_bytes) in [(1, 0), (2, READ_AHEAD_BYTES), (3, READ_AHEAD_BYTES), (4, READ_AHEAD_BYTES)] {
         let mut caller = node.connect().await;
         caller.write(&op("look", 0, n, 2000)).await;
-        caller.write(&vec![b'a'; much]).await;
+        caller.write(&vec![b'a'; extra_bytes]).await;
         callers.push(caller);
     }
-    come_round(&node).await;
+    wait_for_event_loop(&node).await;
     callers[2].stream.set_zero_linger().expect("an open socket");
     let mut stays = callers.pop().expect("one of four");
     drop(callers);
-    come_round(&node).await;
+    wait_for_event_loop(&node).await;
     discovery.list("s0", store.address, 0, "ready");
     assert_eq!(stays.answer().await.expect("an answer").head.status, 200);
     assert_eq!(node.connect().await.ask(&op("look", 0, 5, 2000)).await.0, 200);
-    assert_eq!([1, 2, 3, 4, 5].map(|n| has_seen(&store, n)), [false, false, false, true, true]);
+    assert_eq!([1, 2, 3, 4, 5].map(|n| has_received(&store, n)), [false, false, false, true, true]);
 }
 
 /// Half sent, waiting, dispatched, half answered: each has a whole answer, however late the process comes to it.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_came_around_sigterm_has_a_whole_answer() {
+async fn requests_around_sigterm_get_complete_responses() {
     let large = "x".repeat(1_000_000);
     let body = large.clone();
     let (mut node, store, _discovery) =
-        Node::with(patient, 256, move |n| if n == 0 { Act::Write(ok(&body)) } else { Act::Hold }).await;
+        Node::with(
+            config_with_long_deadlines,
+            256,
+            move |n| if n == 0 { Act::Write(ok(&body)) } else { Act::Hold },
+        )
+        .await;
     let mut callers = Vec::new();
     for (shard, n) in [(0, 1), (0, 2), (3, 3), (0, 4), (0, 5)] {
         let (mut caller, bytes) = (node.connect().await, op("order", shard, n, 20_000));
@@ -91,7 +96,7 @@
         callers.push(caller);
     }
     within(5, "the second at the store", store.until(|seen| seen.len() >= 2)).await;
-    come_round(&node).await;
+    wait_for_event_loop(&node).await;
     node.signal(Signal::SIGTERM);
     callers[3].write(b"ta").await;
     let first = callers[0].answer().await.expect("whole");
@@ -109,8 +114,8 @@
 
 /// Of requests that came one behind the other the first was answered, the others were read and never heard of again.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_was_read_behind_a_request_is_answered_before_the_end() {
-    let (mut node, store, _discovery) = Node::with(patient, 256, |_| Act::Hold).await;
+async fn pipelined_requests_on_sigterm_are_answered_before_exit() {
+    let (mut node, store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
     let mut caller = node.connect().await;
     caller.write(&[1, 2, 3].map(|n| op("order", 0, n, 20_000)).concat()).await;
     within(5, "the first at the store", store.until(|seen| !seen.is_empty())).await;
@@ -126,31 +131,34 @@
 
 /// Resting connections were closed with what had just come: a reset, which can take an answer along.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_comes_on_a_resting_connection_while_it_closes_is_passed_over() {
-    let (mut node, store, _discovery) = Node::with(patient, 256, |_| Act::Write(ok("served"))).await;
-    let mut resting = node.connect().await;
-    assert_eq!(resting.ask(&op("order", 0, 1, 3000)).await.0, 200);
+async fn request_on_closing_idle_connection_is_ignored_without_reset() {
+    let (mut node, store, _discovery) =
+        Node::with(config_with_long_deadlines, 256, |_| Act::Write(ok("served"))).await;
+    let mut idle = node.connect().await;
+    assert_eq!(idle.ask(&op("order", 0, 1, 3000)).await.0, 200);
     node.signal(Signal::SIGTERM);
-    is_shut_and_read_from(&mut resting, &op("order", 0, 2, 3000)).await;
-    drop(resting);
+    assert_half_closed(&mut idle, &op("order", 0, 2, 3000)).await;
+    drop(idle);
     assert!(node.ended().await.success());
-    assert!(!has_seen(&store, 2), "read after the shutdown");
+    assert!(!has_received(&store, 2), "read after the shutdown");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_that_rested_too_long_is_closed_without_a_reset() {
-    let (node, store, _discovery) = Node::with(impatient_of_rest, 256, |_| Act::Write(ok("served"))).await;
-    let mut resting = node.connect().await;
-    assert_eq!(resting.ask(&op("order", 0, 1, 3000)).await.0, 200);
-    is_shut_and_read_from(&mut resting, &op("order", 0, 2, 3000)).await;
-    come_round(&node).await;
-    assert!(!has_seen(&store, 2), "read after the shutdown");
+async fn connection_idle_too_long_is_closed_without_reset() {
+    let (node, store, _discovery) =
+        Node::with(config_with_short_idle_timeout, 256, |_| Act::Write(ok("served"))).await;
+    let mut idle = node.connect().await;
+    assert_eq!(idle.ask(&op("order", 0, 1, 3000)).await.0, 200);
+    assert_half_closed(&mut idle, &op("order", 0, 2, 3000)).await;
+    wait_for_event_loop(&node).await;
+    assert!(!has_received(&store, 2), "read after the shutdown");
 }
 
 /// The time for a request was cut by that for the rest before it, and it was told that it came too slowly.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_begins_late_in_a_rest_has_its_own_time() {
-    let (node, _store, _discovery) = Node::with(impatient_of_rest, 256, |_| Act::Write(ok("served"))).await;
+async fn request_begun_late_in_idle_time_has_its_own_timeout() {
+    let (node, _store, _discovery) =
+        Node::with(config_with_short_idle_timeout, 256, |_| Act::Write(ok("served"))).await;
     let mut caller = node.connect().await;
     assert_eq!(caller.ask(&op("order", 0, 1, 3000)).await.0, 200);
     let bytes = op("order", 0, 2, 3000);
@@ -161,8 +169,8 @@
     assert_eq!(caller.ask(rest).await.0, 200);
 }
 
-/// Returns once the gateway listens no more. What begins then is not over by itself before the process ends.
-async fn listener_is_gone(node: &Node) {
+/// Returns once the gateway no longer listens. Requests that begin then do not time out before the process ends.
+async fn wait_for_listener_close(node: &Node) {
     let refused = async {
         while TcpStream::connect(node.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -173,17 +181,17 @@
 
 /// The process ended over it: what came then reset the connection and could take the answer along.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_process_waits_for_clients_to_take_their_last_answer() {
+async fn process_on_sigterm_waits_for_clients_to_read_last_response() {
     // Where this test itself is held up it sees the answer late, and tells nothing.
     for _ in 0..3 {
-        let (mut node, _store, _discovery) = Node::with(patient, 256, |_| Act::Hold).await;
+        let (mut node, _store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
         let mut half = node.connect().await;
         node.signal(Signal::SIGTERM);
-        listener_is_gone(&node).await;
+        wait_for_listener_close(&node).await;
         half.write(&op("order", 0, 1, 3000)[..40]).await;
         assert_eq!(half.answer().await.expect("whole").head.status, 503);
         let answered = Instant::now();
-        half.write(&vec![b'a'; MUCH]).await;
+        half.write(&vec![b'a'; READ_AHEAD_BYTES]).await;
         assert!(node.ended().await.success());
         if answered.elapsed() > Duration::from_millis(60) {
             return;
@@ -193,11 +201,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_process_ends_once_its_clients_have_closed() {
-    let (mut node, _store, _discovery) = Node::with(patient, 256, |_| Act::Hold).await;
+async fn process_on_sigterm_ends_once_clients_have_closed() {
+    let (mut node, _store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
     let mut half = node.connect().await;
     node.signal(Signal::SIGTERM);
-    listener_is_gone(&node).await;
+    wait_for_listener_close(&node).await;
     half.write(&op("order", 0, 1, 3000)[..40]).await;
     assert_eq!(half.answer().await.expect("whole").head.status, 503);
     assert_eq!(half.answer().await, None);
@@ -207,8 +215,9 @@
 
 /// One that had asked before was closed without a word, its request half read.
 #[tokio::test(flavor = "multi_thread")]
-async fn half_a_request_is_told_that_there_is_no_room() {
-    let (node, _store, _discovery) = Node::with(patient, 40, |_| Act::Write(ok("served"))).await;
+async fn partial_request_over_capacity_gets_503() {
+    let (node, _store, _discovery) =
+        Node::with(config_with_long_deadlines, 40, |_| Act::Write(ok("served"))).await;
     let mut half = node.connect().await;
     assert_eq!(half.ask(&op("order", 0, 1, 3000)).await.0, 200);
     half.write(&op("order", 0, 2, 3000)[..40]).await;
@@ -224,28 +233,29 @@
 
 /// A connection that is shut over its last answer went before all that rest, and what lay unread there reset it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_that_just_had_its_last_answer_is_not_the_first_to_go() {
-    let (node, _store, _discovery) = Node::with(patient, 40, |_| Act::Write(ok("served"))).await;
-    let mut resting = Vec::new();
+async fn client_with_fresh_last_response_is_not_evicted_first() {
+    let (node, _store, _discovery) =
+        Node::with(config_with_long_deadlines, 40, |_| Act::Write(ok("served"))).await;
+    let mut idle = Vec::new();
     for n in 0..21 {
         let mut caller = node.connect().await;
         assert_eq!(caller.ask(&op("order", 0, n, 3000)).await.0, 200);
-        resting.push(caller);
+        idle.push(caller);
     }
     let mut refused = node.connect().await;
     assert_eq!(refused.ask(b"noise\r\n\r\n").await.0, 400);
     assert_eq!(node.connect().await.ask(&op("order", 0, 99, 3000)).await.0, 200);
-    assert_eq!(resting[0].answer().await, None, "it was answered longest ago");
-    is_shut_and_read_from(&mut refused, b"more noise").await;
+    assert_eq!(idle[0].answer().await, None, "it was answered longest ago");
+    assert_half_closed(&mut refused, b"more noise").await;
 }
 
 /// Discovery goes silent, idle clients take every place; it comes back where it was, with news.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_clients_keep_neither_usual_ones_nor_discovery_out() {
+async fn idle_clients_at_capacity_keep_out_neither_clients_nor_discovery() {
     let discovery = Discovery::start().await.expect("loopback");
-    let (store, other) = (served().await, served().await);
+    let (store, other) = (start_serving_store().await, start_serving_store().await);
     discovery.list("s0", store.address, 0, "ready");
-    let (front, up) = before(&discovery).await;
+    let (front, up) = start_interruptible_proxy(&discovery).await;
     let node = Node::configured(&config(front, 40)).await;
     node.ready().await;
     up.send_replace(false);
@@ -261,22 +271,22 @@
     discovery.list("s3", other.address, 3, "ready");
     up.send_replace(true);
     // No store of this shard was known before.
-    let heard = async {
+    let news_applied = async {
         for n in 2.. {
             if node.connect().await.ask(&op("order", 3, n, 3000)).await.0 == 200 {
                 return;
             }
         }
     };
-    within(6, "the news are heard", heard).await;
+    within(6, "the news are heard", news_applied).await;
 }
 
-async fn served() -> Store {
+async fn start_serving_store() -> Store {
     Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback")
 }
 
-/// An address that leads to discovery; while it is not up all there is reset, and who comes is not heard.
-async fn before(discovery: &Discovery) -> (SocketAddr, tokio::sync::watch::Sender<bool>) {
+/// A proxy to discovery; while it is down its connections are reset and new ones are not forwarded.
+async fn start_interruptible_proxy(discovery: &Discovery) -> (SocketAddr, tokio::sync::watch::Sender<bool>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let (address, to) = (listener.local_addr().expect("bound"), discovery.address);
     let (up, is_up) = tokio::sync::watch::channel(true);
--- a/crates/cli/tests/platform/failing_calls.rs
+++ b/crates/cli/tests/platform/failing_calls.rs
@@ -12,11 +12,11 @@
 
 const CLIENTS: u64 = 10;
 const REQUESTS: u64 = 20;
-/// A request that is refused is asked again so many times, after what gateways tell of with these settings.
-const TRIES: u64 = 3;
+/// Attempts of a rejected request, each after the Retry-After that gateways send with these settings.
+const MAX_ATTEMPTS: u64 = 3;
 const RETRY_AFTER: Duration = Duration::from_millis(400);
 
-fn library() -> PathBuf {
+fn shim_library() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     let build = || {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("shim-{}", std::process::id()));
@@ -26,12 +26,13 @@
     BUILT.get_or_init(build).clone()
 }
 
-/// Of requests one after the other on kept connections and on new ones: how many were served, and how many had no answer.
-async fn served_and_lost(faults: CallFaults) -> (u64, u64) {
+/// Sends requests one after the other on kept and on new connections; how many were served, and how many had no response.
+async fn count_responses(faults: CallFaults) -> (u64, u64) {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok(&"served".repeat(200)))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
-    let node = Node::with_environment(&config(discovery.address, 256), &faults.environment(&library())).await;
+    let node =
+        Node::with_environment(&config(discovery.address, 256), &faults.environment(&shim_library())).await;
     let (mut served, mut lost) = (0, 0);
     let mut clients = JoinSet::new();
     for client in 0..CLIENTS {
@@ -41,8 +42,8 @@
             let (mut served, mut lost) = (0, 0);
             for n in 0..REQUESTS {
                 // A refusal is no loss, and the client comes back when it was told to.
-                for again in 0..TRIES {
-                    let id = TRIES * (1000 * client + n) + again;
+                for attempt in 0..MAX_ATTEMPTS {
+                    let id = MAX_ATTEMPTS * (1000 * client + n) + attempt;
                     caller.write(&op("look", 0, id, 2000)).await;
                     match caller.answer_or_nothing().await {
                         Some(answer) if answer.head.status == 200 => {
@@ -68,33 +69,33 @@
     (served, lost)
 }
 
-async fn none_is_lost(faults: CallFaults) {
+async fn assert_no_response_lost(faults: CallFaults) {
     for seed in 1..=3 {
         let faults = CallFaults { seed, ..faults };
-        let (served, lost) = served_and_lost(faults).await;
+        let (served, lost) = count_responses(faults).await;
         let all = CLIENTS * REQUESTS;
         assert!(lost == 0 && served * 10 >= all * 9, "{faults:?}: {served} of {all} served, {lost} lost");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn interrupted_calls_lose_nothing() {
-    none_is_lost(CallFaults { interrupted: 30, ..CallFaults::default() }).await;
+async fn interrupted_calls_lose_no_response() {
+    assert_no_response_lost(CallFaults { interrupted: 30, ..CallFaults::default() }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn short_reads_and_writes_lose_nothing() {
-    none_is_lost(CallFaults { short_reads: 200, ..CallFaults::default() }).await;
-    none_is_lost(CallFaults { short_writes: 200, ..CallFaults::default() }).await;
+async fn short_reads_and_writes_lose_no_response() {
+    assert_no_response_lost(CallFaults { short_reads: 200, ..CallFaults::default() }).await;
+    assert_no_response_lost(CallFaults { short_writes: 200, ..CallFaults::default() }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_that_fail_for_a_moment_lose_nothing() {
-    none_is_lost(CallFaults { transient: 40, ..CallFaults::default() }).await;
+async fn transient_call_failures_lose_no_response() {
+    assert_no_response_lost(CallFaults { transient: 40, ..CallFaults::default() }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_faults_of_calls_together_lose_nothing() {
+async fn combined_call_faults_lose_no_response() {
     let all = CallFaults { seed: 0, interrupted: 30, short_reads: 200, short_writes: 200, transient: 40 };
-    none_is_lost(all).await;
+    assert_no_response_lost(all).await;
 }
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,5 +1,5 @@
 //! `umbertray node` as its operators run it: the real program between scripted clients, stores and discovery on
-//! loopback. What is judged is what crossed the sockets.
+//! loopback. The tests judge only what crossed the sockets.
 
 mod bad_peers;
 mod clocks;
@@ -10,7 +10,6 @@
 mod serving;
 mod signals;
 mod sizes;
-
 mod soak;
 mod stopped_clients;
 mod store_endings;
--- a/crates/cli/tests/platform/reloads.rs
+++ b/crates/cli/tests/platform/reloads.rs
@@ -9,13 +9,13 @@
 use crate::common::{Node, config, op, within};
 
 /// Both op types with this deadline, in seconds.
-fn with_deadline(seconds: f64, discovery: SocketAddr) -> String {
+fn config_with_deadline(seconds: f64, discovery: SocketAddr) -> String {
     let deadline = format!(r#""deadlineS":{seconds:.1}"#);
     config(discovery, 256).replace(r#""deadlineS":2.0"#, &deadline).replace(r#""deadlineS":3.0"#, &deadline)
 }
 
-fn with_short_deadline(discovery: SocketAddr, _: usize) -> String {
-    with_deadline(0.9, discovery)
+fn config_with_short_deadline(discovery: SocketAddr, _: usize) -> String {
+    config_with_deadline(0.9, discovery)
 }
 
 /// Writes a configuration that also moves discovery, and returns once the gateway follows it there.
@@ -31,10 +31,10 @@
 
 /// The drain went by the deadlines of the first configuration: what was open was given up after 0.9 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_goes_by_the_deadlines_in_force() {
+async fn drain_after_reload_uses_deadlines_in_force() {
     let answer = |_| Act::WriteAfter(Duration::from_millis(2300), ok("served"));
-    let (mut node, store, _first) = Node::with(with_short_deadline, 256, answer).await;
-    let _moved = reload(&node, &store, |discovery| with_deadline(6.0, discovery)).await;
+    let (mut node, store, _first) = Node::with(config_with_short_deadline, 256, answer).await;
+    let _moved = reload(&node, &store, |discovery| config_with_deadline(6.0, discovery)).await;
     let mut caller = node.connect().await;
     caller.write(&op("order", 0, 1, 2900)).await;
     within(5, "the request at its store", store.until(|seen| !seen.is_empty())).await;
@@ -47,7 +47,7 @@
 
 /// Connections that were idle when the idle time became shorter stayed open by the time before.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connections_go_by_the_idle_time_in_force() {
+async fn idle_connections_after_reload_use_idle_timeout_in_force() {
     let (node, store, _first) = Node::with_store(|_| Act::Write(ok("served"))).await;
     let (mut first, mut second) = (node.connect().await, node.connect().await);
     first.write(&op("order", 0, 1, 3000)).await;
@@ -72,7 +72,7 @@
 
 /// Ten configurations in a row, each other one wrong in another way: the last right one is in force, nothing is lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn configurations_in_a_row_are_taken_whole_or_not_at_all() {
+async fn reloads_in_a_row_apply_completely_or_not_at_all() {
     const ROUNDS: u64 = 10;
     let (node, store, first) = Node::with_store(|_| Act::Write(ok("served"))).await;
     let wrong: [fn(String) -> String; 5] = [
@@ -84,7 +84,7 @@
     ];
     let mut caller = node.connect().await;
     for round in 0..ROUNDS {
-        let right = with_deadline(1.0 + round as f64, first.address);
+        let right = config_with_deadline(1.0 + round as f64, first.address);
         let text = if round % 2 == 0 { right } else { wrong[round as usize / 2](config(first.address, 256)) };
         std::fs::write(&node.config, text).expect("our own file");
         node.signal(Signal::SIGHUP);
@@ -92,7 +92,7 @@
             assert_eq!(caller.ask(&op("order", 0, 10 * round + n, 900)).await.0, 200, "round {round}");
         }
     }
-    let _moved = reload(&node, &store, |discovery| with_deadline(9.0, discovery)).await;
+    let _moved = reload(&node, &store, |discovery| config_with_deadline(9.0, discovery)).await;
     assert_eq!(caller.ask(&op("order", 0, 1000, 9000)).await.0, 200);
     let took_on = store.requests().iter().filter(|(_, request)| &*request.method == "PUT").count() as u64;
     assert_eq!(took_on, 5 * ROUNDS + 1, "each once");
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/serving.rs
@@ -12,7 +12,7 @@
 const RESTED: Duration = Duration::from_millis(20);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ops_are_served_over_one_connection_to_the_store_that_rests_between_them() {
+async fn ops_after_idle_pauses_reuse_one_store_connection() {
     let (node, store, _discovery) = Node::with_store(|n| Act::Write(ok(&format!("body {n}")))).await;
     let mut caller = node.connect().await;
     for n in 0..20 {
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_that_broke_after_the_last_byte_may_have_run_the_op() {
+async fn store_connection_closed_after_last_byte_may_have_executed_op() {
     let (node, store, _discovery) =
         Node::with_store(|n| if n % 2 == 0 { Act::Close } else { Act::Write(ok("served")) }).await;
     let mut caller = node.connect().await;
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_refuses_connections_never_ran_the_op() {
+async fn store_refusing_connections_never_executed_op() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Hold).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_that_ended_while_idle_is_not_written_to() {
+async fn store_connection_closed_while_idle_is_not_written_to() {
     let (node, store, _discovery) = Node::with_store(|_| Act::WriteAndClose(ok("once"))).await;
     let mut caller = node.connect().await;
     for n in 0..5 {
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_op_whose_time_is_up_is_answered_and_its_connection_closed() {
+async fn op_past_deadline_is_answered_and_store_connection_closed() {
     let (node, store, _discovery) = Node::with_store(|_| Act::Hold).await;
     let began = Instant::now();
     let (status, _) = node.connect().await.ask(&op("look", 0, 1, 400)).await;
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_that_leaves_while_its_op_waits_has_it_dropped() {
+async fn client_that_leaves_while_its_op_waits_cancels_it() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok("late"))).await.expect("loopback");
     discovery.list("s1", store.address, 1, "ready");
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_requests_at_once_on_one_connection_are_answered_in_order() {
+async fn pipelined_requests_are_answered_in_order() {
     let (node, _store, _discovery) = Node::with_store(|n| Act::Write(ok(&n.to_string()))).await;
     let mut caller = node.connect().await;
     let all: Vec<u8> = (0..60).flat_map(|n| op("look", 0, n, 2000)).collect();
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watch_that_tells_what_cannot_be_read_is_asked_anew_and_the_list_kept() {
+async fn watch_with_unreadable_event_is_restarted_and_list_kept() {
     let (node, _store, discovery) = Node::with_store(|_| Act::Write(ok("served"))).await;
     let wholes = |asked: &Vec<String>| asked.iter().filter(|target| !target.contains('?')).count();
     within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
@@ -139,7 +139,7 @@
 
 /// Connections to where a store was lead, later, to whoever listens there now.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_moves_is_reached_where_it_is_now() {
+async fn store_with_new_address_is_reached_there() {
     let (node, before, discovery) = Node::with_store(|_| Act::Write(ok("before"))).await;
     let now = Store::start(|_, _| Act::Write(ok("now"))).await.expect("loopback");
     let mut caller = node.connect().await;
--- a/crates/cli/tests/platform/signals.rs
+++ b/crates/cli/tests/platform/signals.rs
@@ -4,10 +4,10 @@
 use nix::sys::signal::Signal;
 use umbertray_fakes::platform::{Act, Discovery, ok};
 
-use crate::common::{Node, asked_for, config, op, patient, within};
+use crate::common::{Node, config, config_with_long_deadlines, config_with_subscription, op, within};
 
-/// Returns once it says so, each time to a new connection.
-async fn says_that_it_is_not_ready(node: &Node) {
+/// Polls readiness, each time over a new connection.
+async fn wait_until_not_ready(node: &Node) {
     let not_ready = async {
         loop {
             let mut late = node.connect().await;
@@ -21,26 +21,26 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sigterm_answers_what_was_taken_and_what_still_comes_and_ends() {
+async fn sigterm_answers_present_and_new_requests_and_exits() {
     let (mut node, store, _discovery) =
         Node::with_store(|_| Act::WriteAfter(Duration::from_millis(300), ok("in the end"))).await;
-    let (mut taken, mut standing) = (node.connect().await, node.connect().await);
-    taken.write(&op("look", 0, 1, 2000)).await;
+    let (mut in_flight, mut idle) = (node.connect().await, node.connect().await);
+    in_flight.write(&op("look", 0, 1, 2000)).await;
     within(5, "the op at the store", store.until(|seen| !seen.is_empty())).await;
     node.signal(Signal::SIGTERM);
     // It says so, and serves connections that stand and that are new for as long as there is time to answer.
-    says_that_it_is_not_ready(&node).await;
+    wait_until_not_ready(&node).await;
     for n in 2..5 {
-        assert_eq!(standing.ask(&op("look", 0, n, 2000)).await, (200, "in the end".into()));
+        assert_eq!(idle.ask(&op("look", 0, n, 2000)).await, (200, "in the end".into()));
     }
-    assert_eq!(taken.answer().await.expect("what was taken is answered").head.status, 200);
-    assert_eq!((taken.answer().await, standing.answer().await), (None, None), "idle connections end");
+    assert_eq!(in_flight.answer().await.expect("what was taken is answered").head.status, 200);
+    assert_eq!((in_flight.answer().await, idle.answer().await), (None, None), "idle connections end");
     assert!(node.ended().await.success());
 }
 
 /// What comes last has less time than its client gave it: SIGKILL would lose it.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_comes_after_sigterm_has_its_answer_before_sigkill() {
+async fn requests_after_sigterm_are_answered_before_sigkill() {
     let (mut node, store, _discovery) = Node::with_store(|_| Act::Hold).await;
     let began = Instant::now();
     node.signal(Signal::SIGTERM);
@@ -61,8 +61,8 @@
 
 /// Days of restarts lost what gateways had taken before SIGTERM: it kept its clients' time, the process did not.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_was_taken_before_sigterm_is_answered_though_its_client_would_wait_longer() {
-    let (mut node, store, _discovery) = Node::with(patient, 256, |_| Act::Hold).await;
+async fn requests_before_sigterm_with_long_deadlines_are_answered_before_exit() {
+    let (mut node, store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
     let mut callers = Vec::new();
     for n in 0..30 {
         let mut caller = node.connect().await;
@@ -83,10 +83,11 @@
 
 /// The listener went at once where the shortest op timeout is longer than the time to SIGKILL.
 #[tokio::test(flavor = "multi_thread")]
-async fn new_connections_are_served_after_sigterm_however_long_clients_wait() {
-    let (mut node, _store, _discovery) = Node::with(patient, 256, |_| Act::Write(ok("served"))).await;
+async fn new_connections_after_sigterm_are_served_at_any_deadline() {
+    let (mut node, _store, _discovery) =
+        Node::with(config_with_long_deadlines, 256, |_| Act::Write(ok("served"))).await;
     node.signal(Signal::SIGTERM);
-    says_that_it_is_not_ready(&node).await;
+    wait_until_not_ready(&node).await;
     for n in 0..3 {
         assert_eq!(node.connect().await.ask(&op("order", 0, n, 20_000)).await.0, 200);
     }
@@ -95,7 +96,7 @@
 
 /// Cut to the end of the process, the time left told the module that the client had waited through earlier tries.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_op_is_served_after_sigterm_though_its_time_goes_beyond_the_end() {
+async fn op_after_sigterm_with_deadline_past_exit_is_served() {
     let store = |_| Act::WriteAfter(Duration::from_millis(100), ok("served"));
     let (mut node, _store, _discovery) = Node::with_store(store).await;
     let mut caller = node.connect().await;
@@ -108,8 +109,9 @@
 
 /// A request may be on its way, or lie unread, when the gateway has stopped listening: no other connection can be made.
 #[tokio::test(flavor = "multi_thread")]
-async fn who_connected_and_has_not_asked_yet_is_answered_after_the_listener_has_gone() {
-    let (mut node, _store, _discovery) = Node::with(patient, 256, |_| Act::Write(ok("served"))).await;
+async fn connection_without_request_is_answered_after_listener_closed() {
+    let (mut node, _store, _discovery) =
+        Node::with(config_with_long_deadlines, 256, |_| Act::Write(ok("served"))).await;
     let (mut silent, mut heard) = (node.connect().await, node.connect().await);
     assert_eq!(heard.ask(&op("look", 0, 1, 20_000)).await.0, 200);
     node.signal(Signal::SIGTERM);
@@ -121,16 +123,16 @@
 
 /// Where the list is asked for, it was not asked for again: no drain was heard of after the move.
 #[tokio::test(flavor = "multi_thread")]
-async fn sighup_moves_the_watch_of_a_list_that_is_asked_for() {
-    moves_the_watch(asked_for).await;
+async fn sighup_with_subscribed_list_moves_watch() {
+    assert_sighup_moves_watch(config_with_subscription).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sighup_moves_the_watch_and_keeps_the_list() {
-    moves_the_watch(config).await;
+async fn sighup_with_automatic_list_moves_watch_and_keeps_list() {
+    assert_sighup_moves_watch(config).await;
 }
 
-async fn moves_the_watch(config: fn(SocketAddr, usize) -> String) {
+async fn assert_sighup_moves_watch(config: fn(SocketAddr, usize) -> String) {
     let (node, store, first) = Node::with(config, 256, |_| Act::Write(ok("served"))).await;
     let second = Discovery::start().await.expect("loopback");
     second.list("s0", store.address, 0, "ready");
@@ -142,11 +144,11 @@
     node.signal(Signal::SIGHUP);
     within(5, "the second watch", second.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1"))))
         .await;
-    let let_go = async {
+    let first_watch_ended = async {
         while first.watches() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    within(5, "the end of the first watch", let_go).await;
+    within(5, "the end of the first watch", first_watch_ended).await;
     assert_eq!(node.connect().await.ask(&op("look", 0, 2, 2000)).await.0, 200);
 }
--- a/crates/cli/tests/platform/sizes.rs
+++ b/crates/cli/tests/platform/sizes.rs
@@ -11,7 +11,7 @@
 /// The least that a gateway has to get along with.
 const SOCKETS: usize = 256;
 
-fn large(discovery: SocketAddr) -> String {
+fn config_of_large_fleet(discovery: SocketAddr) -> String {
     let text = config(discovery, SOCKETS).replace(r#""slotsTotal":4"#, &format!(r#""slotsTotal":{STORES}"#));
     text.replace(r#""memory_mb":64"#, r#""memory_mb":32"#)
 }
@@ -24,20 +24,20 @@
 }
 
 /// A change of all in one object, each store with a name of a thousand letters: more than a megabyte.
-fn change(version: u64, address: SocketAddr) -> String {
+fn change_of_all(version: u64, address: SocketAddr) -> String {
     let entries: Vec<String> = (0..STORES).map(|shard| entry(shard, address)).collect();
     format!(r#"{{"rev":{version},"all":false,"targets":[{}]}}"#, entries.join(","))
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_list_of_1024_stores_is_taken_whole_and_as_one_change() {
+async fn list_of_1024_stores_is_applied_in_full_and_as_one_change() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
     let nobody = "127.0.0.1:1".parse::<SocketAddr>().expect("an address");
     for shard in 0..STORES {
         discovery.list(&format!("{shard:->1000}"), store.address, shard, "ready");
     }
-    let node = Node::configured(&large(discovery.address)).await;
+    let node = Node::configured(&config_of_large_fleet(discovery.address)).await;
     node.ready().await;
     let mut caller = node.connect().await;
     for shard in [0, 511, 1023] {
@@ -47,7 +47,7 @@
     // Twice all of them change in one object: to where nobody listens, and back.
     let version = u64::from(STORES);
     for (n, (address, status)) in [(nobody, 503), (store.address, 200)].into_iter().enumerate() {
-        discovery.say(&change(version + 1 + n as u64, address));
+        discovery.say(&change_of_all(version + 1 + n as u64, address));
         let told = async {
             for id in 0.. {
                 let id = 10_000 * (n as u64 + 1) + id;
@@ -63,7 +63,7 @@
 
 /// Every store is reached although not each can have a connection, one after the other and all at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn more_stores_than_descriptors_are_all_reached() {
+async fn stores_beyond_descriptor_limit_are_all_reached() {
     const REACHED: u32 = 300;
     let discovery = Discovery::start().await.expect("loopback");
     let mut stores = Vec::new();
@@ -73,7 +73,7 @@
         discovery.list(&format!("s{shard}"), store.address, shard, "ready");
         stores.push(store);
     }
-    let node = Node::configured(&large(discovery.address)).await;
+    let node = Node::configured(&config_of_large_fleet(discovery.address)).await;
     node.ready().await;
     let mut caller = node.connect().await;
     for shard in 0..i64::from(REACHED) {
--- a/crates/cli/tests/platform/soak.rs
+++ b/crates/cli/tests/platform/soak.rs
@@ -7,7 +7,7 @@
 use umbertray_fault_tests::soak::{self, Plan};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_that_overlap_break_no_counted_rule() {
+async fn overlapping_faults_break_no_counted_rule() {
     for seed in [1, 2] {
         let plan = Plan::draw(seed, 10, Duration::from_secs(5));
         let folder =
--- a/crates/cli/tests/platform/stopped_clients.rs
+++ b/crates/cli/tests/platform/stopped_clients.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use umbertray_fakes::platform::{Act, ok};
 
-use crate::common::{Caller, Node, config, op, patient, within};
+use crate::common::{Caller, Node, config, config_with_long_deadlines, op, within};
 
 /// The standing page: bad clients are owed their error or close within so long.
 const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
@@ -47,8 +47,8 @@
     [0, 1].into_iter().flat_map(with).collect()
 }
 
-/// How long after its last byte a client that stops so had an error or a close; nothing within twice the limit.
-async fn waited(mut caller: Caller, stop: &Stop, first_id: u64) -> Option<Duration> {
+/// How long after its last byte the client had an error or a close; none within twice the limit.
+async fn time_to_response(mut caller: Caller, stop: &Stop, first_id: u64) -> Option<Duration> {
     for n in 0..stop.answered_before {
         assert_eq!(caller.ask(&op("order", 0, first_id + n as u64, 2000)).await.0, 200);
     }
@@ -63,13 +63,13 @@
     ended.ok().map(|_| stopped.elapsed())
 }
 
-/// All ways to stop at once, each on a connection of its own.
-async fn all_are_told(node: &Node, settings: &str) {
+/// Plays all cases at once, each on a connection of its own.
+async fn assert_all_answered_in_time(node: &Node, settings: &str) {
     let mut clients = JoinSet::new();
     for (place, stop) in stops().into_iter().enumerate() {
         let caller = node.connect().await;
         clients.spawn(async move {
-            let waited = waited(caller, &stop, 1000 + 10 * place as u64).await;
+            let waited = time_to_response(caller, &stop, 1000 + 10 * place as u64).await;
             (stop.name, stop.answered_before, waited)
         });
     }
@@ -81,7 +81,7 @@
 }
 
 /// Settings with this longest deadline, in seconds.
-fn deadline(seconds: f64, discovery: SocketAddr) -> String {
+fn config_with_deadline(seconds: f64, discovery: SocketAddr) -> String {
     let longest = format!(r#""deadlineS":{seconds:.1}"#);
     config(discovery, 256)
         .replace(r#""deadlineS":2.0"#, &longest)
@@ -91,40 +91,47 @@
 
 /// The incident: with long deadlines the time to read a request was a third of the longest.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopped_clients_are_answered_within_the_limit_whatever_the_deadlines() {
-    for config in [short, middle, patient, longest] as [fn(SocketAddr, usize) -> String; 4] {
+async fn stopped_clients_at_any_deadline_are_answered_within_limit() {
+    for config in [
+        config_with_short_deadline,
+        config_with_medium_deadline,
+        config_with_long_deadlines,
+        config_with_longest_deadline,
+    ] as [fn(SocketAddr, usize) -> String; 4]
+    {
         let (node, _store, discovery) = Node::with(config, 256, |_| Act::Write(ok("served"))).await;
         let settings = config(discovery.address, 256);
         let deadlines = settings.split(r#""deadlineS":"#).nth(1).unwrap_or_default();
-        all_are_told(&node, deadlines.get(..4).unwrap_or_default()).await;
+        assert_all_answered_in_time(&node, deadlines.get(..4).unwrap_or_default()).await;
     }
 }
 
-fn short(discovery: SocketAddr, _: usize) -> String {
-    deadline(0.6, discovery)
+fn config_with_short_deadline(discovery: SocketAddr, _: usize) -> String {
+    config_with_deadline(0.6, discovery)
 }
 
-fn middle(discovery: SocketAddr, _: usize) -> String {
-    deadline(9.0, discovery)
+fn config_with_medium_deadline(discovery: SocketAddr, _: usize) -> String {
+    config_with_deadline(9.0, discovery)
 }
 
-fn longest(discovery: SocketAddr, _: usize) -> String {
-    deadline(60.0, discovery)
+fn config_with_longest_deadline(discovery: SocketAddr, _: usize) -> String {
+    config_with_deadline(60.0, discovery)
 }
 
 /// A new configuration changed the module's settings and not the front's own times.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopped_clients_are_answered_within_the_limit_of_the_settings_in_force() {
-    let (node, _store, discovery) = Node::with(longest, 256, |_| Act::Write(ok("served"))).await;
-    std::fs::write(&node.config, deadline(1.5, discovery.address)).expect("our own file");
+async fn stopped_clients_after_reload_are_answered_within_limit() {
+    let (node, _store, discovery) =
+        Node::with(config_with_longest_deadline, 256, |_| Act::Write(ok("served"))).await;
+    std::fs::write(&node.config, config_with_deadline(1.5, discovery.address)).expect("our own file");
     node.signal(Signal::SIGHUP);
-    all_are_told(&node, "60 s, reloaded with 1.5 s").await;
+    assert_all_answered_in_time(&node, "60 s, reloaded with 1.5 s").await;
 }
 
 /// A client that stops behind an open request: its answer comes first, and the word on the rest at once after it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_client_stopped_behind_an_open_request_is_told_with_its_answer() {
-    let (node, _store, _discovery) = Node::with(patient, 256, |_| Act::Hold).await;
+async fn client_stopped_behind_open_request_gets_408_after_its_response() {
+    let (node, _store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
     let mut caller = node.connect().await;
     let next = op("order", 0, 2, 2000);
     caller.write(&[&op("order", 0, 1, 4000)[..], &next[..next.len() - 2]].concat()).await;
--- a/crates/cli/tests/platform/store_endings.rs
+++ b/crates/cli/tests/platform/store_endings.rs
@@ -1,4 +1,4 @@
-//! What is owed at each ending of a connection to a store. The store is a script over the bytes of each connection.
+//! What the gateway owes at each end of a connection to a store. The store is a script over the bytes of each connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,14 +70,14 @@
     (node, discovery)
 }
 
-/// Connections come up late, and rest long after an answer.
-fn late(discovery: SocketAddr, sockets: usize) -> String {
+/// Connections may take long to be established, and stay idle long after a response.
+fn config_with_long_connect_timeout(discovery: SocketAddr, sockets: usize) -> String {
     config(discovery, sockets).replace(r#""dialTimeoutS":0.2"#, r#""dialTimeoutS":8.0"#)
 }
 
 /// The op type that may not run twice is failed, and the other sent again, wherever its answer is cut.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_is_cut_is_never_passed_on() {
+async fn truncated_store_response_is_never_forwarded() {
     const CUT: [&[u8]; 7] = [
         b"",
         b"HTTP/1.1 2",
@@ -111,7 +111,7 @@
 
 /// It was refused whole: a once-only op that had run was failed.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_a_length_is_served_if_its_connection_ends_in_good_order() {
+async fn response_without_length_is_served_if_connection_ends_cleanly() {
     for reset in [false, true] {
         let (address, _) = store(move |mut peer| async move {
             if peer.request().await.is_some() {
@@ -131,7 +131,7 @@
 
 /// A second answer, a while after the first: the next request over that connection had it for its own.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_answer_that_comes_late_is_nobodys() {
+async fn late_second_response_is_dropped() {
     let (address, _) = store(|mut peer| async move {
         for answer in ["its own", "a second one"] {
             if peer.request().await.is_some() {
@@ -140,7 +140,7 @@
         }
     })
     .await;
-    let (node, _discovery) = gateway(address, late).await;
+    let (node, _discovery) = gateway(address, config_with_long_connect_timeout).await;
     let mut caller = node.connect().await;
     for n in 0..5 {
         assert_eq!(caller.ask(&op("order", 0, n, 2000)).await, (200, "its own".into()), "{n}");
@@ -149,7 +149,7 @@
 
 /// Once it has rested a connection is used again: a store holds few.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_that_has_rested_is_used_again() {
+async fn idle_store_connection_is_reused() {
     let (address, _) = store(|mut peer| async move {
         let name = peer.number.to_string();
         while peer.request().await.is_some() {
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -12,7 +12,10 @@
 use umbertray_fault_tests::record::Deed;
 use umbertray_fault_tests::run::Gateway;
 
-use crate::common::*;
+use crate::common::{
+    assert_mostly_acked, block_contents, empty_folder, expect_acked, is_throttled, program_path,
+    retry_throttled, run_fault_scenario, start_fleet, within,
+};
 
 const SHARED: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
@@ -28,48 +31,53 @@
       order_pause = 0.1, ask_within = 1)
 "#;
 
-fn config(words: &[&str], changes: &Path) -> Output {
-    let mut command = std::process::Command::new(program());
-    command.arg("config").args(words).arg("--changes").arg(changes);
+fn run_config(arguments: &[&str], changes: &Path) -> Output {
+    let mut command = std::process::Command::new(program_path());
+    command.arg("config").args(arguments).arg("--changes").arg(changes);
     command.output().expect("it runs")
 }
 
-const WHO: [&str; 4] = ["--actor", "ann", "--reason", "to see"];
+const AUTHOR: [&str; 4] = ["--actor", "ann", "--reason", "to see"];
 
-/// Runs a command that must do what it is told.
-fn does(words: &[&str], changes: &Path) {
-    let done = config(words, changes);
+/// Runs a command that must succeed.
+fn expect_success(arguments: &[&str], changes: &Path) {
+    let done = run_config(arguments, changes);
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
 }
 
-pub fn apply(words: &[&str], changes: &Path) {
-    does(&[&["apply"], words, &WHO].concat(), changes);
+pub(crate) fn apply_change(arguments: &[&str], changes: &Path) {
+    expect_success(&[&["apply"], arguments, &AUTHOR].concat(), changes);
 }
 
-/// A folder of this test's with a log of version 1 in it.
-pub fn begun(name: &str) -> (PathBuf, PathBuf) {
-    let folder = folder(name);
+/// A folder of this test's own and a log of changes in it, at version 1.
+pub(crate) fn new_log(name: &str) -> (PathBuf, PathBuf) {
+    let folder = empty_folder(name);
     let (file, changes) = (folder.join("shared.star"), folder.join("changes"));
     std::fs::write(&file, SHARED).expect("room");
-    let words = [&["import", file.to_str().expect("UTF-8")][..], &WHO].concat();
-    does(&words, &changes);
+    let arguments = [&["import", file.to_str().expect("UTF-8")][..], &AUTHOR].concat();
+    expect_success(&arguments, &changes);
     (folder, changes)
 }
 
-async fn follows(fleet: &Fleet, folder: &Path, changes: &Path, number: u64) -> std::io::Result<Gateway> {
+async fn start_follower(
+    fleet: &Fleet,
+    folder: &Path,
+    changes: &Path,
+    number: u64,
+) -> std::io::Result<Gateway> {
     let script = format!(
         "gateway(listen = [\"127.0.0.1:0\"], list = {:?}, seed = {number}, gateways = 2, extent = 256 * KiB, state = {:?}, changes = {:?})",
         fleet.list.address.to_string(),
         folder.join(format!("state-{number}")),
         changes
     );
-    Gateway::start(program(), folder, &format!("g{number}"), &script).await
+    Gateway::start(program_path(), folder, &format!("g{number}"), &script).await
 }
 
-/// Waits until a gateway's log says that it acts on a version.
-pub async fn acts_on(folder: &Path, number: u64, version: u64) {
+/// Waits until a gateway's log reports that it has applied a version.
+pub(crate) async fn wait_until_applied(folder: &Path, number: u64, version: u64) {
     let file = folder.join(format!("g{number}.log"));
-    let said = || {
+    let has_applied = || {
         let text = std::fs::read_to_string(&file).unwrap_or_default();
         let versions = text.lines().filter_map(|line| {
             let line: serde_json::Value = serde_json::from_str(line).ok()?;
@@ -78,14 +86,14 @@
         versions.max().is_some_and(|newest| newest >= version)
     };
     let waiting = async {
-        while !said() {
+        while !has_applied() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     within(20, "acting on a version", waiting).await;
 }
 
-/// Clients that write as fast as they are answered; what they saw.
+/// What clients saw that write as fast as they are answered.
 #[derive(Default)]
 struct Load {
     acked: AtomicU32,
@@ -95,29 +103,29 @@
     over: AtomicBool,
 }
 
-async fn writes(load: Arc<Load>, address: std::net::SocketAddr, volume: &'static str, block: u64) {
+async fn write_in_a_loop(load: Arc<Load>, address: std::net::SocketAddr, volume: &'static str, block: u64) {
     let Ok(connection) = Connection::open(address, volume, true).await else { return };
     while !load.over.load(Ordering::Relaxed) {
-        let asked = Instant::now();
-        let ended = connection.write(block * 4096, marked(block + 1, block, 1)).await;
-        let late = asked.elapsed() > Duration::from_secs(1) + Duration::from_millis(250);
+        let sent_at = Instant::now();
+        let ended = connection.write(block * 4096, block_contents(block + 1, block, 1)).await;
+        let late = sent_at.elapsed() > Duration::from_secs(1) + Duration::from_millis(250);
         load.late.fetch_add(u32::from(late), Ordering::Relaxed);
         let count = match &ended {
             Some(whole) if whole.error.is_none() => &load.acked,
-            ended if throttled(ended) => &load.throttled,
+            ended if is_throttled(ended) => &load.throttled,
             // Its volume was removed, and the session ends.
             _ => break,
         };
         count.fetch_add(1, Ordering::Relaxed);
-        if throttled(&ended) {
-            // As clients are told to: those that ask again at once are another test's.
+        if is_throttled(&ended) {
+            // Clients that retry at once are the subject of another test.
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
     load.strays.fetch_add(connection.strays().len() as u32, Ordering::Relaxed);
 }
 
-fn spawn(
+fn spawn_writers(
     load: &Arc<Load>,
     gateways: &[Gateway],
     volume: &'static str,
@@ -126,163 +134,165 @@
     let mut clients = tokio::task::JoinSet::new();
     for (n, gateway) in gateways.iter().enumerate() {
         for place in 0..each {
-            clients.spawn(writes(load.clone(), gateway.address, volume, n as u64 * 64 + place));
+            clients.spawn(write_in_a_loop(load.clone(), gateway.address, volume, n as u64 * 64 + place));
         }
     }
     clients
 }
 
-/// Acked within a span that begins now.
-async fn acked_in(load: &Load, span: Duration) -> (f64, f64) {
+/// Writes acknowledged within a duration that begins now, and how many seconds that came to.
+async fn acked_during(load: &Load, duration: Duration) -> (f64, f64) {
     let (before, began) = (load.acked.load(Ordering::Relaxed), Instant::now());
-    tokio::time::sleep(span).await;
+    tokio::time::sleep(duration).await;
     let acked = load.acked.load(Ordering::Relaxed) - before;
     (f64::from(acked), began.elapsed().as_secs_f64())
 }
 
 /// 1. A weight, a limit lowered, a plan move, a volume added and one removed at the peak of a burst.
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_at_the_peak_drop_nothing_and_the_limit_holds() {
-    let ((folder, changes), fleet) = (begun("peak"), fleet(2).await);
+async fn changes_under_peak_load_drop_nothing_and_keep_limit() {
+    let ((folder, changes), fleet) = (new_log("peak"), start_fleet(2).await);
     let gateways = [
-        follows(&fleet, &folder, &changes, 1).await.expect("it starts"),
-        follows(&fleet, &folder, &changes, 2).await.expect("it starts"),
+        start_follower(&fleet, &folder, &changes, 1).await.expect("it starts"),
+        start_follower(&fleet, &folder, &changes, 2).await.expect("it starts"),
     ];
     let (vol, other) = (Arc::new(Load::default()), Arc::new(Load::default()));
-    let mut vols = spawn(&vol, &gateways, "vol", 8);
-    let mut others = spawn(&other, &gateways, "other", 2);
-    acked_in(&vol, Duration::from_millis(600)).await;
-    let (before, span) = acked_in(&other, Duration::from_millis(500)).await;
-    let rate_before = before / span;
-    apply(
+    let mut vol_writers = spawn_writers(&vol, &gateways, "vol", 8);
+    let mut other_writers = spawn_writers(&other, &gateways, "other", 2);
+    acked_during(&vol, Duration::from_millis(600)).await;
+    let (before, seconds) = acked_during(&other, Duration::from_millis(500)).await;
+    let rate_before = before / seconds;
+    apply_change(
         &["--set", "plan/limited:limit=40", "--set", "plan/limited:limit_burst=40", "--allow", "cut"],
         &changes,
     );
-    apply(&["--set", "plan/free:weight=4"], &changes);
-    apply(&["--put", r#"plan/faster={"rate": 2000, "weight": 8}"#], &changes);
-    apply(&["--set", "volume/other:plan=faster"], &changes);
+    apply_change(&["--set", "plan/free:weight=4"], &changes);
+    apply_change(&["--put", r#"plan/faster={"rate": 2000, "weight": 8}"#], &changes);
+    apply_change(&["--set", "volume/other:plan=faster"], &changes);
     for number in [1, 2] {
-        acts_on(&folder, number, 5).await;
+        wait_until_applied(&folder, number, 5).await;
     }
-    let (lowered, span) = acked_in(&vol, Duration::from_millis(800)).await;
-    let out = 16.0;
+    let (lowered, seconds) = acked_during(&vol, Duration::from_millis(800)).await;
+    let in_flight = 16.0;
     assert!(
-        lowered <= 40.0 * span + 40.0 + 4.0 + out,
-        "{lowered} in {span} s after the limit was lowered to 40"
+        lowered <= 40.0 * seconds + 40.0 + 4.0 + in_flight,
+        "{lowered} in {seconds} s after the limit was lowered to 40"
     );
-    let (after, span) = acked_in(&other, Duration::from_millis(500)).await;
-    assert!(after / span > rate_before * 0.2, "{rate_before} a second before, {} after", after / span);
-    apply(&["--set", "plan/limited:limit=400", "--set", "plan/limited:limit_burst=400"], &changes);
-    acts_on(&folder, 1, 6).await;
-    acts_on(&folder, 2, 6).await;
-    let (raised, span) = acked_in(&vol, Duration::from_millis(500)).await;
-    assert!(raised / span > 45.0, "{raised} in {span} s after it was raised again");
-    apply(&["--put", r#"volume/new={"size": 16777216, "plan": "free", "gateways": 2}"#], &changes);
-    apply(&["--remove", "volume/vol", "--allow", "removal"], &changes);
-    acts_on(&folder, 1, 8).await;
-    acts_on(&folder, 2, 8).await;
+    let (after, seconds) = acked_during(&other, Duration::from_millis(500)).await;
+    assert!(after / seconds > rate_before * 0.2, "{rate_before} a second before, {} after", after / seconds);
+    apply_change(&["--set", "plan/limited:limit=400", "--set", "plan/limited:limit_burst=400"], &changes);
+    wait_until_applied(&folder, 1, 6).await;
+    wait_until_applied(&folder, 2, 6).await;
+    let (raised, seconds) = acked_during(&vol, Duration::from_millis(500)).await;
+    assert!(raised / seconds > 45.0, "{raised} in {seconds} s after it was raised again");
+    apply_change(&["--put", r#"volume/new={"size": 16777216, "plan": "free", "gateways": 2}"#], &changes);
+    apply_change(&["--remove", "volume/vol", "--allow", "removal"], &changes);
+    wait_until_applied(&folder, 1, 8).await;
+    wait_until_applied(&folder, 2, 8).await;
     // The sessions of the removed volume end by themselves; new ones find no such export.
-    within(5, "the sessions of the removed volume", async { while vols.join_next().await.is_some() {} })
-        .await;
+    within(5, "the sessions of the removed volume", async {
+        while vol_writers.join_next().await.is_some() {}
+    })
+    .await;
     assert!(Connection::open(gateways[0].address, "vol", true).await.is_err());
     let new = Connection::open(gateways[1].address, "new", true).await.expect("the new volume");
-    acked(&patiently(async || new.write(0, marked(7, 0, 1)).await).await);
+    expect_acked(&retry_throttled(async || new.write(0, block_contents(7, 0, 1)).await).await);
     other.over.store(true, Ordering::Relaxed);
-    within(5, "the others", async { while others.join_next().await.is_some() {} }).await;
+    within(5, "the others", async { while other_writers.join_next().await.is_some() {} }).await;
     for load in [&vol, &other] {
         let late = (load.late.load(Ordering::Relaxed), load.strays.load(Ordering::Relaxed));
         assert_eq!(late, (0, 0), "late answers, and answers to nothing");
     }
-    let (turned, served) = (other.throttled.load(Ordering::Relaxed), other.acked.load(Ordering::Relaxed));
-    assert!(turned * 20 <= served, "{turned} of {served} turned away where nothing was lowered");
+    let (rejected, served) = (other.throttled.load(Ordering::Relaxed), other.acked.load(Ordering::Relaxed));
+    assert!(rejected * 20 <= served, "{rejected} of {served} turned away where nothing was lowered");
 }
 
-/// One gateway never hears of a lowered limit: the sum is that of the parts that each acts on. A log that was put back is
-/// not taken.
+/// One gateway never learns of a lowered limit: the sum is that of the shares that each has applied. A log that was
+/// restored to an older copy is rejected.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_never_hears_keeps_its_part_and_an_older_log_is_not_taken() {
-    let ((folder, changes), fleet) = (begun("never"), fleet(2).await);
+async fn gateway_without_news_keeps_its_share_and_rejects_older_log() {
+    let ((folder, changes), fleet) = (new_log("never"), start_fleet(2).await);
     let copy = folder.join("copy");
-    let put_back = || {
+    let copy_log = || {
         std::fs::create_dir_all(&copy).expect("room");
         for file in std::fs::read_dir(&changes).expect("there") {
             let file = file.expect("there");
             std::fs::copy(file.path(), copy.join(file.file_name())).expect("room");
         }
     };
-    put_back();
+    copy_log();
     let mut gateways = [
-        follows(&fleet, &folder, &changes, 1).await.expect("it starts"),
-        follows(&fleet, &folder, &copy, 2).await.expect("it starts"),
+        start_follower(&fleet, &folder, &changes, 1).await.expect("it starts"),
+        start_follower(&fleet, &folder, &copy, 2).await.expect("it starts"),
     ];
-    apply(
+    apply_change(
         &["--set", "plan/limited:limit=40", "--set", "plan/limited:limit_burst=40", "--allow", "cut"],
         &changes,
     );
-    acts_on(&folder, 1, 2).await;
+    wait_until_applied(&folder, 1, 2).await;
     let load = Arc::new(Load::default());
-    let mut clients = spawn(&load, &gateways, "vol", 8);
-    let (acked, span) = acked_in(&load, Duration::from_secs(1)).await;
+    let mut clients = spawn_writers(&load, &gateways, "vol", 8);
+    let (acked, seconds) = acked_during(&load, Duration::from_secs(1)).await;
     // Half of 40 and half of 400 a second, half of each burst, the slack and what was out.
-    let most = (20.0 + 200.0) * (span + 0.5) + 20.0 + 200.0 + 40.0;
+    let most = (20.0 + 200.0) * (seconds + 0.5) + 20.0 + 200.0 + 40.0;
     assert!(acked <= most, "{acked} of {most}");
     load.over.store(true, Ordering::Relaxed);
     within(5, "the clients", async { while clients.join_next().await.is_some() {} }).await;
-    // The first comes back to a log that was put back to what it was before the change.
+    // The first gateway restarts on a copy from before the change.
     gateways[0].kill().await.expect("it runs");
-    let refused = follows(&fleet, &folder, &copy, 1).await;
+    let refused = start_follower(&fleet, &folder, &copy, 1).await;
     assert!(refused.is_err());
     let log = std::fs::read_to_string(folder.join("g1.log")).expect("a log");
     assert!(log.contains("ends at version 1, this gateway has acted on version 2"), "{log}");
-    // The right one is taken.
-    follows(&fleet, &folder, &changes, 1).await.expect("it starts");
+    // It accepts the current log.
+    start_follower(&fleet, &folder, &changes, 1).await.expect("it starts");
 }
 
-/// Each kind of failure has its exit status, and says what and where.
+/// Each kind of failure has its exit status, and a text that names what is wrong and where.
 #[test]
-fn commands_fail_by_kind_and_say_why() {
-    let (folder, changes) = begun("words");
-    let fails = |words: &[&str], status: i32, why: &str| {
-        let ended = config(words, &changes);
-        let said = String::from_utf8_lossy(&ended.stderr);
-        assert_eq!(ended.status.code(), Some(status), "{words:?}: {said}");
-        assert!(said.contains(why), "{words:?}: {said}");
+fn config_commands_that_fail_report_status_and_reason() {
+    let (folder, changes) = new_log("words");
+    let fails = |arguments: &[&str], status: i32, why: &str| {
+        let ended = run_config(arguments, &changes);
+        let stderr = String::from_utf8_lossy(&ended.stderr);
+        assert_eq!(ended.status.code(), Some(status), "{arguments:?}: {stderr}");
+        assert!(stderr.contains(why), "{arguments:?}: {stderr}");
     };
-    let with_who = |words: &[&'static str]| [words, &WHO].concat();
-    apply(&["--set", "plan/free:weight=2", "--id", "one"], &changes);
-    apply(&["--set", "plan/free:weight=2", "--id", "one", "--base", "1"], &changes);
-    fails(&with_who(&["apply", "--set", "plan/free:weight=3", "--id", "one"]), 2, "another change");
+    let with_author = |arguments: &[&'static str]| [arguments, &AUTHOR].concat();
+    apply_change(&["--set", "plan/free:weight=2", "--id", "one"], &changes);
+    apply_change(&["--set", "plan/free:weight=2", "--id", "one", "--base", "1"], &changes);
+    fails(&with_author(&["apply", "--set", "plan/free:weight=3", "--id", "one"]), 2, "another change");
     fails(
-        &with_who(&["apply", "--set", "plan/free:weight=3", "--base", "1"]),
+        &with_author(&["apply", "--set", "plan/free:weight=3", "--base", "1"]),
         3,
         "ann made it 2 in version 2",
     );
-    fails(&with_who(&["apply", "--remove", "volume/vol"]), 4, "--allow removal");
-    fails(&with_who(&["apply", "--set", "volume/vol:size=512"]), 2, "size cannot fall");
-    fails(&with_who(&["apply", "--set", "vol:size=512"]), 2, "is no place");
-    fails(&with_who(&["apply", "--set", "volume/vol:plan=none"]), 2, "there is no plan \"none\"");
+    fails(&with_author(&["apply", "--remove", "volume/vol"]), 4, "--allow removal");
+    fails(&with_author(&["apply", "--set", "volume/vol:size=512"]), 2, "size cannot fall");
+    fails(&with_author(&["apply", "--set", "vol:size=512"]), 2, "is no place");
+    fails(&with_author(&["apply", "--set", "volume/vol:plan=none"]), 2, "there is no plan \"none\"");
     fails(&["apply", "--set", "plan/free:weight=3", "--actor", "", "--reason", "x"], 2, "needs an actor");
     fails(&["show", "--at", "9"], 2, "there is no version 9");
-    let shows = |words: &[&str], what: &str| {
-        let ended = config(words, &changes);
-        let said = String::from_utf8_lossy(&ended.stdout).into_owned();
-        assert!(ended.status.success() && said.contains(what), "{words:?}: {said}");
+    let shows = |arguments: &[&str], what: &str| {
+        let ended = run_config(arguments, &changes);
+        let stdout = String::from_utf8_lossy(&ended.stdout).into_owned();
+        assert!(ended.status.success() && stdout.contains(what), "{arguments:?}: {stdout}");
     };
     shows(&["plan", "--set", "plan/limited:rate=900"], "plan/limited:rate: 1000.0 -> 900 (1 volumes)");
     shows(&["diff", "1", "2"], "plan/free:weight: 1.0 -> 2.0 (1 volumes)");
     shows(&["blame", "plan/free:weight"], "2  20");
     shows(&["log", "--after", "1"], "ann: to see");
     shows(&["log", "--verify"], "all 2 versions");
-    does(&with_who(&["revert", "2"]), &changes);
+    expect_success(&with_author(&["revert", "2"]), &changes);
     shows(&["show"], "plan(\"free\", rate = 1000.0, reserve = 0.0, weight = 1.0)");
     shows(&["show", "--at", "2"], "weight = 2.0");
     shows(&["show", "--at", "2100-01-01T00:00:00Z"], "# Version 3");
     // What is exported can be applied: the same again changes nothing.
-    let exported = config(&["export"], &changes).stdout;
+    let exported = run_config(&["export"], &changes).stdout;
     let file = folder.join("exported.star");
     std::fs::write(&file, exported).expect("room");
     fails(
-        &with_who(&["apply"]).into_iter().chain([file.to_str().expect("UTF-8")]).collect::<Vec<_>>(),
+        &with_author(&["apply"]).into_iter().chain([file.to_str().expect("UTF-8")]).collect::<Vec<_>>(),
         2,
         "nothing would change",
     );
@@ -296,34 +306,34 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&log, bytes).expect("room");
-    fails(&with_who(&["apply", "--set", "plan/free:weight=3"]), 5, ".log:");
+    fails(&with_author(&["apply", "--set", "plan/free:weight=3"]), 5, ".log:");
 }
 
-/// A day on which plans, weights and limits change at the peak of a burst and while gateways are down.
+/// Plans, weights and limits change at the peak of a burst and while gateways are down.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_day_of_changes_breaks_no_rule() {
+async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
-    let (record, verdict) = played("changes.star", text, 1).await;
+    let (record, verdict) = run_fault_scenario("changes.star", text, 1).await;
     let limits = record.deeds.iter().filter(|(_, deed)| matches!(deed, Deed::Limit { .. }));
     assert_eq!(limits.count(), 4, "the first, and three others");
-    mostly_acked(&verdict);
+    assert_mostly_acked(&verdict);
 }
 
-/// The drain of a gateway went by the op timeouts that it began with: what was open was closed without an answer.
+/// A drain used the op timeouts that the gateway had started with and closed open requests without a reply.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_goes_by_the_op_timeouts_in_force() {
-    let ((folder, changes), fleet) = (begun("drain"), fleet(1).await);
-    let mut gateway = follows(&fleet, &folder, &changes, 1).await.expect("it starts");
-    apply(&["--set", "op_type/put:op_timeout=5"], &changes);
-    acts_on(&folder, 1, 2).await;
+async fn drain_after_change_uses_op_timeouts_in_force() {
+    let ((folder, changes), fleet) = (new_log("drain"), start_fleet(1).await);
+    let mut gateway = start_follower(&fleet, &folder, &changes, 1).await.expect("it starts");
+    apply_change(&["--set", "op_type/put:op_timeout=5"], &changes);
+    wait_until_applied(&folder, 1, 2).await;
     let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
-    acked(&patiently(async || client.write(0, marked(1, 0, 1)).await).await);
+    expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     fleet.ids().into_iter().for_each(|id| fleet.fault(id, Fault { lost: 1.0, ..Fault::default() }));
-    let (asked, ()) = tokio::join!(client.write(0, marked(2, 0, 1)), async {
+    let (reply, ()) = tokio::join!(client.write(0, block_contents(2, 0, 1)), async {
         // The write is on its way before the signal: it is the only thing this client sends.
         tokio::time::sleep(Duration::from_millis(200)).await;
         gateway.signal(nix::sys::signal::Signal::SIGTERM).expect("it runs");
     });
-    assert!(asked.is_some(), "closed without an answer");
+    assert!(reply.is_some(), "closed without an answer");
     gateway.kill().await.ok();
 }
--- a/crates/cli/tests/sockets/failing_calls.rs
+++ b/crates/cli/tests/sockets/failing_calls.rs
@@ -7,7 +7,7 @@
 use umbertray_fakes::shim::{self, CallFaults};
 use umbertray_fault_tests::run::Gateway;
 
-use crate::common::*;
+use crate::common::{block_contents, empty_folder, program_path, start_fleet, within};
 
 const SCRIPT: &str = r#"
 op_type("all", target_latency = 1.0, op_timeout = 4.0, utility = 2)
@@ -21,16 +21,16 @@
 const WRITES: u64 = 15;
 
 /// Writes block after block; how many had no reply at all.
-async fn lost(address: std::net::SocketAddr, client: u64) -> u64 {
+async fn count_lost_writes(address: std::net::SocketAddr, client: u64) -> u64 {
     let Ok(Ok(connection)) =
         tokio::time::timeout(Duration::from_secs(5), Connection::open(address, "vol", true)).await
     else {
         return WRITES;
     };
     let mut lost = 0;
-    for n in 0..WRITES {
-        let block = 64 * client + n;
-        let written = connection.write(block * 4096, marked(block + 1, block, 1));
+    for number in 0..WRITES {
+        let block = 64 * client + number;
+        let written = connection.write(block * 4096, block_contents(block + 1, block, 1));
         let replied = tokio::time::timeout(Duration::from_secs(6), written).await;
         lost += u64::from(!matches!(replied, Ok(Some(_))));
     }
@@ -38,8 +38,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_that_fail_or_are_short_lose_no_reply_of_serve() {
-    let folder = folder("failing-calls");
+async fn serve_under_failing_or_short_calls_loses_no_reply() {
+    let folder = empty_folder("failing-calls");
     let library = shim::build(&folder).expect("a C compiler, as the linker of this build");
     let faults = [
         CallFaults { interrupted: 30, ..CallFaults::default() },
@@ -49,16 +49,17 @@
     ];
     let mut broken = Vec::new();
     for (number, faults) in faults.into_iter().enumerate() {
-        let fleet = fleet(2).await;
+        let fleet = start_fleet(2).await;
         let list = fleet.list.address;
         let script = format!(
             "gateway(listen = [\"127.0.0.1:0\"], list = \"{list}\", extent = 256 * KiB, seed = {number})\n{SCRIPT}"
         );
         let environment = faults.environment(&library);
         let gateway =
-            Gateway::start_in(program(), &folder, &format!("g{number}"), &script, &environment).await;
+            Gateway::start_in(program_path(), &folder, &format!("g{number}"), &script, &environment).await;
         let gateway = gateway.expect("it starts");
-        let clients: JoinSet<u64> = (0..CLIENTS).map(|client| lost(gateway.address, client)).collect();
+        let clients: JoinSet<u64> =
+            (0..CLIENTS).map(|client| count_lost_writes(gateway.address, client)).collect();
         let lost: u64 = within(120, "the clients", clients.join_all()).await.into_iter().sum();
         if lost > 0 {
             broken.push((faults, lost));
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -2,7 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use crate::common::*;
+use crate::common::{
+    KIB, block_contents, connect, empty_folder, expect_acked, is_throttled, program_path, read_marks,
+    retry_throttled, settings_document, start_fleet, start_gateway, within,
+};
 use bytes::Bytes;
 use nix::sys::signal::Signal;
 use umbertray_fakes::book::Seen;
@@ -13,24 +16,24 @@
 use umbertray_nbd::Command;
 use umbertray_store_protocol::list::EndpointState;
 
-fn received(work: &'static str) -> impl Fn(&umbertray_fakes::Entry) -> bool {
+fn is_received(work: &'static str) -> impl Fn(&umbertray_fakes::Entry) -> bool {
     move |entry| matches!(&entry.seen, Seen::Received { work: w, .. } if w == work)
 }
 
 /// 1. A store dies in the middle of a read whose first chunk the client has.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_goes_on_at_the_successor_of_a_store_that_died_in_its_middle() {
-    let mut fleet = fleet(1).await;
-    let gateway = gateway(&fleet, 1, &document("")).await;
+async fn read_of_store_that_dies_midway_continues_at_successor() {
+    let mut fleet = start_fleet(1).await;
+    let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
-    acked(&within(5, "write", client.write(0, marked(7, 0, 64))).await);
+    expect_acked(&within(5, "write", client.write(0, block_contents(7, 0, 64))).await);
     fleet.get(1).expect("the store runs").die_after_chunks(1);
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
     within(5, "death", fleet.book.until(1, |entry| entry.seen == Seen::Down)).await;
     let identity = fleet.kill(1).await.expect("it was there");
     fleet.restart(identity).await.expect("it starts again");
     let whole = within(5, "read", read).await.ok().flatten();
-    assert_eq!(marks(&whole, 0, 64), vec![Some(7); 64]);
+    assert_eq!(read_marks(&whole, 0, 64), vec![Some(7); 64]);
     // The second dispatch asked for the rest only.
     let entries = fleet.book.entries();
     let reads = entries.iter().filter_map(|entry| match &entry.seen {
@@ -43,63 +46,63 @@
 
 /// 1, where no successor comes: one final answer all the same, in time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_whose_store_died_for_good_ends_in_one_error() {
-    let mut fleet = fleet(1).await;
-    let gateway = gateway(&fleet, 1, &document("")).await;
+async fn read_of_store_that_dies_for_good_ends_in_one_error() {
+    let mut fleet = start_fleet(1).await;
+    let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
-    acked(&within(5, "write", client.write(0, marked(7, 0, 64))).await);
+    expect_acked(&within(5, "write", client.write(0, block_contents(7, 0, 64))).await);
     fleet.get(1).expect("the store runs").die_after_chunks(1);
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
     within(5, "death", fleet.book.until(1, |entry| entry.seen == Seen::Down)).await;
     fleet.list.state(1, EndpointState::Gone);
     fleet.kill(1).await;
     let whole = within(4, "answer", read).await.ok().flatten();
-    assert!(throttled(&whole), "{whole:?}");
-    assert!(asked.elapsed() < Duration::from_millis(3000));
+    assert!(is_throttled(&whole), "{whole:?}");
+    assert!(sent_at.elapsed() < Duration::from_millis(3000));
     assert_eq!(whole.map(|whole| whole.data.len()), Some(1), "the first chunk had come");
 }
 
 /// 2. A client leaves in the middle of a reply, and with a hundred writes out; its room comes back each time.
 #[tokio::test(flavor = "multi_thread")]
-async fn clients_that_leave_with_much_out_take_nothing_from_the_next() {
-    let fleet = fleet(2).await;
-    let tight = "bounds(bytes = 2 * MiB, bytes_a_session = 1 * MiB, request_bytes = 512 * KiB)";
-    let gateway = gateway(&fleet, 1, &document(tight)).await;
+async fn disconnecting_clients_with_requests_in_flight_release_their_capacity() {
+    let fleet = start_fleet(2).await;
+    let bounds = "bounds(bytes = 2 * MiB, bytes_a_session = 1 * MiB, request_bytes = 512 * KiB)";
+    let gateway = start_gateway(&fleet, 1, &settings_document(bounds)).await;
     let staying = connect(&gateway).await;
-    acked(&within(5, "write", staying.write(0, marked(3, 0, 64))).await);
+    expect_acked(&within(5, "write", staying.write(0, block_contents(3, 0, 64))).await);
     for round in 0..10 {
         let leaving = connect(&gateway).await;
         let reading = leaving.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
         let writes: Vec<_> = (0..100u32)
             .map(|n| {
                 let block = u64::from(100 + n);
-                let data = marked(1000 * round + u64::from(n) + 1, block, 1);
+                let data = block_contents(1000 * round + u64::from(n) + 1, block, 1);
                 leaving.send(Command::Write, 0, block * 4096, 4096, data)
             })
             .collect();
-        let before = fleet.book.entries().iter().filter(|entry| received("Write")(entry)).count();
-        within(5, "some are out", fleet.book.until(before + 1, received("Write"))).await;
+        let before = fleet.book.entries().iter().filter(|entry| is_received("Write")(entry)).count();
+        within(5, "some are out", fleet.book.until(before + 1, is_received("Write"))).await;
         leaving.cut();
         drop((reading, writes));
         let found = within(5, "the one that stays", staying.read(0, 256 * KIB)).await;
-        assert_eq!(marks(&found, 0, 64), vec![Some(3); 64]);
+        assert_eq!(read_marks(&found, 0, 64), vec![Some(3); 64]);
     }
     // All of the room is there again: two sessions may each hold their whole part.
     for _ in 0..4 {
         let client = connect(&gateway).await;
-        acked(&within(5, "a whole part", client.write(0, marked(3, 0, 64))).await);
+        expect_acked(&within(5, "a whole part", client.write(0, block_contents(3, 0, 64))).await);
     }
 }
 
 /// 3. Stores answer just as the final answer goes: exactly one reply, and what it says holds.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_that_race_the_final_answer_neither_double_nor_lie() {
-    let fleet = fleet(1).await;
-    let gateway = gateway(&fleet, 1, &document("")).await;
+async fn store_replies_racing_the_final_reply_yield_one_true_reply() {
+    let fleet = start_fleet(1).await;
+    let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
-    acked(&within(5, "write", client.write(0, marked(1, 0, 1))).await);
-    let (mut given_up, mut mark) = (0, 1);
+    expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
+    let (mut abandoned, mut mark) = (0, 1);
     for round in 0..8u32 {
         // Writes are answered after 1.0 s less the gateway's margin: around that the race is.
         let sits = Duration::from_millis(948 + 4 * u64::from(round));
@@ -107,7 +110,11 @@
         let writes: Vec<_> = (0..6u64)
             .map(|block| {
                 let mark = u64::from(round) * 10 + block + 10;
-                (block, mark, client.send(Command::Write, 0, block * 4096, 4096, marked(mark, block, 1)))
+                (
+                    block,
+                    mark,
+                    client.send(Command::Write, 0, block * 4096, 4096, block_contents(mark, block, 1)),
+                )
             })
             .collect();
         let mut ended = Vec::new();
@@ -116,115 +123,120 @@
         }
         fleet.fault(1, Fault::default());
         for (block, written, whole) in ended {
-            let found = marks(&patiently(async || client.read(block * 4096, 4096).await).await, block, 1)[0];
-            if throttled(&whole) {
-                given_up += 1;
+            let found =
+                read_marks(&retry_throttled(async || client.read(block * 4096, 4096).await).await, block, 1)
+                    [0];
+            if is_throttled(&whole) {
+                abandoned += 1;
             } else {
-                acked(&whole);
+                expect_acked(&whole);
                 assert_eq!(found, Some(written), "acked, so it stands");
                 mark = mark.max(written);
             }
         }
     }
-    assert!(given_up > 0 && mark > 1, "both ways were met: {given_up} given up, last acked {mark}");
+    assert!(abandoned > 0 && mark > 1, "both ways were met: {abandoned} given up, last acked {mark}");
     assert_eq!(client.strays(), [""; 0]);
 }
 
 /// 4. A store is gone while a write's outcome is unknown; what the client is told holds at the successor.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_whose_store_died_ends_once_and_truthfully() {
-    let mut fleet = fleet(1).await;
-    let gateway = gateway(&fleet, 1, &document("")).await;
+async fn write_of_store_that_dies_ends_once_and_truthfully() {
+    let mut fleet = start_fleet(1).await;
+    let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
-    acked(&within(5, "write", client.write(0, marked(1, 0, 1))).await);
+    expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
     fleet.fault(1, Fault { sits: Duration::from_millis(300), ..Fault::default() });
-    let write = client.send(Command::Write, 0, 0, 4096, marked(2, 0, 1));
-    within(5, "arrival", fleet.book.until(2, received("Write"))).await;
+    let write = client.send(Command::Write, 0, 0, 4096, block_contents(2, 0, 1));
+    within(5, "arrival", fleet.book.until(2, is_received("Write"))).await;
     let identity = fleet.kill(1).await.expect("it was there");
     fleet.restart(identity).await.expect("it starts again");
     let whole = within(2, "a final answer", write).await.ok().flatten();
-    let wanted = if throttled(&whole) { vec![Some(1), Some(2)] } else { vec![Some(2)] };
-    let found = marks(&patiently(async || client.read(0, 4096).await).await, 0, 1)[0];
-    assert!(wanted.contains(&found), "{whole:?} but {found:?}");
+    let expected = if is_throttled(&whole) { vec![Some(1), Some(2)] } else { vec![Some(2)] };
+    let found = read_marks(&retry_throttled(async || client.read(0, 4096).await).await, 0, 1)[0];
+    assert!(expected.contains(&found), "{whole:?} but {found:?}");
 }
 
 /// A store sits on a write past its time. A newer write to the block is acked, through another gateway; the late one
 /// must not undo it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_write_does_not_undo_a_newer_one() {
-    let fleet = fleet(1).await;
-    let (first, second) = (gateway(&fleet, 1, &document("")).await, gateway(&fleet, 2, &document("")).await);
+async fn late_write_after_newer_one_is_fenced() {
+    let fleet = start_fleet(1).await;
+    let (first, second) = (
+        start_gateway(&fleet, 1, &settings_document("")).await,
+        start_gateway(&fleet, 2, &settings_document("")).await,
+    );
     let (one, other) = (connect(&first).await, connect(&second).await);
-    acked(&within(5, "write", one.write(0, marked(1, 0, 1))).await);
+    expect_acked(&within(5, "write", one.write(0, block_contents(1, 0, 1))).await);
     fleet.fault(1, Fault { sits: Duration::from_millis(1300), ..Fault::default() });
-    let late = within(3, "a final answer", one.write(0, marked(2, 0, 1))).await;
-    assert!(throttled(&late), "{late:?}");
+    let late = within(3, "a final answer", one.write(0, block_contents(2, 0, 1))).await;
+    assert!(is_throttled(&late), "{late:?}");
     fleet.fault(1, Fault::default());
-    acked(&patiently(async || other.write(0, marked(3, 0, 1)).await).await);
+    expect_acked(&retry_throttled(async || other.write(0, block_contents(3, 0, 1)).await).await);
     // The store comes to the late one now, and says what it made of it.
     let fenced = |entry: &umbertray_fakes::Entry| matches!(&entry.seen, Seen::Answered { code, .. } if code == "Fenced");
     within(3, "the late one's end", fleet.book.until(1, fenced)).await;
     for client in [&one, &other] {
-        assert_eq!(marks(&patiently(async || client.read(0, 4096).await).await, 0, 1), [Some(3)]);
+        assert_eq!(read_marks(&retry_throttled(async || client.read(0, 4096).await).await, 0, 1), [Some(3)]);
     }
 }
 
 /// 5. A gateway stands still for 2 s with full sockets, then goes on.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_stood_still_answers_each_request_once() {
-    let fleet = fleet(2).await;
-    let mut document = document("");
+async fn stalled_gateway_after_resume_answers_each_request_once() {
+    let fleet = start_fleet(2).await;
+    let mut document = settings_document("");
     document.endpoint_list = fleet.list.address;
-    let folder = folder("stand-still");
+    let folder = empty_folder("stand-still");
     let gateway =
-        Gateway::start(program(), &folder, "gateway", &document.as_script()).await.expect("it starts");
+        Gateway::start(program_path(), &folder, "gateway", &document.as_script()).await.expect("it starts");
     let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
-    acked(&within(5, "write", client.write(0, marked(1, 0, 1))).await);
+    expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
     gateway.signal(Signal::SIGSTOP).expect("our own child");
-    let asked: Vec<_> = (0..200u64)
+    let requests: Vec<_> = (0..200u64)
         .map(|n| match n % 2 {
             0 => client.send(Command::Read, 0, 0, 4096, Bytes::new()),
-            _ => client.send(Command::Write, 0, (n % 8) * 4096, 4096, marked(n, n % 8, 1)),
+            _ => client.send(Command::Write, 0, (n % 8) * 4096, 4096, block_contents(n, n % 8, 1)),
         })
         .collect();
     // The stand-still itself is the trouble: two seconds, longer than a write's time.
     tokio::time::sleep(Duration::from_secs(2)).await;
     gateway.signal(Signal::SIGCONT).expect("our own child");
     let mut ended = 0;
-    for request in asked {
+    for request in requests {
         let whole = within(5, "an answer", request).await.ok().flatten().expect("the session lives");
-        assert!(whole.error.is_none() || throttled(&Some(whole)));
+        assert!(whole.error.is_none() || is_throttled(&Some(whole)));
         ended += 1;
     }
     assert_eq!((ended, client.strays()), (200, Vec::new()));
-    acked(&patiently(async || client.write(0, marked(9, 0, 1)).await).await);
+    expect_acked(&retry_throttled(async || client.write(0, block_contents(9, 0, 1)).await).await);
     let (took, well) = gateway.stop(Duration::from_secs(5)).await.expect("it ends");
     assert!(well && took < Duration::from_secs(4), "SIGTERM to exit: {took:?}");
 }
 
 /// 6. A gateway is killed outright and started again under load while all stores have just come back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_started_again_pushes_no_cold_store_over() {
-    let mut fleet = fleet(3).await;
-    let mut document = document("");
+async fn restarted_gateway_overloads_no_cold_store() {
+    let mut fleet = start_fleet(3).await;
+    let mut document = settings_document("");
     document.endpoint_list = fleet.list.address;
-    let folder = folder("killed");
+    let folder = empty_folder("killed");
     let script = document.as_script();
-    let mut gateway = Gateway::start(program(), &folder, "gateway", &script).await.expect("it starts");
+    let mut gateway = Gateway::start(program_path(), &folder, "gateway", &script).await.expect("it starts");
     for life in 0..2 {
         let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
         let flood = |mark: u64| {
-            let asked = (0..300u64).map(|n| {
+            let requests = (0..300u64).map(|n| {
                 let block = n * 13 % 1024;
-                client.send(Command::Write, 0, block * 4096, 4096, marked(mark + n, block, 1))
+                client.send(Command::Write, 0, block * 4096, 4096, block_contents(mark + n, block, 1))
             });
-            asked.collect::<Vec<_>>()
+            requests.collect::<Vec<_>>()
         };
-        let asked = flood(1000 * life + 1);
-        let before = fleet.book.entries().iter().filter(|entry| received("Write")(entry)).count();
-        within(5, "load", fleet.book.until(before + 5, received("Write"))).await;
+        let requests = flood(1000 * life + 1);
+        let before = fleet.book.entries().iter().filter(|entry| is_received("Write")(entry)).count();
+        within(5, "load", fleet.book.until(before + 5, is_received("Write"))).await;
         gateway.kill().await.expect("our own child");
-        for request in asked {
+        for request in requests {
             within(5, "the end of each", request).await.ok();
         }
         let mut identities = Vec::new();
@@ -234,25 +246,25 @@
         for identity in identities {
             fleet.restart(identity).await.expect("it starts again");
         }
-        gateway = Gateway::start(program(), &folder, "gateway", &script).await.expect("it starts again");
+        gateway = Gateway::start(program_path(), &folder, "gateway", &script).await.expect("it starts again");
     }
     let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
     let mut served = 0;
     for round in 0..10u64 {
-        let asked: Vec<_> = (0..200u64)
+        let requests: Vec<_> = (0..200u64)
             .map(|n| {
                 client.send(
                     Command::Write,
                     0,
                     (n * 13 % 1024) * 4096,
                     4096,
-                    marked(90_000 + round * 1000 + n, n * 13 % 1024, 1),
+                    block_contents(90_000 + round * 1000 + n, n * 13 % 1024, 1),
                 )
             })
             .collect();
-        for request in asked {
+        for request in requests {
             let whole = within(5, "an answer", request).await.ok().flatten();
-            served += usize::from(!throttled(&whole));
+            served += usize::from(!is_throttled(&whole));
         }
     }
     assert!(served > 100, "cold stores are used: {served} of 2000");
@@ -262,11 +274,11 @@
 /// 9. More than the stores can do for two seconds, then one quiet client: it was throttled for good, since ops that yield
 /// went only where answers had shown that they would be quick, and no answer came where nothing went.
 #[tokio::test(flavor = "multi_thread")]
-async fn after_a_flood_a_quiet_client_is_served_again() {
+async fn quiet_client_after_flood_is_served_again() {
     let fleet = Fleet::start(4, Power::default(), 1).await.expect("stores start on loopback");
     let script = include_str!("../../src/demo.star").replace("rate = 300", "rate = 2000");
     let document = umbertray_config::read("demo.star", script.replace("rate = 600", "rate = 2000"));
-    let gateway = gateway(&fleet, 1, &document.expect("the demo's settings hold")).await;
+    let gateway = start_gateway(&fleet, 1, &document.expect("the demo's settings hold")).await;
     let central =
         async || Connection::open(gateway.addresses[0], "central", true).await.expect("a session opens");
     let until = Instant::now() + Duration::from_secs(2);
@@ -276,7 +288,7 @@
         flood.spawn(async move {
             let writer = async |block: u64| {
                 while Instant::now() < until {
-                    _ = client.write(block * 4096, marked(1, block, 1)).await;
+                    _ = client.write(block * 4096, block_contents(1, block, 1)).await;
                 }
             };
             tokio::join!(writer(0), writer(64), writer(128), writer(192));
@@ -288,8 +300,8 @@
         let mut in_a_row = 0;
         while in_a_row < 20 {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            let ended = quiet.write(4 * 4096, marked(2, 4, 1)).await;
-            in_a_row = if throttled(&ended) { 0 } else { in_a_row + 1 };
+            let ended = quiet.write(4 * 4096, block_contents(2, 4, 1)).await;
+            in_a_row = if is_throttled(&ended) { 0 } else { in_a_row + 1 };
         }
     };
     within(6, "an op timeout and 35 target latencies", served).await;
--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The running gateway through real sockets, against the project's own stand-ins.
+//! The running gateway through real sockets, between the project's own fakes.
 
 mod changes;
 mod common;
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -14,11 +14,14 @@
 use umbertray_snapshot::Disk;
 use umbertray_snapshot::folder::files;
 
-use crate::common::*;
+use crate::common::{
+    assert_mostly_acked, block_contents, empty_folder, expect_acked, is_throttled, program_path,
+    retry_throttled, run_fault_scenario, settings_document, start_fleet, within,
+};
 
 /// Settings of a gateway that keeps state in `folder`; a limit and its burst.
-fn settings(fleet: &Fleet, folder: &Path, limit: Option<(f64, f64)>) -> String {
-    let mut document = document("");
+fn settings_script(fleet: &Fleet, folder: &Path, limit: Option<(f64, f64)>) -> String {
+    let mut document = settings_document("");
     if let Some((limit, burst)) = limit {
         let plan = &mut document.settings.plans[0];
         plan.limit = Some(Limit { rate: limit, burst, slack: 5.0 });
@@ -30,32 +33,32 @@
     document.as_script()
 }
 
-/// Writes one unit again and again until it has been throttled so often; how many were acked.
-async fn spend(gateway: &Gateway, volume: &str, refusals: u32) -> u32 {
+/// Writes one unit after another until this many were throttled; how many were acked.
+async fn write_until_throttled(gateway: &Gateway, volume: &str, refusals: u32) -> u32 {
     let connection = Connection::open(gateway.address, volume, true).await.expect("a session opens");
-    let (mut taken, mut refused) = (0, 0);
-    while refused < refusals {
-        if throttled(&within(5, "an answer", connection.write(0, marked(1, 0, 1))).await) {
-            refused += 1;
+    let (mut acked, mut throttled_count) = (0, 0);
+    while throttled_count < refusals {
+        if is_throttled(&within(5, "an answer", connection.write(0, block_contents(1, 0, 1))).await) {
+            throttled_count += 1;
         } else {
-            taken += 1;
+            acked += 1;
         }
     }
-    taken
+    acked
 }
 
-/// Waits until a save promises so much of the one volume's limit, which is looked at as its ops come.
-async fn promised(gateway: &Gateway, folder: &Path, floor: f64) {
+/// Writes until a saved snapshot reserves this much of the volume's limit.
+async fn wait_until_reserved(gateway: &Gateway, folder: &Path, floor: f64) {
     let connection = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
-    let promised = || {
+    let reserved = || {
         let found = files(&Disk::read_only(&folder.join("state"))).ok()?;
         let newest = found.into_iter().filter_map(|(_, generation, read)| Some((generation, read.ok()?)));
         let read = newest.max_by_key(|(generation, _)| *generation)?.1;
         read.entry.saved.volumes.first().map(|volume| volume.reserved_tokens)
     };
     let waiting = async {
-        while promised().is_none_or(|known| known < floor) {
-            _ = connection.write(0, marked(1, 0, 1)).await;
+        while reserved().is_none_or(|reserved| reserved < floor) {
+            _ = connection.write(0, block_contents(1, 0, 1)).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
@@ -64,37 +67,38 @@
 
 /// What was drawn over all lives is never above the burst and what came since, whichever limit was set.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_is_lowered_while_the_gateway_is_down_is_the_lower_from_its_first_op() {
-    let (folder, fleet) = (folder("lowered"), fleet(1).await);
+async fn limit_lowered_while_gateway_is_down_holds_from_first_op() {
+    let (folder, fleet) = (empty_folder("lowered"), start_fleet(1).await);
     let (high, low) = (Some((100.0, 400.0)), Some((10.0, 20.0)));
-    let start =
-        async |script: String| Gateway::start(program(), &folder, "g", &script).await.expect("it starts");
-    let mut gateway = start(settings(&fleet, &folder, high)).await;
-    promised(&gateway, &folder, 100.0).await;
+    let start = async |script: String| {
+        Gateway::start(program_path(), &folder, "g", &script).await.expect("it starts")
+    };
+    let mut gateway = start(settings_script(&fleet, &folder, high)).await;
+    wait_until_reserved(&gateway, &folder, 100.0).await;
     gateway.kill().await.expect("it runs");
     // The same settings: the promise may be drawn, and that once only over two deaths.
     let began = Instant::now();
-    let mut gateway = start(settings(&fleet, &folder, high)).await;
-    let mut drawn = spend(&gateway, "vol", 1).await;
+    let mut gateway = start(settings_script(&fleet, &folder, high)).await;
+    let mut drawn = write_until_throttled(&gateway, "vol", 1).await;
     gateway.kill().await.expect("it runs");
-    let mut gateway = start(settings(&fleet, &folder, high)).await;
-    drawn += spend(&gateway, "vol", 1).await;
+    let mut gateway = start(settings_script(&fleet, &folder, high)).await;
+    drawn += write_until_throttled(&gateway, "vol", 1).await;
     assert!(f64::from(drawn) <= 400.0 + 5.0 + 100.0 * began.elapsed().as_secs_f64(), "{drawn} units");
-    promised(&gateway, &folder, 10.0).await;
+    wait_until_reserved(&gateway, &folder, 10.0).await;
     gateway.kill().await.expect("it runs");
     let began = Instant::now();
-    let gateway = start(settings(&fleet, &folder, low)).await;
-    let drawn = spend(&gateway, "vol", 5).await;
+    let gateway = start(settings_script(&fleet, &folder, low)).await;
+    let drawn = write_until_throttled(&gateway, "vol", 5).await;
     assert!(f64::from(drawn) <= 5.0 + 10.0 * began.elapsed().as_secs_f64(), "{drawn} units");
     let log = std::fs::read_to_string(folder.join("g.log")).expect("a log");
     assert!(log.contains("OtherSettings"), "{log}");
 }
 
-/// Starts a gateway by a shell that may not let it write; its log's lines as they come.
-fn hampered(shell: &str, file: &Path) -> (tokio::process::Child, impl AsyncFnMut(&str) -> String) {
+/// Starts a gateway through a shell that may restrict it; the child, and a function that waits for a line of its log.
+fn start_through_shell(shell: &str, file: &Path) -> (tokio::process::Child, impl AsyncFnMut(&str) -> String) {
     let mut child = Command::new("sh")
         .args(["-c", shell])
-        .arg(program())
+        .arg(program_path())
         .args(["--log", "json", "serve", "--config"])
         .arg(file)
         .stdout(Stdio::piped())
@@ -104,7 +108,7 @@
         .expect("a shell");
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
     let until = async move |said: &str| {
-        let looking = async {
+        let reading = async {
             loop {
                 let line = log.next_line().await.expect("readable").expect("it runs");
                 if line.contains(said) {
@@ -112,12 +116,12 @@
                 }
             }
         };
-        within(20, "a line of the log", looking).await
+        within(20, "a line of the log", reading).await
     };
     (child, until)
 }
 
-async fn serves(child: &mut tokio::process::Child) -> Connection {
+async fn connect_to(child: &mut tokio::process::Child) -> Connection {
     let mut out = BufReader::new(child.stdout.take().expect("piped")).lines();
     let line = within(20, "its address", out.next_line()).await.expect("readable").expect("a line");
     let said: serde_json::Value = serde_json::from_str(&line).expect("JSON");
@@ -127,17 +131,17 @@
 
 /// A disk on which no byte can be written (a bound on file size stands for a full one), and a folder that cannot be.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_disk_and_a_folder_that_cannot_be_made_cost_no_service() {
-    let (folder, fleet) = (folder("full"), fleet(1).await);
+async fn state_on_full_disk_or_unusable_folder_costs_no_service() {
+    let (folder, fleet) = (empty_folder("full"), start_fleet(1).await);
     let file = folder.join("g.star");
-    std::fs::write(&file, settings(&fleet, &folder, None)).expect("room");
+    std::fs::write(&file, settings_script(&fleet, &folder, None)).expect("room");
     let full = r#"trap "" XFSZ; ulimit -f 0; exec "$0" "$@""#;
-    let (mut child, mut log) = hampered(full, &file);
-    let connection = serves(&mut child).await;
+    let (mut child, mut log) = start_through_shell(full, &file);
+    let connection = connect_to(&mut child).await;
     for n in 0..3 {
         let line = log("state not saved").await;
         assert!(line.contains("error"), "{line}");
-        acked(&patiently(async || connection.write(0, marked(n + 1, 0, 1)).await).await);
+        expect_acked(&retry_throttled(async || connection.write(0, block_contents(n + 1, 0, 1)).await).await);
     }
     // Told to stop it does not wait for the disk either.
     let id = nix::unistd::Pid::from_raw(child.id().expect("it runs") as i32);
@@ -146,19 +150,19 @@
     assert!(within(10, "its end", child.wait()).await.expect("it ran").success());
     std::fs::remove_dir_all(folder.join("state")).expect("it was made");
     std::fs::write(folder.join("state"), "not a folder").expect("room");
-    let (mut child, mut log) = hampered(r#"exec "$0" "$@""#, &file);
-    let connection = serves(&mut child).await;
+    let (mut child, mut log) = start_through_shell(r#"exec "$0" "$@""#, &file);
+    let connection = connect_to(&mut child).await;
     log("state not used").await;
-    acked(&patiently(async || connection.write(0, marked(9, 0, 1)).await).await);
+    expect_acked(&retry_throttled(async || connection.write(0, block_contents(9, 0, 1)).await).await);
     assert_eq!(std::fs::read_to_string(folder.join("state")).expect("untouched"), "not a folder");
 }
 
 /// Stores restart, are replaced and are cold while gateways are down or die together.
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_that_are_down_while_all_stores_change_break_no_rule() {
+async fn gateways_down_while_all_stores_change_break_no_rule() {
     let text = include_str!("../../../../days/down.star");
-    let (_, verdict) = played("down.star", text, 1).await;
+    let (_, verdict) = run_fault_scenario("down.star", text, 1).await;
     let cold = verdict.findings.iter().find(|finding| finding.rule.starts_with('4'));
     assert!(cold.is_some_and(|finding| finding.looked >= 12), "{cold:?}");
-    mostly_acked(&verdict);
+    assert_mostly_acked(&verdict);
 }
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -11,9 +11,9 @@
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, ToList};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_umbertray");
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-fn folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("umbertray-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
@@ -35,26 +35,26 @@
     }
 }
 
-/// Looks at the hollow gateways until they are as wanted.
-async fn until(stage: &mut Stage, wanted: impl Fn(&Seen) -> bool) -> Vec<Seen> {
-    let end = Instant::now() + PATIENCE;
+/// Polls the hollow gateways until all are in the expected state.
+async fn poll_until(stage: &mut Stage, wanted: impl Fn(&Seen) -> bool) -> Vec<Seen> {
+    let end = Instant::now() + TIMEOUT;
     loop {
         let (seen, _) = stage.look().await.expect("they can be looked at");
         if seen.iter().all(&wanted) {
             return seen;
         }
-        assert!(Instant::now() < end, "not in {PATIENCE:?}: {seen:?}");
+        assert!(Instant::now() < end, "not in {TIMEOUT:?}: {seen:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn three_hollow_gateways_hold_eight_listed_stores_and_hear_of_each_change_once() {
-    let folder = folder("scale-counts");
+async fn hollow_gateways_hold_all_listed_stores_and_get_each_change_once() {
+    let folder = empty_folder("scale-counts");
     let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::here() };
     let mut stage = Stage::start(&plan(), &setup, Start::OneByOne, "tiny").await.expect("it starts");
     // Held is what is listed; links are made to those that answer, and tried once to the others.
-    let seen = until(&mut stage, |_| true).await;
+    let seen = poll_until(&mut stage, |_| true).await;
     assert_eq!(seen.iter().map(|seen| seen.gateway).collect::<Vec<_>>(), [0, 1, 2]);
     for seen in &seen {
         assert_eq!((seen.listed, seen.whole_lists, seen.deltas), (8, 1, 0));
@@ -82,7 +82,7 @@
     assert_eq!(list.written, 4 * (welcome + whole));
     // Stores 1 and 7 are in zone 1, and 7 does not answer: two frames of one entry each to each of the four, no whole list.
     assert_eq!(stage.zone(1, false).await.expect("it can be told"), 2);
-    let seen = until(&mut stage, |seen| seen.deltas >= 2).await;
+    let seen = poll_until(&mut stage, |seen| seen.deltas >= 2).await;
     assert!(seen.iter().all(|seen| (seen.deltas, seen.whole_lists) == (2, 1)), "{seen:?}");
     let delta = |entry| {
         FromList::Changes(vec![ListedStore { state: EndpointState::Gone, ..entry }]).frame().len() as u64
@@ -96,8 +96,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_gateway_acts_on_each_change_and_a_restarted_one_goes_on_from_there() {
-    let folder = folder("scale-changes");
+async fn gateways_after_restart_apply_each_change() {
+    let folder = empty_folder("scale-changes");
     let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::here() };
     let plan = Plan { real: 1, changes_per_second: 8.0, restarts_per_hour: 7200.0, ..plan() };
     let plan = Plan { seconds: 1.0, ..plan };
@@ -130,20 +130,20 @@
     ids.filter(|id| parent(id) == Some(of)).collect()
 }
 
-fn there(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     Path::new(&format!("/proc/{id}")).exists()
 }
 
-fn wait(mut over: impl FnMut() -> bool, what: &str) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until(mut over: impl FnMut() -> bool, what: &str) {
+    let end = Instant::now() + TIMEOUT;
     while !over() {
-        assert!(Instant::now() < end, "{what}: not in {PATIENCE:?}");
+        assert!(Instant::now() < end, "{what}: not in {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_run_that_is_told_to_stop_ends_all_that_it_started() {
+fn run_on_sigterm_ends_all_its_processes() {
     let mut run = Command::new(PROGRAM)
         .args(["scale", "--gateways", "3", "--real", "1", "--stores", "8", "--seconds", "600"])
         .stdout(Stdio::null())
@@ -151,17 +151,17 @@
         .spawn()
         .expect("it starts");
     // List, stores, coordinator, a real gateway, a worker.
-    wait(|| children(run.id()).len() == 5, "it starts five processes");
+    wait_until(|| children(run.id()).len() == 5, "it starts five processes");
     let started = children(run.id());
     let id = nix::unistd::Pid::from_raw(run.id() as i32);
     nix::sys::signal::kill(id, nix::sys::signal::Signal::SIGTERM).expect("it can be told");
     let status = run.wait().expect("it ends");
     assert_eq!(status.code(), Some(1));
-    wait(|| started.iter().all(|id| !there(*id)), "what it started ends with it");
+    wait_until(|| started.iter().all(|id| !is_running(*id)), "what it started ends with it");
 }
 
 #[test]
-fn workers_of_a_run_that_is_killed_end_by_themselves() {
+fn workers_of_killed_run_end_by_themselves() {
     let mut run = Command::new(PROGRAM)
         .args(["scale", "--gateways", "2", "--real", "0", "--stores", "8", "--seconds", "600"])
         .stdout(Stdio::null())
@@ -169,52 +169,53 @@
         .spawn()
         .expect("it starts");
     // List, stores, coordinator, a worker; the coordinator is the product's own and does not go with it.
-    wait(|| children(run.id()).len() == 4, "it starts four processes");
+    wait_until(|| children(run.id()).len() == 4, "it starts four processes");
     let is_worker = |id: &u32| {
         std::fs::read_to_string(format!("/proc/{id}/cmdline")).is_ok_and(|line| line.contains("scale-worker"))
     };
-    let (workers, keepers): (Vec<u32>, Vec<u32>) = children(run.id()).into_iter().partition(is_worker);
+    let (workers, coordinators): (Vec<u32>, Vec<u32>) = children(run.id()).into_iter().partition(is_worker);
     assert_eq!(workers.len(), 3);
     run.kill().expect("it can be killed");
     run.wait().expect("it ends");
-    for keeper in keepers {
-        let keeper = nix::unistd::Pid::from_raw(keeper as i32);
-        nix::sys::signal::kill(keeper, nix::sys::signal::Signal::SIGKILL).expect("the keeper can be killed");
+    for coordinator in coordinators {
+        let coordinator = nix::unistd::Pid::from_raw(coordinator as i32);
+        nix::sys::signal::kill(coordinator, nix::sys::signal::Signal::SIGKILL)
+            .expect("the coordinator can be killed");
     }
-    wait(|| workers.iter().all(|id| !there(*id)), "workers end with the run");
+    wait_until(|| workers.iter().all(|id| !is_running(*id)), "workers end with the run");
     let left = std::env::temp_dir().join(format!("umbertray-scale-{}", run.id()));
     std::fs::remove_dir_all(left).expect("a run that is killed leaves its folder");
 }
 
-fn refused(arguments: &[&str]) -> String {
-    let said = Command::new(PROGRAM).arg("scale").args(arguments).output().expect("it runs");
-    assert_eq!(said.status.code(), Some(2), "{said:?}");
-    assert!(said.stdout.is_empty());
-    String::from_utf8(said.stderr).expect("text")
+fn rejection(arguments: &[&str]) -> String {
+    let output = Command::new(PROGRAM).arg("scale").args(arguments).output().expect("it runs");
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
+    assert!(output.stdout.is_empty());
+    String::from_utf8(output.stderr).expect("text")
 }
 
 #[test]
-fn what_cannot_be_run_is_refused_before_anything_starts() {
-    let said = refused(&["--gateways", "1700", "--stores", "4000", "--answering", "4000"]);
-    assert!(said.contains("processes") && said.contains("300") && said.contains("6800000"), "{said}");
-    let said = refused(&["--gateways", "100000", "--stores", "4000"]);
-    assert!(said.contains("limit"), "{said}");
-    let said = refused(&["--gateways", "3", "--stores", "8", "--out", "/proc/nowhere"]);
-    assert!(said.contains("/proc/nowhere"), "{said}");
+fn impossible_plan_is_rejected_before_anything_starts() {
+    let output = rejection(&["--gateways", "1700", "--stores", "4000", "--answering", "4000"]);
+    assert!(output.contains("processes") && output.contains("300") && output.contains("6800000"), "{output}");
+    let output = rejection(&["--gateways", "100000", "--stores", "4000"]);
+    assert!(output.contains("limit"), "{output}");
+    let output = rejection(&["--gateways", "3", "--stores", "8", "--out", "/proc/nowhere"]);
+    assert!(output.contains("/proc/nowhere"), "{output}");
 }
 
 #[test]
-fn a_run_prints_a_line_a_role_and_keeps_them_with_the_machine() {
-    let folder = folder("scale-out");
+fn run_with_out_prints_and_saves_a_line_for_each_role() {
+    let folder = empty_folder("scale-out");
     let out = folder.join("out");
-    let said = Command::new(PROGRAM)
+    let output = Command::new(PROGRAM)
         .args(["scale", "--gateways", "2", "--real", "0", "--stores", "8", "--volumes", "4"])
         .args(["--seconds", "0.3", "--out"])
         .arg(&out)
         .output()
         .expect("it runs");
-    assert!(said.status.success(), "{said:?}");
-    let text = String::from_utf8(said.stdout).expect("text");
+    assert!(output.status.success(), "{output:?}");
+    let text = String::from_utf8(output.stdout).expect("text");
     let lines: Vec<Line> = text.lines().map(|line| serde_json::from_str(line).expect("a line")).collect();
     assert_eq!(lines.len(), 4);
     let kept = std::fs::read_to_string(out.join("lines.jsonl")).expect("lines are kept");
@@ -226,16 +227,16 @@
 }
 
 #[test]
-fn a_budget_that_is_not_kept_to_is_named_and_the_status_is_1() {
-    let said = Command::new(PROGRAM)
+fn exceeded_budget_is_named_and_exits_with_1() {
+    let output = Command::new(PROGRAM)
         .args(["--log", "json", "scale", "--gateways", "1", "--real", "0", "--stores", "2", "--volumes", "1"])
         .args(["--seconds", "0.3", "--most-core", "0", "--most-in-force", "0"])
         .output()
         .expect("it runs");
-    assert_eq!(said.status.code(), Some(1), "{said:?}");
-    let text = String::from_utf8(said.stderr).expect("text");
+    assert_eq!(output.status.code(), Some(1), "{output:?}");
+    let text = String::from_utf8(output.stderr).expect("text");
     assert!(text.contains("of a core, 0 is allowed") && text.contains("in force after"), "{text}");
-    assert_eq!(String::from_utf8(said.stdout).expect("text").lines().count(), 4, "lines come all the same");
+    assert_eq!(String::from_utf8(output.stdout).expect("text").lines().count(), 4, "lines come all the same");
     // Where something did not hold, logs are kept, and it is said where.
     let logged = text.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
     let folder = logged.filter_map(|line| Some(line["fields"]["folder"].as_str()?.to_string())).next();
