--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -5,7 +5,7 @@
 
 const RECORDED: &str = include_str!("golden/commands.txt");
 
-/// A copy of the recorded log of changes, in a folder of this test's.
+/// A copy of the recorded log of changes, in a folder of this test's own.
 fn changes() -> PathBuf {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config-log/tests/golden/changes");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-changes");
@@ -22,7 +22,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../snapshot/tests/version-2.umb")
 }
 
-/// What a command prints and says, with this machine's folders left out.
+/// Standard output, standard error and exit status of a command, without this machine's folders.
 fn printed(arguments: &[&str], folder: &str) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_umbertray"));
     let output = command.args(arguments).output().expect("it runs");
--- a/crates/cli/tests/platform/bad_peers.rs
+++ b/crates/cli/tests/platform/bad_peers.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{Node, op, within};
 
-/// What a client may send that is no op, and the status that it gets before its connection is closed.
+/// Requests that are no op, and the status that they get before their connection is closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_get_error_and_close_and_reach_no_store() {
     let (node, store, _discovery) = Node::with_store(|_| Act::Write(ok("never"))).await;
@@ -106,7 +106,7 @@
     assert_eq!(usual.ask(&op("look", 0, 1001, 2000)).await.0, 200, "one that was served before goes on");
 }
 
-/// Days of bad clients lost the first request of usual ones: a connection was closed for room with it unread.
+/// With many bad clients the first requests of good ones were lost: a connection was evicted with its request unread.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_over_capacity_are_answered_before_the_close() {
     let discovery = Discovery::start().await.expect("loopback");
@@ -120,7 +120,7 @@
         caller.write(&op("order", 0, n, 3000)).await;
         callers.push(caller);
     }
-    // The store says nothing, so that those there is room for stay at work: the last is answered before the first.
+    // The store does not reply, so that admitted requests stay in flight: the last is answered before the first.
     let last = callers.pop().expect("one of many").answer().await.expect("a whole answer");
     assert_eq!(last.head.status, 503);
     let retry_after = last.head.headers.one("Retry-After").expect("once").expect("when to come back");
@@ -132,7 +132,7 @@
     assert!(refused >= 90, "{refused}");
 }
 
-/// A store's answers that are none: the dispatch may have run, nothing of the answer reaches the client.
+/// Malformed responses: the attempt may have executed, and nothing of the response reaches the client.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_store_responses_are_failed_attempts() {
     let malformed: [Vec<u8>; 6] = [
@@ -154,7 +154,7 @@
     }
 }
 
-/// The platform tells of 64 KiB at most, but stores send more: it is their answer, and the memory bounds it.
+/// The configuration names 64 KiB at most, but stores send more; memory is the limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn response_larger_than_configured_is_served_within_memory() {
     let large = "x".repeat(400_000);
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -14,16 +14,16 @@
 const CLIENTS: u64 = 8;
 /// How long requests are counted after the store has restarted; its slow start is 4 s in the settings, at 4 units a second.
 const WATCH_DURATION: Duration = Duration::from_millis(1500);
-/// Far more than the budget of that time, and far less than what the clients ask for.
+/// Far more than the budget of that time, and far less than the clients request.
 const BUDGET: usize = 60;
 
-/// Milliseconds since 1970 on a clock that is off by so many seconds.
+/// Milliseconds since 1970 on a clock that is wrong by this many seconds.
 fn timestamp_ms(offset_seconds: i64) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     (now + 1000 * offset_seconds) as u64
 }
 
-/// Requests that a store gets in its first moments after it has come back cold.
+/// Requests that a store gets directly after a cold restart.
 async fn requests_to_cold_store(offset_seconds: i64, started_before: bool) -> usize {
     let discovery = Discovery::start().await.expect("loopback");
     let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
@@ -40,7 +40,7 @@
     within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
     if !started_before {
         list_restarted();
-        // The next news has been read once its store serves.
+        // The next watch event has been applied once its store serves.
         discovery.list("s2", other.address, 2, "ready");
         let mut caller = node.connect().await;
         let news_read = async {
@@ -68,7 +68,7 @@
     store.requests().len() - before
 }
 
-/// With a clock that is ahead of the stamps a cold store was taken for warm: 5,350 requests in its first 3 s.
+/// With a clock ahead of the timestamps a cold store was treated as warm: 5,350 requests in its first 3 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_store_with_wrong_wall_clock_keeps_slow_start_budget() {
     let offsets = [0, -30, -3600, 30, 3600];
--- a/crates/cli/tests/platform/common.rs
+++ b/crates/cli/tests/platform/common.rs
@@ -43,7 +43,7 @@
     )
 }
 
-/// The same for op types whose clients wait far longer than the time from SIGTERM to SIGKILL.
+/// The same with deadlines far longer than the time from SIGTERM to SIGKILL.
 pub(crate) fn config_with_long_deadlines(discovery: SocketAddr, sockets: usize) -> String {
     config(discovery, sockets)
         .replace(r#""promiseS":0.4"#, r#""promiseS":2.0"#)
@@ -67,7 +67,7 @@
         Node::with_environment(config, &[]).await
     }
 
-    /// One whose process has these variables too.
+    /// A gateway whose process has these environment variables too.
     pub(crate) async fn with_environment(config: &str, environment: &[(&str, String)]) -> Node {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let name = format!("node-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -85,7 +85,7 @@
         Node { address, config: file, child }
     }
 
-    /// One gateway, and one store that does what the script says and has shard 0.
+    /// One gateway, and one scripted store with shard 0.
     pub(crate) async fn with_store(
         script: impl Fn(usize) -> Act + Send + Sync + 'static,
     ) -> (Node, Store, Discovery) {
@@ -129,7 +129,7 @@
         kill(Pid::from_raw(id as i32), signal).expect("our own child");
     }
 
-    /// Kilobytes that are its own.
+    /// Kilobytes of anonymous resident memory.
     pub(crate) fn memory(&self) -> u64 {
         let id = self.child.id().expect("it runs");
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("our own child");
@@ -175,7 +175,7 @@
     }
 
     pub(crate) async fn write(&mut self, bytes: &[u8]) {
-        // What the gateway closed meanwhile shows when the answer is read.
+        // A connection closed meanwhile shows when the response is read.
         _ = self.stream.write_all(bytes).await;
     }
 
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -43,12 +43,12 @@
     store.requests().iter().any(|(_, request)| of(&request.headers) == Some(format!("{n:016x}").into_bytes()))
 }
 
-/// Where much was read ahead the end was looked for every connect time-out only; an op was sent on meanwhile.
+/// With much read ahead a disconnect was checked for only once per connect timeout; an op was forwarded meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn op_of_client_gone_before_first_attempt_is_not_forwarded() {
     let discovery = Discovery::start().await.expect("loopback");
     let store = start_serving_store().await;
-    // The only store of the shard is not to be used yet.
+    // The only store of the shard must not be used yet.
     discovery.list("s0", store.address, 0, "draining");
     let node = Node::start(&discovery, 256).await;
     node.ready().await;
@@ -70,7 +70,7 @@
     assert_eq!([1, 2, 3, 4, 5].map(|n| has_received(&store, n)), [false, false, false, true, true]);
 }
 
-/// Half sent, waiting, dispatched, half answered: each has a whole answer, however late the process comes to it.
+/// Half sent, queued, in flight, half answered: each gets a complete response, however late the process handles it.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_around_sigterm_get_complete_responses() {
     let large = "x".repeat(1_000_000);
@@ -88,7 +88,7 @@
         // The fourth sends the rest after the signal, the fifth never.
         caller.write(&bytes[..bytes.len() - if n > 3 { 2 } else { 0 }]).await;
         if n == 1 {
-            // The answer is larger than what is read, and than what the system holds.
+            // The response is larger than what is read, and than what the kernel buffers.
             within(5, "the first at the store", store.until(|seen| !seen.is_empty())).await;
             let mut first = [0];
             assert_eq!(within(5, "a byte", caller.stream.peek(&mut first)).await.expect("no reset"), 1);
@@ -103,7 +103,7 @@
     assert_eq!((first.head.status, first.body.len()), (200, large.len()));
     for (n, caller) in callers.iter_mut().enumerate().skip(1) {
         let status = caller.answer().await.expect("a whole answer").head.status;
-        // The fifth stopped within its request: that is told in its own time, before the process ends.
+        // The fifth stopped within its request: it gets its 408 in time, before the process ends.
         let expected: &[u16] = if n == 4 { &[408] } else { &[500, 503] };
         assert!(expected.contains(&status), "{n}: {status}");
         assert_eq!(caller.answer().await, None, "{n}");
@@ -112,7 +112,7 @@
     assert!(node.ended().await.success());
 }
 
-/// Of requests that came one behind the other the first was answered, the others were read and never heard of again.
+/// Of pipelined requests the first was answered; the others were read and lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_on_sigterm_are_answered_before_exit() {
     let (mut node, store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
@@ -129,7 +129,7 @@
     assert!(node.ended().await.success());
 }
 
-/// Resting connections were closed with what had just come: a reset, which can take an answer along.
+/// Idle connections were closed with unread bytes: a reset, which can destroy a response.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_on_closing_idle_connection_is_ignored_without_reset() {
     let (mut node, store, _discovery) =
@@ -154,7 +154,7 @@
     assert!(!has_received(&store, 2), "read after the shutdown");
 }
 
-/// The time for a request was cut by that for the rest before it, and it was told that it came too slowly.
+/// The timeout of a request was cut by the idle timeout before it, and it got a 408.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_begun_late_in_idle_time_has_its_own_timeout() {
     let (node, _store, _discovery) =
@@ -179,10 +179,10 @@
     within(5, "the end of the listener", refused).await;
 }
 
-/// The process ended over it: what came then reset the connection and could take the answer along.
+/// The process exited first: bytes that came then reset the connection and could destroy the response.
 #[tokio::test(flavor = "multi_thread")]
 async fn process_on_sigterm_waits_for_clients_to_read_last_response() {
-    // Where this test itself is held up it sees the answer late, and tells nothing.
+    // An attempt in which this test itself is delayed proves nothing.
     for _ in 0..3 {
         let (mut node, _store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
         let mut half = node.connect().await;
@@ -213,7 +213,7 @@
     assert!(node.ended().await.success());
 }
 
-/// One that had asked before was closed without a word, its request half read.
+/// A connection that had been served before was closed without a response, its request half read.
 #[tokio::test(flavor = "multi_thread")]
 async fn partial_request_over_capacity_gets_503() {
     let (node, _store, _discovery) =
@@ -231,7 +231,7 @@
     assert_eq!(half.answer().await, None);
 }
 
-/// A connection that is shut over its last answer went before all that rest, and what lay unread there reset it.
+/// A half-closed connection was evicted before all idle ones, and its unread bytes reset it.
 #[tokio::test(flavor = "multi_thread")]
 async fn client_with_fresh_last_response_is_not_evicted_first() {
     let (node, _store, _discovery) =
@@ -249,7 +249,7 @@
     assert_half_closed(&mut refused, b"more noise").await;
 }
 
-/// Discovery goes silent, idle clients take every place; it comes back where it was, with news.
+/// Discovery stops answering and idle clients use all capacity; it returns at its address, with a watch event.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_clients_at_capacity_keep_out_neither_clients_nor_discovery() {
     let discovery = Discovery::start().await.expect("loopback");
--- a/crates/cli/tests/platform/failing_calls.rs
+++ b/crates/cli/tests/platform/failing_calls.rs
@@ -41,7 +41,7 @@
         clients.spawn(async move {
             let (mut served, mut lost) = (0, 0);
             for n in 0..REQUESTS {
-                // A refusal is no loss, and the client comes back when it was told to.
+                // A rejected request is not lost: the client retries after the Retry-After.
                 for attempt in 0..MAX_ATTEMPTS {
                     let id = MAX_ATTEMPTS * (1000 * client + n) + attempt;
                     caller.write(&op("look", 0, id, 2000)).await;
--- a/crates/cli/tests/platform/reloads.rs
+++ b/crates/cli/tests/platform/reloads.rs
@@ -1,4 +1,4 @@
-//! New configurations by SIGHUP: all that is made of the settings is made anew, or nothing is.
+//! New configurations by SIGHUP: all that is derived from the settings is replaced, or nothing is.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     moved
 }
 
-/// The drain went by the deadlines of the first configuration: what was open was given up after 0.9 s.
+/// A drain used the deadlines of the first configuration: open requests were abandoned after 0.9 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_after_reload_uses_deadlines_in_force() {
     let answer = |_| Act::WriteAfter(Duration::from_millis(2300), ok("served"));
@@ -45,7 +45,7 @@
     assert!(node.ended().await.success());
 }
 
-/// Connections that were idle when the idle time became shorter stayed open by the time before.
+/// Connections that were idle when the idle timeout was shortened stayed open for the former one.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_after_reload_use_idle_timeout_in_force() {
     let (node, store, _first) = Node::with_store(|_| Act::Write(ok("served"))).await;
@@ -70,7 +70,7 @@
     assert_eq!(within(2, "the end of idle clients", ends).await, (None, None));
 }
 
-/// Ten configurations in a row, each other one wrong in another way: the last right one is in force, nothing is lost.
+/// Ten configurations in a row, every other one invalid in another way: the last valid one is in force, nothing is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn reloads_in_a_row_apply_completely_or_not_at_all() {
     const ROUNDS: u64 = 10;
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/serving.rs
@@ -92,7 +92,7 @@
     discovery.list("s0", other.address, 0, "draining");
     let node = Node::start(&discovery, 256).await;
     node.ready().await;
-    // The only store of its shard is not to be used yet: the op waits. More behind it is read ahead.
+    // The only store of its shard must not be used yet: the op waits. Requests behind it are read ahead.
     let mut leaving = node.connect().await;
     leaving.write(&op("look", 0, 1, 2000)).await;
     leaving.write(&op("look", 0, 2, 2000).repeat(40)).await;
@@ -137,7 +137,7 @@
     assert_eq!(node.connect().await.ask(&op("look", 0, 2, 2000)).await.0, 200);
 }
 
-/// Connections to where a store was lead, later, to whoever listens there now.
+/// Connections to a store's former address lead to whatever listens there later.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_with_new_address_is_reached_there() {
     let (node, before, discovery) = Node::with_store(|_| Act::Write(ok("before"))).await;
--- a/crates/cli/tests/platform/signals.rs
+++ b/crates/cli/tests/platform/signals.rs
@@ -28,7 +28,7 @@
     in_flight.write(&op("look", 0, 1, 2000)).await;
     within(5, "the op at the store", store.until(|seen| !seen.is_empty())).await;
     node.signal(Signal::SIGTERM);
-    // It says so, and serves connections that stand and that are new for as long as there is time to answer.
+    // It reports that, and serves present and new connections for as long as there is time to answer.
     wait_until_not_ready(&node).await;
     for n in 2..5 {
         assert_eq!(idle.ask(&op("look", 0, n, 2000)).await, (200, "in the end".into()));
@@ -38,7 +38,7 @@
     assert!(node.ended().await.success());
 }
 
-/// What comes last has less time than its client gave it: SIGKILL would lose it.
+/// Late requests have less time than their deadline: SIGKILL would lose them.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_after_sigterm_are_answered_before_sigkill() {
     let (mut node, store, _discovery) = Node::with_store(|_| Act::Hold).await;
@@ -59,7 +59,7 @@
     assert!(began.elapsed() < Duration::from_millis(3700), "{:?}", began.elapsed());
 }
 
-/// Days of restarts lost what gateways had taken before SIGTERM: it kept its clients' time, the process did not.
+/// Restarts lost requests accepted before SIGTERM: their deadlines were later than SIGKILL.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_before_sigterm_with_long_deadlines_are_answered_before_exit() {
     let (mut node, store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
@@ -71,7 +71,7 @@
     }
     within(5, "an op at the store", store.until(|seen| !seen.is_empty())).await;
     let began = Instant::now();
-    // The end is the same however often it is asked for, and whatever else is.
+    // Further signals do not change the shutdown.
     [Signal::SIGTERM, Signal::SIGHUP, Signal::SIGTERM].into_iter().for_each(|signal| node.signal(signal));
     for (n, caller) in callers.iter_mut().enumerate() {
         let status = caller.answer().await.expect("a whole answer").head.status;
@@ -81,7 +81,7 @@
     assert!(began.elapsed() < Duration::from_millis(3700), "{:?}", began.elapsed());
 }
 
-/// The listener went at once where the shortest op timeout is longer than the time to SIGKILL.
+/// The listener was closed at once where the shortest op timeout is longer than the time to SIGKILL.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_connections_after_sigterm_are_served_at_any_deadline() {
     let (mut node, _store, _discovery) =
@@ -94,7 +94,7 @@
     assert!(node.ended().await.success());
 }
 
-/// Cut to the end of the process, the time left told the module that the client had waited through earlier tries.
+/// With the deadline cut to the end of the process, the module assumed that the client had waited through earlier attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn op_after_sigterm_with_deadline_past_exit_is_served() {
     let store = |_| Act::WriteAfter(Duration::from_millis(100), ok("served"));
@@ -107,7 +107,7 @@
     assert!(node.ended().await.success());
 }
 
-/// A request may be on its way, or lie unread, when the gateway has stopped listening: no other connection can be made.
+/// A request may be in flight, or unread, when the gateway has stopped listening: the client cannot connect again.
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_without_request_is_answered_after_listener_closed() {
     let (mut node, _store, _discovery) =
@@ -121,7 +121,7 @@
     assert!(node.ended().await.success());
 }
 
-/// Where the list is asked for, it was not asked for again: no drain was heard of after the move.
+/// A list that must be subscribed to was not subscribed to again: no drain was seen after the move.
 #[tokio::test(flavor = "multi_thread")]
 async fn sighup_with_subscribed_list_moves_watch() {
     assert_sighup_moves_watch(config_with_subscription).await;
--- a/crates/cli/tests/platform/sizes.rs
+++ b/crates/cli/tests/platform/sizes.rs
@@ -8,7 +8,7 @@
 use crate::common::{Node, config, op, within};
 
 const STORES: u32 = 1024;
-/// The least that a gateway has to get along with.
+/// The lowest limit that a gateway must work with.
 const SOCKETS: usize = 256;
 
 fn config_of_large_fleet(discovery: SocketAddr) -> String {
@@ -48,7 +48,7 @@
     let version = u64::from(STORES);
     for (n, (address, status)) in [(nobody, 503), (store.address, 200)].into_iter().enumerate() {
         discovery.say(&change_of_all(version + 1 + n as u64, address));
-        let told = async {
+        let change_applied = async {
             for id in 0.. {
                 let id = 10_000 * (n as u64 + 1) + id;
                 if caller.ask(&op("look", 1023, id, 2000)).await.0 == status {
@@ -56,12 +56,12 @@
                 }
             }
         };
-        within(10, "the change", told).await;
+        within(10, "the change", change_applied).await;
     }
     assert!(node.memory() < 32 * 1024, "{} KB", node.memory());
 }
 
-/// Every store is reached although not each can have a connection, one after the other and all at once.
+/// Every store is reached, one after the other and all at once, although there are too few descriptors for all.
 #[tokio::test(flavor = "multi_thread")]
 async fn stores_beyond_descriptor_limit_are_all_reached() {
     const REACHED: u32 = 300;
--- a/crates/cli/tests/platform/stopped_clients.rs
+++ b/crates/cli/tests/platform/stopped_clients.rs
@@ -10,18 +10,18 @@
 
 use crate::common::{Caller, Node, config, config_with_long_deadlines, op, within};
 
-/// The standing page: bad clients are owed their error or close within so long.
+/// The standing page: bad clients get their error or close within this time.
 const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
 
-/// A state in which a client stops: what it sends, piece by piece with a pause before each but the first, after how
-/// many whole requests that are answered.
+/// A state in which a client stops: what it sends, piece by piece with a pause before each but the first, after this many
+/// complete requests that are answered.
 struct Stop {
     name: &'static str,
     answered_before: usize,
     pieces: Vec<Vec<u8>>,
 }
 
-/// Between two pieces of a client that trickles.
+/// Pause between two pieces of a client that trickles.
 const PAUSE: Duration = Duration::from_millis(100);
 
 fn stops() -> Vec<Stop> {
@@ -118,7 +118,7 @@
     config_with_deadline(60.0, discovery)
 }
 
-/// A new configuration changed the module's settings and not the front's own times.
+/// A reload changed the module's settings and not the front's own timeouts.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_clients_after_reload_are_answered_within_limit() {
     let (node, _store, discovery) =
@@ -128,7 +128,7 @@
     assert_all_answered_in_time(&node, "60 s, reloaded with 1.5 s").await;
 }
 
-/// A client that stops behind an open request: its answer comes first, and the word on the rest at once after it.
+/// A client that stops behind an open request: its response comes first, and the 408 for the rest directly after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn client_stopped_behind_open_request_gets_408_after_its_response() {
     let (node, _store, _discovery) = Node::with(config_with_long_deadlines, 256, |_| Act::Hold).await;
--- a/crates/cli/tests/platform/store_endings.rs
+++ b/crates/cli/tests/platform/store_endings.rs
@@ -12,11 +12,11 @@
 
 use crate::common::{Node, config, op, within};
 
-/// One connection at a store: what has come whole over it is counted for all of them.
+/// One connection at a store; complete requests are counted over all connections.
 struct Peer {
     stream: TcpStream,
     requests: RequestReader,
-    /// How many connections came before.
+    /// Number of connections accepted before.
     number: usize,
     taken: Arc<watch::Sender<usize>>,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A store whose connections are each attended to by the script; and how many requests came whole.
+/// A store that runs the script for each connection, and the number of complete requests it received.
 async fn store<F: Future<Output = ()> + Send + 'static>(
     script: impl Fn(Peer) -> F + Send + 'static,
 ) -> (SocketAddr, watch::Receiver<usize>) {
@@ -75,7 +75,7 @@
     config(discovery, sockets).replace(r#""dialTimeoutS":0.2"#, r#""dialTimeoutS":8.0"#)
 }
 
-/// The op type that may not run twice is failed, and the other sent again, wherever its answer is cut.
+/// Wherever a response is truncated, an op type that is not idempotent fails, and an idempotent one is retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_store_response_is_never_forwarded() {
     const CUT: [&[u8]; 7] = [
@@ -109,7 +109,7 @@
     }
 }
 
-/// It was refused whole: a once-only op that had run was failed.
+/// Such a response was rejected, and an op that had been executed was failed.
 #[tokio::test(flavor = "multi_thread")]
 async fn response_without_length_is_served_if_connection_ends_cleanly() {
     for reset in [false, true] {
@@ -129,7 +129,7 @@
     }
 }
 
-/// A second answer, a while after the first: the next request over that connection had it for its own.
+/// A second response, a while after the first, was taken for that of the next request over the connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_second_response_is_dropped() {
     let (address, _) = store(|mut peer| async move {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Once it has rested a connection is used again: a store holds few.
+/// An idle connection is reused: a store allows few.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_store_connection_is_reused() {
     let (address, _) = store(|mut peer| async move {
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -233,7 +233,7 @@
     let load = Arc::new(Load::default());
     let mut clients = spawn_writers(&load, &gateways, "vol", 8);
     let (acked, seconds) = acked_during(&load, Duration::from_secs(1)).await;
-    // Half of 40 and half of 400 a second, half of each burst, the slack and what was out.
+    // Half of 40 and half of 400 a second, half of each burst, the slack and the writes in flight.
     let most = (20.0 + 200.0) * (seconds + 0.5) + 20.0 + 200.0 + 40.0;
     assert!(acked <= most, "{acked} of {most}");
     load.over.store(true, Ordering::Relaxed);
@@ -287,7 +287,7 @@
     shows(&["show"], "plan(\"free\", rate = 1000.0, reserve = 0.0, weight = 1.0)");
     shows(&["show", "--at", "2"], "weight = 2.0");
     shows(&["show", "--at", "2100-01-01T00:00:00Z"], "# Version 3");
-    // What is exported can be applied: the same again changes nothing.
+    // An exported script can be applied: without edits it changes nothing.
     let exported = run_config(&["export"], &changes).stdout;
     let file = folder.join("exported.star");
     std::fs::write(&file, exported).expect("room");
@@ -330,7 +330,7 @@
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     fleet.ids().into_iter().for_each(|id| fleet.fault(id, Fault { lost: 1.0, ..Fault::default() }));
     let (reply, ()) = tokio::join!(client.write(0, block_contents(2, 0, 1)), async {
-        // The write is on its way before the signal: it is the only thing this client sends.
+        // The write is in flight before the signal: this client sends nothing else.
         tokio::time::sleep(Duration::from_millis(200)).await;
         gateway.signal(nix::sys::signal::Signal::SIGTERM).expect("it runs");
     });
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -16,7 +16,7 @@
 
 pub(crate) const KIB: u32 = 1 << 10;
 
-/// Settings of one op type for reads and one for writes; `more` adds or replaces calls.
+/// Settings of one op type for reads and one for writes; `extra_calls` adds or replaces calls.
 pub(crate) fn settings_document(extra_calls: &str) -> SettingsDocument {
     let script = format!(
         r#"
@@ -71,7 +71,7 @@
     Connection::open(gateway.addresses[0], "vol", true).await.expect("a session opens")
 }
 
-/// The content of so many blocks from one on, as a write of this mark leaves them.
+/// The content of `blocks` blocks from `block` on after a write with this mark.
 pub(crate) fn block_contents(mark: u64, block: u64, blocks: u32) -> Bytes {
     (block..block + u64::from(blocks)).flat_map(|block| content(mark, block)).collect()
 }
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -7,7 +7,7 @@
 async fn assert_scenario_tries_all_rules(name: &str, text: &str, seed: u64) {
     let (_, verdict) = run_fault_scenario(name, text, seed).await;
     for finding in &verdict.findings {
-        // A rule that was not tried says nothing; the budget is tried only where something was sent again.
+        // A rule that was never checked proves nothing; the retry budget is checked only where there were retries.
         assert!(finding.looked > 0 || finding.rule.starts_with('6'), "{finding:?}");
     }
     assert_mostly_acked(&verdict);
@@ -30,7 +30,7 @@
     assert_mostly_acked(&verdict);
 }
 
-/// Ranges move back and forth while coordinator, stores and gateways die, stand still and come back.
+/// Ranges move back and forth while coordinator, stores and gateways are killed, stalled and restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn ranges_migrated_under_load_lose_nothing() {
     let text = include_str!("../../../../days/fences.star");
--- a/crates/cli/tests/sockets/failing_calls.rs
+++ b/crates/cli/tests/sockets/failing_calls.rs
@@ -20,7 +20,7 @@
 const CLIENTS: u64 = 4;
 const WRITES: u64 = 15;
 
-/// Writes block after block; how many had no reply at all.
+/// Writes block after block; the number of writes without any reply.
 async fn count_lost_writes(address: std::net::SocketAddr, client: u64) -> u64 {
     let Ok(Ok(connection)) =
         tokio::time::timeout(Duration::from_secs(5), Connection::open(address, "vol", true)).await
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -34,7 +34,7 @@
     fleet.restart(identity).await.expect("it starts again");
     let whole = within(5, "read", read).await.ok().flatten();
     assert_eq!(read_marks(&whole, 0, 64), vec![Some(7); 64]);
-    // The second dispatch asked for the rest only.
+    // The second attempt requested the rest only.
     let entries = fleet.book.entries();
     let reads = entries.iter().filter_map(|entry| match &entry.seen {
         Seen::Received { work, offset, length, .. } if work == "Read" => Some((*offset, *length)),
@@ -44,7 +44,7 @@
     assert_eq!(client.strays(), [""; 0]);
 }
 
-/// 1, where no successor comes: one final answer all the same, in time.
+/// 1, where no successor comes: one final reply all the same, in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn read_of_store_that_dies_for_good_ends_in_one_error() {
     let mut fleet = start_fleet(1).await;
@@ -63,7 +63,7 @@
     assert_eq!(whole.map(|whole| whole.data.len()), Some(1), "the first chunk had come");
 }
 
-/// 2. A client leaves in the middle of a reply, and with a hundred writes out; its room comes back each time.
+/// 2. A client disconnects in the middle of a reply, with a hundred writes in flight; their capacity is released each time.
 #[tokio::test(flavor = "multi_thread")]
 async fn disconnecting_clients_with_requests_in_flight_release_their_capacity() {
     let fleet = start_fleet(2).await;
@@ -88,14 +88,14 @@
         let found = within(5, "the one that stays", staying.read(0, 256 * KIB)).await;
         assert_eq!(read_marks(&found, 0, 64), vec![Some(3); 64]);
     }
-    // All of the room is there again: two sessions may each hold their whole part.
+    // All capacity is free again: two sessions may each use their full share.
     for _ in 0..4 {
         let client = connect(&gateway).await;
         expect_acked(&within(5, "a whole part", client.write(0, block_contents(3, 0, 64))).await);
     }
 }
 
-/// 3. Stores answer just as the final answer goes: exactly one reply, and what it says holds.
+/// 3. Stores reply just as the final reply is sent: exactly one reply, and it is true.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_replies_racing_the_final_reply_yield_one_true_reply() {
     let fleet = start_fleet(1).await;
@@ -104,7 +104,7 @@
     expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
     let (mut abandoned, mut mark) = (0, 1);
     for round in 0..8u32 {
-        // Writes are answered after 1.0 s less the gateway's margin: around that the race is.
+        // Writes are answered after 1.0 s less the gateway's margin: the race is around that time.
         let sits = Duration::from_millis(948 + 4 * u64::from(round));
         fleet.fault(1, Fault { sits, ..Fault::default() });
         let writes: Vec<_> = (0..6u64)
@@ -139,7 +139,7 @@
     assert_eq!(client.strays(), [""; 0]);
 }
 
-/// 4. A store is gone while a write's outcome is unknown; what the client is told holds at the successor.
+/// 4. A store dies while a write's outcome is unknown; the reply to the client holds at the successor.
 #[tokio::test(flavor = "multi_thread")]
 async fn write_of_store_that_dies_ends_once_and_truthfully() {
     let mut fleet = start_fleet(1).await;
@@ -157,7 +157,7 @@
     assert!(expected.contains(&found), "{whole:?} but {found:?}");
 }
 
-/// A store sits on a write past its time. A newer write to the block is acked, through another gateway; the late one
+/// A store delays a write past its deadline. A newer write to the block is acked, through another gateway; the late one
 /// must not undo it.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_write_after_newer_one_is_fenced() {
@@ -173,7 +173,7 @@
     assert!(is_throttled(&late), "{late:?}");
     fleet.fault(1, Fault::default());
     expect_acked(&retry_throttled(async || other.write(0, block_contents(3, 0, 1)).await).await);
-    // The store comes to the late one now, and says what it made of it.
+    // The store now comes to the late write, and reports its result.
     let fenced = |entry: &umbertray_fakes::Entry| matches!(&entry.seen, Seen::Answered { code, .. } if code == "Fenced");
     within(3, "the late one's end", fleet.book.until(1, fenced)).await;
     for client in [&one, &other] {
@@ -181,7 +181,7 @@
     }
 }
 
-/// 5. A gateway stands still for 2 s with full sockets, then goes on.
+/// 5. A gateway is stopped for 2 s with full sockets, then resumed.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_gateway_after_resume_answers_each_request_once() {
     let fleet = start_fleet(2).await;
@@ -199,7 +199,7 @@
             _ => client.send(Command::Write, 0, (n % 8) * 4096, 4096, block_contents(n, n % 8, 1)),
         })
         .collect();
-    // The stand-still itself is the trouble: two seconds, longer than a write's time.
+    // The stall is the fault itself: two seconds, longer than a write's deadline.
     tokio::time::sleep(Duration::from_secs(2)).await;
     gateway.signal(Signal::SIGCONT).expect("our own child");
     let mut ended = 0;
@@ -214,7 +214,7 @@
     assert!(well && took < Duration::from_secs(4), "SIGTERM to exit: {took:?}");
 }
 
-/// 6. A gateway is killed outright and started again under load while all stores have just come back.
+/// 6. A gateway is killed and restarted under load while all stores have just restarted.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_gateway_overloads_no_cold_store() {
     let mut fleet = start_fleet(3).await;
@@ -271,8 +271,8 @@
     assert!(!fleet.book.entries().iter().any(|entry| entry.seen == Seen::Fell));
 }
 
-/// 9. More than the stores can do for two seconds, then one quiet client: it was throttled for good, since ops that yield
-/// went only where answers had shown that they would be quick, and no answer came where nothing went.
+/// 9. Two seconds of overload, then one quiet client: it was throttled forever, since ops that yield were only sent to
+/// stores with fast recent replies, and a store that gets no requests has none.
 #[tokio::test(flavor = "multi_thread")]
 async fn quiet_client_after_flood_is_served_again() {
     let fleet = Fleet::start(4, Power::default(), 1).await.expect("stores start on loopback");
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -29,7 +29,7 @@
         .expect("a coordinator starts")
 }
 
-/// Two stores, a coordinator, a gateway that asks it, and a client that has written so many blocks.
+/// Two stores, a coordinator, a gateway that uses it, and a client that has written this many blocks.
 async fn start_with_data(name: &str, blocks: u32) -> (Fleet, CoordinatorProcess, RunningGateway, Connection) {
     let fleet = start_fleet(2).await;
     let coordinator = start_coordinator(&fleet, name).await;
@@ -51,7 +51,7 @@
 async fn move_first_extent(coordinator: &CoordinatorProcess, shard: u32) {
     let accepted = async {
         loop {
-            // One that has just started may not have heard of the stores yet.
+            // A coordinator that has just started may not know the stores yet.
             match coordinator.wish(extents(0, 1), shard).await.expect("an answer") {
                 Ok(number) => return number,
                 Err(refused) => assert!(refused.starts_with("no store serves"), "{refused}"),
@@ -99,17 +99,17 @@
     }
 }
 
-/// An op that ran at the source, its answer lost, and is sent again to the target: acked, without a second effect.
+/// An op executes at the source, its reply is lost, and it is retried at the target: acked, without a second effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn op_executed_at_source_does_not_execute_again_at_target() {
     let fleet = start_fleet(2).await;
     let coordinator = start_coordinator(&fleet, "moves-marks").await;
-    let mut patient = settings_document("");
-    // However slow the machine, it is not late when it is sent again.
-    for op_type in &mut patient.settings.op_types {
+    let mut settings = settings_document("");
+    // Long enough for the retry to be in time on a slow machine.
+    for op_type in &mut settings.settings.op_types {
         (op_type.target_latency, op_type.op_timeout) = (Duration::from_secs(6), Duration::from_secs(8));
     }
-    let gateway = start_gateway_with(&fleet, 1, &patient, Some(coordinator.address)).await;
+    let gateway = start_gateway_with(&fleet, 1, &settings, Some(coordinator.address)).await;
     let client = connect(&gateway).await;
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     let source = shards_with_data(&fleet)[0];
@@ -120,7 +120,7 @@
     let count = before + 1;
     within(3, "run", fleet.book.until(count, |entry| matches!(entry.seen, Seen::Ran { .. }))).await;
     move_first_extent(&coordinator, 1 - source).await;
-    // Its connection breaks: the gateway sends it again, to the source, and is told where to.
+    // The connection breaks: the gateway retries at the source, and is redirected to the target.
     fleet.fault(store, Fault::default());
     fleet.get(store).expect("it runs").cut_links();
     let outcome = within(9, "answer", write).await.ok().flatten();
@@ -153,7 +153,7 @@
         &retry_throttled(async || client.write(u64::from(4 * 256 * KIB), block_contents(4, 256, 1)).await)
             .await,
     );
-    // What was claimed is on the disk before it is told.
+    // A claimed extent is durable before the gateway is notified of it.
     coordinator.kill().await.expect("it was there");
     coordinator.again().await.expect("it starts again");
     move_first_extent(&coordinator, 1 - shards_with_data(&fleet)[0]).await;
@@ -167,7 +167,7 @@
         let source = shards_with_data(&fleet)[0];
         let number =
             coordinator.wish(extents(0, 1), 1 - source).await.expect("an answer").expect("it can be moved");
-        // Another order of the move each time is the last that this run gives.
+        // In each round another order of the move is the last before the kill.
         let orders = fleet.book.entries().iter().filter(|e| matches!(e.seen, Seen::Ordered { .. })).count();
         let last = orders + 1 + round as usize % 9;
         let ordered = fleet.book.until(last, |entry| matches!(entry.seen, Seen::Ordered { .. }));
@@ -222,7 +222,7 @@
         (Connection::open(stalled.address, "vol", true).await.expect("a session"), connect(&other).await);
     expect_acked(&retry_throttled(async || first.write(0, block_contents(1, 0, 8)).await).await);
     let source = shards_with_data(&fleet)[0];
-    // They lie at the store when their gateway stops: none is still to be read from its client.
+    // The store has received all of them when their gateway is stopped: none is still in its client's socket.
     let (store, sits) = (fleet.of_shard(source).expect("a store"), Duration::from_millis(400));
     fleet.fault(store, Fault { sits, ..Fault::default() });
     let stalled_writes: Vec<_> = (0..4)
@@ -235,7 +235,7 @@
     stalled.signal(Signal::SIGSTOP).expect("it is there");
     fleet.fault(store, Fault::default());
     move_first_extent(&coordinator, 1 - source).await;
-    // Past the op timeout of what was under way.
+    // Past the op timeout of the writes in flight.
     tokio::time::sleep(Duration::from_millis(1300)).await;
     expect_acked(&retry_throttled(async || second.write(0, block_contents(3, 0, 8)).await).await);
     stalled.signal(Signal::SIGCONT).expect("it is there");
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -65,7 +65,7 @@
     within(20, "a promise on the disk", waiting).await;
 }
 
-/// What was drawn over all lives is never above the burst and what came since, whichever limit was set.
+/// Tokens used over all incarnations never exceed the burst and the refill since, at each limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn limit_lowered_while_gateway_is_down_holds_from_first_op() {
     let (folder, fleet) = (empty_folder("lowered"), start_fleet(1).await);
@@ -76,7 +76,7 @@
     let mut gateway = start(settings_script(&fleet, &folder, high)).await;
     wait_until_reserved(&gateway, &folder, 100.0).await;
     gateway.kill().await.expect("it runs");
-    // The same settings: the promise may be drawn, and that once only over two deaths.
+    // The same settings: the reserved tokens may be used, and only once over two kills.
     let began = Instant::now();
     let mut gateway = start(settings_script(&fleet, &folder, high)).await;
     let mut drawn = write_until_throttled(&gateway, "vol", 1).await;
@@ -129,7 +129,7 @@
     Connection::open(address, "vol", true).await.expect("a session opens")
 }
 
-/// A disk on which no byte can be written (a bound on file size stands for a full one), and a folder that cannot be.
+/// A disk on which no byte can be written (simulated by a limit on file size), and a state folder that cannot be made.
 #[tokio::test(flavor = "multi_thread")]
 async fn state_on_full_disk_or_unusable_folder_costs_no_service() {
     let (folder, fleet) = (empty_folder("full"), start_fleet(1).await);
@@ -143,7 +143,7 @@
         assert!(line.contains("error"), "{line}");
         expect_acked(&retry_throttled(async || connection.write(0, block_contents(n + 1, 0, 1)).await).await);
     }
-    // Told to stop it does not wait for the disk either.
+    // SIGTERM does not wait for the disk either.
     let id = nix::unistd::Pid::from_raw(child.id().expect("it runs") as i32);
     nix::sys::signal::kill(id, Signal::SIGTERM).expect("it runs");
     drop(connection);
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -53,7 +53,7 @@
     let folder = empty_folder("scale-counts");
     let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::here() };
     let mut stage = Stage::start(&plan(), &setup, Start::OneByOne, "tiny").await.expect("it starts");
-    // Held is what is listed; links are made to those that answer, and tried once to the others.
+    // All listed stores are held; those that answer are connected, and the others are tried once.
     let seen = poll_until(&mut stage, |_| true).await;
     assert_eq!(seen.iter().map(|seen| seen.gateway).collect::<Vec<_>>(), [0, 1, 2]);
     for seen in &seen {
@@ -112,7 +112,7 @@
     }
     assert!(lines[0].in_force_seconds.is_some() && lines[1].in_force_seconds.is_some());
     assert!(lines[0].rss_mb > 1.0 && lines[0].control_bytes_per_second > 0.0);
-    // Version 1 is what they all began with.
+    // All started at version 1.
     let (seen, _) = stage.look().await.expect("they can be looked at");
     assert!(seen.iter().all(|seen| seen.version == 9 && !seen.over), "{seen:?}");
     assert_eq!(stage.end().await, Vec::<String>::new());
@@ -168,7 +168,7 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("it starts");
-    // List, stores, coordinator, a worker; the coordinator is the product's own and does not go with it.
+    // List, stores, coordinator, a worker; the coordinator is a product process and does not end with its parent.
     wait_until(|| children(run.id()).len() == 4, "it starts four processes");
     let is_worker = |id: &u32| {
         std::fs::read_to_string(format!("/proc/{id}/cmdline")).is_ok_and(|line| line.contains("scale-worker"))
@@ -237,7 +237,7 @@
     let text = String::from_utf8(output.stderr).expect("text");
     assert!(text.contains("of a core, 0 is allowed") && text.contains("in force after"), "{text}");
     assert_eq!(String::from_utf8(output.stdout).expect("text").lines().count(), 4, "lines come all the same");
-    // Where something did not hold, logs are kept, and it is said where.
+    // Where a budget was exceeded logs are kept, and their folder is named.
     let logged = text.lines().filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok());
     let folder = logged.filter_map(|line| Some(line["fields"]["folder"].as_str()?.to_string())).next();
     let folder = folder.expect("it says where logs are");
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -24,7 +24,7 @@
     let mut input = BytesMut::new();
     loop {
         let step = client.receive(&mut input).expect("a good server");
-        // A byte at a time: however it trickles, it means the same.
+        // A byte at a time: the protocol does not depend on how the stream is split.
         for byte in client.output().split() {
             stream.write_all(&[byte]).await.expect("it reads");
         }
@@ -94,7 +94,7 @@
     };
     assert_eq!(reply, Reply::Simple { cookie: 7, error: None, data: Bytes::new() });
     stream.write_all(&bytes[..40]).await.expect("it reads");
-    // Longer than the longest op timeout, 3 s, no request is waited for.
+    // No request is waited for longer than the longest op timeout, 3 s.
     assert!(is_closed_in_time(&mut stream).await, "closed");
 }
 
@@ -109,7 +109,7 @@
     let reads: Vec<u8> =
         (0..200).flat_map(|n| request(Command::Read, n, 0, 256 * KIB, Bytes::new())).collect();
     unread.write_all(&reads).await.expect("it reads");
-    // Far more than the deaf one's part passes through the same store link meanwhile.
+    // Far more than the quota of the session that reads nothing passes over the same store connection meanwhile.
     for _ in 0..40 {
         assert_eq!(read_marks(&within(5, "read", good.read(0, 256 * KIB)).await, 0, 64), [Some(1); 64]);
     }
@@ -121,7 +121,7 @@
     let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let simple = Connection::open(gateway.addresses[0], "vol", false).await.expect("a session opens");
     let client = connect(&gateway).await;
-    // Across extents: one reply made of several places.
+    // Across extents: one reply is assembled from several stores.
     expect_acked(&within(5, "write", client.write(60 * 4096, block_contents(5, 60, 200))).await);
     for reader in [&simple, &client] {
         assert_eq!(
@@ -217,13 +217,13 @@
     expect_acked(&retry_throttled(async || client.write(8 << 20, block_contents(3, 2048, 1)).await).await);
 }
 
-/// Whether the gateway had no room for it; whatever else became of it, it was held.
+/// Whether the gateway rejected the request for want of capacity; otherwise it was queued.
 fn is_out_of_capacity(ended: &Option<Whole>) -> bool {
     matches!(ended, Some(Whole { error: Some((_, text)), .. }) if text.ends_with("no_room"))
 }
 
-/// While stores say nothing, one volume's requests fill what is open and that volume's part; the rest is turned away at once,
-/// and another volume's room is not touched.
+/// While stores do not reply, one volume's requests fill the shared capacity and that volume's share; the rest is rejected
+/// at once, and another volume's share is untouched.
 #[tokio::test(flavor = "multi_thread")]
 async fn flood_of_one_volume_is_rejected_and_takes_no_capacity_of_others() {
     let fleet = start_fleet(1).await;
@@ -262,14 +262,14 @@
     assert_eq!((good.strays(), other.strays()), (vec![], vec![]));
 }
 
-/// With long op timeouts a client that stopped within a negotiation or a request was waited for as long.
+/// With long op timeouts a client that stopped within a negotiation or a request was waited for that long.
 #[tokio::test(flavor = "multi_thread")]
 async fn sessions_stopped_within_a_message_end_within_limit_at_any_timeout() {
-    /// The standing page: bad clients are owed their error or close within so long.
+    /// The standing page: bad clients get their error or close within this time.
     const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
     let fleet = start_fleet(1).await;
-    let patient = r#"op_type("slow", target_latency = 2.0, op_timeout = 20.0, utility = 2)"#;
-    let gateway = start_gateway(&fleet, 1, &settings_document(patient)).await;
+    let slow_op_type = r#"op_type("slow", target_latency = 2.0, op_timeout = 20.0, utility = 2)"#;
+    let gateway = start_gateway(&fleet, 1, &settings_document(slow_op_type)).await;
     let write = request(Command::Write, 7, 0, 4096, block_contents(6, 0, 1));
     let mut stopped = vec![("no word", TcpStream::connect(gateway.addresses[0]).await.expect("it listens"))];
     for (name, length) in [("half a header", 10), ("a header", 28), ("half a payload", 2000)] {
