--- a/crates/cli/src/measure/changes/mod.rs
+++ b/crates/cli/src/measure/changes/mod.rs
@@ -55,7 +55,8 @@
     let follower = Follower::open(&Disk::read_only(folder), None)?;
     let own = settings_document()?.settings;
     let settings = Arc::new(follower.replica.version.settings(&own));
-    let changes = ChangeSource::Folder { folder: folder.into(), follower: Box::new(follower), acted: None };
+    let changes =
+        ChangeSource::Folder { folder: folder.into(), follower: Box::new(follower), state_folder: None };
     MeasuredGateway::start_following(fleet, settings, changes).await
 }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -9,7 +9,7 @@
 use umbertray_config_log::chain::Hash;
 use umbertray_config_log::{Follower, Replica};
 use umbertray_nbd_gateway::{
-    ChangeSource, GatewayOptions, PATIENCE, RelaySource, RelayedChanges, RunningGateway,
+    ChangeSource, GatewayOptions, RELAY_START_TIMEOUT, RelaySource, RelayedChanges, RunningGateway,
 };
 use umbertray_routing::Settings;
 use umbertray_snapshot::Disk;
@@ -167,10 +167,10 @@
     let state: Option<PathBuf> = own.state.map(PathBuf::from);
     let source = match own.changes {
         Some(umbertray_config::ChangeSource::Folder(folder)) => {
-            let applied = state.as_deref().map(umbertray_nbd_gateway::acted).transpose();
+            let applied = state.as_deref().map(umbertray_nbd_gateway::read_applied_version).transpose();
             let applied = applied.map_err(CommandError::io("the version acted on"))?.flatten();
             let follower = Box::new(open_follower(Path::new(&folder), applied)?);
-            ChangeSource::Folder { folder: folder.into(), follower, acted: state }
+            ChangeSource::Folder { folder: folder.into(), follower, state_folder: state }
         }
         Some(umbertray_config::ChangeSource::Relays { upstreams, quorum }) => {
             let relays = RelaySource {
@@ -179,7 +179,7 @@
                 upstreams,
                 quorum,
                 seed: own.seed,
-                patience: PATIENCE,
+                start_timeout: RELAY_START_TIMEOUT,
                 state,
             };
             ChangeSource::Relays(Box::new(RelayedChanges::start(relays).await?))
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -84,24 +84,24 @@
 }
 
 impl Follower {
-    /// Reads the newest segment up to what is safely committed. `acted` is the version that an earlier run acted on, and
+    /// Reads the newest segment up to what is safely committed. `applied` is the version that an earlier run acted on, and
     /// its hash: no log that ends before it or differs from it is followed.
     ///
     /// # Errors
     /// [`FollowError`] where there is no log, or it must not be followed.
-    pub fn open(storage: &dyn Storage, acted: Option<(u64, Hash)>) -> Result<Follower, FollowError> {
+    pub fn open(storage: &dyn Storage, applied: Option<(u64, Hash)>) -> Result<Follower, FollowError> {
         let (reader, updates) = FolderReader::open(storage)?;
         let replica = replay_updates(&reader, &updates)?;
-        if let Some((acted_version, acted_hash)) = acted {
+        if let Some((applied_version, applied_hash)) = applied {
             let found = replica.version.number;
-            if found < acted_version {
-                return Err(FollowError::LogOlder { have: acted_version, found });
+            if found < applied_version {
+                return Err(FollowError::LogOlder { have: applied_version, found });
             }
             let read = updates.iter().map(|update| (update.version(), update.hash()));
             let unsynced = reader.unsynced().map(|entry| (entry.version, entry.hash));
             let mut known = read.chain(unsynced);
-            if known.any(|(version, hash)| version == acted_version && hash != acted_hash) {
-                return Err(FollowError::DivergentHistory(acted_version));
+            if known.any(|(version, hash)| version == applied_version && hash != applied_hash) {
+                return Err(FollowError::DivergentHistory(applied_version));
             }
         }
         Ok(Follower { replica, reader, pending: VecDeque::new() })
--- a/crates/config-log/tests/golden.rs
+++ b/crates/config-log/tests/golden.rs
@@ -8,7 +8,7 @@
 use umbertray_config_log::guard::Guard;
 use umbertray_config_log::log::{self, Log};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
-use umbertray_config_log::{FolderReader, LogCopy, Replica, Update, acted};
+use umbertray_config_log::{FolderReader, LogCopy, Replica, Update, applied_version};
 use umbertray_snapshot::Storage;
 use umbertray_snapshot::sim::SimulatedDisk;
 
@@ -151,8 +151,8 @@
 fn acted_version_is_written_and_read_as_recorded() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-acted");
     _ = std::fs::remove_dir_all(&folder);
-    acted::write(&folder, 19, [7; 32]).expect("room");
+    applied_version::write(&folder, 19, [7; 32]).expect("room");
     let written = std::fs::read_to_string(folder.join("acted")).expect("a file");
     assert_eq!(written, format!(r#"{{"version":19,"hash":[{}]}}"#, ["7"; 32].join(",")));
-    assert_eq!(acted::read(&folder).expect("readable"), Some((19, [7; 32])));
+    assert_eq!(applied_version::read(&folder).expect("readable"), Some((19, [7; 32])));
 }
--- a/crates/nbd-gateway/src/changes/mod.rs
+++ b/crates/nbd-gateway/src/changes/mod.rs
@@ -8,11 +8,11 @@
 
 use std::path::{Path, PathBuf};
 
-use umbertray_config_log::{Follower, Replica, acted};
+use umbertray_config_log::{Follower, Replica, applied_version};
 use umbertray_snapshot::Disk;
 
 pub(crate) use self::publisher::ChangePublisher;
-pub use self::relayed::{PATIENCE, RelaySource, RelayedChanges};
+pub use self::relayed::{RELAY_START_TIMEOUT, RelaySource, RelayedChanges};
 
 use self::folder::FolderPoller;
 
@@ -25,7 +25,7 @@
         /// Where in the log it is.
         follower: Box<Follower>,
         /// The folder of the applied version, which outlives a restart.
-        acted: Option<PathBuf>,
+        state_folder: Option<PathBuf>,
     },
     /// Relays.
     Relays(Box<RelayedChanges>),
@@ -43,8 +43,8 @@
     /// Follows until the event loop ends.
     pub(crate) async fn follow(self, publisher: ChangePublisher) {
         match self {
-            ChangeSource::Folder { folder, follower, acted } => {
-                FolderPoller::new(Disk::read_only(&folder), follower, acted).follow(&publisher).await;
+            ChangeSource::Folder { folder, follower, state_folder } => {
+                FolderPoller::new(Disk::read_only(&folder), follower, state_folder).follow(&publisher).await;
             }
             ChangeSource::Relays(relayed) => relayed.follow(&publisher).await,
         }
@@ -54,7 +54,7 @@
 /// Records the version that is about to be applied. Hazard: applied before it is recorded, a version could be followed by an
 /// older one after a crash.
 fn record_applied(folder: Option<&Path>, state: &Replica) {
-    let written = folder.map(|folder| acted::write(folder, state.version.number, state.hash));
+    let written = folder.map(|folder| applied_version::write(folder, state.version.number, state.hash));
     if let Some(Err(error)) = written {
         // An older log would be accepted after a restart.
         tracing::error!(%error, "applied version write failed");
--- a/crates/nbd-gateway/src/changes/relayed.rs
+++ b/crates/nbd-gateway/src/changes/relayed.rs
@@ -6,7 +6,7 @@
 use umbertray_config::Upstream;
 use umbertray_config_log::chain::Corruption;
 use umbertray_config_log::follow::AppliedVersion;
-use umbertray_config_log::{Replica, Update, acted};
+use umbertray_config_log::{Replica, Update, applied_version};
 use umbertray_relay::{ReplicationSource, follow, position};
 use umbertray_store_protocol::changes::Position;
 use umbertray_store_protocol::volume_id;
@@ -18,7 +18,7 @@
 
 /// How long a gateway without a copy of the log waits for the relays: the longest backoff between two attempts, and the time
 /// for a checkpoint.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const RELAY_START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The relays that a gateway follows, and its name among them.
 pub struct RelaySource {
@@ -33,7 +33,7 @@
     /// Seed of its jitter.
     pub seed: u64,
     /// How long it waits for the relays where it has no copy of the log.
-    pub patience: Duration,
+    pub start_timeout: Duration,
     /// Its own folder, with the applied version and a copy of the log to start from when no relay can be reached.
     pub state: Option<PathBuf>,
 }
@@ -59,8 +59,9 @@
     /// # Errors
     /// The configuration is rejected, the applied version cannot be read, or the relays tell nothing that can be used in time.
     pub async fn start(relays: RelaySource) -> Result<RelayedChanges, GatewayError> {
-        let RelaySource { name, zone, upstreams, quorum, seed, patience, state: folder } = relays;
-        let applied = folder.as_deref().map(acted::read).transpose().map_err(GatewayError::AppliedVersion)?;
+        let RelaySource { name, zone, upstreams, quorum, seed, start_timeout, state: folder } = relays;
+        let applied =
+            folder.as_deref().map(applied_version::read).transpose().map_err(GatewayError::AppliedVersion)?;
         let applied = applied.flatten().map(|(version, hash)| Position { version, hash });
         let OpenedLog { mut log, state } = DurableLog::open(folder);
         // A copy that ends before the applied version is an older one.
@@ -69,7 +70,7 @@
         });
         let held = state.as_ref().map(position);
         let relays = upstreams.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
-        let no_quorum = GatewayError::NoQuorum { quorum, relays, timeout: patience };
+        let no_quorum = GatewayError::NoQuorum { quorum, relays, timeout: start_timeout };
         let seed = volume_id(&name) ^ seed;
         let mut source = follow((name, zone), (upstreams, quorum), (held, applied), seed)?;
         let at = match state {
@@ -77,7 +78,7 @@
             None => {
                 let min_version = applied.map_or(1, |applied| applied.version);
                 let first = first_state(&mut source, &mut log, min_version);
-                tokio::time::timeout(patience, first).await.unwrap_or(Ok(None))?.ok_or(no_quorum)?
+                tokio::time::timeout(start_timeout, first).await.unwrap_or(Ok(None))?.ok_or(no_quorum)?
             }
         };
         log.record_applied(&at);
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -18,8 +18,8 @@
 mod snapshot_writer;
 mod store_connection;
 
-pub use changes::{ChangeSource, PATIENCE, RelaySource, RelayedChanges};
+pub use changes::{ChangeSource, RELAY_START_TIMEOUT, RelaySource, RelayedChanges};
 pub use error::GatewayError;
 pub use running::{GatewayOptions, RunningGateway, start, start_hosting};
 pub use umbertray_clock::Clock;
-pub use umbertray_config_log::acted::read as acted;
+pub use umbertray_config_log::applied_version::read as read_applied_version;
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -154,8 +154,8 @@
 }
 
 pub(crate) fn relay_source(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> RelaySource {
-    let (name, zone, patience) = (name.into(), "z".into(), Duration::from_secs(30));
-    RelaySource { name, zone, upstreams, quorum, seed: 1, patience, state: None }
+    let (name, zone, start_timeout) = (name.into(), "z".into(), Duration::from_secs(30));
+    RelaySource { name, zone, upstreams, quorum, seed: 1, start_timeout, state: None }
 }
 
 pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -127,11 +127,12 @@
     wait_until_unlocked(&state).await;
     // With a recorded version and no copy of the log, it does not start from an older one.
     std::fs::remove_dir_all(state.join("changes")).expect("there");
-    let patience = std::time::Duration::from_secs(2);
+    let start_timeout = std::time::Duration::from_secs(2);
     let top_relays = [start_folder_relay("s1", &old).await, start_folder_relay("s2", &old).await];
     let upstreams = vec![upstream_of("s1", &top_relays[0]), upstream_of("s2", &top_relays[1])];
     let refused =
-        try_start_gateway(umbertray_nbd_gateway::RelaySource { patience, ..with_state(upstreams) }).await;
+        try_start_gateway(umbertray_nbd_gateway::RelaySource { start_timeout, ..with_state(upstreams) })
+            .await;
     assert!(matches!(refused, Err(GatewayError::NoQuorum { quorum: 2, .. })));
 }
 
--- a/crates/relay/src/commit_recorder.rs
+++ b/crates/relay/src/commit_recorder.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use tokio::sync::{mpsc, watch};
-use umbertray_config_log::{Update, acted};
+use umbertray_config_log::{Update, applied_version};
 
 /// Where a relay makes its committed position durable, if anywhere, and where it publishes its version.
 #[derive(Clone)]
@@ -19,7 +19,7 @@
     /// older log.
     pub(crate) fn persist(&self, last: &Update) {
         let Some(folder) = &self.folder else { return };
-        if let Err(error) = acted::write(folder, last.version(), last.hash()) {
+        if let Err(error) = applied_version::write(folder, last.version(), last.hash()) {
             tracing::error!(%error, "committed position not written");
         }
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, JoinSet};
 use umbertray_config::{ChangeSource, Upstream};
-use umbertray_config_log::{Replica, Update, acted};
+use umbertray_config_log::{Replica, Update, applied_version};
 use umbertray_control_plane::relay::{self, Config, ConfigError, Origin, RelayNode};
 use umbertray_store_protocol::changes::{Position, Role};
 
@@ -133,7 +133,7 @@
 
 fn read_committed(folder: &Path) -> Result<Option<Position>, RelayError> {
     let committed =
-        acted::read(folder).map_err(|error| RelayError::Folder { folder: folder.into(), error })?;
+        applied_version::read(folder).map_err(|error| RelayError::Folder { folder: folder.into(), error })?;
     Ok(committed.map(|(version, hash)| Position { version, hash }))
 }
 
--- a/crates/routing/src/locations.rs
+++ b/crates/routing/src/locations.rs
@@ -45,12 +45,12 @@
     }
 
     /// Records a location, unless a later epoch of it is known.
-    pub(crate) fn record(&mut self, extent: ExtentId, place: Location) {
+    pub(crate) fn record(&mut self, extent: ExtentId, location: Location) {
         match self.known.get_mut(&extent) {
-            Some(known) if known.epoch > place.epoch => {}
-            Some(known) => *known = place,
+            Some(known) if known.epoch > location.epoch => {}
+            Some(known) => *known = location,
             None => {
-                self.known.insert(extent, place);
+                self.known.insert(extent, location);
                 self.by_age.push_back(extent);
             }
         }
@@ -69,30 +69,30 @@
     }
 
     /// Adds a fragment to those that wait for an extent's location; returns the query to send, unless one is open.
-    pub(crate) fn look_up(&mut self, extent: ExtentId, piece: u32, least: u64) -> Option<ToList> {
+    pub(crate) fn look_up(&mut self, extent: ExtentId, fragment: u32, least: u64) -> Option<ToList> {
         let open = self.lookups.get(&extent).and_then(|token| self.queries.get_mut(token));
         if let Some(DirectoryQuery::Lookup(_, waiting, _)) = open {
-            waiting.push(piece);
+            waiting.push(fragment);
             return None;
         }
-        let token = self.ask(DirectoryQuery::Lookup(extent, vec![piece], least));
+        let token = self.ask(DirectoryQuery::Lookup(extent, vec![fragment], least));
         self.lookups.insert(extent, token);
         self.question(token)
     }
 
-    pub(crate) fn claim(&mut self, extent: ExtentId, shard: u32, dispatch: u64) -> Option<ToList> {
-        let token = self.ask(DirectoryQuery::Claim(extent, shard, dispatch));
+    pub(crate) fn claim(&mut self, extent: ExtentId, shard: u32, attempt: u64) -> Option<ToList> {
+        let token = self.ask(DirectoryQuery::Claim(extent, shard, attempt));
         self.question(token)
     }
 
-    pub(crate) fn query_shards(&mut self, volume: u64, piece: u32) -> Option<ToList> {
-        let token = self.ask(DirectoryQuery::Shards(volume, piece));
+    pub(crate) fn query_shards(&mut self, volume: u64, fragment: u32) -> Option<ToList> {
+        let token = self.ask(DirectoryQuery::Shards(volume, fragment));
         self.question(token)
     }
 
-    fn ask(&mut self, asked: DirectoryQuery) -> u64 {
+    fn ask(&mut self, query: DirectoryQuery) -> u64 {
         self.next_token += 1;
-        self.queries.insert(self.next_token, asked);
+        self.queries.insert(self.next_token, query);
         self.next_token
     }
 
@@ -110,11 +110,11 @@
 
     /// Takes the query of a token; nothing if it was answered or dropped.
     pub(crate) fn take_query(&mut self, token: u64) -> Option<DirectoryQuery> {
-        let asked = self.queries.remove(&token)?;
-        if let DirectoryQuery::Lookup(extent, ..) = &asked {
+        let query = self.queries.remove(&token)?;
+        if let DirectoryQuery::Lookup(extent, ..) = &query {
             self.lookups.remove(extent);
         }
-        Some(asked)
+        Some(query)
     }
 
     /// Drops the queries for which `is_obsolete` is true: nobody waits for them any more.
@@ -130,7 +130,7 @@
     /// The fragments that flush and wait for the shards of their volume.
     pub(crate) fn waiting_flushes(&self) -> Vec<u32> {
         let op =
-            |asked: &DirectoryQuery| if let DirectoryQuery::Shards(_, op) = asked { Some(*op) } else { None };
+            |query: &DirectoryQuery| if let DirectoryQuery::Shards(_, op) = query { Some(*op) } else { None };
         self.queries.values().filter_map(op).collect()
     }
 
