--- a/crates/fakes/src/book.rs
+++ b/crates/fakes/src/book.rs
@@ -11,37 +11,76 @@
 pub struct Entry {
     /// Microseconds since the rehearsal began.
     pub at: u64,
+    /// Id of the store that saw it.
     pub store: u64,
+    /// What it saw.
     pub seen: Seen,
 }
 
+/// An event at a store. The names of its variants and fields are part of the recorded JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Seen {
     /// It began to serve, able to do so many units a second when warm; cold or not.
-    Up { units_a_second: f64, cold: bool },
+    Up {
+        /// Units of work a second when warm.
+        units_a_second: f64,
+        /// Whether it started cold.
+        cold: bool,
+    },
     /// Its process ended.
     Down,
     /// More came than a cold store bears: it stays down.
     Fell,
+    /// An attempt arrived.
     Received {
+        /// Run of the gateway that sent it.
         run: u64,
+        /// Number of the attempt, unique within the run.
         number: u64,
+        /// Operation that it is an attempt of.
         op: u64,
+        /// Volume addressed.
         volume: u64,
+        /// Extent within the volume.
         extent: u64,
+        /// Recorded name of the kind of operation.
         work: String,
+        /// Offset within the extent, in bytes.
         offset: u32,
+        /// Length in bytes.
         length: u32,
+        /// Estimated cost, in units of work.
         units: f64,
         /// The first eight bytes of a write's data: clients mark what they write.
         mark: u64,
     },
     /// A dispatch took effect, or its data was read.
-    Ran { run: u64, number: u64 },
+    Ran {
+        /// Run of the gateway that sent it.
+        run: u64,
+        /// Number of the attempt.
+        number: u64,
+    },
     /// A coordinator's order for a move; whether the store took it.
-    Ordered { term: u64, number: u64, order: String, done: bool },
+    Ordered {
+        /// Term of the coordinator.
+        term: u64,
+        /// Number of the move.
+        number: u64,
+        /// Name of the order.
+        order: String,
+        /// Whether the store took it.
+        done: bool,
+    },
     /// It was answered with this code, whether or not the answer arrived.
-    Answered { run: u64, number: u64, code: String },
+    Answered {
+        /// Run of the gateway that sent it.
+        run: u64,
+        /// Number of the attempt.
+        number: u64,
+        /// Recorded name of the result code.
+        code: String,
+    },
 }
 
 /// A shared record; cloning it shares it.
@@ -59,18 +98,22 @@
 }
 
 impl Book {
+    /// Microseconds since the record began.
     pub fn now(&self) -> u64 {
         self.began.elapsed().as_micros() as u64
     }
 
+    /// Time since the record began.
     pub fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
 
+    /// When the record began.
     pub fn began(&self) -> Instant {
         self.began
     }
 
+    /// Appends an event of a store, stamped with the present time.
     pub fn write(&self, store: u64, seen: Seen) {
         let at = self.now();
         if let Ok(mut entries) = self.entries.lock() {
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -17,10 +17,13 @@
 /// A whole reply, put together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Whole {
+    /// Error that the server reported, with its message.
     pub error: Option<(Errno, String)>,
     /// A read's data by offset; holes have none.
     pub data: Vec<(u64, Bytes)>,
+    /// Holes of a read: offset and length in bytes.
     pub holes: Vec<(u64, u32)>,
+    /// Extents of a block status reply.
     pub extents: Vec<Extent>,
     /// Chunks that came, the last included.
     pub chunks: u32,
@@ -77,6 +80,7 @@
 
 /// A session; dropping it closes the connection.
 pub struct Connection {
+    /// What the server said of the export.
     pub export: Export,
     to_writer: mpsc::UnboundedSender<Request>,
     waiting: Waiting,
@@ -111,6 +115,9 @@
 }
 
 /// The names of a server's exports.
+///
+/// # Errors
+/// Fails when the connection fails, the negotiation is malformed, or the server does not list its exports.
 pub async fn names(address: SocketAddr) -> io::Result<Vec<String>> {
     match negotiate(address, Negotiation::List).await?.3 {
         ClientEvent::Names(names) => Ok(names),
@@ -119,6 +126,10 @@
 }
 
 impl Connection {
+    /// Connects to the server at `address` and negotiates the export `name`, with structured replies if wished.
+    ///
+    /// # Errors
+    /// Fails when the connection fails, the negotiation is malformed, or the server does not offer the export.
     pub async fn open(address: SocketAddr, name: &str, structured: bool) -> io::Result<Connection> {
         let wish = Negotiation::Export { name: name.into(), structured };
         let (stream, mut client, input, step) = negotiate(address, wish).await?;
@@ -170,14 +181,17 @@
         ended
     }
 
+    /// Reads `length` bytes at `offset`.
     pub async fn read(&self, offset: u64, length: u32) -> Ended {
         self.send(Command::Read, 0, offset, length, Bytes::new()).await.ok().flatten()
     }
 
+    /// Writes `data` at `offset`.
     pub async fn write(&self, offset: u64, data: Bytes) -> Ended {
         self.send(Command::Write, 0, offset, data.len() as u32, data).await.ok().flatten()
     }
 
+    /// Flushes writes that were acknowledged.
     pub async fn flush(&self) -> Ended {
         self.send(Command::Flush, 0, 0, 0, Bytes::new()).await.ok().flatten()
     }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -18,8 +18,11 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
+/// Scripted stores, the list service that names them, and the shared record of what they saw.
 pub struct Fleet {
+    /// The list service.
     pub list: list::Running,
+    /// Events seen by all stores.
     pub book: Book,
     media: Vec<Arc<Mutex<Medium>>>,
     power: Power,
@@ -32,6 +35,9 @@
 
 impl Fleet {
     /// Starts so many warm stores, each with a shard of its own, and lists them.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
     pub async fn start(count: u32, power: Power, seed: u64) -> io::Result<Fleet> {
         let mut fleet = Fleet {
             list: list::start(any_port()).await?,
@@ -50,6 +56,12 @@
     }
 
     /// Starts and lists a new store of a shard; its id.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
+    ///
+    /// # Panics
+    /// When the fleet was not started with this shard.
     pub async fn add(&mut self, shard: u32, cold: bool) -> io::Result<u64> {
         let id = self.next;
         self.next += 1;
@@ -77,14 +89,17 @@
         Ok(id)
     }
 
+    /// Ids of the stores that were started and not killed, in ascending order.
     pub fn ids(&self) -> Vec<u64> {
         self.stores.keys().copied().collect()
     }
 
+    /// A store by its id.
     pub fn get(&self, id: u64) -> Option<&store::Running> {
         self.stores.get(&id)
     }
 
+    /// The shard that a store serves.
     pub fn shard(&self, id: u64) -> Option<u32> {
         self.stores.get(&id).map(|running| running.identity().shard)
     }
@@ -103,6 +118,9 @@
     }
 
     /// Starts a killed store again, cold, where it listened before, and tells the list.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
     pub async fn restart(&mut self, identity: Identity) -> io::Result<()> {
         let id = identity.store;
         let address = self.addresses.get(&id).copied().unwrap_or_else(any_port);
@@ -119,8 +137,11 @@
         Ok(())
     }
 
+    /// Sets the fault of a store.
     pub fn fault(&self, id: u64, fault: Fault) {
-        self.stores.get(&id).into_iter().for_each(|running| running.fault(fault.clone()));
+        if let Some(running) = self.stores.get(&id) {
+            running.fault(fault);
+        }
     }
 
     /// Stores that fell or died by their script, and are listed no longer.
--- a/crates/fakes/src/list.rs
+++ b/crates/fakes/src/list.rs
@@ -20,10 +20,15 @@
 /// One store as the list has it.
 #[derive(Clone, Debug)]
 pub struct Listed {
+    /// Where the store listens.
     pub address: SocketAddr,
+    /// Shard that it serves.
     pub shard: u32,
+    /// Zone that it runs in.
     pub zone: u32,
+    /// Its published state.
     pub state: EndpointState,
+    /// Incarnation: how often its process has started.
     pub start: u64,
     /// Absent: long ago.
     pub started: Option<Instant>,
@@ -42,6 +47,7 @@
 
 /// The service at work; dropping it ends it.
 pub struct Running {
+    /// Where the service listens.
     pub address: SocketAddr,
     /// Of all its connections.
     pub traffic: Arc<Traffic>,
@@ -56,6 +62,10 @@
     }
 }
 
+/// Starts the service on `address`.
+///
+/// # Errors
+/// Fails when the address can not be bound.
 pub async fn start(address: SocketAddr) -> io::Result<Running> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -84,6 +94,7 @@
         _ = self.changes.send(store);
     }
 
+    /// Changes the published state of a store and notifies all watchers.
     pub fn state(&self, store: u64, state: EndpointState) {
         self.with(|known| known.stores.get_mut(&store).map(|listed| listed.state = state));
         _ = self.changes.send(store);
@@ -101,10 +112,12 @@
         _ = self.changes.send(store);
     }
 
+    /// Sets whether all calls are answered with a failure.
     pub fn fail(&self, failing: bool) {
         self.with(|known| known.failing = failing);
     }
 
+    /// Sets by how much each answer is delayed.
     pub fn delay(&self, delay: Duration) {
         self.with(|known| known.delay = delay);
     }
@@ -141,8 +154,8 @@
         FromList::Full(self.stores.iter().map(|(store, listed)| entry(*store, listed)).collect())
     }
 
-    fn answer(&mut self, message: ToList) -> Option<FromList> {
-        Some(match message {
+    fn answer(&mut self, message: &ToList) -> Option<FromList> {
+        Some(match *message {
             ToList::Hello { .. } => FromList::Welcome { term: 0 },
             _ if self.failing => FromList::Failed,
             ToList::Watch | ToList::Fetch => self.full(),
@@ -212,7 +225,7 @@
                     watching |= message == ToList::Watch;
                     let mut known = lock();
                     let due = Instant::now() + known.delay;
-                    known.answer(message).into_iter().for_each(|answer| _ = to_client.send((due, answer)));
+                    known.answer(&message).into_iter().for_each(|answer| _ = to_client.send((due, answer)));
                 }
             }
             changed = changes.recv(), if watching => {
--- a/crates/fakes/src/medium.rs
+++ b/crates/fakes/src/medium.rs
@@ -12,6 +12,7 @@
 
 type Page = Box<[u8; PAGE]>;
 
+/// Data of one shard in memory, with the fences that protect it from late attempts.
 #[derive(Default)]
 pub struct Medium {
     /// Pages by volume, extent and page within the extent.
@@ -43,12 +44,16 @@
 
 /// What applying a dispatch came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Applied {
+pub(crate) enum Applied {
+    /// Data read, as parts by offset: bytes, or the length of a hole.
     Read(Vec<(u32, Result<Bytes, u32>)>),
+    /// Which parts of the range hold data.
     Status(Vec<DataRange>),
+    /// Applied.
     Done,
     /// The op ran before, by another dispatch: a repeat changes nothing.
     Repeat,
+    /// It is superseded, or past its time limit.
     Fenced,
     /// The range has moved, and has this epoch.
     Stale(u64),
@@ -58,19 +63,20 @@
 
 impl Medium {
     /// Marks what a dispatch voids, on its arrival.
-    pub fn void(&mut self, run: u64, dispatch: &Attempt) {
+    pub(crate) fn void(&mut self, run: u64, dispatch: &Attempt) {
         for number in &dispatch.supersedes {
             self.voided.insert((run, *number));
             self.forget.entry(dispatch.not_after + KEPT).or_default().push((run, *number, true));
         }
     }
 
-    pub fn fenced(&self, clock: u64, run: u64, dispatch: &Attempt) -> bool {
+    /// Whether an attempt may no longer run: past its time limit, or superseded.
+    pub(crate) fn fenced(&self, clock: u64, run: u64, dispatch: &Attempt) -> bool {
         clock > dispatch.not_after || self.voided.contains(&(run, dispatch.number))
     }
 
     /// Applies a dispatch at the store's time `clock`, unless it is fenced off.
-    pub fn apply(&mut self, clock: u64, run: u64, dispatch: &Attempt) -> Applied {
+    pub(crate) fn apply(&mut self, clock: u64, run: u64, dispatch: &Attempt) -> Applied {
         while let Some(first) = self.forget.first_entry().filter(|first| *first.key() < clock) {
             for (run, number, void) in first.remove() {
                 if void {
@@ -121,7 +127,7 @@
     }
 
     /// Takes a coordinator's order for the move of this number.
-    pub fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
+    pub(crate) fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
         let fits = match self.fences.take(term, number, order) {
             Ok(fits) => fits,
             Err(reply) => return reply,
@@ -160,7 +166,7 @@
         self.stamps.retain(|(volume, extent), _| !span.contains(*volume, *extent));
     }
 
-    /// Danger: a move begun anew copies again what it copied before; what was emptied since the first copy must not be
+    /// Hazard: a move begun anew copies again what it copied before; what was emptied since the first copy must not be
     /// left out, or the target would keep it. So nothing is struck off that is still to be copied.
     fn follow(&mut self, number: u64, span: ExtentRange) -> u64 {
         let held = self.pages.keys().filter(|(volume, extent)| span.contains(*volume, *extent));
@@ -186,7 +192,7 @@
         }))
     }
 
-    /// Danger: an older copy that lay about must not undo a newer one.
+    /// Hazard: an older copy that lay about must not undo a newer one.
     fn put(&mut self, span: &ExtentRange, content: &ExtentContent) {
         let at = (span.volume, content.extent);
         if self.stamps.get(&at).is_some_and(|held| *held > content.change_count) {
--- a/crates/fakes/src/model.rs
+++ b/crates/fakes/src/model.rs
@@ -10,20 +10,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Power {
+    /// Attempts worked on at once.
     pub cores: u32,
     /// Milliseconds of a core's work in a unit.
     pub unit_ms: f64,
     /// Dispatches that may wait; beyond it they are answered "full".
     pub queue: usize,
+    /// Part of its full speed that a cold store starts with.
     pub cold_from: f64,
+    /// Seconds until a cold store is warm.
     pub cold_s: f64,
+    /// Multiple of its present speed beyond which arrivals crash a cold store.
     pub fall_multiple: f64,
+    /// Seconds over which those arrivals are summed.
     pub fall_s: f64,
     /// The part of its work that a dispatch is spared when its extent is among the last few.
     pub run_saves: f64,
+    /// How many extents count as the last few.
     pub remembers: usize,
     /// The part of a write's work that is put off and done in one go now and then.
     pub put_off: f64,
+    /// Seconds between two such goes.
     pub put_off_s: f64,
 }
 
@@ -57,8 +64,9 @@
 pub struct Fault {
     /// Work takes so many times as long.
     pub slow: f64,
-    /// The part of dispatches that fail at once, and of answers that are lost.
+    /// Part of attempts that fail at once, from 0 to 1.
     pub errors: f64,
+    /// Part of results that are lost, from 0 to 1.
     pub lost: f64,
     /// All dispatches are answered "full".
     pub full: bool,
@@ -74,16 +82,23 @@
     }
 }
 
-pub struct Job {
-    pub link: u64,
-    pub run: u64,
-    pub dispatch: Attempt,
-    pub arrived: Duration,
+/// An attempt that a store has received.
+pub(crate) struct Job {
+    /// Connection that it came over.
+    pub(crate) link: u64,
+    /// Run of the gateway that sent it.
+    pub(crate) run: u64,
+    /// The attempt.
+    pub(crate) dispatch: Attempt,
+    /// When it came, since the store began.
+    pub(crate) arrived: Duration,
 }
 
 /// What the store does with an arrival at once.
-pub enum Met {
+pub(crate) enum Met {
+    /// It is waiting.
     Queued,
+    /// The queue has no room.
     Full(Job),
     /// It was pushed over while cold.
     Fell,
@@ -94,9 +109,11 @@
     ends: Duration,
 }
 
-pub struct Model {
+/// The state of a store's work at one time.
+pub(crate) struct Model {
     power: Power,
-    pub fault: Fault,
+    /// Faults at present.
+    pub(crate) fault: Fault,
     /// When it started cold; absent: warm from the first.
     cold_since: Option<Duration>,
     queue: VecDeque<Job>,
@@ -116,7 +133,8 @@
 }
 
 impl Model {
-    pub fn new(power: Power, now: Duration, cold: bool) -> Model {
+    /// A store without work, cold or warm, at the time `now`.
+    pub(crate) fn new(power: Power, now: Duration, cold: bool) -> Model {
         Model {
             put_off_at: now + Duration::from_secs_f64(power.put_off_s),
             power,
@@ -136,13 +154,14 @@
     }
 
     /// The part of its full work that it can do now.
-    pub fn warmth(&self, now: Duration) -> f64 {
+    pub(crate) fn warmth(&self, now: Duration) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let part = now.saturating_sub(since).as_secs_f64() / self.power.cold_s;
         self.power.cold_from + (1.0 - self.power.cold_from) * part.min(1.0)
     }
 
-    pub fn arrive(&mut self, now: Duration, job: Job) -> Met {
+    /// Takes an arrival in.
+    pub(crate) fn arrive(&mut self, now: Duration, job: Job) -> Met {
         let span = Duration::from_secs_f64(self.power.fall_s);
         self.pressure.push_back((now, job.dispatch.units));
         while self.pressure.front().is_some_and(|(at, _)| *at + span < now) {
@@ -166,23 +185,24 @@
     }
 
     /// A job comes to the queue again then.
-    pub fn put_aside(&mut self, until: Duration, job: Job) {
+    pub(crate) fn put_aside(&mut self, until: Duration, job: Job) {
         self.aside.push((until, job));
     }
 
     /// Nothing is worked on for so long.
-    pub fn pause(&mut self, now: Duration, length: Duration) {
+    pub(crate) fn pause(&mut self, now: Duration, length: Duration) {
         self.paused_until = self.paused_until.max(now + length);
         self.working.iter_mut().for_each(|working| working.ends += length);
     }
 
-    pub fn cancel(&mut self, run: u64, number: u64) -> Option<Job> {
+    /// Removes an attempt that is still queued.
+    pub(crate) fn cancel(&mut self, run: u64, number: u64) -> Option<Job> {
         let at = self.queue.iter().position(|job| job.run == run && job.dispatch.number == number)?;
         self.queue.remove(at)
     }
 
     /// When something happens next by itself.
-    pub fn next(&self) -> Option<Duration> {
+    pub(crate) fn next(&self) -> Option<Duration> {
         let ends = self.working.iter().map(|working| working.ends);
         let aside = self.aside.iter().map(|(at, _)| *at);
         let free = (self.working.len() < self.power.cores as usize && !self.queue.is_empty())
@@ -191,7 +211,7 @@
     }
 
     /// Jobs done by now, in the order in which they ended. `drops` tells which are not worth beginning.
-    pub fn advance(&mut self, now: Duration, drops: impl Fn(&Job) -> bool) -> Vec<Job> {
+    pub(crate) fn advance(&mut self, now: Duration, drops: impl Fn(&Job) -> bool) -> Vec<Job> {
         let mut done = Vec::new();
         loop {
             let aside = self.aside.iter().position(|(at, _)| *at <= now);
@@ -242,7 +262,7 @@
     }
 
     /// Counts a served job; gives the units served for its volume through other gateways since this one's last answer.
-    pub fn served(&mut self, now: Duration, job: &Job) -> f64 {
+    pub(crate) fn served(&mut self, now: Duration, job: &Job) -> f64 {
         let latency = now.saturating_sub(job.arrived).as_secs_f64() * 1000.0;
         self.latency_ms += 0.2 * (latency - self.latency_ms);
         let total = self.served.entry(job.dispatch.volume).or_default();
@@ -251,7 +271,8 @@
         last.map_or(0.0, |last| (*total - last - job.dispatch.units).max(0.0))
     }
 
-    pub fn report(&self) -> Vec<(String, f64)> {
+    /// Load as health checks and results report it.
+    pub(crate) fn report(&self) -> Vec<(String, f64)> {
         vec![("queue".into(), self.queue.len() as f64), ("latency_ms".into(), self.latency_ms)]
     }
 }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -40,13 +40,30 @@
 /// What a store has seen: a request that came whole, on which connection; and connections that ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    Request { connection: u64, request: Request },
-    Closed { connection: u64 },
-    Unreadable { connection: u64, error: Malformed },
+    /// A whole request.
+    Request {
+        /// Number of the connection, from zero.
+        connection: u64,
+        /// The request.
+        request: Request,
+    },
+    /// The connection ended.
+    Closed {
+        /// Number of the connection, from zero.
+        connection: u64,
+    },
+    /// A request that is not HTTP as the platform speaks it.
+    Unreadable {
+        /// Number of the connection, from zero.
+        connection: u64,
+        /// Why it could not be parsed.
+        error: Malformed,
+    },
 }
 
 /// A scripted store at work; dropping it ends it and its connections.
 pub struct Store {
+    /// Where the store listens.
     pub address: SocketAddr,
     seen: watch::Receiver<Vec<Seen>>,
     task: JoinHandle<()>,
@@ -62,6 +79,9 @@
 
 impl Store {
     /// The script is told how many requests came before, over all connections.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
     pub async fn start(script: impl Fn(usize, &Request) -> Act + Send + Sync + 'static) -> io::Result<Store> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -77,10 +97,12 @@
         Ok(Store { address, seen, task })
     }
 
+    /// All that was seen so far, in order.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.borrow().clone()
     }
 
+    /// The requests seen so far, each with its connection.
     pub fn requests(&self) -> Vec<(u64, Request)> {
         let request = |seen: Seen| match seen {
             Seen::Request { connection, request } => Some((connection, request)),
@@ -138,6 +160,7 @@
 
 /// Discovery at work; dropping it ends it and its watches.
 pub struct Discovery {
+    /// Where discovery listens.
     pub address: SocketAddr,
     known: Arc<Mutex<Known>>,
     lines: broadcast::Sender<String>,
@@ -156,6 +179,10 @@
 }
 
 impl Discovery {
+    /// Starts discovery without entries on a loopback port.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
     pub async fn start() -> io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -173,11 +200,17 @@
     }
 
     /// Lists a store, and tells who watches.
+    ///
+    /// # Panics
+    /// When another thread has panicked while it held the entries.
     pub fn list(&self, uid: &str, address: SocketAddr, shard: u32, state: &str) {
         self.list_started(uid, address, shard, state, 0);
     }
 
     /// The same for a store that started at that time, in milliseconds since 1970.
+    ///
+    /// # Panics
+    /// When another thread has panicked while it held the entries.
     pub fn list_started(&self, uid: &str, address: SocketAddr, shard: u32, state: &str, boot_ms: u64) {
         let entry = format!(
             r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":{shard},"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
@@ -193,11 +226,12 @@
         _ = self.lines.send(line.into());
     }
 
-    /// What was asked for so far.
+    /// Returns when the targets asked for so far are so.
     pub async fn until_asked(&self, so: impl FnMut(&Vec<String>) -> bool) {
         _ = self.asked.clone().wait_for(so).await;
     }
 
+    /// How many watches are open.
     pub fn watches(&self) -> usize {
         self.lines.receiver_count()
     }
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -14,6 +14,7 @@
 /// What a link does to the bytes that pass it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
+    /// Bytes pass unchanged.
     #[default]
     None,
     /// No byte passes; connections stay open, and new ones come up and are silent.
@@ -41,6 +42,7 @@
 
 /// One link; dropped, it and its connections end.
 pub struct Proxy {
+    /// Where the proxy listens.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     task: JoinHandle<()>,
@@ -57,6 +59,9 @@
 
 impl Proxy {
     /// Listens on loopback and leads to `upstream`, where there is one.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
     pub async fn start(upstream: Option<SocketAddr>, tap: Option<Tap>) -> io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/crates/fakes/src/shim.rs
+++ b/crates/fakes/src/shim.rs
@@ -9,6 +9,7 @@
 /// Which calls fail, and how often in a thousand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallFaults {
+    /// Seed of the generator that decides which calls fail.
     pub seed: u32,
     /// Any call on a socket returns EINTR.
     pub interrupted: u32,
@@ -32,6 +33,9 @@
 }
 
 /// Builds the shim into a folder; its path.
+///
+/// # Errors
+/// Fails when the source can not be written, or the compiler is missing or fails.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let (source, library) = (folder.join("faults.c"), folder.join("libfaults.so"));
     std::fs::write(&source, SOURCE)?;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -32,12 +32,17 @@
 /// Who a store is; the same over its restarts.
 #[derive(Clone)]
 pub struct Identity {
+    /// Id of the store.
     pub store: u64,
+    /// Shard that it serves.
     pub shard: u32,
+    /// Its capacity.
     pub power: Power,
     /// The shard's data, shared with the store that replaces this one.
     pub medium: Arc<Mutex<Medium>>,
+    /// Where its events are recorded.
     pub book: Book,
+    /// Seed of its random choices.
     pub seed: u64,
 }
 
@@ -63,6 +68,7 @@
 
 /// A store at work; dropping it ends it as a kill would.
 pub struct Running {
+    /// Where the store listens.
     pub address: SocketAddr,
     /// Of all its links.
     pub traffic: Arc<Traffic>,
@@ -72,18 +78,22 @@
 }
 
 impl Running {
+    /// Sets its faults.
     pub fn fault(&self, fault: Fault) {
         _ = self.to_task.send(ToStoreTask::Fault(fault));
     }
 
+    /// Stops work for this long.
     pub fn pause(&self, length: Duration) {
         _ = self.to_task.send(ToStoreTask::Pause(length));
     }
 
+    /// Ends all connections; what came over them is worked on all the same.
     pub fn cut_links(&self) {
         _ = self.to_task.send(ToStoreTask::Cut);
     }
 
+    /// Ends the store after so many more data chunks, in the midst of a read.
     pub fn die_after_chunks(&self, chunks: u32) {
         _ = self.to_task.send(ToStoreTask::DieAfterChunks(chunks));
     }
@@ -103,6 +113,7 @@
         identity
     }
 
+    /// Who the store is.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
@@ -115,6 +126,9 @@
 }
 
 /// Starts a store; port 0 lets the system choose.
+///
+/// # Errors
+/// Fails when the address can not be bound.
 pub async fn start(identity: Identity, address: SocketAddr, cold: bool) -> io::Result<Running> {
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
--- a/crates/fakes/src/traffic.rs
+++ b/crates/fakes/src/traffic.rs
@@ -15,21 +15,27 @@
 /// Bytes both ways, and frames written, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crossed {
+    /// Bytes read.
     pub read: u64,
+    /// Bytes written.
     pub written: u64,
+    /// Frames written.
     pub frames: u64,
 }
 
 impl Traffic {
-    pub fn read(&self, bytes: usize) {
+    /// Counts bytes read.
+    pub(crate) fn read(&self, bytes: usize) {
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub fn wrote(&self, bytes: usize, frames: usize) {
+    /// Counts bytes and frames written.
+    pub(crate) fn wrote(&self, bytes: usize, frames: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
         self.frames.fetch_add(frames as u64, Ordering::Relaxed);
     }
 
+    /// The counts so far.
     pub fn crossed(&self) -> Crossed {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
         Crossed { read: of(&self.read), written: of(&self.written), frames: of(&self.frames) }
@@ -42,6 +48,7 @@
         self.read + self.written
     }
 
+    /// What was added since an earlier count.
     pub fn since(self, before: Crossed) -> Crossed {
         Crossed {
             read: self.read.saturating_sub(before.read),
