--- /dev/null
+++ b/crates/fakes/src/disk/pages.rs
@@ -0,0 +1,92 @@
+//! Pages of extents: reads and changes of byte ranges.
+
+use std::ops::Range;
+
+use bytes::BytesMut;
+use umbertray_store_protocol::orders::PAGE;
+use umbertray_store_protocol::store::{Attempt, DataRange, OperationKind};
+
+use super::InMemoryDisk;
+
+pub(super) type Page = Box<[u8; PAGE]>;
+
+/// A part of a range that was read.
+pub(crate) struct ReadPart {
+    /// Offset within the extent, in bytes.
+    pub(crate) offset: u32,
+    pub(crate) content: Content,
+}
+
+/// Data, or a hole of so many bytes.
+pub(crate) enum Content {
+    Data(BytesMut),
+    Hole(u32),
+}
+
+impl InMemoryDisk {
+    /// Writes the data of an attempt, or zeros its range.
+    pub(super) fn change_pages(&mut self, attempt: &Attempt) {
+        let pages = self.pages.entry((attempt.volume, attempt.extent)).or_default();
+        for PageSlice { page, start, bytes } in page_slices(attempt.offset, attempt.length) {
+            let within = start..start + bytes.len();
+            if attempt.kind == OperationKind::Write {
+                let page = pages.entry(page).or_insert_with(|| Box::new([0; PAGE]));
+                page[within].copy_from_slice(&attempt.data[bytes]);
+            } else if bytes.len() == PAGE {
+                pages.remove(&page);
+            } else if let Some(page) = pages.get_mut(&page) {
+                page[within].fill(0);
+            }
+        }
+    }
+
+    /// Reads a range; adjacent data is one part, and so are adjacent holes.
+    pub(super) fn read(&self, attempt: &Attempt) -> Vec<ReadPart> {
+        let pages = self.pages.get(&(attempt.volume, attempt.extent));
+        let mut parts: Vec<ReadPart> = Vec::new();
+        for PageSlice { page, start, bytes } in page_slices(attempt.offset, attempt.length) {
+            let offset = attempt.offset + bytes.start as u32;
+            let length = bytes.len();
+            let found = pages.and_then(|pages| pages.get(&page)).map(|page| &page[start..start + length]);
+            match (found, parts.last_mut().map(|part| &mut part.content)) {
+                (Some(data), Some(Content::Data(last))) => last.extend_from_slice(data),
+                (None, Some(Content::Hole(last))) => *last += length as u32,
+                (Some(data), _) => parts.push(ReadPart { offset, content: Content::Data(data.into()) }),
+                (None, _) => parts.push(ReadPart { offset, content: Content::Hole(length as u32) }),
+            }
+        }
+        parts
+    }
+
+    /// Which parts of a range hold data.
+    pub(super) fn status(&self, attempt: &Attempt) -> Vec<DataRange> {
+        let data_range = |part: ReadPart| match part.content {
+            Content::Data(data) => DataRange { length: data.len() as u32, has_data: true },
+            Content::Hole(length) => DataRange { length, has_data: false },
+        };
+        self.read(attempt).into_iter().map(data_range).collect()
+    }
+}
+
+/// The part of a range that lies in one page.
+struct PageSlice {
+    /// Number of the page within the extent.
+    page: u32,
+    /// Where the part starts within the page.
+    start: usize,
+    /// Which bytes of the range it covers.
+    bytes: Range<usize>,
+}
+
+fn page_slices(offset: u32, length: u32) -> impl Iterator<Item = PageSlice> {
+    let (offset, length) = (offset as usize, length as usize);
+    let mut position = 0;
+    std::iter::from_fn(move || {
+        let start = (offset + position) % PAGE;
+        let size = (PAGE - start).min(length - position);
+        let page = ((offset + position) / PAGE) as u32;
+        let bytes = position..position + size;
+        position += size;
+        (size > 0).then_some(PageSlice { page, start, bytes })
+    })
+}
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -8,8 +8,8 @@
 use umbertray_store_protocol::list::EndpointState;
 
 use crate::book::Book;
+use crate::disk::InMemoryDisk;
 use crate::list::{self, Listed};
-use crate::medium::Medium;
 use crate::model::{Fault, Power};
 use crate::store::{self, Identity};
 
@@ -24,12 +24,12 @@
     pub list: list::Running,
     /// Events seen by all stores.
     pub book: Book,
-    media: Vec<Arc<Mutex<Medium>>>,
+    disks: Vec<Arc<Mutex<InMemoryDisk>>>,
     power: Power,
     stores: BTreeMap<u64, store::Running>,
     /// Where each store listened last.
     addresses: BTreeMap<u64, SocketAddr>,
-    next: u64,
+    next_id: u64,
     seed: u64,
 }
 
@@ -42,11 +42,11 @@
         let mut fleet = Fleet {
             list: list::start(any_port()).await?,
             book: Book::default(),
-            media: (0..count).map(|_| Arc::default()).collect(),
+            disks: (0..count).map(|_| Arc::default()).collect(),
             power,
             stores: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            next: 1,
+            next_id: 1,
             seed,
         };
         for shard in 0..count {
@@ -63,13 +63,13 @@
     /// # Panics
     /// When the fleet was not started with this shard.
     pub async fn add(&mut self, shard: u32, cold: bool) -> io::Result<u64> {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let identity = Identity {
             store: id,
             shard,
             power: self.power.clone(),
-            medium: self.media[shard as usize].clone(),
+            medium: self.disks[shard as usize].clone(),
             book: self.book.clone(),
             seed: self.seed,
         };
--- /dev/null
+++ b/crates/fakes/src/platform/store.rs
@@ -0,0 +1,151 @@
+//! A store that speaks the platform's HTTP, and answers as a script says.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::{JoinHandle, JoinSet};
+use umbertray_http::Malformed;
+use umbertray_http::server::{Request, RequestEvent, RequestReader};
+
+use super::LIMITS;
+
+/// What a store does with a request.
+#[derive(Clone, Debug)]
+pub enum Act {
+    /// Writes these bytes, as they are.
+    Write(Vec<u8>),
+    /// Writes them after a while.
+    WriteAfter(Duration, Vec<u8>),
+    /// Writes them and closes.
+    WriteAndClose(Vec<u8>),
+    /// Closes without an answer.
+    Close,
+    /// Does not answer, and leaves the connection open.
+    Hold,
+}
+
+/// What a store has seen: a request that came whole, on which connection; and connections that ended.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Seen {
+    /// A whole request.
+    Request {
+        /// Number of the connection, from zero.
+        connection: u64,
+        /// The request.
+        request: Request,
+    },
+    /// The connection ended.
+    Closed {
+        /// Number of the connection, from zero.
+        connection: u64,
+    },
+    /// A request that is not HTTP as the platform speaks it.
+    Unreadable {
+        /// Number of the connection, from zero.
+        connection: u64,
+        /// Why it could not be parsed.
+        error: Malformed,
+    },
+}
+
+/// A running scripted store; dropping it ends it and its connections.
+pub struct Store {
+    /// Where the store listens.
+    pub address: SocketAddr,
+    seen: watch::Receiver<Vec<Seen>>,
+    task: JoinHandle<()>,
+}
+
+impl Drop for Store {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+type Script = Arc<dyn Fn(usize, &Request) -> Act + Send + Sync>;
+
+impl Store {
+    /// Starts a store on a loopback port. The script is told how many requests came before, over all connections.
+    ///
+    /// # Errors
+    /// Fails when no port can be bound.
+    pub async fn start(script: impl Fn(usize, &Request) -> Act + Send + Sync + 'static) -> io::Result<Store> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let address = listener.local_addr()?;
+        let (recorder, seen) = watch::channel(Vec::new());
+        let (recorder, script): (_, Script) = (Arc::new(recorder), Arc::new(script));
+        let task = tokio::spawn(async move {
+            let mut connections = JoinSet::new();
+            for connection in 0.. {
+                let Ok((stream, _)) = listener.accept().await else { return };
+                connections.spawn(serve(stream, connection, recorder.clone(), script.clone()));
+            }
+        });
+        Ok(Store { address, seen, task })
+    }
+
+    /// All that was seen so far, in order.
+    pub fn seen(&self) -> Vec<Seen> {
+        self.seen.borrow().clone()
+    }
+
+    /// The requests seen so far, each with its connection.
+    pub fn requests(&self) -> Vec<(u64, Request)> {
+        let request = |seen: Seen| match seen {
+            Seen::Request { connection, request } => Some((connection, request)),
+            _ => None,
+        };
+        self.seen().into_iter().filter_map(request).collect()
+    }
+
+    /// Returns once `so` holds for what was seen.
+    pub async fn until(&self, so: impl FnMut(&Vec<Seen>) -> bool) {
+        _ = self.seen.clone().wait_for(so).await;
+    }
+}
+
+async fn serve(
+    mut stream: TcpStream,
+    connection: u64,
+    recorder: Arc<watch::Sender<Vec<Seen>>>,
+    script: Script,
+) {
+    let record = |event: Seen| recorder.send_modify(|seen| seen.push(event));
+    let mut requests = RequestReader::new(LIMITS);
+    loop {
+        let request = match requests.next_event() {
+            Ok(RequestEvent::Request(request)) => request,
+            Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
+            Ok(_) => break,
+            Err(error) => {
+                record(Seen::Unreadable { connection, error });
+                break;
+            }
+        };
+        let before = recorder.borrow().iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+        let act = script(before, &request);
+        record(Seen::Request { connection, request });
+        let performed = perform(&act, &mut stream).await;
+        if performed.is_err() || matches!(act, Act::WriteAndClose(_) | Act::Close) {
+            break;
+        }
+    }
+    drop(stream);
+    record(Seen::Closed { connection });
+}
+
+async fn perform(act: &Act, stream: &mut TcpStream) -> io::Result<()> {
+    match act {
+        Act::Write(bytes) | Act::WriteAndClose(bytes) => stream.write_all(bytes).await,
+        Act::WriteAfter(wait, bytes) => {
+            tokio::time::sleep(*wait).await;
+            stream.write_all(bytes).await
+        }
+        Act::Close | Act::Hold => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/fakes/src/store/records.rs
@@ -0,0 +1,48 @@
+//! What a store records of attempts. The texts are compared by those who read the records.
+
+use umbertray_store_protocol::store::{Attempt, OperationKind, ResultCode};
+
+use crate::book::Seen;
+
+/// The code's name in records, which the checks of the fault tests compare; it stays when the type's own names change.
+pub(super) fn recorded_code(code: ResultCode) -> &'static str {
+    match code {
+        ResultCode::Succeeded => "Acked",
+        ResultCode::Failed => "Error",
+        ResultCode::Rejected => "Full",
+        ResultCode::Fenced => "Fenced",
+        ResultCode::Cancelled => "Cancelled",
+        ResultCode::NotHere => "Elsewhere",
+        ResultCode::StaleEpoch => "Stale",
+    }
+}
+
+/// The operation's name in records; it stays when the type's own names change.
+fn recorded_kind(kind: OperationKind) -> &'static str {
+    match kind {
+        OperationKind::Read => "Read",
+        OperationKind::Write => "Write",
+        OperationKind::Zero => "Zero",
+        OperationKind::Trim => "Trim",
+        OperationKind::Flush => "Flush",
+        OperationKind::Status => "Status",
+    }
+}
+
+/// The record of an attempt that arrived.
+pub(super) fn received(run: u64, attempt: &Attempt) -> Seen {
+    let mark = attempt.data.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
+    debug_assert!(attempt.kind != OperationKind::Write || attempt.data.len() == attempt.length as usize);
+    Seen::Received {
+        run,
+        number: attempt.number,
+        op: attempt.op,
+        volume: attempt.volume,
+        extent: attempt.extent,
+        work: recorded_kind(attempt.kind).into(),
+        offset: attempt.offset,
+        length: attempt.length,
+        units: attempt.units,
+        mark,
+    }
+}
