--- a/crates/fakes/src/book.rs
+++ b/crates/fakes/src/book.rs
@@ -1,4 +1,4 @@
-//! What stores saw, for the judge: every dispatch and what became of it, on one clock for the whole rehearsal.
+//! The record of what stores saw: every attempt and what became of it, on one clock for the whole test.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// One thing that a store saw.
+/// One event at a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Microseconds since the rehearsal began.
+    /// Microseconds since the record began.
     pub at: u64,
     /// Id of the store that saw it.
     pub store: u64,
@@ -20,16 +20,16 @@
 /// An event at a store. The names of its variants and fields are part of the recorded JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Seen {
-    /// It began to serve, able to do so many units a second when warm; cold or not.
+    /// The store began to serve.
     Up {
         /// Units of work a second when warm.
         units_a_second: f64,
         /// Whether it started cold.
         cold: bool,
     },
-    /// Its process ended.
+    /// The store ended.
     Down,
-    /// More came than a cold store bears: it stays down.
+    /// The store crashed under more work than a cold store bears, and stays down.
     Fell,
     /// An attempt arrived.
     Received {
@@ -54,14 +54,14 @@
         /// The first eight bytes of a write's data: clients mark what they write.
         mark: u64,
     },
-    /// A dispatch took effect, or its data was read.
+    /// An attempt took effect, or its data was read.
     Ran {
         /// Run of the gateway that sent it.
         run: u64,
         /// Number of the attempt.
         number: u64,
     },
-    /// A coordinator's order for a move; whether the store took it.
+    /// A coordinator's order for a move arrived.
     Ordered {
         /// Term of the coordinator.
         term: u64,
@@ -72,7 +72,7 @@
         /// Whether the store took it.
         done: bool,
     },
-    /// It was answered with this code, whether or not the answer arrived.
+    /// An attempt was answered, whether or not the answer arrived.
     Answered {
         /// Run of the gateway that sent it.
         run: u64,
@@ -83,7 +83,7 @@
     },
 }
 
-/// A shared record; cloning it shares it.
+/// A record of events; its clones share it.
 #[derive(Clone)]
 pub struct Book {
     began: Instant,
@@ -122,11 +122,11 @@
         self.written.notify_waiters();
     }
 
-    /// Waits until so many entries fit; the first that made it so.
-    pub async fn until(&self, count: usize, fits: impl Fn(&Entry) -> bool) -> Entry {
+    /// Waits until `count` entries match; the last of these.
+    pub async fn until(&self, count: usize, matches: impl Fn(&Entry) -> bool) -> Entry {
         loop {
             let written = self.written.notified();
-            let found = self.entries().into_iter().filter(&fits).nth(count.saturating_sub(1));
+            let found = self.entries().into_iter().filter(&matches).nth(count.saturating_sub(1));
             match found {
                 Some(entry) => return entry,
                 None => written.await,
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of scripted stores with their list: started, killed, replaced and listed as a script says.
+//! A cluster of scripted stores with their list service: started, killed, replaced and listed as a test says.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -109,7 +109,7 @@
         self.stores.iter().rev().find(|(_, running)| running.identity().shard == shard).map(|(id, _)| *id)
     }
 
-    /// Ends a store's process at once; the list is not told. What is needed to start it again comes back.
+    /// Ends a store's process at once, without notice to the list; what is needed to start it again.
     pub async fn kill(&mut self, id: u64) -> Option<Identity> {
         match self.stores.remove(&id) {
             Some(running) => Some(running.kill().await),
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Starts a killed store again, cold, where it listened before, and tells the list.
+    /// Starts a killed store again, cold, where it listened before, and notifies the list.
     ///
     /// # Errors
     /// Fails when no port can be bound.
     pub async fn restart(&mut self, identity: Identity) -> io::Result<()> {
         let id = identity.store;
         let address = self.addresses.get(&id).copied().unwrap_or_else(any_port);
-        // Between its death and now a connection of somebody else on this machine may have taken its port.
+        // A connection of another process on this machine may have taken the port in the meantime.
         let running = match store::start(identity.clone(), address, true).await {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 store::start(identity, any_port(), true).await?
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Stores that fell or died by their script, and are listed no longer.
+    /// Stores that crashed or ended by their script.
     pub fn fallen(&self) -> Vec<u64> {
         self.stores.iter().filter(|(_, running)| running.is_down()).map(|(id, _)| *id).collect()
     }
--- a/crates/fakes/src/list/connection.rs
+++ b/crates/fakes/src/list/connection.rs
@@ -47,7 +47,7 @@
         if writer.write_all(&frame).await.is_err() {
             return;
         }
-        traffic.wrote(frame.len(), 1);
+        traffic.count_written(frame.len(), 1);
     }
 }
 
@@ -64,7 +64,7 @@
         tokio::select! {
             read = reader.read_buf(&mut input) => {
                 let Some(count) = read.ok().filter(|count| *count > 0) else { return };
-                traffic.read(count);
+                traffic.count_read(count);
                 while let Ok(Some(call)) = next_frame::<ToList>(&mut input) {
                     watching |= call == ToList::Watch;
                     answer_call(&call, directory, to_writer);
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -56,12 +56,14 @@
     /// Milliseconds of write work that is deferred, and when it is done next.
     deferred_work_ms: f64,
     next_batch: Duration,
-    recent: VecDeque<u64>,
-    /// Arrivals within the crash's time span, in units.
+    /// Keys of the extents that were worked on last.
+    recent_extents: VecDeque<u64>,
+    /// Arrivals within the time over which a crash is judged, in units.
     arrivals: VecDeque<(Duration, f64)>,
-    /// Units served a volume in all; and, by gateway run and volume, what that was at its last answer.
-    served: HashMap<u64, f64>,
-    reported: HashMap<(u64, u64), f64>,
+    /// Units served in all, by volume.
+    served_units: HashMap<u64, f64>,
+    /// What that was at the last answer, by gateway run and volume.
+    reported_units: HashMap<(u64, u64), f64>,
     latency_ms: f64,
 }
 
@@ -78,10 +80,10 @@
             running: Vec::new(),
             paused_until: now,
             deferred_work_ms: 0.0,
-            recent: VecDeque::new(),
+            recent_extents: VecDeque::new(),
             arrivals: VecDeque::new(),
-            served: HashMap::new(),
-            reported: HashMap::new(),
+            served_units: HashMap::new(),
+            reported_units: HashMap::new(),
             latency_ms: 0.0,
         }
     }
@@ -97,7 +99,7 @@
     pub(crate) fn arrive(&mut self, now: Duration, job: Job) -> Admission {
         let span = Duration::from_secs_f64(self.power.fall_s);
         self.arrivals.push_back((now, job.attempt.units));
-        while self.arrivals.front().is_some_and(|(at, _)| *at + span < now) {
+        while self.arrivals.front().is_some_and(|(arrived, _)| *arrived + span < now) {
             self.arrivals.pop_front();
         }
         let arrived_units: f64 = self.arrivals.iter().map(|(_, units)| units).sum();
@@ -138,8 +140,7 @@
     pub(crate) fn next(&self) -> Option<Duration> {
         let ends = self.running.iter().map(|running| running.ends);
         let deferred = self.deferred.iter().map(|(at, _)| *at);
-        let startable = (self.running.len() < self.power.cores as usize && !self.queue.is_empty())
-            .then_some(self.paused_until);
+        let startable = self.has_startable_job().then_some(self.paused_until);
         ends.chain(deferred).chain(startable).min()
     }
 
@@ -148,41 +149,58 @@
         let mut done = Vec::new();
         loop {
             let due = self.deferred.iter().position(|(at, _)| *at <= now);
-            due.into_iter().for_each(|index| self.queue.push_back(self.deferred.swap_remove(index).1));
-            let first = self.running.iter().enumerate().min_by_key(|(_, running)| running.ends);
-            let ended = first.filter(|(_, running)| running.ends <= now).map(|(index, _)| index);
-            let freed = ended.map(|index| self.running.swap_remove(index));
-            let starts = freed.as_ref().map_or(now, |running| running.ends).max(self.paused_until);
-            if let Some(Running { job, .. }) = freed {
+            if let Some(index) = due {
+                self.queue.push_back(self.deferred.swap_remove(index).1);
+            }
+            let finished = self.take_finished(now);
+            let starts = finished.as_ref().map_or(now, |running| running.ends).max(self.paused_until);
+            if let Some(Running { job, .. }) = finished {
                 done.push(job);
-            } else if self.running.len() >= self.power.cores as usize || self.queue.is_empty() || starts > now
-            {
+            } else if !self.has_startable_job() || starts > now {
                 if due.is_none() {
                     return done;
                 }
                 continue;
             }
-            while self.running.len() < self.power.cores as usize && starts <= now {
-                let Some(job) = self.queue.pop_front() else { break };
-                if is_dropped(&job) {
-                    done.push(job);
-                } else {
-                    let ends = starts + self.work(starts, &job);
-                    self.running.push(Running { job, ends });
-                }
+            while self.has_startable_job() && starts <= now {
+                done.extend(self.start_next(starts, &is_dropped));
             }
         }
     }
 
-    fn work(&mut self, now: Duration, job: &Job) -> Duration {
+    /// Whether a core is free and a job waits for it.
+    fn has_startable_job(&self) -> bool {
+        self.running.len() < self.power.cores as usize && !self.queue.is_empty()
+    }
+
+    /// Removes the running job that ended first, if one has ended by now.
+    fn take_finished(&mut self, now: Duration) -> Option<Running> {
+        let first = self.running.iter().enumerate().min_by_key(|(_, running)| running.ends);
+        let index = first.filter(|(_, running)| running.ends <= now).map(|(index, _)| index)?;
+        Some(self.running.swap_remove(index))
+    }
+
+    /// Starts the job at the head of the queue; a job that is dropped instead comes back.
+    fn start_next(&mut self, starts: Duration, is_dropped: impl Fn(&Job) -> bool) -> Option<Job> {
+        let job = self.queue.pop_front()?;
+        if is_dropped(&job) {
+            return Some(job);
+        }
+        let ends = starts + self.work_time(starts, &job);
+        self.running.push(Running { job, ends });
+        None
+    }
+
+    /// How long a job takes that starts now, with the deferred work that it brings due.
+    fn work_time(&mut self, now: Duration, job: &Job) -> Duration {
         let mut ms = job.attempt.units * self.power.unit_ms;
         let key = job.attempt.extent ^ job.attempt.volume.rotate_left(32);
-        if self.recent.contains(&key) {
+        if self.recent_extents.contains(&key) {
             ms *= 1.0 - self.power.run_saves;
         }
-        self.recent.push_back(key);
-        if self.recent.len() > self.power.remembers {
-            self.recent.pop_front();
+        self.recent_extents.push_back(key);
+        if self.recent_extents.len() > self.power.remembers {
+            self.recent_extents.pop_front();
         }
         if job.attempt.kind == OperationKind::Write && !job.attempt.durable {
             self.deferred_work_ms += ms * self.power.put_off;
@@ -199,9 +217,9 @@
     pub(crate) fn served(&mut self, now: Duration, job: &Job) -> f64 {
         let latency = now.saturating_sub(job.arrived).as_secs_f64() * 1000.0;
         self.latency_ms += LATENCY_WEIGHT * (latency - self.latency_ms);
-        let total = self.served.entry(job.attempt.volume).or_default();
+        let total = self.served_units.entry(job.attempt.volume).or_default();
         *total += job.attempt.units;
-        let last = self.reported.insert((job.run, job.attempt.volume), *total);
+        let last = self.reported_units.insert((job.run, job.attempt.volume), *total);
         last.map_or(0.0, |last| (*total - last - job.attempt.units).max(0.0))
     }
 
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback whose faults are switched while it runs: one link between two parties of a test.
+//! A TCP proxy on loopback whose faults are switched while it runs: one link between two processes of a test.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,11 +27,11 @@
     Split,
     /// Open connections are reset, and so are new ones.
     Reset,
-    /// The side that answers is shut down after its next bytes, as a peer that ends in the middle.
+    /// The side that answers is shut down after its next bytes, as by a peer that ends in the midst of a response.
     HalfClose,
 }
 
-/// What a link saw of the bytes towards its upstream: handed each chunk as it came.
+/// Observes the bytes towards the upstream: called with each chunk as it came.
 pub type Tap = Arc<dyn Fn(&[u8]) + Send + Sync>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     upstream: Option<SocketAddr>,
 }
 
-/// One link; dropped, it and its connections end.
+/// A running proxy; dropping it ends it and its connections.
 pub struct Proxy {
     /// Where the proxy listens.
     pub address: SocketAddr,
@@ -54,11 +54,17 @@
     }
 }
 
-const CHUNK: usize = 16 * 1024;
-const TRICKLE: (usize, Duration) = (64, Duration::from_millis(4));
+/// Most bytes that are passed at once.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes at a time of a trickling link.
+const TRICKLE_BYTES: usize = 64;
+/// Time between the writes of a trickling link.
+const TRICKLE_PAUSE: Duration = Duration::from_millis(4);
+/// Most bytes in a write of a splitting link.
+const MAX_SPLIT_BYTES: usize = 7;
 
 impl Proxy {
-    /// Listens on loopback and leads to `upstream`, where there is one.
+    /// Listens on loopback and connects each client to `upstream`; without one, connections are reset.
     ///
     /// # Errors
     /// Fails when no port can be bound.
@@ -71,63 +77,64 @@
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
                 while connections.try_join_next().is_some() {}
-                connections.spawn(carry(stream, shared.subscribe(), tap.clone()));
+                connections.spawn(forward_connection(stream, shared.subscribe(), tap.clone()));
             }
         });
         Ok(Proxy { address, state, task })
     }
 
-    /// What happens to the bytes from now on.
+    /// Sets the fault from now on.
     pub fn fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| state.fault = fault);
     }
 
-    /// Where new connections lead.
+    /// Sets the upstream of new connections.
     pub fn lead_to(&self, upstream: Option<SocketAddr>) {
         self.state.send_modify(|state| state.upstream = upstream);
     }
 }
 
-async fn carry(near: TcpStream, state: watch::Receiver<State>, tap: Option<Tap>) {
+/// Connects to the upstream, and passes bytes both ways until both ends are closed or the link is reset.
+async fn forward_connection(client: TcpStream, state: watch::Receiver<State>, tap: Option<Tap>) {
     let upstream = state.borrow().upstream;
-    let far = match upstream {
+    let server = match upstream {
         Some(upstream) => TcpStream::connect(upstream).await.ok(),
         None => None,
     };
-    let Some(far) = far else {
-        _ = near.set_zero_linger();
+    let Some(server) = server else {
+        _ = client.set_zero_linger();
         return;
     };
-    _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (mut near, mut far, mut resets) = (near, far, state.clone());
-    let ended = {
-        let (near_reader, near_writer) = near.split();
-        let (far_reader, far_writer) = far.split();
-        let both = async {
+    _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (mut client, mut server, mut resets) = (client, server, state.clone());
+    let ended_in_order = {
+        let (client_reader, client_writer) = client.split();
+        let (server_reader, server_writer) = server.split();
+        let both_ways = async {
             tokio::try_join!(
-                pump(near_reader, far_writer, state.clone(), tap, false),
-                pump(far_reader, near_writer, state.clone(), None, true),
+                forward_bytes(client_reader, server_writer, state.clone(), tap, false),
+                forward_bytes(server_reader, client_writer, state.clone(), None, true),
             )
         };
         tokio::select! {
-            ended = both => ended.is_ok(),
+            result = both_ways => result.is_ok(),
             _ = resets.wait_for(|state| state.fault == LinkFault::Reset) => false,
         }
     };
-    if !ended {
-        _ = (near.set_zero_linger(), far.set_zero_linger());
+    if !ended_in_order {
+        _ = (client.set_zero_linger(), server.set_zero_linger());
     }
 }
 
 /// Passes bytes one way until their end, which it passes on too.
-async fn pump(
+async fn forward_bytes(
     mut reader: ReadHalf<'_>,
     mut writer: WriteHalf<'_>,
     mut state: watch::Receiver<State>,
     tap: Option<Tap>,
-    answers: bool,
+    from_server: bool,
 ) -> io::Result<()> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let read = reader.read(&mut chunk).await?;
         if let Some(tap) = tap.as_ref().filter(|_| read > 0) {
@@ -141,17 +148,17 @@
         if read == 0 {
             return writer.shutdown().await;
         }
-        write(&mut writer, &chunk[..read], fault).await?;
-        if answers && fault == LinkFault::HalfClose {
+        write_with_fault(&mut writer, &chunk[..read], fault).await?;
+        if from_server && fault == LinkFault::HalfClose {
             return writer.shutdown().await;
         }
     }
 }
 
-async fn write(writer: &mut WriteHalf<'_>, bytes: &[u8], fault: LinkFault) -> io::Result<()> {
+async fn write_with_fault(writer: &mut WriteHalf<'_>, bytes: &[u8], fault: LinkFault) -> io::Result<()> {
     let (size, pause) = match fault {
-        LinkFault::Trickle => TRICKLE,
-        LinkFault::Split => (1 + bytes.len() % 7, Duration::ZERO),
+        LinkFault::Trickle => (TRICKLE_BYTES, TRICKLE_PAUSE),
+        LinkFault::Split => (1 + bytes.len() % MAX_SPLIT_BYTES, Duration::ZERO),
         _ => return writer.write_all(bytes).await,
     };
     for part in bytes.chunks(size) {
--- a/crates/fakes/src/shim.rs
+++ b/crates/fakes/src/shim.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Builds the shim into a folder; its path.
+/// Compiles the shim into a folder; the path of the library.
 ///
 /// # Errors
 /// Fails when the source can not be written, or the compiler is missing or fails.
--- a/crates/fakes/src/store/connection.rs
+++ b/crates/fakes/src/store/connection.rs
@@ -69,7 +69,7 @@
                 input.reserve(CHUNK_BYTES);
                 let read = reader.read_buf(&mut input).await.ok();
                 let Some(count) = read.filter(|count| *count > 0) else { return };
-                traffic.read(count);
+                traffic.count_read(count);
             }
             Err(error) => return tracing::warn!(%error, "store: bad frame"),
         }
@@ -87,7 +87,7 @@
         if writer.write_all(&batch.bytes).await.is_err() {
             return;
         }
-        traffic.wrote(batch.bytes.len(), batch.frames);
+        traffic.count_written(batch.bytes.len(), batch.frames);
         for written in batch.flushes {
             _ = written.send(());
         }
--- a/crates/fakes/src/traffic.rs
+++ b/crates/fakes/src/traffic.rs
@@ -1,10 +1,10 @@
-//! Bytes that crossed a stand-in's sockets.
+//! Counts of the bytes that crossed a fake's sockets.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// Counted where a stand-in reads from and writes to its sockets.
+/// Counters of a fake that reads from and writes to sockets.
 #[derive(Debug, Default)]
 pub struct Traffic {
     read: AtomicU64,
@@ -25,20 +25,20 @@
 
 impl Traffic {
     /// Counts bytes read.
-    pub(crate) fn read(&self, bytes: usize) {
+    pub(crate) fn count_read(&self, bytes: usize) {
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Counts bytes and frames written.
-    pub(crate) fn wrote(&self, bytes: usize, frames: usize) {
+    pub(crate) fn count_written(&self, bytes: usize, frames: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
         self.frames.fetch_add(frames as u64, Ordering::Relaxed);
     }
 
     /// The counts so far.
     pub fn crossed(&self) -> Crossed {
-        let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Crossed { read: of(&self.read), written: of(&self.written), frames: of(&self.frames) }
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        Crossed { read: load(&self.read), written: load(&self.written), frames: load(&self.frames) }
     }
 }
 
