--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -2,21 +2,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A foretold figure may be off by so much of the measured one; beyond it the slope is not understood.
+/// Largest relative error of a held-out prediction at which a slope counts as understood.
 pub const UNDERSTOOD: f64 = 0.25;
 
-/// `figure = intercept + slope * count`.
+/// A least-squares line: `figure = intercept + slope * count`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
+    /// The figure at a count of zero, in the figure's unit.
     pub intercept: f64,
+    /// What each further unit of the count adds, in the figure's unit.
     pub slope: f64,
-    /// The largest distance of a point from the line, in the figure's own unit.
+    /// The largest distance of a point from the line, in the figure's unit.
     pub residual: f64,
+    /// Points that were fitted.
     pub points: usize,
 }
 
 impl Fit {
-    /// Of (count, figure); nothing where there are not two different counts.
+    /// Fits a line to pairs of count and figure; `None` unless there are two different counts.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let n = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
@@ -31,23 +34,29 @@
         Some(fit)
     }
 
-    pub fn at(&self, count: f64) -> f64 {
+    /// The figure that the line predicts at a count.
+    pub(crate) fn at(&self, count: f64) -> f64 {
         self.intercept + self.slope * count
     }
 }
 
-/// A fit on the points up to half the largest count, and what it says of the largest.
+/// A fit on the points up to half the largest count, and what it predicts at the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldOut {
+    /// The line through the points up to half the largest count.
     pub fit: Fit,
+    /// The largest count, which was held out of the fit.
     pub count: f64,
+    /// The figure that the line predicts at `count`.
     pub foretold: f64,
+    /// The median of the figures measured at `count`.
     pub measured: f64,
-    /// Of the measured figure.
+    /// Distance of prediction and measurement, as a fraction of the measurement.
     pub error: f64,
 }
 
 impl HeldOut {
+    /// Holds out the largest count; `None` unless two different counts remain up to half of it.
     pub fn of(points: &[(f64, f64)]) -> Option<HeldOut> {
         let largest = points.iter().map(|p| p.0).fold(f64::MIN, f64::max);
         let up_to_half: Vec<_> = points.iter().copied().filter(|p| p.0 <= largest / 2.0).collect();
@@ -62,20 +71,25 @@
         Some(HeldOut { fit, count: largest, foretold, measured, error })
     }
 
+    /// Whether the prediction is within [`UNDERSTOOD`] of the measurement.
     pub fn understood(&self) -> bool {
         self.error <= UNDERSTOOD
     }
 }
 
-/// Repeats of one measurement.
+/// Repeats of one measurement, summarised.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
+    /// The middle figure, or the mean of the two middle ones.
     pub median: f64,
+    /// The smallest figure.
     pub least: f64,
+    /// The largest figure.
     pub most: f64,
 }
 
 impl Spread {
+    /// Summarises repeats; `None` without any.
     pub fn of(figures: &[f64]) -> Option<Spread> {
         let sorted = sorted(figures);
         let (least, most) = (*sorted.first()?, *sorted.last()?);
@@ -92,16 +106,19 @@
     sorted
 }
 
-/// How long things took, seconds.
+/// Quantiles of durations, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
+    /// The median.
     pub p50: f64,
+    /// The 99th percentile.
     pub p99: f64,
+    /// The largest.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// The least figure that so many of all are not over (nearest rank); nothing of nothing.
+    /// Quantiles by nearest rank; `None` without any figures.
     pub fn of(figures: &[f64]) -> Option<Quantiles> {
         let sorted = sorted(figures);
         let rank = |part: f64| (part * sorted.len() as f64).ceil().max(1.0) as usize - 1;
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -16,51 +16,68 @@
 
 /// Reads a gateway's script as the program does.
 pub type Prepare = dyn Fn(PathBuf) -> Prepared + Send + Sync;
+/// The settings and options of a gateway, once its script has been read.
 type Prepared = Pin<Box<dyn Future<Output = Result<(Arc<Settings>, GatewayOptions), String>> + Send>>;
 
-/// A gateway has acted on a version: its core has taken it in.
+/// A gateway acted on a version of the configuration: its core has taken the settings in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acted {
+    /// Number of the gateway in the run.
     pub gateway: u32,
+    /// Version of the configuration.
     pub version: u64,
-    /// Microseconds since 1970, by this machine's clock.
+    /// Microseconds since 1970 by this machine's clock.
     pub at: u64,
 }
 
-/// Microseconds since 1970, the same for all processes of a machine.
-pub fn now() -> u64 {
+/// Microseconds since 1970 by the machine's clock, which all processes of a run share.
+pub(crate) fn now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// What a gateway's core was told and did since its start.
+/// Counters of what a gateway's core received and did since its start.
 #[derive(Default)]
-pub struct Counts {
+pub(crate) struct Counts {
+    /// Calls of the core by the gateway's event loop.
     turns: AtomicU64,
-    /// Stores that the last whole list had, but those gone.
+    /// Stores in the last full list, without those marked as gone.
     listed: AtomicU64,
+    /// Full lists received.
     whole_lists: AtomicU64,
-    /// Entries told one by one.
+    /// Entries received in changes of the list.
     deltas: AtomicU64,
+    /// Connections to stores that were made.
     linked: AtomicU64,
+    /// Connections to stores that could not be made.
     refused: AtomicU64,
+    /// Version of the configuration last acted on.
     version: AtomicU64,
 }
 
-/// The same, read.
+/// A snapshot of one hollow gateway's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
+    /// Number of the gateway in the run.
     pub gateway: u32,
+    /// Calls of its core by its event loop, over all its restarts.
     pub turns: u64,
+    /// Stores in the last full list, without those marked as gone.
     pub listed: u64,
+    /// Full lists received since its start.
     pub whole_lists: u64,
+    /// Entries received in changes of the list since its start.
     pub deltas: u64,
-    /// Links that were made, and such as could not be.
+    /// Connections to stores that were made.
     pub linked: u64,
+    /// Connections to stores that could not be made.
     pub refused: u64,
+    /// Version of the configuration last acted on.
     pub version: u64,
+    /// Whether the gateway has ended.
     pub over: bool,
 }
 
+/// The product's core, with counters around it.
 struct Counted {
     core: Core,
     gateway: u32,
@@ -68,11 +85,13 @@
     acted: Arc<Mutex<Vec<Acted>>>,
 }
 
+/// Adds to a counter.
 fn add(count: &AtomicU64, more: usize) {
     count.fetch_add(more as u64, Ordering::Relaxed);
 }
 
 impl Counts {
+    /// Counts one input of the core.
     fn hear(&self, input: &Input) {
         match input {
             Input::FromList(FromList::Full(entries)) => {
@@ -108,6 +127,7 @@
     }
 }
 
+/// Records that a gateway acted on a version.
 fn note(gateway: u32, version: u64, counts: &Counts, acted: &Mutex<Vec<Acted>>) {
     counts.version.store(version, Ordering::Relaxed);
     let mut acted = acted.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -122,26 +142,28 @@
 const WAIT: Duration = Duration::from_millis(2);
 const MOST_WAITS: u32 = 2_000;
 
+/// One hollow gateway of the process.
 struct Member {
     file: PathBuf,
     running: Option<RunningGateway>,
     counts: Arc<Counts>,
 }
 
-/// The gateways of a process. Dropping it ends them at once.
-pub struct Fleet {
+/// The hollow gateways of a process. Dropping it ends them at once.
+pub(crate) struct Fleet {
     prepare: Arc<Prepare>,
     members: BTreeMap<u32, Member>,
     acted: Arc<Mutex<Vec<Acted>>>,
 }
 
 impl Fleet {
-    pub fn new(prepare: Arc<Prepare>) -> Fleet {
+    /// An empty fleet that reads scripts by `prepare`.
+    pub(crate) fn new(prepare: Arc<Prepare>) -> Fleet {
         Fleet { prepare, members: BTreeMap::new(), acted: Arc::default() }
     }
 
-    /// Starts a gateway, or starts it again, as a restarted process would: with the folder it had.
-    pub async fn start(&mut self, gateway: u32, file: PathBuf) -> Result<(), String> {
+    /// Starts a gateway, or restarts it on the state folder that it had, as a restarted process would.
+    pub(crate) async fn start(&mut self, gateway: u32, file: PathBuf) -> Result<(), String> {
         self.stop(gateway).await?;
         let (settings, options) = (self.prepare)(file.clone()).await?;
         let (clock, counts): (_, Arc<Counts>) = (Clock::start(), Arc::default());
@@ -158,8 +180,9 @@
         Ok(())
     }
 
-    /// Returns when a gateway has made its links to so many stores or been refused, or after a while.
-    pub async fn linked(&self, gateway: u32, stores: u64) {
+    /// Returns once a gateway has made or failed to make a connection to each of `stores` stores, or after
+    /// [`MOST_WAITS`] looks.
+    pub(crate) async fn linked(&self, gateway: u32, stores: u64) {
         let Some(member) = self.members.get(&gateway) else { return };
         let counts = &member.counts;
         let over =
@@ -172,7 +195,7 @@
         }
     }
 
-    /// Ends a gateway, if it runs, as a process does that is asked to stop.
+    /// Shuts a gateway down gracefully, if it runs.
     async fn stop(&mut self, gateway: u32) -> Result<(), String> {
         let running = self.members.get_mut(&gateway).and_then(|member| member.running.take());
         match running {
@@ -181,12 +204,14 @@
         }
     }
 
-    pub async fn restart(&mut self, gateway: u32) -> Result<(), String> {
+    /// Restarts a gateway on the script that it was started on.
+    pub(crate) async fn restart(&mut self, gateway: u32) -> Result<(), String> {
         let file = self.members.get(&gateway).map(|member| member.file.clone());
         self.start(gateway, file.ok_or_else(|| format!("there is no gateway {gateway} here"))?).await
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
+    /// Snapshots of all gateways' counters.
+    pub(crate) fn seen(&self) -> Vec<Seen> {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let seen = |(gateway, member): (&u32, &Member)| Seen {
             gateway: *gateway,
@@ -202,8 +227,8 @@
         self.members.iter().map(seen).collect()
     }
 
-    /// What was acted on since it was last asked.
-    pub fn acted(&self) -> Vec<Acted> {
+    /// Takes what was acted on since the last call.
+    pub(crate) fn acted(&self) -> Vec<Acted> {
         std::mem::take(&mut *self.acted.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a fleet's size costs each of its members: hollow gateways beside real ones, measured, fitted and drawn.
+//! Scale runs: what the size of a fleet costs each of its members, measured, fitted and drawn.
 //!
-//! A hollow gateway is [`umbertray_nbd_gateway`] itself, many in a process, with list, changes, map, links, module, log and
-//! state, and without clients. Nothing here decides what a gateway does: [`hollow`] starts it on the settings that the
-//! program reads, and looks on where its loop hosts its core. [`worker`] is a process of them, or of stand-in stores, or
-//! the list; [`crew`] starts processes and ends them by id; [`plan`] refuses what there is no room for; [`point`] measures
-//! one size, [`sweep`] many; [`fit`] has the slopes; [`report`] writes them down.
+//! A hollow gateway is [`umbertray_nbd_gateway`] itself, many in a process, with endpoint list, change log, map, connections
+//! to stores, scheduler and snapshots, and without clients. Nothing here decides what a gateway does: [`hollow`] starts it
+//! on the settings that the program reads, and counts the inputs of its core. [`worker`] is a process of hollow gateways,
+//! of stand-in stores, or of the endpoint list; [`crew`] starts such processes and ends them by id; [`plan`] rejects what
+//! the machine has no capacity for; [`point`] measures one size, [`sweep`] many, [`moments`] disruptions; [`fit`] has the
+//! slopes; [`report`] writes them down.
 
 pub mod crew;
 pub mod fit;
@@ -14,26 +15,41 @@
 pub mod point;
 pub mod relays;
 pub mod report;
-pub mod script;
+mod script;
 pub mod sweep;
 pub mod worker;
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a run ended without its figures, and what may be done.
+/// Why a run ended without its measurements.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// Nothing was started.
+    /// The plan was rejected before anything was started.
     #[error(transparent)]
     Refused(#[from] plan::Refused),
+    /// An operation on a file, a process or a socket failed.
     #[error("{what}: {error}")]
-    Io { what: String, error: io::Error },
-    /// A process of the run did not do what it was told; its log says why.
+    Io {
+        /// The file, process or other thing that the operation was on.
+        what: String,
+        /// The operation's error.
+        error: io::Error,
+    },
+    /// A worker process of the run failed to carry out an order; its log has the cause.
     #[error("{role}: {why}; its log is {}", log.display())]
-    Worker { role: String, why: String, log: PathBuf },
+    Worker {
+        /// What the process was for.
+        role: String,
+        /// What went wrong.
+        why: String,
+        /// The log of the process.
+        log: PathBuf,
+    },
+    /// The change log could not be written, or the fleet did not reach the expected state.
     #[error("the log of changes: {0}")]
     Changes(String),
+    /// The run was asked to stop; every process that it started has been ended.
     #[error("told to stop; all that was started is ended")]
     Stopped,
 }
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/moments.rs
@@ -6,40 +6,46 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ScaleError;
-use crate::crew::Worker;
 use crate::fit::Quantiles;
 use crate::hollow::Seen;
 use crate::plan::Plan;
-use crate::point::{MB, Setup, Stage, Start, load, spans, start_keeper, start_list};
+use crate::point::{MB, Setup, Stage, Start, load, spans, start_keeper, start_list, start_worker};
 use crate::worker::{Order, Reply};
 
-/// How long what is stopped stands still.
+/// How long a paused process stays paused.
 const STILL: Duration = Duration::from_secs(10);
-/// How long a fleet may take to be steady again.
+/// How long a fleet may take to become steady again.
 const STEADY: Duration = Duration::from_secs(180);
+/// Interval at which gateways are polled.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// One of them, over all hollow gateways.
+/// One disruption, measured over all hollow gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Moment {
+    /// What was done to the fleet.
     pub moment: String,
+    /// Gateways of the fleet, real and hollow.
     pub gateways: u32,
+    /// Stores that the list names.
     pub stores: u32,
+    /// Of those stores, the ones that accept connections.
     pub answering: u32,
-    /// Held by the hollow gateways' processes when it was over.
+    /// Resident memory of the hollow gateways' processes once it was over, in MiB.
     pub rss_total_mb: f64,
-    /// Bytes at the sockets of list and stores, both ways, a gateway.
+    /// Bytes at the sockets of list and stores, both directions, for each gateway.
     pub bytes_a_gateway: f64,
-    /// Until the last gateway was steady again.
+    /// Seconds until the last gateway was steady again.
     pub steady_seconds: f64,
-    /// Of a change made meanwhile.
+    /// Seconds until a change made meanwhile was in force at each gateway.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub in_force_seconds: Option<Quantiles>,
+    /// The machine's load average over a minute, at the end.
     pub load: f64,
+    /// Properties that did not hold.
     pub broken: Vec<String>,
 }
 
-/// A moment as it begins.
+/// A disruption that has begun.
 struct Began {
     moment: &'static str,
     at: Instant,
@@ -47,11 +53,13 @@
 }
 
 impl Stage {
+    /// Bytes that crossed the sockets of list and stores since the start.
     async fn crossed(&mut self) -> Result<u64, ScaleError> {
         let (list, links) = self.traffic().await?;
         Ok(list.bytes() + links.bytes())
     }
 
+    /// Notes the start of a disruption and forgets the changes before it.
     async fn began(&mut self, moment: &'static str) -> Result<Began, ScaleError> {
         tracing::info!(moment, "beginning");
         self.committed.clear();
@@ -59,7 +67,7 @@
         Ok(Began { moment, bytes: self.crossed().await?, at: Instant::now() })
     }
 
-    /// Waits until all gateways are as wanted; how many were not.
+    /// Waits until all gateways are as `wanted`; the number of those that are not when the time is up.
     async fn all(&mut self, wanted: impl Fn(&Seen) -> bool) -> Result<usize, ScaleError> {
         let end = Instant::now() + STEADY;
         loop {
@@ -72,6 +80,7 @@
         }
     }
 
+    /// Measures a disruption that is over.
     async fn over(&mut self, began: Began, late: usize) -> Result<Moment, ScaleError> {
         let steady = began.at.elapsed();
         let bytes = self.crossed().await?.saturating_sub(began.bytes);
@@ -87,6 +96,7 @@
         Ok(self.moment(began.moment, bytes, steady, broken))
     }
 
+    /// The record of a disruption.
     fn moment(&self, moment: &str, bytes: u64, steady: Duration, broken: Vec<String>) -> Moment {
         Moment {
             moment: moment.into(),
@@ -102,7 +112,7 @@
         }
     }
 
-    /// All stores of a zone gone, then all back and cold.
+    /// All stores of a zone are gone, then all are back with empty caches.
     async fn zone_and_back(&mut self) -> Result<Vec<Moment>, ScaleError> {
         let mut moments = Vec::new();
         for (moment, there) in [("a zone gone", false), ("a zone back, cold", true)] {
@@ -117,7 +127,7 @@
         Ok(moments)
     }
 
-    /// The list stands still, a change is made meanwhile, the list goes on.
+    /// The list's process is paused, a change is made meanwhile, and the list resumes.
     async fn list_stands_still(&mut self) -> Result<Moment, ScaleError> {
         let began = self.began("the list stopped for 10 s").await?;
         self.list.signal(Signal::SIGSTOP)?;
@@ -128,7 +138,7 @@
         self.over(began, behind.len()).await
     }
 
-    /// The list is killed and comes back where it was: all gateways ask it anew.
+    /// The list's process is killed and restarted at its address: all gateways ask it anew.
     async fn list_killed(&mut self, setup: &Setup) -> Result<Moment, ScaleError> {
         let (seen, _) = self.look().await?;
         let before: std::collections::BTreeMap<u32, u64> =
@@ -139,8 +149,7 @@
         // Its count begins anew with it.
         began.bytes = began.bytes.saturating_sub(list.bytes());
         self.change()?;
-        let arguments = ["--log-level", "warn", "scale-worker"];
-        self.list = Worker::start(&setup.program, &arguments, &self.folder, "list-again")?;
+        self.list = start_worker(setup, &self.folder, "list-again")?;
         let (address, named) = (self.listed_at, self.named.clone());
         start_list(&mut self.list, address, &named).await?;
         let late =
@@ -149,6 +158,7 @@
         self.over(began, late).await
     }
 
+    /// The coordinator is killed and restarted at its address, and a change is made meanwhile.
     async fn keeper_killed(&mut self, setup: &Setup) -> Result<Moment, ScaleError> {
         let began = self.began("the keeper killed, back at once").await?;
         self.keeper.kill().await.map_err(ScaleError::io("the keeper"))?;
@@ -181,7 +191,11 @@
     }
 }
 
-/// Starts a fleet, which is the first of its worst moments, and brings on the others.
+/// Starts a fleet with all gateways at once, which is the first disruption, and causes the others one after
+/// another; `each` receives every record as it is made.
+///
+/// # Errors
+/// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not follow its orders.
 pub async fn moments(
     plan: &Plan,
     setup: &Setup,
--- a/crates/scale/src/plan.rs
+++ b/crates/scale/src/plan.rs
@@ -4,70 +4,88 @@
 
 use crate::relays::{self, Fault};
 
-/// Bytes that all processes of a run may hold together.
-pub const MOST_BYTES: u64 = 12 << 30;
+/// Bytes of memory that all processes of a run may hold together.
+pub(crate) const MOST_BYTES: u64 = 12 << 30;
 /// Processes of a run, this one among them.
-pub const MOST_PROCESSES: u32 = 300;
-/// Links of gateways to stores that a run opens by itself; more are made where `--answering` asks for them.
-pub const LINKS: u64 = 20_000;
-/// Gateways of one process at most: each has a thread that keeps its state.
+pub(crate) const MOST_PROCESSES: u32 = 300;
+/// Connections of gateways to stores that a run opens by default; `--answering` may ask for more.
+pub(crate) const LINKS: u64 = 20_000;
+/// Hollow gateways of one process at most: each has a thread that writes its snapshots.
 const A_WORKER: u64 = 450;
 /// Relays of a zone at most.
-pub const MOST_RELAYS: u32 = 16;
-/// Descriptors that a process has besides those that grow with the fleet.
+pub(crate) const MOST_RELAYS: u32 = 16;
+/// Descriptors of a process besides those that grow with the fleet.
 const OWN: u64 = 64;
-/// Of a gateway besides its links: listener, list, coordinator, state folder's lock, what it reads from.
+/// Descriptors of a gateway besides its connections to stores: listener, list, coordinator, the lock of the
+/// state folder, and the source of its configuration.
 const A_GATEWAY: u64 = 6;
 
-/// Bytes held by what is there, to refuse by. Trials of `umbertray scale` on a busy machine of 8 cores, rounded up: 20 hollow
-/// gateways, 8 stores answering, held 42, 93 and 302 MB with 250, 1,000 and 4,000 listed; 3 of them with 4,000 answering
-/// 149 MB, and the stores of the 16,000 links 204 MB.
-pub const PROCESS_BYTES: u64 = 12 << 20;
-pub const GATEWAY_BYTES: u64 = 1 << 20;
-pub const LISTED_BYTES: u64 = 4_000;
-pub const VOLUME_BYTES: u64 = 1_000;
-/// Both ends of a link: gateway's and stand-in store's.
-pub const LINK_BYTES: u64 = 22 << 10;
+/// Bytes of a process without gateways.
+///
+/// This estimate and the four below are upper bounds for rejecting plans: trials of `umbertray scale` on a
+/// busy machine of 8 cores, rounded up. 20 hollow gateways, 8 stores answering, held 42, 93 and 302 MB with
+/// 250, 1,000 and 4,000 listed; 3 of them with 4,000 answering 149 MB, and the stores of the 16,000 links 204
+/// MB.
+pub(crate) const PROCESS_BYTES: u64 = 12 << 20;
+/// Bytes of a hollow gateway without stores, volumes and connections.
+pub(crate) const GATEWAY_BYTES: u64 = 1 << 20;
+/// Bytes of a gateway for each store that the list names.
+pub(crate) const LISTED_BYTES: u64 = 4_000;
+/// Bytes of a gateway for each volume.
+pub(crate) const VOLUME_BYTES: u64 = 1_000;
+/// Bytes of both ends of a connection, the gateway's and the stand-in store's.
+pub(crate) const LINK_BYTES: u64 = 22 << 10;
 
 /// One size of a fleet, and what is done with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// All gateways, the real ones among them.
+    /// All gateways, real and hollow.
     pub gateways: u32,
-    /// Gateways in processes of their own.
+    /// Real gateways, each in a process of its own.
     pub real: u32,
     /// Stores that the list names.
     pub stores: u32,
-    /// Stores that answer at their address; at the others' nobody listens. Absent: as many as there is room for.
+    /// Stores that accept connections; nobody listens at the others' addresses. `None`: as many as the
+    /// default number of connections allows.
     pub answering: Option<u32>,
+    /// Volumes of the configuration.
     pub volumes: u32,
+    /// Changes of the configuration while the fleet is measured.
     pub changes_per_second: f64,
+    /// Restarts of hollow gateways in the whole fleet while it is measured.
     pub restarts_per_hour: f64,
+    /// How long the fleet is measured.
     pub seconds: f64,
+    /// Seed of the random choices of the run, its gateways and its stores.
     pub seed: u64,
-    /// Relays in each zone, between the folder of changes and the gateways; none: gateways read the folder.
+    /// Relays in each zone, between the change log's folder and the gateways; 0: gateways read the folder.
     #[serde(default)]
     pub relays: u32,
+    /// What happens to one relay of each zone while the fleet is measured.
     #[serde(default)]
     pub fault: Option<Fault>,
 }
 
 impl Plan {
-    pub fn hollow(&self) -> u32 {
+    /// Gateways that share processes.
+    pub(crate) fn hollow(&self) -> u32 {
         self.gateways.saturating_sub(self.real)
     }
 }
 
-/// What this machine lets a process have.
+/// What a run may use of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// Open descriptors of one process.
     pub descriptors: u64,
+    /// Bytes of memory of all processes together.
     pub bytes: u64,
+    /// Processes.
     pub processes: u32,
 }
 
 impl Limits {
-    /// The limits of a run on this machine, with its descriptors as the system allows them.
+    /// The limits of a run on this machine, with the descriptors that the system allows a process.
     pub fn here() -> Limits {
         let most = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
         Limits {
@@ -78,40 +96,74 @@
     }
 }
 
-/// What a plan comes to.
+/// What a plan needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
+    /// Stores that accept connections.
     pub answering: u32,
     /// Processes of hollow gateways.
     pub workers: u32,
     /// Processes of stand-in stores.
     pub store_processes: u32,
+    /// All processes of the run.
     pub processes: u32,
+    /// Bytes of memory of all processes together.
     pub bytes: u64,
-    /// Of the process that has most.
+    /// Descriptors of the process that needs most.
     pub descriptors: u64,
 }
 
+/// Why a plan is rejected before anything is started.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum Refused {
+    /// The plan contradicts itself or is out of range.
     #[error("{0}")]
     Wrong(String),
     #[error(
         "the plan needs {need} MB of memory, the limit is {limit} MB: fewer gateways, stores or answering stores"
     )]
-    Memory { need: u64, limit: u64 },
+    /// The plan needs more memory than the limit, both in MiB.
+    Memory {
+        /// What the plan needs.
+        need: u64,
+        /// What the run may use.
+        limit: u64,
+    },
     #[error(
         "the plan needs {need} processes, the limit is {limit}: fewer real gateways or answering stores ({links} links of gateways to stores)"
     )]
-    Processes { need: u32, limit: u32, links: u64 },
+    /// The plan needs more processes than the limit.
+    Processes {
+        /// What the plan needs.
+        need: u32,
+        /// What the run may use.
+        limit: u32,
+        /// Connections of gateways to stores in the plan.
+        links: u64,
+    },
     #[error(
         "a {role} needs {need} descriptors, the limit is {limit} (ulimit -n): fewer gateways or answering stores, or a higher limit"
     )]
-    Descriptors { role: &'static str, need: u64, limit: u64 },
+    /// One process of the plan needs more descriptors than the system allows.
+    Descriptors {
+        /// What the process is for.
+        role: &'static str,
+        /// What the process needs.
+        need: u64,
+        /// What the system allows it.
+        limit: u64,
+    },
+    /// The folder of results cannot be written.
     #[error("--out {folder}: cannot be written: {why}")]
-    Out { folder: String, why: String },
+    Out {
+        /// The folder.
+        folder: String,
+        /// The system's error.
+        why: String,
+    },
 }
 
+/// Rejects a plan that contradicts itself or is out of range.
 fn sane(plan: &Plan) -> Result<(), Refused> {
     let wrong = |what: String| Err(Refused::Wrong(what));
     if plan.relays > MOST_RELAYS {
@@ -145,7 +197,10 @@
     Ok(())
 }
 
-/// Works out what a plan needs, or says what there is no room for.
+/// Works out what a plan needs.
+///
+/// # Errors
+/// [`Refused`] if the plan contradicts itself or needs more than `limits` allow.
 pub fn demand(plan: &Plan, limits: &Limits) -> Result<Demand, Refused> {
     sane(plan)?;
     let gateways = u64::from(plan.gateways);
--- a/crates/scale/src/point.rs
+++ b/crates/scale/src/point.rs
@@ -23,80 +23,103 @@
 use crate::script::{self, Writer};
 use crate::worker::{Named, Order, Reply};
 
-/// How long all gateways may take to hold the whole list, and to act on the last change.
+/// Time that all gateways may take to hold the full list, and to act on the last change.
 const STEADY: Duration = Duration::from_secs(240);
-/// What goes on after the start, such as links that are answered late, is over by then.
+/// Pause before a measurement, in which what follows a start, such as late connections, finishes.
 const SETTLED: Duration = Duration::from_secs(2);
-/// Where a run makes no changes by its plan, so many are made after its idle time, so far apart.
+/// Changes made after the idle time of a plan that has none of its own.
 const PROBES: u32 = 8;
+/// Pause after each of those changes.
 const APART: Duration = Duration::from_millis(300);
-/// How often workers are asked what they have seen.
+/// Interval at which workers are asked for what they have observed.
 const LOOK: Duration = Duration::from_millis(500);
-/// A process is asked to end and has so long.
+/// Time that a product process has to exit after it was asked to.
 const LAST: Duration = Duration::from_secs(10);
-/// Zones that stores are spread over.
-pub const ZONES: u32 = 6;
+/// Zones that stores, gateways and relays are spread over.
+pub(crate) const ZONES: u32 = 6;
 
-/// Where nobody listens: what a store that does not answer has for its address.
+/// The address of a store that does not answer: nobody listens there.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(127, 0, 0, 2)), 1);
 
 /// Where a run is made.
 pub struct Setup {
     /// The program `umbertray`.
     pub program: PathBuf,
-    /// Scripts, logs and state of what is started.
+    /// Folder for scripts, logs and state of the processes that are started.
     pub scratch: PathBuf,
+    /// What the run may use of this machine.
     pub limits: Limits,
 }
 
+/// What a group of processes of a run is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A real one: `umbertray serve` in a process of its own.
+    /// A real gateway: `umbertray serve` in a process of its own.
     Gateway,
+    /// The coordinator.
     Keeper,
     /// All relays together.
     Relay,
+    /// The endpoint list.
     List,
     /// All stand-in stores together.
     Store,
 }
 
-/// What was measured of one role at one size. Figures of gateways are each one's share; of the others all together.
+/// The measurements of one role at one size. Figures of gateways are for each gateway; those of other roles
+/// are for all their processes together.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Line {
+    /// Name of the size: the factor and its position in the sweep, or `one`.
     pub point: String,
+    /// Number of the repeat, from 0.
     pub repeat: u32,
-    /// Absent: the hollow gateways.
+    /// The role; `None` for the hollow gateways.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub role: Option<Role>,
+    /// Gateways of the fleet, real and hollow.
     pub gateways: u32,
+    /// Stores that the list names.
     pub stores: u32,
-    /// Of the stores, those that answer.
+    /// Of those stores, the ones that accept connections.
     pub answering: u32,
+    /// Volumes of the configuration.
     pub volumes: u32,
+    /// Hollow gateways of the fleet.
     pub hollow: u32,
+    /// Processes of the role.
     pub processes: u32,
+    /// How long the fleet was measured.
     pub seconds: f64,
+    /// Changes of the configuration by the plan.
     pub changes_per_second: f64,
+    /// Restarts of hollow gateways by the plan.
     pub restarts_per_hour: f64,
-    /// From the first gateway's start until all held the whole list and their links were made or refused.
+    /// From the first gateway's start until all held the full list and their connections were made or
+    /// refused.
     pub start_seconds: f64,
-    /// Bytes of lists and links that a gateway's start took.
+    /// Bytes of list and store connections that the start took, for each gateway.
     pub start_bytes: f64,
-    /// Of one core, over `seconds`.
+    /// CPU time over `seconds`, in percent of one core.
     pub idle_core_percent: f64,
+    /// Resident memory, in MiB.
     pub rss_mb: f64,
-    /// Of all processes of the role.
+    /// Resident memory of all processes of the role, in MiB.
     pub rss_total_mb: f64,
-    /// Both ways, at the sockets of list and stores.
+    /// Bytes at the sockets of list and stores, both directions.
     pub control_bytes_per_second: f64,
+    /// Of those, the list's.
     pub list_bytes_per_second: f64,
+    /// Of those, the stores'.
     pub link_bytes_per_second: f64,
-    /// Turns of a gateway's loop.
+    /// Calls of a gateway's core by its event loop; 0 for other roles than the hollow gateways.
     pub turns_per_second: f64,
+    /// Changes of the configuration that were committed.
     pub changes: u32,
+    /// Hollow gateways that were restarted.
     pub restarts: u32,
+    /// Seconds until a change was in force at each gateway.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub in_force_seconds: Option<Quantiles>,
     /// The machine's load average over a minute, at the end.
@@ -105,13 +128,16 @@
     pub broken: Vec<String>,
 }
 
-/// What a process has used and holds.
+/// CPU time and resident memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
 struct Used {
+    /// CPU time since the start of the process.
     cpu: Duration,
+    /// Resident memory in bytes.
     rss: u64,
 }
 
+/// Reads what a process uses; zero for one that has ended.
 fn used(id: Option<u32>) -> Used {
     let of = |id: u32| {
         let clock = clock_getcpuclockid(Pid::from_raw(id as i32)).ok()?;
@@ -123,47 +149,66 @@
     id.and_then(of).unwrap_or_default()
 }
 
-pub fn load() -> f64 {
+/// The machine's load average over the last minute.
+pub(crate) fn load() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or_default()
 }
 
-/// How the gateways of a process are started.
+/// The order in which the gateways of a process are started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
     /// Each once the one before it is steady.
     OneByOne,
-    /// As fast as the machine can: a herd.
+    /// As fast as the machine can: a thundering herd.
     AtOnce,
 }
 
-/// A fleet at work; all its processes end with it.
+/// A running fleet; its processes end with it.
 pub struct Stage {
-    pub plan: Plan,
-    pub demand: Demand,
+    /// What was planned.
+    pub(crate) plan: Plan,
+    /// What the plan needs.
+    pub(crate) demand: Demand,
+    /// The endpoint list.
     pub(crate) list: Worker,
+    /// The list's address.
     pub(crate) listed_at: SocketAddr,
+    /// The stores that the list names.
     pub(crate) named: Vec<Named>,
+    /// Processes of stand-in stores.
     stores: Vec<Worker>,
+    /// Processes of hollow gateways.
     pub(crate) workers: Vec<Worker>,
-    /// Gateways of each worker.
+    /// The gateways of each worker.
     pub(crate) shares: Vec<Vec<u32>>,
+    /// Processes of real gateways.
     real: Vec<Process>,
+    /// The relays, where the plan has some.
     relays: Option<Relays>,
+    /// The coordinator.
     pub(crate) keeper: Process,
+    /// The coordinator's address.
     pub(crate) kept_at: SocketAddr,
+    /// Folder for the run's scripts, logs and state.
     pub(crate) folder: PathBuf,
+    /// Writes the change log.
     writer: Writer,
-    /// When each version was committed.
+    /// When each version was committed, in microseconds since 1970.
     pub(crate) committed: BTreeMap<u64, u64>,
+    /// What hollow gateways acted on, and when.
     pub(crate) acted: Vec<Acted>,
+    /// Chooses the gateways to restart.
     draw: StdRng,
+    /// How long the gateways took to become steady.
     pub(crate) started: Duration,
+    /// Bytes of list and store connections that the start took.
     pub(crate) start_bytes: u64,
+    /// Gateways that were restarted.
     restarts: u32,
 }
 
-/// What is counted at one moment.
+/// All that is counted, at one instant.
 struct Sample {
     at: Instant,
     workers: Vec<Used>,
@@ -178,7 +223,10 @@
 }
 
 impl Stage {
-    /// Starts all of a plan and waits until it is steady.
+    /// Starts all processes of a plan and waits until the fleet is steady.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not become steady.
     pub async fn start(plan: &Plan, setup: &Setup, start: Start, name: &str) -> Result<Stage, ScaleError> {
         let demand = demand(plan, &setup.limits)?;
         let folder = setup.scratch.join(name);
@@ -187,32 +235,9 @@
         };
         make(&folder)?;
         make(&folder.join("changes"))?;
-        let worker = |role: String| {
-            Worker::start(&setup.program, &["--log-level", "warn", "scale-worker"], &folder, &role)
-        };
-        let mut stores = Vec::new();
-        let mut from = 1;
-        for number in 0..demand.store_processes {
-            let count = share(demand.answering, demand.store_processes, number);
-            let mut worker = worker(format!("stores-{number}"))?;
-            worker.tell(&Order::Stores { from, count, seed: plan.seed }).await?;
-            from += u64::from(count);
-            stores.push(worker);
-        }
-        let mut addresses = Vec::new();
-        for worker in &mut stores {
-            if let Reply::Stores(more) = worker.hear().await? {
-                addresses.extend(more);
-            }
-        }
-        addresses.resize(plan.stores as usize, NOWHERE);
-        let named = (1..).zip(&addresses).map(|(store, address)| Named {
-            store,
-            address: *address,
-            zone: store as u32 % ZONES,
-        });
-        let named: Vec<Named> = named.collect();
-        let mut list = worker("list".into())?;
+        let (stores, addresses) = start_stores(setup, &folder, plan, &demand).await?;
+        let named = named_stores(plan.stores, addresses);
+        let mut list = start_worker(setup, &folder, "list")?;
         let listed_at = start_list(&mut list, any_port(), &named).await?;
         let (keeper, kept_at) = start_keeper(setup, &folder, any_port(), listed_at).await?;
         let writer = Writer::begin(&folder.join("changes"), plan)?;
@@ -246,6 +271,7 @@
         Ok(stage)
     }
 
+    /// Starts the plan's gateways, hollow and real, and waits until they are steady.
     async fn start_gateways(&mut self, setup: &Setup, start: Start) -> Result<(), ScaleError> {
         let folder = format!("{:?}", self.folder.join("changes").display().to_string());
         let changes = self.relays.as_ref().map_or(folder, |relays| relays.upstreams.clone());
@@ -263,9 +289,7 @@
         let real: Vec<String> = (0..self.plan.real).map(own).collect();
         let mut hollow = scripts.split_off(self.plan.real as usize);
         for number in 0..self.demand.workers {
-            let arguments = ["--log-level", "warn", "scale-worker"];
-            let role = format!("gateways-{number}");
-            self.workers.push(Worker::start(&setup.program, &arguments, &self.folder, &role)?);
+            self.workers.push(start_worker(setup, &self.folder, &format!("gateways-{number}"))?);
         }
         let began = Instant::now();
         let after = (start == Start::OneByOne).then_some(self.plan.stores.into());
@@ -290,8 +314,9 @@
         Ok(())
     }
 
-    /// Waits until each gateway holds the whole list and has made its links, or been refused.
-    pub async fn steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
+    /// Waits until each gateway holds the full list and has made or failed to make each connection; returns
+    /// how long that took.
+    pub(crate) async fn steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
         let stores = u64::from(self.plan.stores);
         loop {
             let (seen, _) = self.look().await?;
@@ -309,13 +334,19 @@
         }
     }
 
-    /// A zone's stores are gone, or back and cold; how many are listed in it.
+    /// Marks all stores of a zone as gone, or as back with empty caches; returns how many the zone has.
+    ///
+    /// # Errors
+    /// [`ScaleError::Worker`] if the list's process does not follow the order.
     pub async fn zone(&mut self, zone: u32, there: bool) -> Result<u32, ScaleError> {
         self.list.ask(&Order::Zone { zone, there }).await?;
         Ok((1..=self.plan.stores).filter(|store| store % ZONES == zone).count() as u32)
     }
 
-    /// What the hollow gateways have seen, and their turns; what they acted on is kept.
+    /// Snapshots of the hollow gateways and the sum of their turns; what they acted on is recorded.
+    ///
+    /// # Errors
+    /// [`ScaleError::Worker`] if a worker process does not reply.
     pub async fn look(&mut self) -> Result<(Vec<Seen>, u64), ScaleError> {
         for worker in &mut self.workers {
             worker.tell(&Order::Look).await?;
@@ -332,6 +363,9 @@
     }
 
     /// What crossed the sockets of the list, and of all stores, since the start.
+    ///
+    /// # Errors
+    /// [`ScaleError::Worker`] if a worker process does not reply.
     pub async fn traffic(&mut self) -> Result<(Crossed, Crossed), ScaleError> {
         let list = self.list.look().await?.traffic;
         let mut links = Crossed::default();
@@ -341,6 +375,7 @@
         Ok((list, links))
     }
 
+    /// Reads all counters.
     async fn sample(&mut self) -> Result<Sample, ScaleError> {
         let (list_traffic, link_traffic) = self.traffic().await?;
         let (_, turns) = self.look().await?;
@@ -359,13 +394,14 @@
         })
     }
 
+    /// Commits a change of the configuration.
     pub(crate) fn change(&mut self) -> Result<(), ScaleError> {
         let version = tokio::task::block_in_place(|| self.writer.change())?;
         self.committed.insert(version, hollow::now());
         Ok(())
     }
 
-    /// Restarts one hollow gateway, whichever chance takes.
+    /// Restarts one hollow gateway, chosen at random.
     async fn restart(&mut self) -> Result<(), ScaleError> {
         let worker = self.draw.random_range(0..self.workers.len());
         let share = &self.shares[worker];
@@ -374,6 +410,7 @@
         self.workers[worker].ask(&Order::Restart { gateway }).await.map(drop)
     }
 
+    /// Brings a fault on the first relay of each zone.
     async fn fail(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
         match self.relays.as_mut().zip(fault) {
             Some((relays, fault)) => relays.fail(fault).await,
@@ -381,11 +418,12 @@
         }
     }
 
+    /// Ends a fault, as far as it can be ended.
     fn heal(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
         self.relays.as_mut().zip(fault).map_or(Ok(()), |(relays, fault)| relays.heal(fault))
     }
 
-    /// Lets the plan's time pass, with its changes and restarts.
+    /// Lets the measured time pass, with the plan's changes, restarts and fault.
     async fn pass(&mut self) -> Result<(), ScaleError> {
         let began = Instant::now();
         let end = Duration::from_secs_f64(self.plan.seconds);
@@ -425,7 +463,8 @@
         }
     }
 
-    /// Waits until all hollow gateways have acted on the last change; those that have not.
+    /// Waits until all hollow gateways have acted on the last change; returns those that have not when the
+    /// time is up.
     pub(crate) async fn in_force(&mut self) -> Result<Vec<u32>, ScaleError> {
         let (began, version) = (Instant::now(), self.writer.version());
         loop {
@@ -439,7 +478,7 @@
         }
     }
 
-    /// When real gateways acted on what, from their logs.
+    /// What real gateways acted on, from their logs.
     fn logged(&self) -> Vec<Acted> {
         let of = |gateway: u32| {
             let file = self.folder.join(format!("gateway-{gateway}.log"));
@@ -450,7 +489,10 @@
         (0..self.plan.real).flat_map(of).collect()
     }
 
-    /// Measures the fleet over the plan's time; a line a role.
+    /// Measures the fleet over the plan's time; returns a line for each role.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if a process does not follow its orders or the change log cannot be written.
     pub async fn measure(&mut self, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
         tokio::time::sleep(SETTLED).await;
         let before = self.sample().await?;
@@ -477,103 +519,15 @@
         if wrong > 0 {
             broken.push(format!("{wrong} gateways do not hold what is listed"));
         }
-        Ok(self.lines(point, repeat, &before, &after, broken))
-    }
-
-    fn lines(
-        &self,
-        point: &str,
-        repeat: u32,
-        before: &Sample,
-        after: &Sample,
-        broken: Vec<String>,
-    ) -> Vec<Line> {
-        let seconds = (after.at - before.at).as_secs_f64();
-        let gateways = f64::from(self.plan.gateways);
-        let rate = |after: Crossed, before: Crossed| after.since(before).bytes() as f64 / seconds;
-        let list = rate(after.list_traffic, before.list_traffic);
-        let links = rate(after.link_traffic, before.link_traffic);
-        let line = |role, processes: usize, shares: f64, cpu: f64, rss: u64, per: f64| Line {
-            point: point.into(),
-            repeat,
-            role,
-            gateways: self.plan.gateways,
-            stores: self.plan.stores,
-            answering: self.demand.answering,
-            volumes: self.plan.volumes,
-            hollow: self.plan.hollow(),
-            processes: processes as u32,
-            seconds,
-            changes_per_second: self.plan.changes_per_second,
-            restarts_per_hour: self.plan.restarts_per_hour,
-            start_seconds: self.started.as_secs_f64(),
-            start_bytes: self.start_bytes as f64 / gateways,
-            idle_core_percent: cpu / seconds * 100.0 / shares,
-            rss_mb: rss as f64 / MB / shares,
-            rss_total_mb: rss as f64 / MB,
-            control_bytes_per_second: (list + links) / per,
-            list_bytes_per_second: list / per,
-            link_bytes_per_second: links / per,
-            turns_per_second: 0.0,
-            changes: self.committed.len() as u32,
-            restarts: self.restarts,
-            in_force_seconds: None,
-            load: load(),
-            broken: Vec::new(),
-        };
-        let sums = |before: &[Used], after: &[Used]| {
-            let cpu: Duration =
-                before.iter().zip(after).map(|(before, after)| after.cpu.saturating_sub(before.cpu)).sum();
-            (cpu.as_secs_f64(), after.iter().map(|used| used.rss).sum::<u64>())
-        };
-        let mut lines = Vec::new();
-        if self.plan.hollow() > 0 {
-            let (cpu, rss) = sums(&before.workers, &after.workers);
-            let hollow = f64::from(self.plan.hollow());
-            let mut shared = line(None, self.workers.len(), hollow, cpu, rss, gateways);
-            shared.turns_per_second = after.turns.saturating_sub(before.turns) as f64 / seconds / hollow;
-            shared.in_force_seconds = spans(&self.committed, &self.acted);
-            shared.broken = broken;
-            lines.push(shared);
-        }
-        if self.plan.real > 0 {
-            let (cpu, rss) = sums(&before.real, &after.real);
-            let real = f64::from(self.plan.real);
-            let mut alone = line(Some(Role::Gateway), self.real.len(), real, cpu, rss, gateways);
-            let logged = self.logged();
-            alone.in_force_seconds = spans(&self.committed, &logged);
-            alone.broken = unmet(self.plan.real, &self.committed, &logged);
-            lines.push(alone);
-        }
-        let alone = |role, before: Used, after: Used| {
-            let (cpu, rss) = sums(&[before], &[after]);
-            line(Some(role), 1, 1.0, cpu, rss, 1.0)
-        };
-        let mut keeper = alone(Role::Keeper, before.keeper, after.keeper);
-        (keeper.control_bytes_per_second, keeper.list_bytes_per_second) = (0.0, 0.0);
-        keeper.link_bytes_per_second = 0.0;
-        let mut listed = alone(Role::List, before.list, after.list);
-        (listed.control_bytes_per_second, listed.link_bytes_per_second) = (list, 0.0);
-        let (cpu, rss) = sums(&before.stores, &after.stores);
-        let mut stores = line(Some(Role::Store), self.stores.len(), 1.0, cpu, rss, 1.0);
-        (stores.control_bytes_per_second, stores.list_bytes_per_second) = (links, 0.0);
-        if self.relays.is_some() {
-            let (cpu, rss) = sums(&before.relays, &after.relays);
-            let mut relays = line(Some(Role::Relay), after.relays.len(), 1.0, cpu, rss, 1.0);
-            (relays.control_bytes_per_second, relays.list_bytes_per_second) = (0.0, 0.0);
-            relays.link_bytes_per_second = 0.0;
-            lines.push(relays);
-        }
-        lines.extend([keeper, listed, stores]);
-        lines
+        Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
     }
 
-    /// Bytes held by all hollow gateways' processes.
+    /// Resident memory of all hollow gateways' processes, in bytes.
     pub(crate) fn held(&self) -> u64 {
         self.workers.iter().map(|worker| used(worker.id()).rss).sum()
     }
 
-    /// Ends all processes, and says which did not end well.
+    /// Ends all processes; returns a message for each that did not exit as it should.
     pub async fn end(self) -> Vec<String> {
         let mut ill = Vec::new();
         for (number, process) in self.real.into_iter().enumerate() {
@@ -591,6 +545,202 @@
     }
 }
 
+/// Bytes a second of a line, both directions.
+#[derive(Clone, Copy, Default)]
+struct TrafficRates {
+    control: f64,
+    list: f64,
+    links: f64,
+}
+
+/// What the processes of a role used between both samples.
+struct RoleUsage {
+    processes: usize,
+    /// CPU time in seconds.
+    cpu: f64,
+    /// Resident memory at the later sample, in bytes.
+    rss: u64,
+}
+
+impl RoleUsage {
+    fn between(before: &[Used], after: &[Used]) -> RoleUsage {
+        let cpu: Duration =
+            before.iter().zip(after).map(|(before, after)| after.cpu.saturating_sub(before.cpu)).sum();
+        let rss = after.iter().map(|used| used.rss).sum();
+        RoleUsage { processes: after.len(), cpu: cpu.as_secs_f64(), rss }
+    }
+}
+
+/// Makes the lines of a measurement from the samples at both of its ends.
+struct LineBuilder<'a> {
+    stage: &'a Stage,
+    point: &'a str,
+    repeat: u32,
+    before: &'a Sample,
+    after: &'a Sample,
+    seconds: f64,
+    /// Bytes a second at the list's sockets.
+    list_rate: f64,
+    /// Bytes a second at the stores' sockets.
+    link_rate: f64,
+}
+
+impl<'a> LineBuilder<'a> {
+    fn new(
+        stage: &'a Stage,
+        point: &'a str,
+        repeat: u32,
+        before: &'a Sample,
+        after: &'a Sample,
+    ) -> LineBuilder<'a> {
+        let seconds = (after.at - before.at).as_secs_f64();
+        let rate = |after: Crossed, before: Crossed| after.since(before).bytes() as f64 / seconds;
+        let list_rate = rate(after.list_traffic, before.list_traffic);
+        let link_rate = rate(after.link_traffic, before.link_traffic);
+        LineBuilder { stage, point, repeat, before, after, seconds, list_rate, link_rate }
+    }
+
+    /// The lines of all roles that the fleet has; `broken` goes to the hollow gateways' line.
+    fn lines(&self, broken: Vec<String>) -> Vec<Line> {
+        let mut lines = Vec::new();
+        if self.stage.plan.hollow() > 0 {
+            lines.push(self.hollow_gateways(broken));
+        }
+        if self.stage.plan.real > 0 {
+            lines.push(self.real_gateways());
+        }
+        if self.stage.relays.is_some() {
+            let usage = RoleUsage::between(&self.before.relays, &self.after.relays);
+            lines.push(self.line(Some(Role::Relay), &usage, 1.0, TrafficRates::default()));
+        }
+        lines.extend([self.coordinator(), self.endpoint_list(), self.stores()]);
+        lines
+    }
+
+    fn hollow_gateways(&self, broken: Vec<String>) -> Line {
+        let hollow = f64::from(self.stage.plan.hollow());
+        let turns = self.after.turns.saturating_sub(self.before.turns);
+        let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
+        Line {
+            turns_per_second: turns as f64 / self.seconds / hollow,
+            in_force_seconds: spans(&self.stage.committed, &self.stage.acted),
+            broken,
+            ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
+        }
+    }
+
+    fn real_gateways(&self) -> Line {
+        let real = f64::from(self.stage.plan.real);
+        let logged = self.stage.logged();
+        let usage = RoleUsage::between(&self.before.real, &self.after.real);
+        Line {
+            in_force_seconds: spans(&self.stage.committed, &logged),
+            broken: unmet(self.stage.plan.real, &self.stage.committed, &logged),
+            ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
+        }
+    }
+
+    fn coordinator(&self) -> Line {
+        let usage = RoleUsage::between(&[self.before.keeper], &[self.after.keeper]);
+        self.line(Some(Role::Keeper), &usage, 1.0, TrafficRates::default())
+    }
+
+    fn endpoint_list(&self) -> Line {
+        let usage = RoleUsage::between(&[self.before.list], &[self.after.list]);
+        let rates = TrafficRates { control: self.list_rate, list: self.list_rate, links: 0.0 };
+        self.line(Some(Role::List), &usage, 1.0, rates)
+    }
+
+    fn stores(&self) -> Line {
+        let usage = RoleUsage::between(&self.before.stores, &self.after.stores);
+        let rates = TrafficRates { control: self.link_rate, list: 0.0, links: self.link_rate };
+        self.line(Some(Role::Store), &usage, 1.0, rates)
+    }
+
+    fn rates_of_each_gateway(&self) -> TrafficRates {
+        let gateways = f64::from(self.stage.plan.gateways);
+        TrafficRates {
+            control: (self.list_rate + self.link_rate) / gateways,
+            list: self.list_rate / gateways,
+            links: self.link_rate / gateways,
+        }
+    }
+
+    /// A role's line, its usage divided evenly among `members`.
+    fn line(&self, role: Option<Role>, usage: &RoleUsage, members: f64, rates: TrafficRates) -> Line {
+        let plan = &self.stage.plan;
+        Line {
+            point: self.point.into(),
+            repeat: self.repeat,
+            role,
+            gateways: plan.gateways,
+            stores: plan.stores,
+            answering: self.stage.demand.answering,
+            volumes: plan.volumes,
+            hollow: plan.hollow(),
+            processes: usage.processes as u32,
+            seconds: self.seconds,
+            changes_per_second: plan.changes_per_second,
+            restarts_per_hour: plan.restarts_per_hour,
+            start_seconds: self.stage.started.as_secs_f64(),
+            start_bytes: self.stage.start_bytes as f64 / f64::from(plan.gateways),
+            idle_core_percent: usage.cpu / self.seconds * 100.0 / members,
+            rss_mb: usage.rss as f64 / MB / members,
+            rss_total_mb: usage.rss as f64 / MB,
+            control_bytes_per_second: rates.control,
+            list_bytes_per_second: rates.list,
+            link_bytes_per_second: rates.links,
+            turns_per_second: 0.0,
+            changes: self.stage.committed.len() as u32,
+            restarts: self.stage.restarts,
+            in_force_seconds: None,
+            load: load(),
+            broken: Vec::new(),
+        }
+    }
+}
+
+/// Arguments of the program that make it a worker process.
+const WORKER_ARGUMENTS: [&str; 3] = ["--log-level", "warn", "scale-worker"];
+
+/// Starts a worker process of the program.
+pub(crate) fn start_worker(setup: &Setup, folder: &Path, role: &str) -> Result<Worker, ScaleError> {
+    Worker::start(&setup.program, &WORKER_ARGUMENTS, folder, role)
+}
+
+/// Starts the stores that accept connections, in the processes that the plan needs; returns these and the addresses.
+async fn start_stores(
+    setup: &Setup,
+    folder: &Path,
+    plan: &Plan,
+    demand: &Demand,
+) -> Result<(Vec<Worker>, Vec<SocketAddr>), ScaleError> {
+    let mut workers = Vec::new();
+    let mut from = 1;
+    for number in 0..demand.store_processes {
+        let count = share(demand.answering, demand.store_processes, number);
+        let mut worker = start_worker(setup, folder, &format!("stores-{number}"))?;
+        worker.tell(&Order::Stores { from, count, seed: plan.seed }).await?;
+        from += u64::from(count);
+        workers.push(worker);
+    }
+    let mut addresses = Vec::new();
+    for worker in &mut workers {
+        if let Reply::Stores(more) = worker.hear().await? {
+            addresses.extend(more);
+        }
+    }
+    Ok((workers, addresses))
+}
+
+/// The stores that the list names: those that accept connections, and at [`NOWHERE`] the others.
+fn named_stores(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<Named> {
+    addresses.resize(stores as usize, NOWHERE);
+    let named = (1..).zip(addresses);
+    named.map(|(store, address)| Named { store, address, zone: store as u32 % ZONES }).collect()
+}
+
+/// Starts the endpoint list in a worker process; returns its address.
 pub(crate) async fn start_list(
     list: &mut Worker,
     listen: SocketAddr,
@@ -602,6 +752,7 @@
     }
 }
 
+/// Starts the coordinator; returns its process and address.
 pub(crate) async fn start_keeper(
     setup: &Setup,
     folder: &Path,
@@ -616,13 +767,15 @@
     Ok((keeper, address.map_err(ScaleError::io("keeper"))?))
 }
 
+/// Bytes of a MiB.
 pub(crate) const MB: f64 = (1 << 20) as f64;
 
-/// Of so many things, shared evenly, those of one who shares.
+/// The share of one of `sharers` that divide `things` as evenly as possible.
 fn share(things: u32, sharers: u32, number: u32) -> u32 {
     things / sharers + u32::from(number < things % sharers)
 }
 
+/// What a line of a real gateway's log says that it acted on, if it says so.
 fn acted_by_log(gateway: u32, line: &str) -> Option<Acted> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = line.get("fields").filter(|fields| fields["message"] == "changes acted on")?;
@@ -631,8 +784,10 @@
     Some(Acted { gateway, version: fields["version"].as_u64()?, at })
 }
 
-/// For each change and each gateway, the time until the gateway had acted on it or a later one. A gateway that never did is not
-/// among them: whoever asks looks for it elsewhere.
+/// Quantiles over each change and each gateway of the seconds until the gateway had acted on that change or a
+/// later one.
+///
+/// A gateway that never did is left out; the caller finds it by other means.
 pub fn spans(committed: &BTreeMap<u64, u64>, acted: &[Acted]) -> Option<Quantiles> {
     let mut of_gateways = BTreeMap::<u32, Vec<(u64, u64)>>::new();
     acted
@@ -652,7 +807,7 @@
     Quantiles::of(&all)
 }
 
-/// Real gateways whose logs do not tell of the last change.
+/// A message about the real gateways whose logs do not say that they acted on the last change.
 fn unmet(real: u32, committed: &BTreeMap<u64, u64>, logged: &[Acted]) -> Vec<String> {
     let Some(last) = committed.keys().last() else { return Vec::new() };
     let met = |gateway: &u32| logged.iter().any(|acted| acted.gateway == *gateway && acted.version >= *last);
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -11,16 +11,16 @@
 use crate::point::{Setup, ZONES};
 use crate::script;
 
-/// Relays that read the folder: one more than may lie, and one that may be gone.
-pub const TOPS: u32 = 3;
+/// Relays that read the change log's folder: one more than may be faulty, and one that may be absent.
+pub(crate) const TOPS: u32 = 3;
 
-/// What becomes of the first relay of each zone a third into the time that is measured.
+/// What happens to the first relay of each zone a third into the measured time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It is killed, and stays away.
+    /// It is killed and stays away.
     Killed,
-    /// It stands still for the second third.
+    /// It is paused for the second third.
     Stopped,
 }
 
@@ -36,20 +36,22 @@
     }
 }
 
-/// How many processes so many relays a zone come to.
-pub fn processes(a_zone: u32) -> u32 {
+/// Processes of relays where each zone has `a_zone` of them.
+pub(crate) fn processes(a_zone: u32) -> u32 {
     if a_zone == 0 { 0 } else { TOPS + a_zone * ZONES }
 }
 
-/// The relays at work; they end with it.
-pub struct Relays {
+/// The running relays; they end with it.
+pub(crate) struct Relays {
+    /// All relays, those that read the folder first.
     processes: Vec<Process>,
-    /// The first relay of each zone, by its place among the processes.
+    /// Index in `processes` of the first relay of each zone.
     first: Vec<usize>,
-    /// What a gateway's script names as its changes.
-    pub upstreams: String,
+    /// The value of `changes` in a gateway's script.
+    pub(crate) upstreams: String,
 }
 
+/// Starts one relay; returns its process and address.
 async fn start(
     setup: &Setup,
     folder: &Path,
@@ -69,7 +71,8 @@
 }
 
 impl Relays {
-    pub async fn start(
+    /// Starts the relays that read `changes`, and `a_zone` relays in each zone that follow those.
+    pub(crate) async fn start(
         setup: &Setup,
         folder: &Path,
         changes: &Path,
@@ -98,17 +101,20 @@
         Ok(Relays { processes, first, upstreams: listed(&upstreams) })
     }
 
-    pub fn ids(&self) -> impl Iterator<Item = Option<u32>> {
+    /// Process ids of all relays.
+    pub(crate) fn ids(&self) -> impl Iterator<Item = Option<u32>> {
         self.processes.iter().map(Process::id)
     }
 
+    /// Sends a signal to the first relay of each zone.
     fn signal(&self, signal: Signal) -> Result<(), ScaleError> {
         self.first.iter().try_for_each(|place| {
             self.processes[*place].signal(signal).map_err(ScaleError::io("a relay cannot be signalled"))
         })
     }
 
-    pub async fn fail(&mut self, fault: Fault) -> Result<(), ScaleError> {
+    /// Brings a fault on the first relay of each zone.
+    pub(crate) async fn fail(&mut self, fault: Fault) -> Result<(), ScaleError> {
         match fault {
             Fault::Stopped => self.signal(Signal::SIGSTOP),
             Fault::Killed => {
@@ -121,7 +127,8 @@
         }
     }
 
-    pub fn heal(&mut self, fault: Fault) -> Result<(), ScaleError> {
+    /// Ends a fault, as far as it can be ended.
+    pub(crate) fn heal(&mut self, fault: Fault) -> Result<(), ScaleError> {
         match fault {
             Fault::Stopped => self.signal(Signal::SIGCONT),
             Fault::Killed => Ok(()),
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -22,7 +22,10 @@
 }
 
 impl Out {
-    /// Opens it, or says why it cannot be written.
+    /// Opens the folder and creates it if it is not there.
+    ///
+    /// # Errors
+    /// [`Refused::Out`] if it cannot be written.
     pub fn open(folder: &Path) -> Result<Out, Refused> {
         let opened = std::fs::create_dir_all(folder).and_then(|()| {
             let mut lines = File::options();
@@ -34,20 +37,29 @@
         }
     }
 
-    /// The lines that are kept there; moments, which are no lines, are left out.
+    /// The lines that the folder holds; disruptions, which are no lines, are left out.
+    ///
+    /// # Errors
+    /// The error of reading `lines.jsonl`.
     pub fn kept(&self) -> io::Result<Vec<Line>> {
         let text = std::fs::read_to_string(self.folder.join("lines.jsonl"))?;
         Ok(text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect())
     }
 
-    /// Keeps a line or a moment.
+    /// Appends a line or a disruption to `lines.jsonl`.
+    ///
+    /// # Errors
+    /// The error of writing it.
     pub fn line(&mut self, line: &impl Serialize) -> io::Result<()> {
         let mut text = serde_json::to_vec(line)?;
         text.push(b'\n');
         self.lines.write_all(&text)
     }
 
-    /// The machine's cores and memory, its load now, and the commit that is run.
+    /// Writes `machine.json`: the machine's cores and memory, its load now, and the commit that is run.
+    ///
+    /// # Errors
+    /// The error of writing it.
     pub fn machine(&self, arguments: &[String]) -> io::Result<()> {
         let meminfo = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let kb = meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB"));
@@ -63,7 +75,10 @@
         std::fs::write(self.folder.join("machine.json"), format!("{machine:#}\n"))
     }
 
-    /// Fits as data and as tables, and a chart of each figure that has a slope worth drawing.
+    /// Writes fits as data and as tables, and a chart of some figures.
+    ///
+    /// # Errors
+    /// [`ScaleError::Io`] with the file that cannot be written.
     pub fn slopes(&self, slopes: &[Slope]) -> Result<(), ScaleError> {
         let fits = serde_json::to_string_pretty(slopes).unwrap_or_default() + "\n";
         let write = |name: &str, text: String| {
@@ -83,6 +98,7 @@
     }
 }
 
+/// Names of the figures that get a chart.
 const DRAWN: [&str; 8] = [
     "gateway, core",
     "gateway, memory",
@@ -94,13 +110,14 @@
     "in force, 99 of 100",
 ];
 
+/// The output of a `git` command; `None` if it fails.
 fn git(arguments: &[&str]) -> Option<String> {
     let said = Command::new("git").args(arguments).output().ok().filter(|said| said.status.success())?;
     Some(String::from_utf8_lossy(&said.stdout).trim().to_string())
 }
 
-/// Tables of slopes, a table a factor.
-pub fn page(slopes: &[Slope]) -> String {
+/// Tables of slopes, one for each factor.
+pub(crate) fn page(slopes: &[Slope]) -> String {
     let mut page = String::new();
     let mut factor = None;
     for slope in slopes {
@@ -146,6 +163,8 @@
     format!("{figure:.digits$}")
 }
 
+/// Draws a figure's medians and spreads over the counts, with the fit over all counts and the one without the
+/// largest.
 fn draw(file: &Path, slope: &Slope) -> Result<(), Box<dyn std::error::Error>> {
     let most_count = slope.sizes.iter().map(|(count, _)| *count).fold(0.0, f64::max) * 1.05;
     let most = slope.sizes.iter().map(|(_, spread)| spread.most).fold(slope.held_out.foretold, f64::max);
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -14,11 +14,12 @@
 use crate::plan::Plan;
 use crate::point::ZONES;
 
-/// The plan whose rate tells a version from the others: settings do not say their number.
+/// Name of the plan whose rate tells versions apart: settings do not carry their version.
 const MARK: &str = "mark";
-/// What a version's number is added to in it.
+/// The rate of that plan is this plus the version.
 const MARKED: f64 = 1000.0;
 
+/// Settings that all gateways of a run share, besides its volumes.
 const SHARED: &str = r#"
 op_type("lookup", target_latency = 100 * ms, op_timeout = 1.0, utility = 3)
 op_type("update", target_latency = 200 * ms, op_timeout = 2.0, utility = 2)
@@ -35,16 +36,19 @@
       further_free = 5, further_share = 0.2, further_span = 10)
 "#;
 
+/// Settings that each gateway has for itself.
 const OWN: &str = r#"
 bounds(sessions = 4096, bytes = 128 * MiB, bytes_a_session = 8 * MiB, request_bytes = 4 * MiB)
 "#;
 
+/// The call `gateway(...)` of a script.
 fn gateway(listen: &str, rest: &str) -> String {
     format!("gateway(listen = [{listen:?}], extent = 256 * KiB, unit = 16 * KiB, most_units = 8, {rest})\n")
 }
 
-/// A gateway's own script; all else it has from the log of changes, which is named as a script writes it.
-pub fn own(
+/// A gateway's own script. Its other settings come from the change log, which `changes` names as a script
+/// writes it.
+pub(crate) fn own(
     (number, seed): (u32, u64),
     list: SocketAddr,
     keeper: SocketAddr,
@@ -61,21 +65,22 @@
     gateway("127.0.0.1:0", &rest) + OWN
 }
 
-/// A relay's script; `changes` is as the script writes it.
-pub fn relay(name: &str, zone: u32, changes: &str, folder: &Path) -> String {
+/// A relay's script; `changes` is as a script writes it.
+pub(crate) fn relay(name: &str, zone: u32, changes: &str, folder: &Path) -> String {
     let folder = folder.display().to_string();
     format!(
         "relay(listen = \"127.0.0.1:0\", name = {name:?}, zone = \"{zone}\", changes = {changes}, folder = {folder:?})\n"
     )
 }
 
-pub fn keeper(listen: SocketAddr, list: SocketAddr, folder: &Path) -> String {
+/// The coordinator's script.
+pub(crate) fn keeper(listen: SocketAddr, list: SocketAddr, folder: &Path) -> String {
     let (listen, list, folder) = (listen.to_string(), list.to_string(), folder.display().to_string());
     format!("keeper(listen = {listen:?}, list = {list:?}, folder = {folder:?})\n")
 }
 
-/// What all gateways of a plan share, as one script.
-pub fn shared(plan: &Plan) -> String {
+/// The settings that all gateways of a plan share, as one script.
+pub(crate) fn shared(plan: &Plan) -> String {
     let volumes = format!(
         "for n in range({}):\n    volume(\"v%d\" % n, size = 64 * MiB, plan = [\"basic\", \"priority\"][n % 2], gateways = {})\n",
         plan.volumes, plan.gateways
@@ -83,20 +88,20 @@
     gateway("127.0.0.1:0", "list = \"127.0.0.1:1\"") + SHARED + &volumes + OWN
 }
 
-/// The version that settings are of.
-pub fn version(settings: &Settings) -> u64 {
+/// The version of the configuration that settings are from.
+pub(crate) fn version(settings: &Settings) -> u64 {
     let mark = settings.plans.iter().find(|plan| plan.name == MARK);
     mark.map_or(0, |plan| (plan.rate - MARKED) as u64)
 }
 
-/// The writer's end of the log of changes.
-pub struct Writer {
+/// The writer of the run's change log.
+pub(crate) struct Writer {
     log: Log,
 }
 
 impl Writer {
-    /// Begins a log in an empty folder, with the plan's settings as version 1.
-    pub fn begin(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
+    /// Creates a log in an empty folder, with the plan's settings as version 1.
+    pub(crate) fn begin(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
         let failed = |why: String| ScaleError::Changes(why);
         let document = umbertray_config::read("scale.star", shared(plan))
             .map_err(|problems| failed(problems.iter().map(|problem| format!("{problem}\n")).collect()))?;
@@ -108,8 +113,8 @@
         Ok(writer)
     }
 
-    /// One change of one figure; the version that it makes.
-    pub fn change(&mut self) -> Result<u64, ScaleError> {
+    /// Commits a change of one value; returns the version that it makes.
+    pub(crate) fn change(&mut self) -> Result<u64, ScaleError> {
         let next = self.log.head().number + 1;
         let edit = Edit::Set {
             key: Key::new(Kind::Plan, MARK),
@@ -119,10 +124,12 @@
         self.commit(vec![edit])
     }
 
-    pub fn version(&self) -> u64 {
+    /// The last committed version.
+    pub(crate) fn version(&self) -> u64 {
         self.log.head().number
     }
 
+    /// Commits edits on top of the last version; returns the version that they make.
     fn commit(&mut self, edits: Vec<Edit>) -> Result<u64, ScaleError> {
         let base = self.log.head().number;
         let change = Change {
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -9,22 +9,29 @@
 use crate::plan::{Plan, demand};
 use crate::point::{Line, Role, Setup, Stage, Start};
 
-/// Gateways where another factor is looked at, and stores that answer where it is not about them.
+/// Hollow gateways at most where another factor than gateways is swept.
 const FEW: u32 = 40;
+/// Stores at most that accept connections where another factor than stores is swept.
 const ANSWERING: u32 = 8;
 
-/// What is made larger.
+/// What a sweep makes larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Factor {
+    /// Stores that the list names, all of them answering.
     Stores,
+    /// Hollow gateways.
     Gateways,
+    /// Changes of the configuration a second.
     Changes,
+    /// Restarts of gateways an hour.
     Restarts,
+    /// Volumes of the configuration.
     Volumes,
 }
 
-pub const FACTORS: [(&str, Factor); 5] = [
+/// All factors, with their names on the command line and in files.
+pub(crate) const FACTORS: [(&str, Factor); 5] = [
     ("stores", Factor::Stores),
     ("gateways", Factor::Gateways),
     ("changes", Factor::Changes),
@@ -43,12 +50,13 @@
 }
 
 impl Factor {
+    /// The name on the command line and in files.
     pub fn name(self) -> &'static str {
         FACTORS.iter().find(|(_, factor)| *factor == self).map_or("", |(name, _)| name)
     }
 
-    /// What its count counts.
-    pub fn unit(self) -> &'static str {
+    /// One unit of its count.
+    pub(crate) fn unit(self) -> &'static str {
         match self {
             Factor::Stores => "store listed",
             Factor::Gateways => "gateway",
@@ -58,7 +66,8 @@
         }
     }
 
-    pub fn count(self, line: &Line) -> f64 {
+    /// Its count in a line.
+    pub(crate) fn count(self, line: &Line) -> f64 {
         match self {
             Factor::Stores => line.stores.into(),
             Factor::Gateways => line.gateways.into(),
@@ -68,7 +77,7 @@
         }
     }
 
-    /// The sizes at which it is looked at, up to what `most` has of it; all else is small or as in `most`.
+    /// The sizes at which it is measured, up to its size in `most`; all else is small or as in `most`.
     pub fn plans(self, most: &Plan) -> Vec<Plan> {
         let small = Plan {
             gateways: most.gateways.min(FEW) + most.real,
@@ -112,11 +121,15 @@
     }
 }
 
-/// A figure of a line.
-pub struct Figure {
-    pub name: &'static str,
-    pub unit: &'static str,
+/// A figure that is read from lines.
+pub(crate) struct Figure {
+    /// Its name in tables, charts and files.
+    pub(crate) name: &'static str,
+    /// Its unit.
+    pub(crate) unit: &'static str,
+    /// The role whose lines have it; `None` for the hollow gateways.
     role: Option<Role>,
+    /// Reads it from a line.
     of: fn(&Line) -> Option<f64>,
 }
 
@@ -126,8 +139,9 @@
     };
 }
 
-/// What has a slope in each factor. Of gateways (hollow ones), each one's share where it is not said to be of all.
-pub const FIGURES: [Figure; 21] = [
+/// The figures that get a slope in each factor. Those of gateways are for each hollow gateway, except where
+/// the name says all or real.
+pub(crate) const FIGURES: [Figure; 21] = [
     figure!("gateway, core", "% of a core", None, |line| Some(line.idle_core_percent)),
     figure!("gateway, memory", "MB", None, |line| Some(line.rss_mb)),
     figure!("gateway, control", "B/s", None, |line| Some(line.control_bytes_per_second)),
@@ -153,25 +167,29 @@
     figure!("keeper, memory", "MB", Some(Role::Keeper), |line| Some(line.rss_mb)),
 ];
 
-/// How a figure goes with a factor's count.
+/// How a figure grows with a factor's count.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Slope {
+    /// The factor.
     pub factor: Factor,
+    /// Name of the figure.
     pub figure: String,
+    /// Unit of the figure.
     pub unit: String,
-    /// (count, repeats of the figure).
+    /// Each count, with the spread of the figure's repeats.
     pub sizes: Vec<(f64, Spread)>,
-    /// Over all sizes.
+    /// The line over all counts.
     pub fit: Fit,
+    /// What the smaller counts predict at the largest.
     pub held_out: HeldOut,
 }
 
 /// The slopes of all figures in a factor, from its lines.
-pub fn slopes(factor: Factor, lines: &[Line]) -> Vec<Slope> {
+pub(crate) fn slopes(factor: Factor, lines: &[Line]) -> Vec<Slope> {
     FIGURES.iter().filter_map(|figure| slope(factor, figure, lines)).collect()
 }
 
-/// The slopes of all factors, from lines that a sweep kept.
+/// The slopes of all factors, from lines that a sweep recorded.
 pub fn refit(lines: &[Line]) -> Vec<Slope> {
     let of = |factor: Factor| {
         let own = |line: &&Line| line.point.split_once('=').is_some_and(|(name, _)| name == factor.name());
@@ -180,6 +198,7 @@
     FACTORS.iter().flat_map(|(_, factor)| slopes(*factor, &of(*factor))).collect()
 }
 
+/// The slope of a figure; `None` with too few counts, or where all medians are zero.
 fn slope(factor: Factor, figure: &Figure, lines: &[Line]) -> Option<Slope> {
     let own = lines.iter().filter(|line| line.role == figure.role);
     let points: Vec<(f64, f64)> =
@@ -202,6 +221,9 @@
 }
 
 /// Measures a plan once.
+///
+/// # Errors
+/// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not follow its orders.
 pub async fn once(plan: &Plan, setup: &Setup, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
     tracing::info!(point, repeat, "starting");
     let name = format!("{point}-{repeat}").replace('=', "-");
@@ -218,7 +240,11 @@
     Ok(lines)
 }
 
-/// Measures each factor by itself; `each` gets every line as it comes. All plans are looked at before the first begins.
+/// Sweeps each factor by itself; `each` receives every line as it is measured. All plans are checked before
+/// the first is started.
+///
+/// # Errors
+/// [`ScaleError`] if a plan is rejected, or a process cannot be started or does not follow its orders.
 pub async fn sweep(
     factors: &[Factor],
     most: &Plan,
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -18,72 +18,100 @@
 
 use crate::hollow::{Acted, Fleet, Prepare, Seen};
 
-/// A store as the list is to name it.
+/// A store as the list must name it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Named {
+    /// Id of the store.
     pub store: u64,
+    /// Its address.
     pub address: SocketAddr,
+    /// Its zone.
     pub zone: u32,
 }
 
+/// What a worker process is told to do, as a line of JSON on its standard input.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Starts stand-in stores of these ids, each with the shard of the same number.
+    /// Starts stand-in stores with consecutive ids, each with the shard of the same number.
     Stores {
+        /// The first id.
         from: u64,
+        /// How many.
         count: u32,
+        /// Seed of their random choices.
         seed: u64,
     },
-    /// Starts the list; port 0 lets the system choose.
+    /// Starts the endpoint list.
     List {
+        /// Address to listen at; port 0 lets the system choose.
         listen: SocketAddr,
+        /// The stores that it names.
         stores: Vec<Named>,
     },
-    /// Starts gateways on scripts that lie there; each, where so many stores are listed, once the one before it has made its
-    /// links or been refused: what a start holds for a moment is then held once.
+    /// Starts gateways.
     Gateways {
+        /// Number and script of each.
         files: Vec<(u32, PathBuf)>,
+        /// `Some(stores)`: each gateway starts once the one before it has made or failed to make that many
+        /// connections, so that the peak memory of a start occurs once at a time.
         after: Option<u64>,
     },
+    /// Restarts a gateway.
     Restart {
+        /// Its number.
         gateway: u32,
     },
-    /// All stores of a zone are gone, or back and cold.
+    /// Marks all stores of a zone as gone, or as back with empty caches.
     Zone {
+        /// The zone.
         zone: u32,
+        /// Whether they are back.
         there: bool,
     },
+    /// Asks for what the worker has observed.
     Look,
 }
 
+/// The answer to an order, as a line of JSON on the worker's standard output.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
+    /// The addresses of the stores that were started.
     Stores(Vec<SocketAddr>),
+    /// The address at which the list listens.
     List(SocketAddr),
+    /// The order was carried out.
     Done,
+    /// What the worker has observed.
     Looked(Look),
+    /// The order was not carried out, and why.
     Failed(String),
 }
 
-/// What a worker has seen.
+/// What a worker process has observed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Look {
     /// Bytes at the sockets of its stand-ins since the start.
     pub traffic: Crossed,
+    /// Its hollow gateways.
     pub gateways: Vec<Seen>,
-    /// Since the last look.
+    /// What they acted on since the last look.
     pub acted: Vec<Acted>,
 }
 
+/// What a worker process runs.
 struct Worker {
     fleet: Fleet,
     stores: Vec<store::Running>,
     list: Option<(list::Running, Vec<Named>)>,
 }
 
-/// Works until standard input ends, which it does with the process that started this one, however that ends.
+/// Carries out orders until standard input ends, which it does when the process that started this one ends,
+/// however that ends.
+///
+/// # Errors
+/// A message if an order cannot be read or its reply cannot be written.
 pub async fn run(prepare: Arc<Prepare>) -> Result<(), String> {
     let mut worker = Worker { fleet: Fleet::new(prepare), stores: Vec::new(), list: None };
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
@@ -100,6 +128,7 @@
 }
 
 impl Worker {
+    /// Carries out one order.
     async fn obey(&mut self, order: Order) -> Result<Reply, String> {
         match order {
             Order::Stores { from, count, seed } => self.start_stores(from, count, seed).await,
@@ -135,6 +164,7 @@
         }
     }
 
+    /// Starts stand-in stores at ports that the system chooses.
     async fn start_stores(&mut self, from: u64, count: u32, seed: u64) -> Result<Reply, String> {
         let mut addresses = Vec::new();
         for store in from..from + u64::from(count) {
@@ -148,6 +178,7 @@
         Ok(Reply::Stores(addresses))
     }
 
+    /// Starts the endpoint list and adds the stores.
     async fn start_list(&mut self, listen: SocketAddr, stores: Vec<Named>) -> Result<Reply, String> {
         let list = list::start(listen).await.map_err(|error| format!("list at {listen}: {error}"))?;
         for Named { store, address, zone } in &stores {
@@ -161,5 +192,6 @@
     }
 }
 
-/// How long a worker may take to do what it is told; starting hundreds of gateways on a busy machine is the longest.
-pub const PATIENCE: Duration = Duration::from_secs(180);
+/// Time that a worker process has for an order; starting hundreds of gateways on a busy machine takes
+/// longest.
+pub(crate) const PATIENCE: Duration = Duration::from_secs(180);
