--- /dev/null
+++ b/crates/scale/src/change_log.rs
@@ -0,0 +1,95 @@
+//! The change log of a run: shared settings, and changes by which versions can be told apart.
+
+use std::io;
+use std::path::Path;
+
+use serde_json::json;
+use umbertray_config::Problem;
+use umbertray_config_log::guard::GUARDS;
+use umbertray_config_log::log::{Log, LogError, SEGMENT_BYTES};
+use umbertray_config_log::{Change, ChangeRejected, Configuration, Edit, Key, Kind};
+use umbertray_routing::Settings;
+use umbertray_snapshot::Disk;
+
+use crate::plan::Plan;
+use crate::{ScaleError, script};
+
+/// Name of the plan whose rate tells versions apart: settings do not carry their version.
+const MARK: &str = "mark";
+
+/// The rate of that plan is this plus the version.
+const MARKED: f64 = 1000.0;
+
+/// The version of the configuration that settings are from.
+pub(crate) fn version(settings: &Settings) -> u64 {
+    let mark = settings.plans.iter().find(|plan| plan.name == MARK);
+    mark.map_or(0, |plan| (plan.rate - MARKED) as u64)
+}
+
+/// Why the change log of a run could not be written.
+#[derive(Debug, thiserror::Error)]
+pub enum ChangeLogError {
+    /// The shared settings contradict themselves.
+    #[error("{}", .0.iter().map(|problem| format!("{problem}\n")).collect::<String>())]
+    Settings(Vec<Problem>),
+    /// Its folder cannot be opened.
+    #[error("{0}")]
+    Folder(io::Error),
+    /// The log cannot be opened.
+    #[error("{0}")]
+    Open(LogError),
+    /// A change was rejected.
+    #[error("{0}")]
+    Commit(Box<ChangeRejected>),
+}
+
+/// The writer of the run's change log.
+pub(crate) struct Writer {
+    log: Log,
+}
+
+impl Writer {
+    /// Creates a log in an empty folder, with the plan's settings as version 1.
+    pub(crate) fn begin(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
+        let document =
+            umbertray_config::read("scale.star", script::shared(plan)).map_err(ChangeLogError::Settings)?;
+        let disk = Disk::open(folder).map_err(ChangeLogError::Folder)?;
+        let log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(ChangeLogError::Open)?;
+        let mut writer = Writer { log };
+        let first = Configuration::of_calls(&document.calls());
+        writer.commit(writer.log.head().configuration.diff(&first))?;
+        Ok(writer)
+    }
+
+    /// Commits a change of one value; returns the version that it makes.
+    pub(crate) fn change(&mut self) -> Result<u64, ScaleError> {
+        let next = self.log.head().number + 1;
+        let edit = Edit::Set {
+            key: Key::new(Kind::Plan, MARK),
+            field: "rate".into(),
+            value: json!(MARKED + next as f64),
+        };
+        self.commit(vec![edit])
+    }
+
+    /// The last committed version.
+    pub(crate) fn version(&self) -> u64 {
+        self.log.head().number
+    }
+
+    /// Commits edits on top of the last version; returns the version that they make.
+    fn commit(&mut self, edits: Vec<Edit>) -> Result<u64, ScaleError> {
+        let base = self.log.head().number;
+        let change = Change {
+            id: format!("scale-{base}"),
+            base,
+            actor: "scale".into(),
+            reason: "to measure".into(),
+            at: 0,
+            edits,
+            allow: GUARDS.iter().map(|(_, guard)| *guard).collect(),
+        };
+        self.log.commit(change).map_err(|error| ChangeLogError::Commit(Box::new(error)))?;
+        Ok(self.log.head().number)
+    }
+}
--- /dev/null
+++ b/crates/scale/src/hollow/counters.rs
@@ -0,0 +1,88 @@
+//! Counters of what a gateway's core received and did.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use serde::{Deserialize, Serialize};
+use umbertray_routing::Input;
+use umbertray_store_protocol::list::{EndpointState, FromList};
+
+/// A gateway acted on a version of the configuration: its core has taken the settings in.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Acted {
+    /// Number of the gateway in the run.
+    pub gateway: u32,
+    /// Version of the configuration.
+    pub version: u64,
+    /// Microseconds since 1970 by this machine's clock.
+    pub at: u64,
+}
+
+/// Microseconds since 1970 by the machine's clock, which all processes of a run share.
+pub(crate) fn now() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+}
+
+/// A snapshot of one hollow gateway's counters.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Seen {
+    /// Number of the gateway in the run.
+    pub gateway: u32,
+    /// Calls of its core by its event loop, over all its restarts.
+    pub turns: u64,
+    /// Stores in the last full list, without those marked as gone.
+    pub listed: u64,
+    /// Full lists received since its start.
+    pub whole_lists: u64,
+    /// Entries received in changes of the list since its start.
+    pub deltas: u64,
+    /// Connections to stores that were made.
+    pub linked: u64,
+    /// Connections to stores that could not be made.
+    pub refused: u64,
+    /// Version of the configuration last acted on.
+    pub version: u64,
+    /// Whether the gateway has ended.
+    pub over: bool,
+}
+
+/// Counters of what a gateway's core received and did since its start.
+#[derive(Default)]
+pub(crate) struct Counts {
+    /// Calls of the core by the gateway's event loop.
+    pub(super) turns: AtomicU64,
+    /// Stores in the last full list, without those marked as gone.
+    pub(super) listed: AtomicU64,
+    /// Full lists received.
+    pub(super) whole_lists: AtomicU64,
+    /// Entries received in changes of the list.
+    pub(super) deltas: AtomicU64,
+    /// Connections to stores that were made.
+    pub(super) linked: AtomicU64,
+    /// Connections to stores that could not be made.
+    pub(super) refused: AtomicU64,
+    /// Version of the configuration last acted on.
+    pub(super) version: AtomicU64,
+}
+
+impl Counts {
+    /// Counts one input of the core.
+    pub(super) fn hear(&self, input: &Input) {
+        match input {
+            Input::FromList(FromList::Full(entries)) => {
+                let there = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
+                self.listed.store(there as u64, Ordering::Relaxed);
+                add(&self.whole_lists, 1);
+            }
+            Input::FromList(FromList::Changes(entries)) => add(&self.deltas, entries.len()),
+            Input::StoreConnected { .. } => add(&self.linked, 1),
+            Input::StoreUnreachable { .. } => add(&self.refused, 1),
+            _ => {}
+        }
+    }
+}
+
+/// Adds to a counter.
+pub(super) fn add(count: &AtomicU64, more: usize) {
+    count.fetch_add(more as u64, Ordering::Relaxed);
+}
--- /dev/null
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -0,0 +1,165 @@
+//! Lines from the samples at both ends of a measurement.
+
+use std::time::Duration;
+
+use umbertray_fakes::traffic::Crossed;
+
+use super::in_force::{spans, unmet};
+use super::sample::Sample;
+use super::usage::{MB, Used, load};
+use super::{Line, Role, Stage};
+
+/// Bytes a second of a line, both directions.
+#[derive(Clone, Copy, Default)]
+struct TrafficRates {
+    control: f64,
+    list: f64,
+    links: f64,
+}
+
+/// What the processes of a role used between both samples.
+struct RoleUsage {
+    processes: usize,
+    /// CPU time in seconds.
+    cpu: f64,
+    /// Resident memory at the later sample, in bytes.
+    rss: u64,
+}
+
+impl RoleUsage {
+    fn between(before: &[Used], after: &[Used]) -> RoleUsage {
+        let cpu: Duration =
+            before.iter().zip(after).map(|(before, after)| after.cpu.saturating_sub(before.cpu)).sum();
+        let rss = after.iter().map(|used| used.rss).sum();
+        RoleUsage { processes: after.len(), cpu: cpu.as_secs_f64(), rss }
+    }
+}
+
+/// Makes the lines of a measurement from the samples at both of its ends.
+pub(super) struct LineBuilder<'a> {
+    stage: &'a Stage,
+    point: &'a str,
+    repeat: u32,
+    before: &'a Sample,
+    after: &'a Sample,
+    seconds: f64,
+    /// Bytes a second at the list's sockets.
+    list_rate: f64,
+    /// Bytes a second at the stores' sockets.
+    link_rate: f64,
+}
+
+impl<'a> LineBuilder<'a> {
+    pub(super) fn new(
+        stage: &'a Stage,
+        point: &'a str,
+        repeat: u32,
+        before: &'a Sample,
+        after: &'a Sample,
+    ) -> LineBuilder<'a> {
+        let seconds = (after.at - before.at).as_secs_f64();
+        let rate = |after: Crossed, before: Crossed| after.since(before).bytes() as f64 / seconds;
+        let list_rate = rate(after.list_traffic, before.list_traffic);
+        let link_rate = rate(after.link_traffic, before.link_traffic);
+        LineBuilder { stage, point, repeat, before, after, seconds, list_rate, link_rate }
+    }
+
+    /// The lines of all roles that the fleet has; `broken` goes to the hollow gateways' line.
+    pub(super) fn lines(&self, broken: Vec<String>) -> Vec<Line> {
+        let mut lines = Vec::new();
+        if self.stage.plan.hollow() > 0 {
+            lines.push(self.hollow_gateways(broken));
+        }
+        if self.stage.plan.real > 0 {
+            lines.push(self.real_gateways());
+        }
+        if self.stage.relays.is_some() {
+            let usage = RoleUsage::between(&self.before.relays, &self.after.relays);
+            lines.push(self.line(Some(Role::Relay), &usage, 1.0, TrafficRates::default()));
+        }
+        lines.extend([self.coordinator(), self.endpoint_list(), self.stores()]);
+        lines
+    }
+
+    fn hollow_gateways(&self, broken: Vec<String>) -> Line {
+        let hollow = f64::from(self.stage.plan.hollow());
+        let turns = self.after.turns.saturating_sub(self.before.turns);
+        let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
+        Line {
+            turns_per_second: turns as f64 / self.seconds / hollow,
+            in_force_seconds: spans(&self.stage.committed, &self.stage.acted),
+            broken,
+            ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
+        }
+    }
+
+    fn real_gateways(&self) -> Line {
+        let real = f64::from(self.stage.plan.real);
+        let logged = self.stage.logged();
+        let usage = RoleUsage::between(&self.before.real, &self.after.real);
+        Line {
+            in_force_seconds: spans(&self.stage.committed, &logged),
+            broken: unmet(self.stage.plan.real, &self.stage.committed, &logged),
+            ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
+        }
+    }
+
+    fn coordinator(&self) -> Line {
+        let usage = RoleUsage::between(&[self.before.keeper], &[self.after.keeper]);
+        self.line(Some(Role::Keeper), &usage, 1.0, TrafficRates::default())
+    }
+
+    fn endpoint_list(&self) -> Line {
+        let usage = RoleUsage::between(&[self.before.list], &[self.after.list]);
+        let rates = TrafficRates { control: self.list_rate, list: self.list_rate, links: 0.0 };
+        self.line(Some(Role::List), &usage, 1.0, rates)
+    }
+
+    fn stores(&self) -> Line {
+        let usage = RoleUsage::between(&self.before.stores, &self.after.stores);
+        let rates = TrafficRates { control: self.link_rate, list: 0.0, links: self.link_rate };
+        self.line(Some(Role::Store), &usage, 1.0, rates)
+    }
+
+    fn rates_of_each_gateway(&self) -> TrafficRates {
+        let gateways = f64::from(self.stage.plan.gateways);
+        TrafficRates {
+            control: (self.list_rate + self.link_rate) / gateways,
+            list: self.list_rate / gateways,
+            links: self.link_rate / gateways,
+        }
+    }
+
+    /// A role's line, its usage divided evenly among `members`.
+    fn line(&self, role: Option<Role>, usage: &RoleUsage, members: f64, rates: TrafficRates) -> Line {
+        let plan = &self.stage.plan;
+        Line {
+            point: self.point.into(),
+            repeat: self.repeat,
+            role,
+            gateways: plan.gateways,
+            stores: plan.stores,
+            answering: self.stage.demand.answering,
+            volumes: plan.volumes,
+            hollow: plan.hollow(),
+            processes: usage.processes as u32,
+            seconds: self.seconds,
+            changes_per_second: plan.changes_per_second,
+            restarts_per_hour: plan.restarts_per_hour,
+            start_seconds: self.stage.started.as_secs_f64(),
+            start_bytes: self.stage.start_bytes as f64 / f64::from(plan.gateways),
+            idle_core_percent: usage.cpu / self.seconds * 100.0 / members,
+            rss_mb: usage.rss as f64 / MB / members,
+            rss_total_mb: usage.rss as f64 / MB,
+            control_bytes_per_second: rates.control,
+            list_bytes_per_second: rates.list,
+            link_bytes_per_second: rates.links,
+            turns_per_second: 0.0,
+            changes: self.stage.committed.len() as u32,
+            restarts: self.stage.restarts,
+            in_force_seconds: None,
+            load: load(),
+            broken: Vec::new(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/scale/src/measurement/startup.rs
@@ -0,0 +1,174 @@
+//! The start of a fleet.
+
+use std::collections::BTreeMap;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+use umbertray_fakes::fleet::any_port;
+use umbertray_fault_tests::run::Process;
+
+use super::processes::{start_keeper, start_list, start_worker};
+use super::stage::{LOOK, STEADY};
+use super::{Setup, Stage, Start, ZONES};
+use crate::change_log::Writer;
+use crate::crew::Worker;
+use crate::hollow::Seen;
+use crate::plan::{Demand, Plan, demand};
+use crate::relays::Relays;
+use crate::worker::{Named, Order, Reply};
+use crate::{ScaleError, script};
+
+/// The address of a store that does not answer: nobody listens there.
+const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2)), 1);
+
+impl Stage {
+    /// Starts all processes of a plan and waits until the fleet is steady.
+    ///
+    /// # Errors
+    /// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not become steady.
+    pub async fn start(plan: &Plan, setup: &Setup, start: Start, name: &str) -> Result<Stage, ScaleError> {
+        let demand = demand(plan, &setup.limits)?;
+        let folder = setup.scratch.join(name);
+        let make = |folder: &Path| {
+            std::fs::create_dir_all(folder).map_err(ScaleError::io(folder.display().to_string()))
+        };
+        make(&folder)?;
+        make(&folder.join("changes"))?;
+        let (stores, addresses) = start_stores(setup, &folder, plan, &demand).await?;
+        let named = named_stores(plan.stores, addresses);
+        let mut list = start_worker(setup, &folder, "list")?;
+        let listed_at = start_list(&mut list, any_port(), &named).await?;
+        let (keeper, kept_at) = start_keeper(setup, &folder, any_port(), listed_at).await?;
+        let writer = Writer::begin(&folder.join("changes"), plan)?;
+        let relays = match plan.relays {
+            0 => None,
+            some => Some(Relays::start(setup, &folder, &folder.join("changes"), some).await?),
+        };
+        let mut stage = Stage {
+            plan: plan.clone(),
+            demand,
+            list,
+            listed_at,
+            named,
+            kept_at,
+            stores,
+            workers: Vec::new(),
+            shares: Vec::new(),
+            real: Vec::new(),
+            relays,
+            keeper,
+            writer,
+            committed: BTreeMap::new(),
+            acted: Vec::new(),
+            draw: StdRng::seed_from_u64(plan.seed),
+            started: Duration::ZERO,
+            start_bytes: 0,
+            restarts: 0,
+            folder,
+        };
+        stage.start_gateways(setup, start).await?;
+        Ok(stage)
+    }
+
+    /// Starts the plan's gateways, hollow and real, and waits until they are steady.
+    async fn start_gateways(&mut self, setup: &Setup, start: Start) -> Result<(), ScaleError> {
+        let folder = format!("{:?}", self.folder.join("changes").display().to_string());
+        let changes = self.relays.as_ref().map_or(folder, |relays| relays.upstreams.clone());
+        let own = |gateway: u32| {
+            let state = self.folder.join(format!("state-{gateway}"));
+            let seed = self.plan.seed << 16 ^ u64::from(gateway);
+            script::own((gateway, seed), self.listed_at, self.kept_at, &changes, &state)
+        };
+        let mut scripts = Vec::new();
+        for gateway in 0..self.plan.gateways {
+            let file = self.folder.join(format!("gateway-{gateway}.star"));
+            std::fs::write(&file, own(gateway)).map_err(ScaleError::io(file.display().to_string()))?;
+            scripts.push((gateway, file));
+        }
+        let real: Vec<String> = (0..self.plan.real).map(own).collect();
+        let mut hollow = scripts.split_off(self.plan.real as usize);
+        for number in 0..self.demand.workers {
+            self.workers.push(start_worker(setup, &self.folder, &format!("gateways-{number}"))?);
+        }
+        let began = Instant::now();
+        let after = (start == Start::OneByOne).then_some(self.plan.stores.into());
+        for number in 0..self.demand.workers {
+            let count = share(self.plan.hollow(), self.demand.workers, number);
+            let rest = hollow.split_off(count as usize);
+            self.shares.push(hollow.iter().map(|(gateway, _)| *gateway).collect());
+            self.workers[number as usize].tell(&Order::Gateways { files: hollow, after }).await?;
+            hollow = rest;
+        }
+        for (gateway, script) in real.iter().enumerate() {
+            let name = format!("gateway-{gateway}");
+            let process = Process::start(&setup.program, &self.folder, ("serve", &name), script, &[]).await;
+            self.real.push(process.map_err(ScaleError::io(name))?.0);
+        }
+        for worker in &mut self.workers {
+            worker.hear().await?;
+        }
+        self.started = self.steady(began).await?;
+        let (list, links) = self.traffic().await?;
+        self.start_bytes = list.bytes() + links.bytes();
+        Ok(())
+    }
+
+    /// Waits until each gateway holds the full list and has made or failed to make each connection; returns
+    /// how long that took.
+    pub(crate) async fn steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
+        let stores = u64::from(self.plan.stores);
+        loop {
+            let (seen, _) = self.look().await?;
+            let waits = |seen: &&Seen| seen.listed != stores || seen.linked + seen.refused < stores;
+            let late = seen.iter().filter(waits).count();
+            if late == 0 {
+                return Ok(since.elapsed());
+            }
+            tracing::info!(late, of = seen.len(), "waiting for gateways to be steady");
+            if since.elapsed() > STEADY {
+                return Err(ScaleError::NotSteady { late, gateways: seen.len(), limit: STEADY });
+            }
+            tokio::time::sleep(LOOK).await;
+        }
+    }
+}
+
+/// Starts the stores that accept connections, in the processes that the plan needs; returns these and the addresses.
+async fn start_stores(
+    setup: &Setup,
+    folder: &Path,
+    plan: &Plan,
+    demand: &Demand,
+) -> Result<(Vec<Worker>, Vec<SocketAddr>), ScaleError> {
+    let mut workers = Vec::new();
+    let mut from = 1;
+    for number in 0..demand.store_processes {
+        let count = share(demand.answering, demand.store_processes, number);
+        let mut worker = start_worker(setup, folder, &format!("stores-{number}"))?;
+        worker.tell(&Order::Stores { from, count, seed: plan.seed }).await?;
+        from += u64::from(count);
+        workers.push(worker);
+    }
+    let mut addresses = Vec::new();
+    for worker in &mut workers {
+        if let Reply::Stores(more) = worker.hear().await? {
+            addresses.extend(more);
+        }
+    }
+    Ok((workers, addresses))
+}
+
+/// The stores that the list names: those that accept connections, and at [`NOWHERE`] the others.
+fn named_stores(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<Named> {
+    addresses.resize(stores as usize, NOWHERE);
+    let named = (1..).zip(addresses);
+    named.map(|(store, address)| Named { store, address, zone: store as u32 % ZONES }).collect()
+}
+
+/// The share of one of `sharers` that divide `things` as evenly as possible.
+fn share(things: u32, sharers: u32, number: u32) -> u32 {
+    things / sharers + u32::from(number < things % sharers)
+}
--- /dev/null
+++ b/crates/scale/src/measurement/usage.rs
@@ -0,0 +1,36 @@
+//! CPU time, memory and load, as the system reports them.
+
+use std::time::Duration;
+
+use nix::time::{clock_getcpuclockid, clock_gettime};
+use nix::unistd::Pid;
+
+/// Bytes of a MiB.
+pub(crate) const MB: f64 = (1 << 20) as f64;
+
+/// CPU time and resident memory of a process.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Used {
+    /// CPU time since the start of the process.
+    pub(super) cpu: Duration,
+    /// Resident memory in bytes.
+    pub(super) rss: u64,
+}
+
+/// Reads what a process uses; zero for one that has ended.
+pub(super) fn used(id: Option<u32>) -> Used {
+    let of = |id: u32| {
+        let clock = clock_getcpuclockid(Pid::from_raw(id as i32)).ok()?;
+        let cpu = Duration::from(clock_gettime(clock).ok()?);
+        let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
+        let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
+        Some(Used { cpu, rss: pages * 4096 })
+    };
+    id.and_then(of).unwrap_or_default()
+}
+
+/// The machine's load average over the last minute.
+pub(crate) fn load() -> f64 {
+    let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
+    text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or_default()
+}
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/moments.rs
@@ -8,8 +8,8 @@
 use crate::ScaleError;
 use crate::fit::Quantiles;
 use crate::hollow::Seen;
+use crate::measurement::{MB, Setup, Stage, Start, load, spans, start_keeper, start_list, start_worker};
 use crate::plan::Plan;
-use crate::point::{MB, Setup, Stage, Start, load, spans, start_keeper, start_list, start_worker};
 use crate::worker::{Order, Reply};
 
 /// How long a paused process stays paused.
@@ -181,7 +181,7 @@
             for _ in share {
                 match worker.hear().await? {
                     Reply::Done => {}
-                    other => return Err(ScaleError::Changes(format!("{other:?} is no restart"))),
+                    reply => return Err(ScaleError::NotRestarted { reply }),
                 }
             }
         }
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -8,7 +8,7 @@
 use umbertray_fault_tests::run::Process;
 
 use crate::ScaleError;
-use crate::point::{Setup, ZONES};
+use crate::measurement::{Setup, ZONES};
 use crate::script;
 
 /// Relays that read the change log's folder: one more than may be faulty, and one that may be absent.
@@ -24,14 +24,19 @@
     Stopped,
 }
 
+/// A text that names no fault.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[error("{0:?} is neither killed nor stopped")]
+pub struct UnknownFault(String);
+
 impl FromStr for Fault {
-    type Err = String;
+    type Err = UnknownFault;
 
-    fn from_str(text: &str) -> Result<Fault, String> {
+    fn from_str(text: &str) -> Result<Fault, UnknownFault> {
         match text {
             "killed" => Ok(Fault::Killed),
             "stopped" => Ok(Fault::Stopped),
-            other => Err(format!("{other:?} is neither killed nor stopped")),
+            other => Err(UnknownFault(other.into())),
         }
     }
 }
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -1,23 +1,10 @@
-//! The settings that a fleet of a run works by, as scripts and as a log of changes.
+//! The scripts of a run: settings of its gateways, relays and coordinator.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
-use serde_json::json;
-use umbertray_config_log::guard::GUARDS;
-use umbertray_config_log::log::{Log, SEGMENT_BYTES};
-use umbertray_config_log::{Change, Configuration, Edit, Key, Kind};
-use umbertray_routing::Settings;
-use umbertray_snapshot::Disk;
-
-use crate::ScaleError;
+use crate::measurement::ZONES;
 use crate::plan::Plan;
-use crate::point::ZONES;
-
-/// Name of the plan whose rate tells versions apart: settings do not carry their version.
-const MARK: &str = "mark";
-/// The rate of that plan is this plus the version.
-const MARKED: f64 = 1000.0;
 
 /// Settings that all gateways of a run share, besides its volumes.
 const SHARED: &str = r#"
@@ -87,61 +74,3 @@
     );
     gateway("127.0.0.1:0", "list = \"127.0.0.1:1\"") + SHARED + &volumes + OWN
 }
-
-/// The version of the configuration that settings are from.
-pub(crate) fn version(settings: &Settings) -> u64 {
-    let mark = settings.plans.iter().find(|plan| plan.name == MARK);
-    mark.map_or(0, |plan| (plan.rate - MARKED) as u64)
-}
-
-/// The writer of the run's change log.
-pub(crate) struct Writer {
-    log: Log,
-}
-
-impl Writer {
-    /// Creates a log in an empty folder, with the plan's settings as version 1.
-    pub(crate) fn begin(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
-        let failed = |why: String| ScaleError::Changes(why);
-        let document = umbertray_config::read("scale.star", shared(plan))
-            .map_err(|problems| failed(problems.iter().map(|problem| format!("{problem}\n")).collect()))?;
-        let disk = Disk::open(folder).map_err(|error| failed(error.to_string()))?;
-        let log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(|error| failed(error.to_string()))?;
-        let mut writer = Writer { log };
-        let first = Configuration::of_calls(&document.calls());
-        writer.commit(writer.log.head().configuration.diff(&first))?;
-        Ok(writer)
-    }
-
-    /// Commits a change of one value; returns the version that it makes.
-    pub(crate) fn change(&mut self) -> Result<u64, ScaleError> {
-        let next = self.log.head().number + 1;
-        let edit = Edit::Set {
-            key: Key::new(Kind::Plan, MARK),
-            field: "rate".into(),
-            value: json!(MARKED + next as f64),
-        };
-        self.commit(vec![edit])
-    }
-
-    /// The last committed version.
-    pub(crate) fn version(&self) -> u64 {
-        self.log.head().number
-    }
-
-    /// Commits edits on top of the last version; returns the version that they make.
-    fn commit(&mut self, edits: Vec<Edit>) -> Result<u64, ScaleError> {
-        let base = self.log.head().number;
-        let change = Change {
-            id: format!("scale-{base}"),
-            base,
-            actor: "scale".into(),
-            reason: "to measure".into(),
-            at: 0,
-            edits,
-            allow: GUARDS.iter().map(|(_, guard)| *guard).collect(),
-        };
-        self.log.commit(change).map_err(|error| ScaleError::Changes(error.to_string()))?;
-        Ok(self.log.head().number)
-    }
-}
