--- a/crates/scale/src/change_log.rs
+++ b/crates/scale/src/change_log.rs
@@ -15,15 +15,15 @@
 use crate::{ScaleError, script};
 
 /// Name of the plan whose rate tells versions apart: settings do not carry their version.
-const MARK: &str = "mark";
+const VERSION_PLAN: &str = "mark";
 
 /// The rate of that plan is this plus the version.
-const MARKED: f64 = 1000.0;
+const VERSION_RATE_BASE: f64 = 1000.0;
 
 /// The version of the configuration that settings are from.
 pub(crate) fn version(settings: &Settings) -> u64 {
-    let mark = settings.plans.iter().find(|plan| plan.name == MARK);
-    mark.map_or(0, |plan| (plan.rate - MARKED) as u64)
+    let version_plan = settings.plans.iter().find(|plan| plan.name == VERSION_PLAN);
+    version_plan.map_or(0, |plan| (plan.rate - VERSION_RATE_BASE) as u64)
 }
 
 /// Why the change log of a run could not be written.
@@ -50,9 +50,9 @@
 
 impl Writer {
     /// Creates a log in an empty folder, with the plan's settings as version 1.
-    pub(crate) fn begin(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
-        let document =
-            umbertray_config::read("scale.star", script::shared(plan)).map_err(ChangeLogError::Settings)?;
+    pub(crate) fn create(folder: &Path, plan: &Plan) -> Result<Writer, ScaleError> {
+        let document = umbertray_config::read("scale.star", script::shared_settings(plan))
+            .map_err(ChangeLogError::Settings)?;
         let disk = Disk::open(folder).map_err(ChangeLogError::Folder)?;
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(ChangeLogError::Open)?;
         let mut writer = Writer { log };
@@ -62,12 +62,12 @@
     }
 
     /// Commits a change of one value; returns the version that it makes.
-    pub(crate) fn change(&mut self) -> Result<u64, ScaleError> {
+    pub(crate) fn commit_change(&mut self) -> Result<u64, ScaleError> {
         let next = self.log.head().number + 1;
         let edit = Edit::Set {
-            key: Key::new(Kind::Plan, MARK),
+            key: Key::new(Kind::Plan, VERSION_PLAN),
             field: "rate".into(),
-            value: json!(MARKED + next as f64),
+            value: json!(VERSION_RATE_BASE + next as f64),
         };
         self.commit(vec![edit])
     }
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -48,7 +48,7 @@
 
 /// Counters of what a gateway's core received and did since its start.
 #[derive(Default)]
-pub(crate) struct Counts {
+pub(crate) struct Counters {
     /// Calls of the core by the gateway's event loop.
     pub(super) turns: AtomicU64,
     /// Stores in the last full list, without those marked as gone.
@@ -65,24 +65,24 @@
     pub(super) version: AtomicU64,
 }
 
-impl Counts {
+impl Counters {
     /// Counts one input of the core.
-    pub(super) fn hear(&self, input: &Input) {
+    pub(super) fn count_input(&self, input: &Input) {
         match input {
             Input::FromList(FromList::Full(entries)) => {
                 let there = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
                 self.listed.store(there as u64, Ordering::Relaxed);
-                add(&self.whole_lists, 1);
+                increase(&self.whole_lists, 1);
             }
-            Input::FromList(FromList::Changes(entries)) => add(&self.deltas, entries.len()),
-            Input::StoreConnected { .. } => add(&self.linked, 1),
-            Input::StoreUnreachable { .. } => add(&self.refused, 1),
+            Input::FromList(FromList::Changes(entries)) => increase(&self.deltas, entries.len()),
+            Input::StoreConnected { .. } => increase(&self.linked, 1),
+            Input::StoreUnreachable { .. } => increase(&self.refused, 1),
             _ => {}
         }
     }
 }
 
 /// Adds to a counter.
-pub(super) fn add(count: &AtomicU64, more: usize) {
+pub(super) fn increase(count: &AtomicU64, more: usize) {
     count.fetch_add(more as u64, Ordering::Relaxed);
 }
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -11,15 +11,15 @@
 use umbertray_routing::Core;
 
 use super::Prepare;
-use super::counters::{Acted, Counts, Seen};
-use super::host::{Counted, note};
+use super::counters::{Acted, Counters, Seen};
+use super::host::{CountingCore, record_version};
 use crate::change_log;
 
 /// Interval at which a gateway that starts is polled.
-const WAIT: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How often a gateway that starts is polled at most.
-const MOST_WAITS: u32 = 2_000;
+const MAX_POLLS: u32 = 2_000;
 
 /// Why a hollow gateway could not be started or stopped.
 #[derive(Debug, thiserror::Error)]
@@ -39,61 +39,61 @@
 }
 
 /// One hollow gateway of the process.
-struct Member {
+struct HollowGateway {
     file: PathBuf,
     running: Option<RunningGateway>,
-    counts: Arc<Counts>,
+    counters: Arc<Counters>,
 }
 
 /// The hollow gateways of a process. Dropping it ends them at once.
-pub(crate) struct Fleet {
+pub(crate) struct HollowFleet {
     prepare: Arc<Prepare>,
-    members: BTreeMap<u32, Member>,
+    gateways: BTreeMap<u32, HollowGateway>,
     acted: Arc<Mutex<Vec<Acted>>>,
 }
 
-impl Fleet {
+impl HollowFleet {
     /// An empty fleet that reads scripts by `prepare`.
-    pub(crate) fn new(prepare: Arc<Prepare>) -> Fleet {
-        Fleet { prepare, members: BTreeMap::new(), acted: Arc::default() }
+    pub(crate) fn new(prepare: Arc<Prepare>) -> HollowFleet {
+        HollowFleet { prepare, gateways: BTreeMap::new(), acted: Arc::default() }
     }
 
     /// Starts a gateway, or restarts it on the state folder that it had, as a restarted process would.
     pub(crate) async fn start(&mut self, gateway: u32, file: PathBuf) -> Result<(), FleetError> {
         self.stop(gateway).await?;
         let (settings, options) = (self.prepare)(file.clone()).await.map_err(FleetError::Prepare)?;
-        let (clock, counts): (_, Arc<Counts>) = (Clock::start(), Arc::default());
-        // Turns are counted over its restarts; all else is said of the present run.
-        let turns = self.members.get(&gateway).map(|member| member.counts.turns.load(Ordering::Relaxed));
-        counts.turns.store(turns.unwrap_or_default(), Ordering::Relaxed);
+        let (clock, counters): (_, Arc<Counters>) = (Clock::start(), Arc::default());
+        // Turns are counted over all restarts, everything else since the last one.
+        let turns = self.gateways.get(&gateway).map(|hollow| hollow.counters.turns.load(Ordering::Relaxed));
+        counters.turns.store(turns.unwrap_or_default(), Ordering::Relaxed);
         let core = Core::new(settings.clone(), options.seed, clock.now());
-        let (acted, looked_on) = (self.acted.clone(), counts.clone());
-        note(gateway, change_log::version(&settings), &counts, &acted);
-        let host = Counted { core, gateway, counts: looked_on, acted };
+        let (acted, host_counters) = (self.acted.clone(), counters.clone());
+        record_version(gateway, change_log::version(&settings), &counters, &acted);
+        let host = CountingCore { core, gateway, counters: host_counters, acted };
         let running = umbertray_nbd_gateway::start_hosting(Box::new(host), clock, settings, options).await;
         let running = running.map_err(|error| FleetError::Start { gateway, error })?;
-        self.members.insert(gateway, Member { file, running: Some(running), counts });
+        self.gateways.insert(gateway, HollowGateway { file, running: Some(running), counters });
         Ok(())
     }
 
     /// Returns once a gateway has made or failed to make a connection to each of `stores` stores, or after
-    /// [`MOST_WAITS`] looks.
-    pub(crate) async fn linked(&self, gateway: u32, stores: u64) {
-        let Some(member) = self.members.get(&gateway) else { return };
-        let counts = &member.counts;
+    /// [`MAX_POLLS`] looks.
+    pub(crate) async fn wait_until_connected(&self, gateway: u32, stores: u64) {
+        let Some(hollow) = self.gateways.get(&gateway) else { return };
+        let counters = &hollow.counters;
         let over =
-            || counts.linked.load(Ordering::Relaxed) + counts.refused.load(Ordering::Relaxed) >= stores;
-        for _ in 0..MOST_WAITS {
+            || counters.linked.load(Ordering::Relaxed) + counters.refused.load(Ordering::Relaxed) >= stores;
+        for _ in 0..MAX_POLLS {
             if over() {
                 return;
             }
-            tokio::time::sleep(WAIT).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Shuts a gateway down gracefully, if it runs.
     async fn stop(&mut self, gateway: u32) -> Result<(), FleetError> {
-        let running = self.members.get_mut(&gateway).and_then(|member| member.running.take());
+        let running = self.gateways.get_mut(&gateway).and_then(|hollow| hollow.running.take());
         match running {
             Some(running) => running.stop().await.map_err(FleetError::Stop),
             None => Ok(()),
@@ -102,29 +102,29 @@
 
     /// Restarts a gateway on the script that it was started on.
     pub(crate) async fn restart(&mut self, gateway: u32) -> Result<(), FleetError> {
-        let file = self.members.get(&gateway).map(|member| member.file.clone());
+        let file = self.gateways.get(&gateway).map(|hollow| hollow.file.clone());
         self.start(gateway, file.ok_or(FleetError::Unknown(gateway))?).await
     }
 
     /// Snapshots of all gateways' counters.
-    pub(crate) fn seen(&self) -> Vec<Seen> {
+    pub(crate) fn snapshots(&self) -> Vec<Seen> {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let seen = |(gateway, member): (&u32, &Member)| Seen {
+        let seen = |(gateway, hollow): (&u32, &HollowGateway)| Seen {
             gateway: *gateway,
-            turns: of(&member.counts.turns),
-            listed: of(&member.counts.listed),
-            whole_lists: of(&member.counts.whole_lists),
-            deltas: of(&member.counts.deltas),
-            linked: of(&member.counts.linked),
-            refused: of(&member.counts.refused),
-            version: of(&member.counts.version),
-            over: member.running.as_ref().is_none_or(RunningGateway::has_ended),
+            turns: of(&hollow.counters.turns),
+            listed: of(&hollow.counters.listed),
+            whole_lists: of(&hollow.counters.whole_lists),
+            deltas: of(&hollow.counters.deltas),
+            linked: of(&hollow.counters.linked),
+            refused: of(&hollow.counters.refused),
+            version: of(&hollow.counters.version),
+            over: hollow.running.as_ref().is_none_or(RunningGateway::has_ended),
         };
-        self.members.iter().map(seen).collect()
+        self.gateways.iter().map(seen).collect()
     }
 
     /// Takes what was acted on since the last call.
-    pub(crate) fn acted(&self) -> Vec<Acted> {
+    pub(crate) fn take_acted(&self) -> Vec<Acted> {
         std::mem::take(&mut *self.acted.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
     }
 }
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -6,7 +6,7 @@
 
 pub(crate) use counters::now;
 pub use counters::{Acted, Seen};
-pub(crate) use fleet::{Fleet, FleetError};
+pub(crate) use fleet::{FleetError, HollowFleet};
 
 use std::path::PathBuf;
 use std::pin::Pin;
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -3,12 +3,11 @@
 //! A hollow gateway is [`umbertray_nbd_gateway`] itself, many in a process, with endpoint list, change log, map, connections
 //! to stores, scheduler and snapshots, and without clients. Nothing here decides what a gateway does: [`hollow`] starts it
 //! on the settings that the program reads, and counts the inputs of its core. [`worker`] is a process of hollow gateways,
-//! of stand-in stores, or of the endpoint list; [`crew`] starts such processes and ends them by id; [`plan`] rejects what
+//! of stand-in stores, or of the endpoint list; [`worker_process`] starts such processes and ends them by id; [`plan`] rejects what
 //! the machine has no capacity for; [`measurement`] measures one size, [`sweep`] many, [`moments`] disruptions; [`fit`] has the
 //! slopes; [`report`] writes them down.
 
 pub mod change_log;
-pub mod crew;
 mod error;
 pub mod fit;
 pub mod hollow;
@@ -20,6 +19,7 @@
 mod script;
 pub mod sweep;
 pub mod worker;
+pub mod worker_process;
 
 pub use error::ScaleError;
 /// The former name of [`measurement`], which the program uses.
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -4,9 +4,9 @@
 
 use umbertray_fakes::traffic::Crossed;
 
-use super::in_force::{spans, unmet};
+use super::in_force::{spans, unapplied_messages};
 use super::sample::Sample;
-use super::usage::{MB, Used, load};
+use super::usage::{MB, ProcessUsage, load};
 use super::{Line, Role, Stage};
 
 /// Bytes a second of a line, both directions.
@@ -27,7 +27,7 @@
 }
 
 impl RoleUsage {
-    fn between(before: &[Used], after: &[Used]) -> RoleUsage {
+    fn between(before: &[ProcessUsage], after: &[ProcessUsage]) -> RoleUsage {
         let cpu: Duration =
             before.iter().zip(after).map(|(before, after)| after.cpu.saturating_sub(before.cpu)).sum();
         let rss = after.iter().map(|used| used.rss).sum();
@@ -87,7 +87,7 @@
         let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
         Line {
             turns_per_second: turns as f64 / self.seconds / hollow,
-            in_force_seconds: spans(&self.stage.committed, &self.stage.acted),
+            in_force_seconds: spans(&self.stage.committed_at, &self.stage.acted),
             broken,
             ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
         }
@@ -95,17 +95,17 @@
 
     fn real_gateways(&self) -> Line {
         let real = f64::from(self.stage.plan.real);
-        let logged = self.stage.logged();
+        let logged = self.stage.acted_by_logs();
         let usage = RoleUsage::between(&self.before.real, &self.after.real);
         Line {
-            in_force_seconds: spans(&self.stage.committed, &logged),
-            broken: unmet(self.stage.plan.real, &self.stage.committed, &logged),
+            in_force_seconds: spans(&self.stage.committed_at, &logged),
+            broken: unapplied_messages(self.stage.plan.real, &self.stage.committed_at, &logged),
             ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
         }
     }
 
     fn coordinator(&self) -> Line {
-        let usage = RoleUsage::between(&[self.before.keeper], &[self.after.keeper]);
+        let usage = RoleUsage::between(&[self.before.coordinator], &[self.after.coordinator]);
         self.line(Some(Role::Keeper), &usage, 1.0, TrafficRates::default())
     }
 
@@ -146,7 +146,7 @@
             seconds: self.seconds,
             changes_per_second: plan.changes_per_second,
             restarts_per_hour: plan.restarts_per_hour,
-            start_seconds: self.stage.started.as_secs_f64(),
+            start_seconds: self.stage.start_duration.as_secs_f64(),
             start_bytes: self.stage.start_bytes as f64 / f64::from(plan.gateways),
             idle_core_percent: usage.cpu / self.seconds * 100.0 / members,
             rss_mb: usage.rss as f64 / MB / members,
@@ -155,7 +155,7 @@
             list_bytes_per_second: rates.list,
             link_bytes_per_second: rates.links,
             turns_per_second: 0.0,
-            changes: self.stage.committed.len() as u32,
+            changes: self.stage.committed_at.len() as u32,
             restarts: self.stage.restarts,
             in_force_seconds: None,
             load: load(),
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -8,13 +8,13 @@
 use crate::hollow::Seen;
 
 /// Pause before a measurement, in which what follows a start, such as late connections, finishes.
-const SETTLED: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Changes made after the idle time of a plan that has none of its own.
-const PROBES: u32 = 8;
+const PROBE_CHANGES: u32 = 8;
 
 /// Pause after each of those changes.
-const APART: Duration = Duration::from_millis(300);
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Gateways that a message names at most.
 const NAMED_AT_MOST: usize = 5;
@@ -25,17 +25,17 @@
     /// # Errors
     /// [`ScaleError`] if a process does not follow its orders or the change log cannot be written.
     pub async fn measure(&mut self, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let before = self.sample().await?;
-        self.pass().await?;
+        self.run_schedule().await?;
         let after = self.sample().await?;
         if self.plan.changes_per_second == 0.0 {
-            for _ in 0..PROBES {
+            for _ in 0..PROBE_CHANGES {
                 self.change()?;
-                tokio::time::sleep(APART).await;
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
         }
-        let behind = self.in_force().await?;
+        let behind = self.wait_until_in_force().await?;
         let (seen, _) = self.look().await?;
         let broken = self.broken_properties(&behind, &seen);
         Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
@@ -49,9 +49,9 @@
             let some = &behind[..behind.len().min(NAMED_AT_MOST)];
             broken.push(format!("{} gateways did not act on the last change: {some:?}, ...", behind.len()));
         }
-        let over = seen.iter().filter(|seen| seen.over).count();
-        if over > 0 {
-            broken.push(format!("{over} gateways ended early"));
+        let ended = seen.iter().filter(|seen| seen.over).count();
+        if ended > 0 {
+            broken.push(format!("{ended} gateways ended early"));
         }
         let wrong = seen.iter().filter(|seen| seen.listed != u64::from(self.plan.stores)).count();
         if wrong > 0 {
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -13,7 +13,7 @@
 
 pub use in_force::spans;
 pub use line::{Line, Role};
-pub(crate) use processes::{start_keeper, start_list, start_worker};
+pub(crate) use processes::{start_coordinator, start_list, start_worker};
 pub use stage::Stage;
 pub(crate) use usage::{MB, load};
 
--- a/crates/scale/src/measurement/sample.rs
+++ b/crates/scale/src/measurement/sample.rs
@@ -5,20 +5,20 @@
 use umbertray_fakes::traffic::Crossed;
 
 use super::Stage;
-use super::usage::{Used, used};
+use super::usage::{ProcessUsage, process_usage};
 use crate::ScaleError;
-use crate::crew::Worker;
 use crate::relays::Relays;
+use crate::worker_process::WorkerProcess;
 
 /// All that is counted, at one instant.
 pub(super) struct Sample {
     pub(super) at: Instant,
-    pub(super) workers: Vec<Used>,
-    pub(super) real: Vec<Used>,
-    pub(super) keeper: Used,
-    pub(super) relays: Vec<Used>,
-    pub(super) list: Used,
-    pub(super) stores: Vec<Used>,
+    pub(super) workers: Vec<ProcessUsage>,
+    pub(super) real: Vec<ProcessUsage>,
+    pub(super) coordinator: ProcessUsage,
+    pub(super) relays: Vec<ProcessUsage>,
+    pub(super) list: ProcessUsage,
+    pub(super) stores: Vec<ProcessUsage>,
     pub(super) list_traffic: Crossed,
     pub(super) link_traffic: Crossed,
     pub(super) turns: u64,
@@ -29,14 +29,15 @@
     pub(super) async fn sample(&mut self) -> Result<Sample, ScaleError> {
         let (list_traffic, link_traffic) = self.traffic().await?;
         let (_, turns) = self.look().await?;
-        let of = |workers: &[Worker]| workers.iter().map(|worker| used(worker.id())).collect();
+        let of =
+            |workers: &[WorkerProcess]| workers.iter().map(|worker| process_usage(worker.id())).collect();
         Ok(Sample {
             at: Instant::now(),
             workers: of(&self.workers),
-            real: self.real.iter().map(|process| used(process.id())).collect(),
-            keeper: used(self.keeper.id()),
-            relays: self.relays.iter().flat_map(Relays::ids).map(used).collect(),
-            list: used(self.list.id()),
+            real: self.real.iter().map(|process| process_usage(process.id())).collect(),
+            coordinator: process_usage(self.coordinator.id()),
+            relays: self.relays.iter().flat_map(Relays::ids).map(process_usage).collect(),
+            list: process_usage(self.list.id()),
             stores: of(&self.stores),
             list_traffic,
             link_traffic,
--- a/crates/scale/src/measurement/schedule.rs
+++ b/crates/scale/src/measurement/schedule.rs
@@ -5,59 +5,125 @@
 use rand::Rng;
 
 use super::Stage;
-use super::stage::LOOK;
+use super::stage::POLL_INTERVAL;
 use crate::ScaleError;
+use crate::plan::Plan;
 use crate::relays::Fault;
 use crate::worker::Order;
 
-impl Stage {
-    /// Lets the measured time pass, with the plan's changes, restarts and fault.
-    pub(super) async fn pass(&mut self) -> Result<(), ScaleError> {
-        let began = Instant::now();
-        let end = Duration::from_secs_f64(self.plan.seconds);
-        let every = |a_second: f64| match a_second {
-            rate if rate > 0.0 => Duration::from_secs_f64(1.0 / rate),
-            _ => Duration::MAX,
-        };
-        let (change, restart) =
-            (every(self.plan.changes_per_second), every(self.plan.restarts_per_hour / 3600.0));
-        let (mut changing, mut restarting, mut looking) = (change / 2, restart / 2, LOOK);
-        let fault = self.plan.fault;
-        let (mut failing, mut healing) = match fault {
+/// Seconds of an hour.
+const SECONDS_PER_HOUR: f64 = 3600.0;
+
+/// What is due next in the measured time.
+#[derive(Clone, Copy)]
+enum Event {
+    /// The measured time is over.
+    End,
+    /// A change of the configuration.
+    Change,
+    /// The fault of the relays begins.
+    Fault,
+    /// The fault of the relays ends.
+    Recovery,
+    /// A gateway restarts.
+    Restart,
+    /// The gateways are polled.
+    Poll,
+}
+
+/// When each event of the measured time is due, since its start. `Duration::MAX`: never.
+struct Schedule {
+    end: Duration,
+    change_interval: Duration,
+    restart_interval: Duration,
+    next_change: Duration,
+    next_restart: Duration,
+    next_poll: Duration,
+    next_fault: Duration,
+    next_recovery: Duration,
+}
+
+/// The interval of events at a rate per second; `Duration::MAX` without any.
+fn interval(per_second: f64) -> Duration {
+    if per_second > 0.0 { Duration::from_secs_f64(1.0 / per_second) } else { Duration::MAX }
+}
+
+impl Schedule {
+    fn new(plan: &Plan) -> Schedule {
+        let end = Duration::from_secs_f64(plan.seconds);
+        let change_interval = interval(plan.changes_per_second);
+        let restart_interval = interval(plan.restarts_per_hour / SECONDS_PER_HOUR);
+        let (next_fault, next_recovery) = match plan.fault {
             Some(_) => (end / 3, end / 3 * 2),
             None => (Duration::MAX, Duration::MAX),
         };
+        Schedule {
+            end,
+            change_interval,
+            restart_interval,
+            next_change: change_interval / 2,
+            next_restart: restart_interval / 2,
+            next_poll: POLL_INTERVAL,
+            next_fault,
+            next_recovery,
+        }
+    }
+
+    /// The next event and when it is due; of events due at once, the first in the order of [`Event`].
+    fn next(&self) -> (Duration, Event) {
+        let events = [
+            (self.next_change, Event::Change),
+            (self.next_fault, Event::Fault),
+            (self.next_recovery, Event::Recovery),
+            (self.next_restart, Event::Restart),
+            (self.next_poll, Event::Poll),
+        ];
+        let earlier = |first: (Duration, Event), second: (Duration, Event)| {
+            if second.0 < first.0 { second } else { first }
+        };
+        events.into_iter().fold((self.end, Event::End), earlier)
+    }
+
+    /// Sets when an event is due again.
+    fn advance(&mut self, event: Event) {
+        match event {
+            Event::End => {}
+            Event::Change => self.next_change = self.next_change.saturating_add(self.change_interval),
+            Event::Fault => self.next_fault = Duration::MAX,
+            Event::Recovery => self.next_recovery = Duration::MAX,
+            Event::Restart => self.next_restart = self.next_restart.saturating_add(self.restart_interval),
+            Event::Poll => self.next_poll += POLL_INTERVAL,
+        }
+    }
+}
+
+impl Stage {
+    /// Lets the measured time pass, with the plan's changes, restarts and fault.
+    pub(super) async fn run_schedule(&mut self) -> Result<(), ScaleError> {
+        let started_at = Instant::now();
+        let mut schedule = Schedule::new(&self.plan);
         loop {
-            let next = changing.min(restarting).min(looking).min(failing).min(healing).min(end);
-            tokio::time::sleep(next.saturating_sub(began.elapsed())).await;
-            if next == end {
-                return Ok(());
-            } else if next == changing {
-                changing = changing.saturating_add(change);
-                self.change()?;
-            } else if next == failing {
-                failing = Duration::MAX;
-                self.fail(fault).await?;
-            } else if next == healing {
-                healing = Duration::MAX;
-                self.heal(fault)?;
-            } else if next == restarting {
-                restarting = restarting.saturating_add(restart);
-                self.restart().await?;
-            } else {
-                looking += LOOK;
-                self.look().await?;
+            let (due, event) = schedule.next();
+            tokio::time::sleep(due.saturating_sub(started_at.elapsed())).await;
+            schedule.advance(event);
+            match event {
+                Event::End => return Ok(()),
+                Event::Change => self.change()?,
+                Event::Fault => self.fail(self.plan.fault).await?,
+                Event::Recovery => self.heal(self.plan.fault)?,
+                Event::Restart => self.restart().await?,
+                Event::Poll => self.look().await.map(drop)?,
             }
         }
     }
 
     /// Restarts one hollow gateway, chosen at random.
     async fn restart(&mut self) -> Result<(), ScaleError> {
-        let worker = self.draw.random_range(0..self.workers.len());
-        let share = &self.shares[worker];
-        let gateway = share[self.draw.random_range(0..share.len())];
+        let worker = self.rng.random_range(0..self.workers.len());
+        let share = &self.gateways_of_workers[worker];
+        let gateway = share[self.rng.random_range(0..share.len())];
         self.restarts += 1;
-        self.workers[worker].ask(&Order::Restart { gateway }).await.map(drop)
+        self.workers[worker].request(&Order::Restart { gateway }).await.map(drop)
     }
 
     /// Brings a fault on the first relay of each zone.
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -10,19 +10,19 @@
 use umbertray_fakes::fleet::any_port;
 use umbertray_fault_tests::run::Process;
 
-use super::processes::{start_keeper, start_list, start_worker};
-use super::stage::{LOOK, STEADY};
+use super::processes::{start_coordinator, start_list, start_worker};
+use super::stage::{POLL_INTERVAL, STEADY_TIMEOUT};
 use super::{Setup, Stage, Start, ZONES};
 use crate::change_log::Writer;
-use crate::crew::Worker;
 use crate::hollow::Seen;
 use crate::plan::{Demand, Plan, demand};
 use crate::relays::Relays;
-use crate::worker::{Named, Order, Reply};
+use crate::worker::{NamedStore, Order, Reply};
+use crate::worker_process::WorkerProcess;
 use crate::{ScaleError, script};
 
 /// The address of a store that does not answer: nobody listens there.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2)), 1);
+const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2)), 1);
 
 impl Stage {
     /// Starts all processes of a plan and waits until the fleet is steady.
@@ -32,17 +32,18 @@
     pub async fn start(plan: &Plan, setup: &Setup, start: Start, name: &str) -> Result<Stage, ScaleError> {
         let demand = demand(plan, &setup.limits)?;
         let folder = setup.scratch.join(name);
-        let make = |folder: &Path| {
+        let create = |folder: &Path| {
             std::fs::create_dir_all(folder).map_err(ScaleError::io(folder.display().to_string()))
         };
-        make(&folder)?;
-        make(&folder.join("changes"))?;
+        create(&folder)?;
+        create(&folder.join("changes"))?;
         let (stores, addresses) = start_stores(setup, &folder, plan, &demand).await?;
-        let named = named_stores(plan.stores, addresses);
+        let listed_stores = named_stores(plan.stores, addresses);
         let mut list = start_worker(setup, &folder, "list")?;
-        let listed_at = start_list(&mut list, any_port(), &named).await?;
-        let (keeper, kept_at) = start_keeper(setup, &folder, any_port(), listed_at).await?;
-        let writer = Writer::begin(&folder.join("changes"), plan)?;
+        let list_address = start_list(&mut list, any_port(), &listed_stores).await?;
+        let (coordinator, coordinator_address) =
+            start_coordinator(setup, &folder, any_port(), list_address).await?;
+        let writer = Writer::create(&folder.join("changes"), plan)?;
         let relays = match plan.relays {
             0 => None,
             some => Some(Relays::start(setup, &folder, &folder.join("changes"), some).await?),
@@ -51,20 +52,20 @@
             plan: plan.clone(),
             demand,
             list,
-            listed_at,
-            named,
-            kept_at,
+            list_address,
+            listed_stores,
+            coordinator_address,
             stores,
             workers: Vec::new(),
-            shares: Vec::new(),
+            gateways_of_workers: Vec::new(),
             real: Vec::new(),
             relays,
-            keeper,
+            coordinator,
             writer,
-            committed: BTreeMap::new(),
+            committed_at: BTreeMap::new(),
             acted: Vec::new(),
-            draw: StdRng::seed_from_u64(plan.seed),
-            started: Duration::ZERO,
+            rng: StdRng::seed_from_u64(plan.seed),
+            start_duration: Duration::ZERO,
             start_bytes: 0,
             restarts: 0,
             folder,
@@ -80,7 +81,13 @@
         let own = |gateway: u32| {
             let state = self.folder.join(format!("state-{gateway}"));
             let seed = self.plan.seed << 16 ^ u64::from(gateway);
-            script::own((gateway, seed), self.listed_at, self.kept_at, &changes, &state)
+            script::gateway_script(
+                (gateway, seed),
+                self.list_address,
+                self.coordinator_address,
+                &changes,
+                &state,
+            )
         };
         let mut scripts = Vec::new();
         for gateway in 0..self.plan.gateways {
@@ -93,13 +100,13 @@
         for number in 0..self.demand.workers {
             self.workers.push(start_worker(setup, &self.folder, &format!("gateways-{number}"))?);
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let after = (start == Start::OneByOne).then_some(self.plan.stores.into());
         for number in 0..self.demand.workers {
-            let count = share(self.plan.hollow(), self.demand.workers, number);
+            let count = even_share(self.plan.hollow(), self.demand.workers, number);
             let rest = hollow.split_off(count as usize);
-            self.shares.push(hollow.iter().map(|(gateway, _)| *gateway).collect());
-            self.workers[number as usize].tell(&Order::Gateways { files: hollow, after }).await?;
+            self.gateways_of_workers.push(hollow.iter().map(|(gateway, _)| *gateway).collect());
+            self.workers[number as usize].send(&Order::Gateways { files: hollow, after }).await?;
             hollow = rest;
         }
         for (gateway, script) in real.iter().enumerate() {
@@ -108,9 +115,9 @@
             self.real.push(process.map_err(ScaleError::io(name))?.0);
         }
         for worker in &mut self.workers {
-            worker.hear().await?;
+            worker.receive().await?;
         }
-        self.started = self.steady(began).await?;
+        self.start_duration = self.steady(started_at).await?;
         let (list, links) = self.traffic().await?;
         self.start_bytes = list.bytes() + links.bytes();
         Ok(())
@@ -128,10 +135,10 @@
                 return Ok(since.elapsed());
             }
             tracing::info!(late, of = seen.len(), "waiting for gateways to be steady");
-            if since.elapsed() > STEADY {
-                return Err(ScaleError::NotSteady { late, gateways: seen.len(), limit: STEADY });
+            if since.elapsed() > STEADY_TIMEOUT {
+                return Err(ScaleError::NotSteady { late, gateways: seen.len(), limit: STEADY_TIMEOUT });
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -142,33 +149,33 @@
     folder: &Path,
     plan: &Plan,
     demand: &Demand,
-) -> Result<(Vec<Worker>, Vec<SocketAddr>), ScaleError> {
+) -> Result<(Vec<WorkerProcess>, Vec<SocketAddr>), ScaleError> {
     let mut workers = Vec::new();
     let mut from = 1;
     for number in 0..demand.store_processes {
-        let count = share(demand.answering, demand.store_processes, number);
+        let count = even_share(demand.answering, demand.store_processes, number);
         let mut worker = start_worker(setup, folder, &format!("stores-{number}"))?;
-        worker.tell(&Order::Stores { from, count, seed: plan.seed }).await?;
+        worker.send(&Order::Stores { from, count, seed: plan.seed }).await?;
         from += u64::from(count);
         workers.push(worker);
     }
     let mut addresses = Vec::new();
     for worker in &mut workers {
-        if let Reply::Stores(more) = worker.hear().await? {
+        if let Reply::Stores(more) = worker.receive().await? {
             addresses.extend(more);
         }
     }
     Ok((workers, addresses))
 }
 
-/// The stores that the list names: those that accept connections, and at [`NOWHERE`] the others.
-fn named_stores(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<Named> {
-    addresses.resize(stores as usize, NOWHERE);
+/// The stores that the list names: those that accept connections, and at [`UNREACHABLE_ADDRESS`] the others.
+fn named_stores(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<NamedStore> {
+    addresses.resize(stores as usize, UNREACHABLE_ADDRESS);
     let named = (1..).zip(addresses);
-    named.map(|(store, address)| Named { store, address, zone: store as u32 % ZONES }).collect()
+    named.map(|(store, address)| NamedStore { store, address, zone: store as u32 % ZONES }).collect()
 }
 
 /// The share of one of `sharers` that divide `things` as evenly as possible.
-fn share(things: u32, sharers: u32, number: u32) -> u32 {
+fn even_share(things: u32, sharers: u32, number: u32) -> u32 {
     things / sharers + u32::from(number < things % sharers)
 }
--- a/crates/scale/src/measurement/usage.rs
+++ b/crates/scale/src/measurement/usage.rs
@@ -8,9 +8,14 @@
 /// Bytes of a MiB.
 pub(crate) const MB: f64 = (1 << 20) as f64;
 
+/// Bytes of a page, in which the system states resident memory.
+///
+/// Hazard: a machine with larger pages is measured too low.
+const PAGE_BYTES: u64 = 4096;
+
 /// CPU time and resident memory of a process.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Used {
+pub(super) struct ProcessUsage {
     /// CPU time since the start of the process.
     pub(super) cpu: Duration,
     /// Resident memory in bytes.
@@ -18,13 +23,13 @@
 }
 
 /// Reads what a process uses; zero for one that has ended.
-pub(super) fn used(id: Option<u32>) -> Used {
+pub(super) fn process_usage(id: Option<u32>) -> ProcessUsage {
     let of = |id: u32| {
         let clock = clock_getcpuclockid(Pid::from_raw(id as i32)).ok()?;
         let cpu = Duration::from(clock_gettime(clock).ok()?);
         let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
         let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
-        Some(Used { cpu, rss: pages * 4096 })
+        Some(ProcessUsage { cpu, rss: pages * PAGE_BYTES })
     };
     id.and_then(of).unwrap_or_default()
 }
--- a/crates/scale/src/plan/mod.rs
+++ b/crates/scale/src/plan/mod.rs
@@ -11,10 +11,10 @@
 use crate::relays::Fault;
 
 /// Bytes of memory that all processes of a run may hold together.
-const MOST_BYTES: u64 = 12 << 30;
+const MAX_BYTES: u64 = 12 << 30;
 
 /// Processes of a run, this one among them.
-const MOST_PROCESSES: u32 = 300;
+const MAX_PROCESSES: u32 = 300;
 
 /// One size of a fleet, and what is done with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -70,8 +70,8 @@
         let most = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
         Limits {
             descriptors: most.map_or(1024, |(soft, _)| soft),
-            bytes: MOST_BYTES,
-            processes: MOST_PROCESSES,
+            bytes: MAX_BYTES,
+            processes: MAX_PROCESSES,
         }
     }
 }
--- a/crates/scale/src/plan/refused.rs
+++ b/crates/scale/src/plan/refused.rs
@@ -1,13 +1,13 @@
 //! Plans that are rejected before anything starts.
 
 use super::Plan;
-use super::demand::MOST_RELAYS;
+use super::demand::MAX_RELAYS;
 
 /// Why a plan is rejected before anything is started.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum Refused {
     /// More relays in a zone than a run may have.
-    #[error("{relays} relays a zone, the limit is {MOST_RELAYS}")]
+    #[error("{relays} relays a zone, the limit is {MAX_RELAYS}")]
     TooManyRelays {
         /// Relays of a zone in the plan.
         relays: u32,
@@ -109,7 +109,7 @@
 /// Rejects a plan that contradicts itself or is out of range.
 pub(super) fn check_consistency(plan: &Plan) -> Result<(), Refused> {
     let Plan { gateways, real, stores, volumes, relays, .. } = *plan;
-    if relays > MOST_RELAYS {
+    if relays > MAX_RELAYS {
         return Err(Refused::TooManyRelays { relays });
     }
     if plan.fault.is_some() && relays == 0 {
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -12,7 +12,7 @@
 use crate::script;
 
 /// Relays that read the change log's folder: one more than may be faulty, and one that may be absent.
-pub(crate) const TOPS: u32 = 3;
+pub(crate) const FOLDER_READERS: u32 = 3;
 
 /// What happens to the first relay of each zone a third into the measured time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,9 +41,9 @@
     }
 }
 
-/// Processes of relays where each zone has `a_zone` of them.
-pub(crate) fn processes(a_zone: u32) -> u32 {
-    if a_zone == 0 { 0 } else { TOPS + a_zone * ZONES }
+/// Processes of relays where each zone has `relays_per_zone` of them.
+pub(crate) fn process_count(relays_per_zone: u32) -> u32 {
+    if relays_per_zone == 0 { 0 } else { FOLDER_READERS + relays_per_zone * ZONES }
 }
 
 /// The running relays; they end with it.
@@ -51,7 +51,7 @@
     /// All relays, those that read the folder first.
     processes: Vec<Process>,
     /// Index in `processes` of the first relay of each zone.
-    first: Vec<usize>,
+    first_of_zone: Vec<usize>,
     /// The value of `changes` in a gateway's script.
     pub(crate) upstreams: String,
 }
@@ -64,46 +64,49 @@
     script: &str,
 ) -> Result<(Process, String), ScaleError> {
     let started = Process::start(&setup.program, folder, ("relay", name), script, &[]).await;
-    let (process, said) = started.map_err(ScaleError::io(name))?;
-    let address = said["relay"].as_str().map(str::to_string);
+    let (process, announcement) = started.map_err(ScaleError::io(name))?;
+    let address = announcement["relay"].as_str().map(str::to_string);
     let address = address.ok_or_else(|| std::io::Error::other("it did not say where it listens"));
     Ok((process, address.map_err(ScaleError::io(name))?))
 }
 
 /// A list of strings as a script writes it.
-fn listed(texts: &[String]) -> String {
+fn string_list(texts: &[String]) -> String {
     format!("{texts:?}")
 }
 
 impl Relays {
-    /// Starts the relays that read `changes`, and `a_zone` relays in each zone that follow those.
+    /// Starts the relays that read `changes`, and `relays_per_zone` relays in each zone that follow those.
     pub(crate) async fn start(
         setup: &Setup,
         folder: &Path,
         changes: &Path,
-        a_zone: u32,
+        relays_per_zone: u32,
     ) -> Result<Relays, ScaleError> {
-        let (mut processes, mut first) = (Vec::new(), Vec::new());
-        let (mut tops, mut upstreams) = (Vec::new(), Vec::new());
+        let (mut processes, mut first_of_zone) = (Vec::new(), Vec::new());
+        let (mut folder_readers, mut upstreams) = (Vec::new(), Vec::new());
         let from_folder = format!("{:?}", changes.display().to_string());
-        for top in 0..TOPS {
-            let (zone, name) = (top * ZONES / TOPS, format!("top-{top}"));
-            let script = script::relay(&name, zone, &from_folder, &folder.join(&name));
+        for number in 0..FOLDER_READERS {
+            let (zone, name) = (number * ZONES / FOLDER_READERS, format!("top-{number}"));
+            let script = script::relay_script(&name, zone, &from_folder, &folder.join(&name));
             let (process, address) = start(setup, folder, &name, &script).await?;
             processes.push(process);
-            tops.push(format!("{zone}/{name}={address}"));
+            folder_readers.push(format!("{zone}/{name}={address}"));
         }
-        for (zone, number) in (0..ZONES).flat_map(|zone| (0..a_zone).map(move |number| (zone, number))) {
+        for (zone, number) in
+            (0..ZONES).flat_map(|zone| (0..relays_per_zone).map(move |number| (zone, number)))
+        {
             let name = format!("relay-{zone}-{number}");
-            let script = script::relay(&name, zone, &listed(&tops), &folder.join(&name));
+            let script =
+                script::relay_script(&name, zone, &string_list(&folder_readers), &folder.join(&name));
             let (process, address) = start(setup, folder, &name, &script).await?;
             if number == 0 {
-                first.push(processes.len());
+                first_of_zone.push(processes.len());
             }
             processes.push(process);
             upstreams.push(format!("{zone}/{name}={address}"));
         }
-        Ok(Relays { processes, first, upstreams: listed(&upstreams) })
+        Ok(Relays { processes, first_of_zone, upstreams: string_list(&upstreams) })
     }
 
     /// Process ids of all relays.
@@ -113,8 +116,8 @@
 
     /// Sends a signal to the first relay of each zone.
     fn signal(&self, signal: Signal) -> Result<(), ScaleError> {
-        self.first.iter().try_for_each(|place| {
-            self.processes[*place].signal(signal).map_err(ScaleError::io("a relay cannot be signalled"))
+        self.first_of_zone.iter().try_for_each(|index| {
+            self.processes[*index].signal(signal).map_err(ScaleError::io("a relay cannot be signalled"))
         })
     }
 
@@ -123,8 +126,8 @@
         match fault {
             Fault::Stopped => self.signal(Signal::SIGSTOP),
             Fault::Killed => {
-                for place in &self.first {
-                    let killed = self.processes[*place].kill().await;
+                for index in &self.first_of_zone {
+                    let killed = self.processes[*index].kill().await;
                     killed.map_err(ScaleError::io("a relay cannot be killed"))?;
                 }
                 Ok(())
--- a/crates/scale/src/report/chart.rs
+++ b/crates/scale/src/report/chart.rs
@@ -11,7 +11,7 @@
 
 /// Draws a figure's medians and spreads over the counts, with the fit over all counts and the one without the
 /// largest.
-pub(super) fn draw(file: &Path, slope: &Slope) -> Result<(), Box<dyn std::error::Error>> {
+pub(super) fn draw_chart(file: &Path, slope: &Slope) -> Result<(), Box<dyn std::error::Error>> {
     let most_count = slope.sizes.iter().map(|(count, _)| *count).fold(0.0, f64::max) * 1.05;
     let most = slope.sizes.iter().map(|(_, spread)| spread.most).fold(slope.held_out.foretold, f64::max);
     let least = slope.sizes.iter().map(|(_, spread)| spread.least).fold(0.0, f64::min);
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -17,7 +17,7 @@
 use crate::sweep::Slope;
 
 /// Names of the figures that get a chart.
-const DRAWN: [&str; 8] = [
+const CHARTED_FIGURES: [&str; 8] = [
     "gateway, core",
     "gateway, memory",
     "real gateway, core",
@@ -99,12 +99,12 @@
             std::fs::write(&file, text).map_err(ScaleError::io(file.display().to_string()))
         };
         write("fits.json", fits)?;
-        write("fits.md", tables::page(slopes))?;
-        for slope in slopes.iter().filter(|slope| DRAWN.contains(&slope.figure.as_str())) {
+        write("fits.md", tables::slope_tables(slopes))?;
+        for slope in slopes.iter().filter(|slope| CHARTED_FIGURES.contains(&slope.figure.as_str())) {
             let name =
                 format!("{}-{}.svg", slope.factor.name(), slope.figure.replace(", ", "-").replace(' ', "-"));
             let file = self.folder.join(name);
-            let drawn = chart::draw(&file, slope).map_err(|error| io::Error::other(error.to_string()));
+            let drawn = chart::draw_chart(&file, slope).map_err(|error| io::Error::other(error.to_string()));
             drawn.map_err(ScaleError::io(file.display().to_string()))?;
         }
         Ok(())
@@ -113,6 +113,7 @@
 
 /// The output of a `git` command; `None` if it fails.
 fn git(arguments: &[&str]) -> Option<String> {
-    let said = Command::new("git").args(arguments).output().ok().filter(|said| said.status.success())?;
-    Some(String::from_utf8_lossy(&said.stdout).trim().to_string())
+    let output =
+        Command::new("git").args(arguments).output().ok().filter(|output| output.status.success())?;
+    Some(String::from_utf8_lossy(&output.stdout).trim().to_string())
 }
--- a/crates/scale/src/report/tables.rs
+++ b/crates/scale/src/report/tables.rs
@@ -5,7 +5,7 @@
 use crate::sweep::Slope;
 
 /// Tables of slopes, one for each factor.
-pub(crate) fn page(slopes: &[Slope]) -> String {
+pub(crate) fn slope_tables(slopes: &[Slope]) -> String {
     let mut page = String::new();
     let mut factor = None;
     for slope in slopes {
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -7,7 +7,7 @@
 use crate::plan::Plan;
 
 /// Settings that all gateways of a run share, besides its volumes.
-const SHARED: &str = r#"
+const SHARED_SETTINGS: &str = r#"
 op_type("lookup", target_latency = 100 * ms, op_timeout = 1.0, utility = 3)
 op_type("update", target_latency = 200 * ms, op_timeout = 2.0, utility = 2)
 op_type("bulk", target_latency = 800 * ms, op_timeout = 4.0, utility = 1)
@@ -24,18 +24,18 @@
 "#;
 
 /// Settings that each gateway has for itself.
-const OWN: &str = r#"
+const GATEWAY_BOUNDS: &str = r#"
 bounds(sessions = 4096, bytes = 128 * MiB, bytes_a_session = 8 * MiB, request_bytes = 4 * MiB)
 "#;
 
 /// The call `gateway(...)` of a script.
-fn gateway(listen: &str, rest: &str) -> String {
+fn gateway_call(listen: &str, rest: &str) -> String {
     format!("gateway(listen = [{listen:?}], extent = 256 * KiB, unit = 16 * KiB, most_units = 8, {rest})\n")
 }
 
 /// A gateway's own script. Its other settings come from the change log, which `changes` names as a script
 /// writes it.
-pub(crate) fn own(
+pub(crate) fn gateway_script(
     (number, seed): (u32, u64),
     list: SocketAddr,
     keeper: SocketAddr,
@@ -49,11 +49,11 @@
         keeper.to_string(),
         state.display().to_string()
     );
-    gateway("127.0.0.1:0", &rest) + OWN
+    gateway_call("127.0.0.1:0", &rest) + GATEWAY_BOUNDS
 }
 
 /// A relay's script; `changes` is as a script writes it.
-pub(crate) fn relay(name: &str, zone: u32, changes: &str, folder: &Path) -> String {
+pub(crate) fn relay_script(name: &str, zone: u32, changes: &str, folder: &Path) -> String {
     let folder = folder.display().to_string();
     format!(
         "relay(listen = \"127.0.0.1:0\", name = {name:?}, zone = \"{zone}\", changes = {changes}, folder = {folder:?})\n"
@@ -61,16 +61,16 @@
 }
 
 /// The coordinator's script.
-pub(crate) fn keeper(listen: SocketAddr, list: SocketAddr, folder: &Path) -> String {
+pub(crate) fn coordinator_script(listen: SocketAddr, list: SocketAddr, folder: &Path) -> String {
     let (listen, list, folder) = (listen.to_string(), list.to_string(), folder.display().to_string());
     format!("keeper(listen = {listen:?}, list = {list:?}, folder = {folder:?})\n")
 }
 
 /// The settings that all gateways of a plan share, as one script.
-pub(crate) fn shared(plan: &Plan) -> String {
+pub(crate) fn shared_settings(plan: &Plan) -> String {
     let volumes = format!(
         "for n in range({}):\n    volume(\"v%d\" % n, size = 64 * MiB, plan = [\"basic\", \"priority\"][n % 2], gateways = {})\n",
         plan.volumes, plan.gateways
     );
-    gateway("127.0.0.1:0", "list = \"127.0.0.1:1\"") + SHARED + &volumes + OWN
+    gateway_call("127.0.0.1:0", "list = \"127.0.0.1:1\"") + SHARED_SETTINGS + &volumes + GATEWAY_BOUNDS
 }
--- a/crates/scale/src/sweep/factor.rs
+++ b/crates/scale/src/sweep/factor.rs
@@ -8,10 +8,10 @@
 use crate::plan::Plan;
 
 /// Hollow gateways at most where another factor than gateways is swept.
-const FEW: u32 = 40;
+const MAX_FIXED_GATEWAYS: u32 = 40;
 
 /// Stores at most that accept connections where another factor than stores is swept.
-const ANSWERING: u32 = 8;
+const MAX_FIXED_ANSWERING: u32 = 8;
 
 /// What a sweep makes larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -83,9 +83,9 @@
     /// The sizes at which it is measured, up to its size in `most`; all else is small or as in `most`.
     pub fn plans(self, most: &Plan) -> Vec<Plan> {
         let small = Plan {
-            gateways: most.gateways.min(FEW) + most.real,
+            gateways: most.gateways.min(MAX_FIXED_GATEWAYS) + most.real,
             stores: most.stores.min(1000),
-            answering: Some(most.stores.min(ANSWERING)),
+            answering: Some(most.stores.min(MAX_FIXED_ANSWERING)),
             changes_per_second: 0.0,
             restarts_per_hour: 0.0,
             ..most.clone()
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -3,8 +3,8 @@
 
 mod protocol;
 
-pub(crate) use protocol::PATIENCE;
-pub use protocol::{Look, Named, Order, Reply};
+pub(crate) use protocol::REPLY_TIMEOUT;
+pub use protocol::{Look, NamedStore, Order, Reply};
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use umbertray_fakes::traffic::Crossed;
 use umbertray_store_protocol::list::EndpointState;
 
-use crate::hollow::{Fleet, FleetError, Prepare};
+use crate::hollow::{FleetError, HollowFleet, Prepare};
 
 /// Why the pipe to the process that gives the orders cannot be used any more.
 #[derive(Debug, thiserror::Error)]
@@ -51,10 +51,10 @@
 }
 
 /// What a worker process runs.
-struct Worker {
-    fleet: Fleet,
+struct WorkerState {
+    fleet: HollowFleet,
     stores: Vec<store::Running>,
-    list: Option<(list::Running, Vec<Named>)>,
+    list: Option<(list::Running, Vec<NamedStore>)>,
 }
 
 /// Carries out orders until standard input ends, which it does when the process that started this one ends,
@@ -67,12 +67,12 @@
 }
 
 async fn serve(prepare: Arc<Prepare>) -> Result<(), PipeError> {
-    let mut worker = Worker { fleet: Fleet::new(prepare), stores: Vec::new(), list: None };
+    let mut worker = WorkerState { fleet: HollowFleet::new(prepare), stores: Vec::new(), list: None };
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     let mut out = tokio::io::stdout();
     while let Some(line) = lines.next_line().await? {
         let order = serde_json::from_str(&line).map_err(PipeError::Order)?;
-        let reply = worker.obey(order).await.unwrap_or_else(|error| Reply::Failed(error.to_string()));
+        let reply = worker.carry_out(order).await.unwrap_or_else(|error| Reply::Failed(error.to_string()));
         let mut text = serde_json::to_vec(&reply).map_err(PipeError::Reply)?;
         text.push(b'\n');
         out.write_all(&text).await?;
@@ -81,9 +81,9 @@
     Ok(())
 }
 
-impl Worker {
+impl WorkerState {
     /// Carries out one order.
-    async fn obey(&mut self, order: Order) -> Result<Reply, OrderError> {
+    async fn carry_out(&mut self, order: Order) -> Result<Reply, OrderError> {
         match order {
             Order::Stores { from, count, seed } => self.start_stores(from, count, seed).await,
             Order::List { listen, stores } => self.start_list(listen, stores).await,
@@ -91,7 +91,7 @@
                 for (gateway, file) in files {
                     self.fleet.start(gateway, file).await?;
                     if let Some(stores) = after {
-                        self.fleet.linked(gateway, stores).await;
+                        self.fleet.wait_until_connected(gateway, stores).await;
                     }
                 }
                 Ok(Reply::Done)
@@ -112,7 +112,7 @@
                 let stores = self.stores.iter().map(|store| store.traffic.crossed());
                 let list = self.list.iter().map(|(list, _)| list.traffic.crossed());
                 let traffic = stores.chain(list).fold(Crossed::default(), std::ops::Add::add);
-                let (gateways, acted) = (self.fleet.seen(), self.fleet.acted());
+                let (gateways, acted) = (self.fleet.snapshots(), self.fleet.take_acted());
                 Ok(Reply::Looked(Look { traffic, gateways, acted }))
             }
         }
@@ -133,9 +133,9 @@
     }
 
     /// Starts the endpoint list and adds the stores.
-    async fn start_list(&mut self, listen: SocketAddr, stores: Vec<Named>) -> Result<Reply, OrderError> {
+    async fn start_list(&mut self, listen: SocketAddr, stores: Vec<NamedStore>) -> Result<Reply, OrderError> {
         let list = list::start(listen).await.map_err(|error| OrderError::List { listen, error })?;
-        for Named { store, address, zone } in &stores {
+        for NamedStore { store, address, zone } in &stores {
             let (shard, state) = (*store as u32, EndpointState::Ready);
             let listed = Listed { address: *address, shard, zone: *zone, state, start: 1, started: None };
             list.list(*store, listed);
--- a/crates/scale/src/worker/protocol.rs
+++ b/crates/scale/src/worker/protocol.rs
@@ -11,11 +11,11 @@
 
 /// Time that a worker process has for an order; starting hundreds of gateways on a busy machine takes
 /// longest.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(180);
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_secs(180);
 
 /// A store as the list must name it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Named {
+pub struct NamedStore {
     /// Id of the store.
     pub store: u64,
     /// Its address.
@@ -42,7 +42,7 @@
         /// Address to listen at; port 0 lets the system choose.
         listen: SocketAddr,
         /// The stores that it names.
-        stores: Vec<Named>,
+        stores: Vec<NamedStore>,
     },
     /// Starts gateways.
     Gateways {
--- a/crates/scale/src/crew.rs
+++ b/crates/scale/src/worker_process.rs
@@ -1,4 +1,4 @@
-//! Workers as processes: each is told and asked over its standard input and output, and ended by its id.
+//! Handles of worker processes: orders and replies over standard input and output, and an end by process id.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -10,16 +10,16 @@
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 
 use crate::ScaleError;
-use crate::worker::{Look, Order, PATIENCE, Reply};
+use crate::worker::{Look, Order, REPLY_TIMEOUT, Reply};
 
 /// Time that a worker process has to exit by itself before it is killed.
-const LAST: Duration = Duration::from_secs(5);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One worker process, with pipes to its standard input and output.
 ///
 /// Dropping it kills the process by its id. Should the holder's process itself be killed, the worker's
 /// standard input ends, and the worker exits.
-pub struct Worker {
+pub struct WorkerProcess {
     /// What the process is for; names its log and appears in errors.
     role: String,
     /// File that receives its standard error.
@@ -27,12 +27,12 @@
     /// The process.
     child: Child,
     /// Its standard input; `None` once the process has been asked to exit.
-    to: Option<ChildStdin>,
+    stdin: Option<ChildStdin>,
     /// Its standard output, by lines.
-    from: Lines<BufReader<ChildStdout>>,
+    stdout: Lines<BufReader<ChildStdout>>,
 }
 
-impl Worker {
+impl WorkerProcess {
     /// Starts `program arguments` with its log in `folder`.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
         arguments: &[&str],
         folder: &Path,
         role: &str,
-    ) -> Result<Worker, ScaleError> {
+    ) -> Result<WorkerProcess, ScaleError> {
         let log = folder.join(format!("{role}.log"));
         let file = std::fs::File::create(&log).map_err(ScaleError::io(log.display().to_string()))?;
         let child = Command::new(program)
@@ -53,10 +53,10 @@
             .kill_on_drop(true)
             .spawn();
         let mut child = child.map_err(ScaleError::io(format!("{}, as {role}", program.display())))?;
-        let (to, from) = (child.stdin.take(), child.stdout.take());
+        let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
         let none = || std::io::Error::other("no standard output");
-        let from = from.ok_or_else(none).map_err(ScaleError::io(role))?;
-        Ok(Worker { role: role.into(), log, child, to, from: BufReader::new(from).lines() })
+        let stdout = stdout.ok_or_else(none).map_err(ScaleError::io(role))?;
+        Ok(WorkerProcess { role: role.into(), log, child, stdin, stdout: BufReader::new(stdout).lines() })
     }
 
     /// The process id; `None` once it has been waited for.
@@ -66,38 +66,38 @@
 
     /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) -> Result<(), ScaleError> {
-        let id = self.id().ok_or_else(|| self.failed("it has ended"))?;
-        kill(Pid::from_raw(id as i32), signal).map_err(|error| self.failed(error.to_string()))
+        let id = self.id().ok_or_else(|| self.error("it has ended"))?;
+        kill(Pid::from_raw(id as i32), signal).map_err(|error| self.error(error.to_string()))
     }
 
     /// Kills the process with `SIGKILL`, as a crash would end it.
     pub(crate) async fn kill(&mut self) -> Result<(), ScaleError> {
         let killed = self.child.kill().await;
-        killed.map_err(|error| self.failed(error.to_string()))
+        killed.map_err(|error| self.error(error.to_string()))
     }
 
     /// The error that names this worker and its log.
-    fn failed(&self, why: impl Into<String>) -> ScaleError {
+    fn error(&self, why: impl Into<String>) -> ScaleError {
         ScaleError::Worker { role: self.role.clone(), why: why.into(), log: self.log.clone() }
     }
 
-    /// Sends an order; [`Worker::hear`] receives its reply.
-    pub(crate) async fn tell(&mut self, order: &Order) -> Result<(), ScaleError> {
-        let mut line = serde_json::to_vec(order).map_err(|error| self.failed(error.to_string()))?;
+    /// Sends an order; [`WorkerProcess::receive`] receives its reply.
+    pub(crate) async fn send(&mut self, order: &Order) -> Result<(), ScaleError> {
+        let mut line = serde_json::to_vec(order).map_err(|error| self.error(error.to_string()))?;
         line.push(b'\n');
-        let Some(to) = &mut self.to else { return Err(self.failed("it was let go")) };
-        let told = to.write_all(&line).await;
-        told.map_err(|error| self.failed(format!("it takes no order: {error}")))
+        let Some(stdin) = &mut self.stdin else { return Err(self.error("it was let go")) };
+        let sent = stdin.write_all(&line).await;
+        sent.map_err(|error| self.error(format!("it takes no order: {error}")))
     }
 
     /// Receives the reply to the oldest order that has none yet.
-    pub(crate) async fn hear(&mut self) -> Result<Reply, ScaleError> {
-        let line = tokio::time::timeout(PATIENCE, self.from.next_line()).await;
-        let line = line.map_err(|_| self.failed(format!("no answer in {} s", PATIENCE.as_secs())))?;
-        let line = line.map_err(|error| self.failed(error.to_string()))?;
-        let line = line.ok_or_else(|| self.failed("it ended before its time"))?;
-        match serde_json::from_str(&line).map_err(|error| self.failed(error.to_string()))? {
-            Reply::Failed(why) => Err(self.failed(why)),
+    pub(crate) async fn receive(&mut self) -> Result<Reply, ScaleError> {
+        let line = tokio::time::timeout(REPLY_TIMEOUT, self.stdout.next_line()).await;
+        let line = line.map_err(|_| self.error(format!("no answer in {} s", REPLY_TIMEOUT.as_secs())))?;
+        let line = line.map_err(|error| self.error(error.to_string()))?;
+        let line = line.ok_or_else(|| self.error("it ended before its time"))?;
+        match serde_json::from_str(&line).map_err(|error| self.error(error.to_string()))? {
+            Reply::Failed(why) => Err(self.error(why)),
             reply => Ok(reply),
         }
     }
@@ -107,23 +107,23 @@
     /// # Errors
     /// [`ScaleError::Worker`] if the process has ended, replies with an error or with something else than a
     /// reply, or does not reply in time.
-    pub async fn ask(&mut self, order: &Order) -> Result<Reply, ScaleError> {
-        self.tell(order).await?;
-        self.hear().await
+    pub async fn request(&mut self, order: &Order) -> Result<Reply, ScaleError> {
+        self.send(order).await?;
+        self.receive().await
     }
 
     /// Asks for what the worker has observed.
-    pub(crate) async fn look(&mut self) -> Result<Look, ScaleError> {
-        match self.ask(&Order::Look).await? {
+    pub(crate) async fn observe(&mut self) -> Result<Look, ScaleError> {
+        match self.request(&Order::Look).await? {
             Reply::Looked(look) => Ok(look),
-            other => Err(self.failed(format!("{other:?} is no look"))),
+            other => Err(self.error(format!("{other:?} is no look"))),
         }
     }
 
     /// Closes the worker's standard input and waits for it to exit; kills it if it does not.
-    pub async fn end(mut self) {
-        self.to = None;
-        if tokio::time::timeout(LAST, self.child.wait()).await.is_err() {
+    pub async fn shut_down(mut self) {
+        self.stdin = None;
+        if tokio::time::timeout(EXIT_TIMEOUT, self.child.wait()).await.is_err() {
             _ = self.child.kill().await;
         }
     }
--- a/crates/scale/tests/ends.rs
+++ b/crates/scale/tests/ends.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use umbertray_scale::crew::Worker;
 use umbertray_scale::worker::{Order, Reply};
+use umbertray_scale::worker_process::WorkerProcess;
 
 fn folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("umbertray-scale-{name}-{}", std::process::id()));
@@ -29,9 +29,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_is_dropped_is_ended_and_no_other() {
+async fn worker_process_dropped_is_killed_and_no_other() {
     let folder = folder("dropped");
-    let start = || Worker::start(Path::new("/bin/sleep"), &["600"], &folder, "sleeper").expect("it starts");
+    let start =
+        || WorkerProcess::start(Path::new("/bin/sleep"), &["600"], &folder, "sleeper").expect("it starts");
     let (dropped, kept) = (start(), start());
     let (first, second) = (dropped.id().expect("an id"), kept.id().expect("an id"));
     assert!(runs(first) && runs(second));
@@ -44,12 +45,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_panic_ends_it() {
+async fn worker_process_holder_panics_is_killed() {
     let folder = folder("panic");
     let (tell, told) = tokio::sync::oneshot::channel();
-    let place = folder.clone();
+    let log_folder = folder.clone();
     let panics = tokio::spawn(async move {
-        let worker = Worker::start(Path::new("/bin/sleep"), &["600"], &place, "sleeper").expect("it starts");
+        let worker = WorkerProcess::start(Path::new("/bin/sleep"), &["600"], &log_folder, "sleeper")
+            .expect("it starts");
         _ = tell.send(worker.id().expect("an id"));
         panic!("as a bug would");
     });
@@ -60,23 +62,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn it_is_told_and_asked_and_ends_with_its_input() {
+async fn worker_process_reply_is_no_reply_names_role_and_ends_with_input() {
     let folder = folder("echo");
     // It says back what it is told: no reply.
-    let mut worker = Worker::start(Path::new("/bin/cat"), &[], &folder, "echo").expect("it starts");
+    let mut worker = WorkerProcess::start(Path::new("/bin/cat"), &[], &folder, "echo").expect("it starts");
     let id = worker.id().expect("an id");
-    let error = worker.ask(&Order::Restart { gateway: 7 }).await.expect_err("an order is no reply");
+    let error = worker.request(&Order::Restart { gateway: 7 }).await.expect_err("an order is no reply");
     assert!(error.to_string().contains("echo"), "{error}");
-    worker.end().await;
+    worker.shut_down().await;
     assert!(gone(id).await);
     std::fs::remove_dir_all(folder).expect("it can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_that_ends_before_its_time_is_told_of_with_its_role_and_log() {
+async fn worker_process_exits_early_error_names_role_and_log() {
     let folder = folder("early");
-    let mut worker = Worker::start(Path::new("/bin/true"), &[], &folder, "early").expect("it starts");
-    let error = match worker.ask(&Order::Look).await {
+    let mut worker = WorkerProcess::start(Path::new("/bin/true"), &[], &folder, "early").expect("it starts");
+    let error = match worker.request(&Order::Look).await {
         Ok(Reply::Looked(_)) => panic!("nothing looked"),
         Ok(other) => panic!("{other:?}"),
         Err(error) => error.to_string(),
--- a/crates/scale/tests/fits.rs
+++ b/crates/scale/tests/fits.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_exact_line_is_recovered() {
+fn fit_of_exact_line_recovers_it() {
     let fit = Fit::of(&line(3.5, 0.25, &[250.0, 500.0, 1000.0, 2000.0, 4000.0])).expect("five points");
     near(fit.intercept, 3.5);
     near(fit.slope, 0.25);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_residual_is_the_largest_distance_from_the_line() {
+fn fit_of_scattered_points_residual_is_largest_distance() {
     // The line through these is y = 1 + x, each off by a half but the middle one by one.
     let fit = Fit::of(&[(0.0, 1.5), (1.0, 1.0), (2.0, 3.5)]).expect("three points");
     near(fit.slope, 1.0);
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn one_count_has_no_slope() {
+fn fit_of_one_count_is_none() {
     assert_eq!(Fit::of(&[]), None);
     assert_eq!(Fit::of(&[(4.0, 1.0)]), None);
     assert_eq!(Fit::of(&[(4.0, 1.0), (4.0, 2.0)]), None);
 }
 
 #[test]
-fn the_largest_is_foretold_from_points_up_to_half_of_it() {
+fn held_out_largest_is_predicted_from_points_up_to_half() {
     let counts = [250.0, 500.0, 1000.0, 2000.0, 4000.0];
     let held = HeldOut::of(&line(2.0, 0.01, &counts)).expect("four points below");
     assert_eq!((held.count, held.fit.points), (4000.0, 4));
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn without_two_sizes_below_half_nothing_is_foretold() {
+fn held_out_without_two_counts_up_to_half_is_none() {
     assert_eq!(HeldOut::of(&line(0.0, 1.0, &[600.0, 800.0, 1000.0])), None);
 }
 
 #[test]
-fn repeats_have_a_median_and_ends() {
+fn spread_of_repeats_has_median_and_ends() {
     assert_eq!(Spread::of(&[]), None);
     let spread = Spread::of(&[3.0, 1.0, 2.0]).expect("three");
     assert_eq!((spread.median, spread.least, spread.most), (2.0, 1.0, 3.0));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn quantiles_are_nearest_ranks() {
+fn quantiles_of_figures_are_nearest_ranks() {
     assert_eq!(Quantiles::of(&[]), None);
     let hundred: Vec<f64> = (1..=100).rev().map(f64::from).collect();
     let of = Quantiles::of(&hundred).expect("a hundred");
@@ -87,7 +87,7 @@
 
 /// Seconds from each commit until each gateway had acted on it or a later one.
 #[test]
-fn a_change_is_in_force_once_it_or_a_later_one_is_acted_on() {
+fn spans_later_version_acted_on_counts_for_earlier_changes() {
     let committed = BTreeMap::from([(2, 1_000_000), (3, 2_000_000), (4, 2_100_000)]);
     let acted = |gateway, version, at| Acted { gateway, version, at };
     let all = [
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn slopes_are_of_medians_and_of_what_was_there_to_measure() {
+fn refit_of_repeats_fits_medians_and_skips_zero_figures() {
     let mut lines = Vec::new();
     for (number, stores) in [250, 500, 1000, 2000, 4000].into_iter().enumerate() {
         for (repeat, off) in [-0.5, 0.0, 9.0].into_iter().enumerate() {
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_plan_with_room_says_what_it_needs() {
+fn demand_within_limits_says_what_is_needed() {
     let small = demand(&plan(3, 8, Some(8)), &LIMITS).expect("there is room");
     // This process, list, coordinator, a real gateway, a worker, a process of stores.
     assert_eq!((small.processes, small.workers, small.store_processes, small.answering), (6, 1, 1, 8));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn memory_beyond_the_limit_is_refused_with_both_figures() {
+fn demand_beyond_memory_limit_is_rejected_with_both_figures() {
     let small = Limits { bytes: 1 << 30, ..LIMITS };
     let refused = demand(&plan(1700, 1000, Some(8)), &small).expect_err("it is too much");
     let Refused::Memory { need, limit } = refused else { panic!("{refused}") };
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn processes_beyond_the_limit_are_refused_with_both_figures() {
+fn demand_beyond_process_limit_is_rejected_with_both_figures() {
     let many = Plan { real: 300, ..plan(301, 8, Some(8)) };
     let refused = demand(&many, &LIMITS).expect_err("it is too many");
     assert_eq!(refused, Refused::Processes { need: 305, limit: 300, links: 301 * 8 });
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn descriptors_beyond_the_limit_are_refused_with_both_figures() {
+fn demand_beyond_descriptor_limit_is_rejected_with_both_figures() {
     let few = Limits { descriptors: 1024, ..LIMITS };
     let refused = demand(&plan(4, 4000, Some(4000)), &few).expect_err("a gateway alone has more links");
     assert_eq!(refused, Refused::Descriptors { role: "gateway", need: 4070, limit: 1024 });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_refused() {
+fn demand_of_inconsistent_plan_is_rejected() {
     for (wrong, says_what) in [
         (plan(0, 1, None), "0 gateways"),
         (plan(1, 0, None), "0 stores"),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn no_process_has_more_than_its_descriptors_or_gateways_whatever_the_plan() {
+fn demand_of_any_plan_keeps_each_process_within_limits() {
     for gateways in [1, 3, 40, 449, 450, 451, 1700] {
         for answering in [0, 1, 8, 40] {
             let demand = demand(&plan(gateways, 400, Some(answering)), &LIMITS).expect("there is room");
