--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,4 +1,5 @@
-//! Slopes: a least-squares line with its intercept and largest residual, and whether it foretells a size held out.
+//! Slopes: a least-squares line with its intercept and largest residual, and whether it predicts a size held
+//! out.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -9,7 +9,8 @@
 use super::counters::{Acted, Counters, increase, now};
 use crate::change_log;
 
-/// Most records of versions acted on that are held until they are taken. Whoever reads them does so each second or sooner.
+/// Most records of versions acted on that are held until they are taken. Whoever reads them does so each
+/// second or sooner.
 ///
 /// Hazard: without a bound, a run that never reads them would grow without end.
 const MAX_RECORDS: usize = 1 << 20;
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -1,4 +1,5 @@
-//! Hollow gateways: the product's own gateways without clients, many in a process, counted where the event loop hosts the core.
+//! Hollow gateways: the product's own gateways without clients, many in a process, counted where the event
+//! loop hosts the core.
 
 mod counters;
 mod fleet;
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -41,8 +41,8 @@
         Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
     }
 
-    /// A message about each property that did not hold at the hollow gateways; those in `behind` did not act on the last
-    /// change.
+    /// A message about each property that did not hold at the hollow gateways; those in `behind` did not act
+    /// on the last change.
     fn broken_properties(&self, behind: &[u32], seen: &[Seen]) -> Vec<String> {
         let mut broken = Vec::new();
         if !behind.is_empty() {
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -24,6 +24,10 @@
 /// The address of a store that does not answer: nobody listens there.
 const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2)), 1);
 
+/// Target of this module's log events: the path that they had before the module was split, which filters may
+/// name.
+const LOG_TARGET: &str = "umbertray_scale::point";
+
 impl Stage {
     /// Starts all processes of a plan and waits until the fleet is steady.
     ///
@@ -134,7 +138,7 @@
             if late == 0 {
                 return Ok(since.elapsed());
             }
-            tracing::info!(late, of = seen.len(), "waiting for gateways to be steady");
+            tracing::info!(target: LOG_TARGET, late, of = seen.len(), "waiting for gateways to be steady");
             if since.elapsed() > STEADY_TIMEOUT {
                 return Err(ScaleError::NotSteady { late, gateways: seen.len(), limit: STEADY_TIMEOUT });
             }
@@ -143,7 +147,8 @@
     }
 }
 
-/// Starts the stores that accept connections, in the processes that the plan needs; returns these and the addresses.
+/// Starts the stores that accept connections, in the processes that the plan needs; returns these and the
+/// addresses.
 async fn start_stores(
     setup: &Setup,
     folder: &Path,
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/moments.rs
@@ -1,4 +1,5 @@
-//! Disruptions of a fleet, one after another: memory, traffic and time that each takes until the fleet is steady again.
+//! Disruptions of a fleet, one after another: memory, traffic and time that each takes until the fleet is
+//! steady again.
 
 use std::time::{Duration, Instant};
 
--- a/crates/scale/src/plan/demand.rs
+++ b/crates/scale/src/plan/demand.rs
@@ -92,7 +92,8 @@
     // At the worst moment a gateway is connected to every relay, and a relay to every gateway.
     let relays = u64::from(relays::process_count(plan.relays));
     let gateway_descriptors = answering + GATEWAY_DESCRIPTORS + relays;
-    // Each store has its listener, a link from each gateway, and one from the coordinator where it gives orders.
+    // Each store has its listener, a link from each gateway, and one from the coordinator where it gives
+    // orders.
     let store_descriptors = gateways + 2;
     let needs = [
         ("gateway", gateway_descriptors),
--- a/crates/scale/src/plan/mod.rs
+++ b/crates/scale/src/plan/mod.rs
@@ -1,4 +1,5 @@
-//! The size of a fleet, what it needs, and whether the machine has the capacity: decided before anything starts.
+//! The size of a fleet, what it needs, and whether the machine has the capacity: decided before anything
+//! starts.
 
 mod demand;
 mod refused;
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -1,5 +1,5 @@
-//! A worker process of a run: hollow gateways, stand-in stores or the endpoint list. It carries out orders from its standard
-//! input and exits when that ends.
+//! A worker process of a run: hollow gateways, stand-in stores or the endpoint list. It carries out orders
+//! from its standard input and exits when that ends.
 
 mod protocol;
 
