--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,9 +1,10 @@
-//! Time in [`Scheduler::handle`] for each op done, as open ops and listed stores grow.
+//! Measures the time in [`Scheduler::handle`] per completed op as the numbers of open ops and listed stores
+//! grow.
 //!
 //! `cargo run --release --example cost`
 //!
-//! One gateway in its own time: each attempt succeeds after 1 ms, and for each op that ends another comes, so that as
-//! many stay open. All ops are of one plan and type, one unit each.
+//! Runs one gateway in virtual time: each attempt succeeds after 1 ms and each completed op is replaced by a
+//! new one, so the number of open ops stays constant. All ops have one plan, one type and one unit.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -14,22 +15,23 @@
 };
 use umbertray::scheduler::Scheduler;
 
-const ANSWER_LATENCY: Duration = Duration::from_millis(1);
+const RESPONSE_LATENCY: Duration = Duration::from_millis(1);
 
 fn settings() -> Settings {
     let text = "gateways=1 tick=0.002 stores.mean_units=1 stores.cold_units=8 limits.max_dispatches=3 \
-        limits.max_retry_after=1 rules.cold_from=0.25 rules.cold_time=8 rules.fall_time=1 rules.order_pause=0.3 \
-        rules.further_free=1 rules.further_share=0.2 rules.further_span=2 rules.ask_within=10 plans.count=1 \
-        plans.0.weight=1 plans.0.rate=1000000 op_types.count=1 op_types.0.repeats=replayable \
-        op_types.0.utility=1 op_types.0.target_latency=20 op_types.0.op_timeout=60 op_types.0.in_order=false";
+        limits.max_retry_after=1 rules.cold_from=0.25 rules.cold_time=8 rules.fall_time=1 \
+        rules.order_pause=0.3 rules.further_free=1 rules.further_share=0.2 rules.further_span=2 \
+        rules.ask_within=10 plans.count=1 plans.0.weight=1 plans.0.rate=1000000 op_types.count=1 \
+        op_types.0.repeats=replayable op_types.0.utility=1 op_types.0.target_latency=20 \
+        op_types.0.op_timeout=60 op_types.0.in_order=false";
     let pairs = text.split_whitespace().filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
 fn op(id: u32, volumes: u32, stores: u32) -> Op {
-    // Any order will do that spreads volumes over stores.
-    let drawn = id.wrapping_mul(2_654_435_761);
-    let volume = drawn % volumes;
+    // Multiplicative hashing; any order that spreads volumes over stores would do.
+    let hash = id.wrapping_mul(2_654_435_761);
+    let volume = hash % volumes;
     Op {
         id: OpId(id),
         units: 1.0,
@@ -44,35 +46,37 @@
     }
 }
 
-/// Microseconds in the scheduler for each op done, measured over `wanted` of them.
-fn cost(stores: u32, volumes: u32, open: u32, wanted: u32) -> f64 {
+/// Average time in the scheduler per completed op, in microseconds, measured over `measured_ops` ops.
+fn micros_per_op(stores: u32, volumes: u32, open_ops: u32, measured_ops: u32) -> f64 {
     let mut scheduler = Scheduler::default();
     let mut now = Duration::from_secs(1000);
     let endpoint =
         |n| Endpoint { store: StoreId(n), shard: n, zone: 0, started_at: None, state: StoreState::Ready };
     let list = Event::EndpointList(EndpointListUpdate::Whole((0..stores).map(endpoint).collect()));
     let mut events = vec![Event::Start { seed: 1, settings: settings() }, list];
-    events.extend((0..open).map(|id| Event::OpArrived(op(id, volumes, stores))));
-    let mut next = open;
-    let (mut done, mut counted) = (0u32, 0u32);
+    events.extend((0..open_ops).map(|id| Event::OpArrived(op(id, volumes, stores))));
+    let mut next_id = open_ops;
+    let (mut completed, mut measured) = (0u32, 0u32);
     let mut in_flight = VecDeque::new();
     let mut timer = Duration::MAX;
-    let mut spent = Duration::ZERO;
-    while counted < wanted {
-        let began = Instant::now();
+    let mut elapsed = Duration::ZERO;
+    while measured < measured_ops {
+        let started = Instant::now();
         let actions = scheduler.handle(now, std::mem::take(&mut events));
-        // The first time that all have been through is not counted.
-        if done > open {
-            spent += began.elapsed();
+        // The first round of all open ops is a warm-up and not measured.
+        if completed > open_ops {
+            elapsed += started.elapsed();
         }
         for action in actions {
             match action {
                 Action::StartAttempt { op, store, .. } => {
-                    in_flight.push_back((now + ANSWER_LATENCY, op, store));
+                    in_flight.push_back((now + RESPONSE_LATENCY, op, store));
                 }
                 Action::SetTimer { at, .. } => timer = at,
                 Action::Reject { op: ended, .. } | Action::Fail { op: ended } => {
-                    panic!("{ended:?} was rejected: the load is not what is to be measured")
+                    panic!(
+                        "{ended:?} was rejected or failed: the measured load must not overload the scheduler"
+                    )
                 }
                 _ => {}
             }
@@ -82,7 +86,7 @@
             events.push(Event::Timer { token: 0 });
             timer = Duration::MAX;
         }
-        // Answers come one by one, as a loop that is not behind sees them.
+        // Responses are delivered one by one, as an event loop without a backlog receives them.
         let is_due = |(at, ..): &mut (Duration, OpId, StoreId)| *at <= now;
         if let Some((_, op_id, store)) = in_flight.pop_front_if(is_due) {
             events.push(Event::AttemptFinished(AttemptResult {
@@ -90,26 +94,27 @@
                 attempt: 0,
                 store,
                 outcome: Outcome::Succeeded,
-                latency: ANSWER_LATENCY,
+                latency: RESPONSE_LATENCY,
                 op_ended: true,
                 plan_rate_used: None,
                 units_elsewhere: 0.0,
                 report: Vec::new(),
             }));
-            events.push(Event::OpArrived(op(next, volumes, stores)));
-            counted += u32::from(done > open);
-            next += 1;
-            done += 1;
+            events.push(Event::OpArrived(op(next_id, volumes, stores)));
+            measured += u32::from(completed > open_ops);
+            next_id += 1;
+            completed += 1;
         }
     }
-    spent.as_secs_f64() * 1e6 / f64::from(counted)
+    elapsed.as_secs_f64() * 1e6 / f64::from(measured)
 }
 
 fn main() {
-    let held = [(10, 10, 100), (10, 100, 1000), (10, 1000, 1000), (50, 1000, 16_000), (500, 10_000, 100_000)];
-    let listed = [(250, 4000, 200), (1000, 4000, 200), (4000, 4000, 200)];
-    for (stores, volumes, open) in held.into_iter().chain(listed) {
-        let us = cost(stores, volumes, open, 20_000);
-        println!("{stores} stores, {volumes} volumes, {open} open: {us:.1} us an op");
+    let growing_open_ops =
+        [(10, 10, 100), (10, 100, 1000), (10, 1000, 1000), (50, 1000, 16_000), (500, 10_000, 100_000)];
+    let growing_lists = [(250, 4000, 200), (1000, 4000, 200), (4000, 4000, 200)];
+    for (stores, volumes, open_ops) in growing_open_ops.into_iter().chain(growing_lists) {
+        let micros = micros_per_op(stores, volumes, open_ops, 20_000);
+        println!("{stores} stores, {volumes} volumes, {open_ops} open: {micros:.1} us an op");
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,316 +1,324 @@
-//! The events that the scheduler takes and the actions that it asks for, free of any wire.
+//! The scheduler's input events and output actions, independent of any wire format.
 //!
-//! Ids are small indices that the caller hands out where ops, stores and volumes enter. Times are durations since the
-//! zero of the caller's clock, which must not run backwards.
+//! The caller assigns ids of ops, stores and volumes as small indices when it first sees them. Times are
+//! durations since the zero of the caller's clock, which must never run backwards.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Names of settings and their values as text; durations are in seconds.
+/// Setting names mapped to their values as text; durations are in seconds.
 pub type Settings = BTreeMap<String, String>;
 
-/// An op, for as long as its client waits or one of its attempts is in flight.
+/// Identifies an op while its client waits or one of its attempts is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OpId(
     /// The caller's index.
     pub u32,
 );
 
-/// A store, over all its starts.
+/// Identifies a store across all its restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreId(
     /// The caller's index.
     pub u32,
 );
 
-/// A volume, at this gateway.
+/// Identifies a volume within this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(
     /// The caller's index.
     pub u32,
 );
 
-/// What the endpoint list says of a store.
+/// A store's state in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreState {
-    /// It takes ops.
+    /// The store accepts ops.
     Ready,
-    /// It shuts down gracefully: it still answers, and must get no more ops than the rule's grace allows.
+    /// The store is shutting down gracefully: it still responds, but may be sent ops only during the drain
+    /// grace (rule 3).
     Draining,
-    /// It is not there.
+    /// The store is not in service.
     #[default]
     Gone,
 }
 
-/// One store as the endpoint list has it.
+/// One store's entry in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
     /// Which store.
     pub store: StoreId,
-    /// The part of the data that it holds.
+    /// The shard of the data that the store holds.
     pub shard: u32,
-    /// The failure domain that it is in.
+    /// The store's failure domain.
     pub zone: u32,
-    /// When it last started; absent: long ago.
+    /// When the store last started; absent: long ago.
     pub started_at: Option<Duration>,
-    /// Whether it takes ops.
+    /// Whether the store accepts ops.
     pub state: StoreState,
 }
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointListUpdate {
-    /// Stores that changed; the others stay as they are.
+    /// Only the stores that changed; all others keep their entries.
     Changes(Vec<Endpoint>),
-    /// All stores: those that it does not name are gone.
+    /// The complete list: a store that it does not name is gone.
     Whole(Vec<Endpoint>),
-    /// The whole list as this gateway last held it, possibly old.
+    /// The complete list as this gateway last held it, possibly outdated.
     Cached(Vec<Endpoint>),
-    /// A call failed or a subscription broke; the list held before remains.
+    /// A request for the list failed or a subscription broke; the previous list stays in use.
     Failed,
 }
 
-/// An op that a client has handed to this gateway.
+/// An op that a client has submitted to this gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Op {
     /// Which op.
     pub id: OpId,
-    /// How much work it is.
+    /// Size of the op in units of work.
     pub units: f64,
-    /// The volume that it is on.
+    /// The volume that the op accesses.
     pub volume: VolumeId,
-    /// The volume's lasting name, the same at every gateway.
+    /// The volume's permanent name, the same at every gateway.
     pub volume_name: u64,
-    /// The piece of data; absent: none.
+    /// The piece of data that the op accesses; absent: none.
     pub key: Option<u64>,
     /// The shard that holds the data; absent: a new object.
     pub shard: Option<u32>,
-    /// How long the client still waits.
+    /// How long the client will still wait.
     pub time_left: Duration,
     /// The volume's plan, by its index in the settings.
     pub plan: usize,
     /// The op's type, by its index in the settings.
     pub op_type: usize,
-    /// Through how many gateways the volume's ops come.
+    /// Number of gateways through which the volume's ops arrive.
     pub gateways: f64,
 }
 
-/// How an attempt, or a health check, ended.
+/// The outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The store did it.
+    /// The store executed the op.
     Succeeded,
-    /// The store answered with an error; the op may have been executed.
+    /// The store responded with an error; the op may have been executed.
     Failed,
     /// The store had no capacity; the op was not executed.
     Rejected,
-    /// No answer within the attempt's timeout; the op may have been executed.
+    /// No response within the attempt's timeout; the op may have been executed.
     TimedOut,
-    /// There was no connection; the op was not sent.
+    /// No connection to the store; the op was not sent.
     ConnectFailed,
     /// The connection broke after the op was sent; it may have been executed.
     Reset,
     /// The attempt was cancelled; the op may have been executed.
     Cancelled,
-    /// The op was not sent, for a reason of this gateway.
+    /// The op was not sent, for a reason on the side of this gateway.
     NotSent,
-    /// A code that this version does not know; the op may have been executed.
+    /// An outcome code that this version does not know; the op may have been executed.
     Unknown,
 }
 
-/// A store's load report: names of fields and values.
+/// A store's load report: pairs of field name and value.
 pub type Report = Vec<(String, f64)>;
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// Which op.
     pub op: OpId,
-    /// Which of the op's attempts, from 0.
+    /// Index of the attempt among the op's attempts, from 0.
     pub attempt: u32,
-    /// The store that the attempt was at.
+    /// The store to which the attempt was sent.
     pub store: StoreId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// From the attempt's start to its end.
+    /// Time from the attempt's start to its end.
     pub latency: Duration,
-    /// The op has ended, by this answer or before.
+    /// Whether the op has ended, by this response or earlier.
     pub op_ended: bool,
-    /// The volume's service everywhere in a finished period, as a ratio to its plan's rate.
+    /// The volume's rate of service through all gateways in a completed period, as a ratio to its plan's
+    /// rate; absent: not reported.
     pub plan_rate_used: Option<f64>,
-    /// Units that the store's shard served for the volume through other gateways since its last answer here.
+    /// Units that the store's shard served for the volume through other gateways since its previous response
+    /// to this gateway.
     pub units_elsewhere: f64,
-    /// The store's load report; empty: none came.
+    /// The store's load report; empty: none received.
     pub report: Report,
 }
 
-/// What a gateway has learned of a store, as far as it may outlive the gateway.
+/// What a gateway has learned about a store, as far as it is worth keeping beyond the gateway's run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSnapshot {
     /// Which store.
     pub store: StoreId,
-    /// Seconds of an average answer.
+    /// Average response latency in seconds.
     pub latency: f64,
-    /// Units in flight at most.
+    /// Concurrency limit: maximum units in flight.
     pub concurrency_limit: f64,
-    /// How much each volume was served there: units over the weight of its plan.
+    /// Each volume's virtual time at the store: units served divided by the weight of the volume's plan.
     pub virtual_times: Vec<(VolumeId, f64)>,
 }
 
-/// What a gateway has learned of a volume over all stores.
+/// What a gateway has learned about a volume over all stores.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VolumeSnapshot {
     /// Which volume.
     pub volume: VolumeId,
-    /// Units a second lately sent from this gateway.
+    /// Recent rate of units sent through this gateway, in units per second.
     pub rate: f64,
-    /// Units a second over all gateways, as stores reported it.
+    /// Rate over all gateways as reported by stores, in units per second.
     pub reported_rate: f64,
-    /// Units of its part of the plan's limit that stay undrawn for as long as was promised.
+    /// Units of this gateway's part of the plan's limit that are promised to stay undrawn for the promise
+    /// duration.
     pub reserved_tokens: f64,
 }
 
-/// Something that happened, as the scheduler takes it.
+/// An input event of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The gateway starts; what was known before is forgotten.
+    /// The gateway starts; all earlier state is discarded.
     Start {
-        /// Of the scheduler's random draws.
+        /// Seed of the scheduler's random draws.
         seed: u64,
-        /// In force from now on.
+        /// Settings that apply from now on.
         settings: Settings,
     },
-    /// News of the endpoint list.
+    /// An update of the endpoint list was received.
     EndpointList(EndpointListUpdate),
-    /// A client has handed over an op.
+    /// A client has submitted an op.
     OpArrived(Op),
-    /// The answer of a streamed op type has begun: the attempt now belongs to the client.
+    /// The response to an op of a streamed type has begun: from now on the client alone decides how long the
+    /// attempt lasts.
     StreamStarted {
         /// Which op.
         op: OpId,
     },
-    /// An attempt has ended.
+    /// An attempt has finished.
     AttemptFinished(AttemptResult),
-    /// The client waits no longer.
+    /// The client no longer waits for its op.
     ClientDisconnected {
-        /// Its op.
+        /// The client's op.
         op: OpId,
     },
-    /// An op that came as a new object lies at this shard: this gateway's claim was first there, or another's was.
+    /// The shard of an op that arrived as a new object is decided, by this gateway's claim or by an earlier
+    /// claim of another gateway.
     OpPlaced {
         /// Which op.
         op: OpId,
-        /// The shard that binds its further attempts.
+        /// The shard to which further attempts must go.
         shard: u32,
     },
-    /// The figures of plans, op types and rules from now on. Those in force stay in their places, new ones follow; a
-    /// plan that is no more has no weight.
+    /// New settings of plans, op types and rules apply from now on. Existing plans and op types keep their
+    /// indices and new ones are appended; a plan that is no longer offered has no weight.
     SettingsChanged {
-        /// All settings, not only those that changed.
+        /// The complete settings, not only those that changed.
         settings: Settings,
     },
-    /// The volume is of this plan, through so many gateways, from now on, its queued ops too.
+    /// The volume, including its queued ops, belongs to this plan and arrives through this many gateways from
+    /// now on.
     VolumeMoved {
         /// Which volume.
         volume: VolumeId,
         /// The plan's index in the settings.
         plan: usize,
-        /// Through how many gateways the volume's ops come.
+        /// Number of gateways through which the volume's ops arrive.
         gateways: f64,
     },
-    /// This gateway ends: ops without their final answer by then, those that still come among them, are abandoned.
+    /// This gateway shuts down: ops without a final response by then are abandoned, including ops that arrive
+    /// after this event.
     ShuttingDown {
-        /// When the gateway ends.
+        /// When the gateway terminates.
         at: Duration,
     },
-    /// Asks for an [`Action::Snapshot`] of what is known now.
+    /// Requests an [`Action::Snapshot`] of the current state.
     TakeSnapshot {
-        /// For how long the snapshot's reserved tokens stay undrawn.
+        /// How long the snapshot's reserved tokens will stay undrawn.
         promise_duration: Duration,
     },
-    /// What an earlier run of this gateway knew. A store is named only after the list has, in the same life that it was
-    /// known in.
+    /// Restores what an earlier run of this gateway had learned. A store may be named only once the endpoint
+    /// list has named it, and only if it is still in the incarnation in which the data was learned.
     Restore {
-        /// How long ago the snapshot was taken; absent: nobody can tell.
+        /// Age of the snapshot; absent: unknown.
         age: Option<Duration>,
-        /// For how long its reserved tokens were promised to stay undrawn.
+        /// How long its reserved tokens were promised to stay undrawn.
         promise_duration: Duration,
-        /// What was known of stores.
+        /// State of the stores.
         stores: Vec<StoreSnapshot>,
-        /// What was known of volumes.
+        /// State of the volumes.
         volumes: Vec<VolumeSnapshot>,
     },
     /// A timer that was set has fired.
     Timer {
-        /// Of the [`Action::SetTimer`].
+        /// The token of the [`Action::SetTimer`].
         token: u64,
     },
-    /// A health check that was asked for has ended.
+    /// A requested health check has finished.
     HealthChecked {
         /// Which store.
         store: StoreId,
-        /// How it ended.
+        /// The outcome of the check.
         outcome: Outcome,
-        /// The store's load report; empty: none came.
+        /// The store's load report; empty: none received.
         report: Report,
     },
 }
 
-/// Something that the scheduler asks its caller to do.
+/// An action that the scheduler requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the op to the store. Its end must come as an [`Event::AttemptFinished`].
+    /// Send the op to the store. The result must be delivered as an [`Event::AttemptFinished`].
     StartAttempt {
         /// Which op.
         op: OpId,
-        /// Where to.
+        /// The store that receives the op.
         store: StoreId,
-        /// After so long without an answer the attempt has timed out.
+        /// Without a response within this time the attempt has timed out.
         timeout: Duration,
     },
-    /// Final: trying again does no harm.
+    /// Final response: the op is rejected, and it is safe for the client to retry it.
     Reject {
         /// Which op.
         op: OpId,
-        /// How long the client must wait before it tries again.
+        /// How long the client must wait before it retries.
         retry_after: Duration,
     },
-    /// Final: promises nothing.
+    /// Final response: the op failed. It may have been executed, so a retry is not known to be safe.
     Fail {
         /// Which op.
         op: OpId,
     },
-    /// Abandon an attempt that is in flight.
+    /// Abandon an attempt that is in flight: stop waiting for its response.
     Cancel {
         /// Which op.
         op: OpId,
-        /// Which of the op's attempts, from 0.
+        /// Index of the attempt among the op's attempts, from 0.
         attempt: u32,
     },
-    /// Set a timer; when it fires an [`Event::Timer`] must come.
+    /// Set a timer; when it fires, an [`Event::Timer`] must be delivered.
     SetTimer {
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
         /// When it must fire.
         at: Duration,
     },
-    /// The answer to [`Event::TakeSnapshot`].
+    /// The response to [`Event::TakeSnapshot`].
     Snapshot {
-        /// What is known of stores that are ready.
+        /// State of the stores that are ready.
         stores: Vec<StoreSnapshot>,
-        /// What is known of all volumes.
+        /// State of all volumes.
         volumes: Vec<VolumeSnapshot>,
     },
     /// Subscribe to the endpoint list.
     WatchEndpoints,
-    /// Ask for the whole endpoint list once.
+    /// Request the complete endpoint list once.
     FetchEndpoints,
-    /// Check a store's health; the result comes as an [`Event::HealthChecked`].
+    /// Check a store's health; the result must be delivered as an [`Event::HealthChecked`].
     CheckHealth {
         /// Which store.
         store: StoreId,
     },
-    /// A line for the operator.
+    /// A log line for the operator.
     Log(String),
     /// The scheduler cannot run; the text says why.
     Fatal(String),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of a storage gateway: which op goes to which store, when, and which is rejected.
+//! Scheduling for a storage gateway: which op is sent to which store, when, and which op is rejected.
 //!
-//! [`scheduler`] decides; [`interface`] holds the events it takes, the actions it asks for and their plain types.
+//! [`scheduler`] makes the decisions; [`interface`] defines its input events, the actions that it returns and
+//! the types of both.
 
 pub mod interface;
 pub mod scheduler;
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,4 +1,5 @@
-//! Arrival and end of ops: what is queued, what is rejected, and who yields to whom.
+//! Admission and completion of ops: what is queued, what is rejected, and which ops leave capacity for
+//! others.
 
 use std::time::Duration;
 
@@ -9,33 +10,37 @@
 use super::store::{INITIAL_LATENCY_PER_OBJECTIVE, Store};
 use crate::interface::{Action, Op, OpId};
 
-/// An op that yields may go to an idle store whose latency is up to this part of the target latency and as much again
-/// as the op's own part of the limit: many gateways see an idle store each.
+/// An op that is entitled to only a fraction of the concurrency limit may be sent to an idle store whose
+/// latency is at most the target latency times the sum of this value and that fraction. The bound is needed
+/// because many gateways may each see the same store idle.
 const IDLE_STORE_LATENCY_SLACK: f64 = 0.75;
-/// The latency that is expected of a store is never taken for more than the objective over this.
+/// The latency expected of a store is capped at the latency objective divided by this.
 const EXPECTED_LATENCY_DIVISOR: u32 = 2;
-/// Ticks before the client's own time is up by which the final answer is due, beside a sweep interval.
+/// Ticks, in addition to a sweep interval, by which the final response is due before the client stops
+/// waiting.
 const ANSWER_MARGIN_TICKS: u32 = 3;
 
-/// The longest time that a client still waited when its op arrived, and when that was.
+/// The longest time that a client was still going to wait when its op arrived, and when that was observed.
 ///
-/// An op that arrives with less has been waiting for as long as it lacks: its client tried before.
+/// An op that arrives with less time left is assumed to have waited for the difference already, in an earlier
+/// try of its client.
 #[derive(Clone, Copy, Default)]
-pub(super) struct LongestRemaining {
+pub(super) struct LongestTimeLeft {
     time_left: Duration,
-    seen_at: Duration,
+    observed_at: Duration,
 }
 
-impl LongestRemaining {
-    /// Hazard: kept for good, one patient client would make all others' ops late on arrival.
+impl LongestTimeLeft {
+    /// Hazard: without expiry, one client with a long timeout would make the ops of all others late on
+    /// arrival.
     fn observe(&mut self, time_left: Duration, now: Duration) {
-        if time_left >= self.time_left || self.seen_at + IDLE_TIMEOUT < now {
+        if time_left >= self.time_left || self.observed_at + IDLE_TIMEOUT < now {
             self.time_left = time_left;
-            self.seen_at = now;
+            self.observed_at = now;
         }
     }
 
-    fn waited_before(&self, time_left: Duration, op_timeout: Duration) -> Duration {
+    fn time_already_waited(&self, time_left: Duration, op_timeout: Duration) -> Duration {
         self.time_left.min(op_timeout).saturating_sub(time_left)
     }
 }
@@ -47,8 +52,8 @@
             return;
         }
         self.retry_budget.record_arrival(self.now);
-        self.least_units = self.least_units.min(op.units);
-        self.longest_remaining[op.op_type].observe(op.time_left, self.now);
+        self.smallest_op_units = self.smallest_op_units.min(op.units);
+        self.longest_time_left[op.op_type].observe(op.time_left, self.now);
         let id = op.id;
         if let Some(key) = op.key.filter(|_| self.settings.op_types[op.op_type].ordered_by_key) {
             self.key_orders.push(key, id);
@@ -58,18 +63,19 @@
         let is_overdue = pending.deadline_at <= self.now;
         self.ops.insert(id, pending);
         if is_overdue {
-            self.end_unserved(id);
+            self.reject_or_fail(id);
         } else {
             self.enqueue(id);
         }
     }
 
-    /// The op with its times: the final answer must be in before the client's own time is up (rule 1), and a sweep
-    /// may come this much late.
+    /// Computes the op's objective and deadline. The final response must be sent before the client stops
+    /// waiting (rule 1); the deadline is earlier than that by the margin, since a sweep may be late by as
+    /// much.
     fn new_pending_op(&self, op: Op) -> PendingOp {
         let op_type = &self.settings.op_types[op.op_type];
         let margin = self.sweep_interval() + ANSWER_MARGIN_TICKS * self.settings.tick;
-        let waited = self.longest_remaining[op.op_type].waited_before(op.time_left, op_type.op_timeout);
+        let waited = self.longest_time_left[op.op_type].time_already_waited(op.time_left, op_type.op_timeout);
         let deadline_at = self.now + op.time_left.saturating_sub(margin);
         PendingOp {
             objective_at: self.now + op_type.latency_objective.saturating_sub(waited),
@@ -81,7 +87,7 @@
         }
     }
 
-    /// Queues the op at the store that it prefers now, or ends it if there is none.
+    /// Queues the op at its currently preferred store, or ends it if there is none.
     pub(super) fn enqueue(&mut self, id: OpId) {
         let preferred = self.preferred_store(&self.ops[&id]);
         let Some(pending) = self.ops.get_mut(&id) else { return };
@@ -101,7 +107,7 @@
             self.stores.dequeue(previous, id, volume);
         }
         let Some(store) = preferred else {
-            self.end_unserved(id);
+            self.reject_or_fail(id);
             return;
         };
         let (ops, op_types) = (&self.ops, &self.settings.op_types);
@@ -109,37 +115,40 @@
         self.stores.enqueue(store, &entry, self.now, rank, &self.settings);
     }
 
-    /// Answered late, its client would have a part of the value only.
+    /// Whether the response is expected to miss the latency objective, so that the client would get only part
+    /// of the op's value.
     ///
-    /// Hazard: with the store's whole latency expected, a slow spell would make all ops late and never show its end.
+    /// Hazard: if the store's full latency were expected, a slow period would make all ops late, and with no
+    /// op sent the end of the period would never be noticed.
     pub(super) fn misses_objective(&self, pending: &PendingOp, store: &Store) -> bool {
         let objective = self.op_type(pending).latency_objective;
         let expected = Duration::from_secs_f64(store.latency).min(objective / EXPECTED_LATENCY_DIVISOR);
         self.now + expected > pending.objective_at
     }
 
-    /// Whether the op leaves room for others. Departure from Argon: it has as much of the limit as its weight is of the
-    /// greatest and its volume's guaranteed rate of the rate that it has.
-    pub(super) fn leaves_capacity(&self, store: &Store, pending: &PendingOp) -> bool {
+    /// Whether sending the op leaves capacity for others. Departure from Argon: an op may use only a fraction
+    /// of the concurrency limit, which is its priority weight relative to the greatest, times its volume's
+    /// guaranteed rate relative to its known rate (at most 1).
+    pub(super) fn leaves_capacity_for_others(&self, store: &Store, pending: &PendingOp) -> bool {
         let guaranteed_rate = self.settings.plans[pending.op.plan].guaranteed_rate;
         let entitlement = (guaranteed_rate / self.quotas.volume(pending.op.volume).known_rate()).min(1.0);
-        let part = self.op_type(pending).priority_weight * entitlement;
-        if part >= 1.0 {
+        let limit_fraction = self.op_type(pending).priority_weight * entitlement;
+        if limit_fraction >= 1.0 {
             return true;
         }
-        let is_fast = store.latency <= store.target_latency() * (IDLE_STORE_LATENCY_SLACK + part);
+        let is_fast = store.latency <= store.target_latency() * (IDLE_STORE_LATENCY_SLACK + limit_fraction);
         if store.units_in_flight() == 0.0 && is_fast {
             return true;
         }
-        store.units_in_flight() + pending.op.units <= store.limit.units() * part
+        store.units_in_flight() + pending.op.units <= store.limit.units() * limit_fraction
     }
 
-    /// Ends an op that is not served: rejected where a new try does no harm, failed otherwise.
-    pub(super) fn end_unserved(&mut self, id: OpId) {
+    /// Ends an op without having served it: rejects it if a retry is safe, fails it otherwise.
+    pub(super) fn reject_or_fail(&mut self, id: OpId) {
         let pending = &self.ops[&id];
         let op_type = self.op_type(pending);
-        let is_safe_anywhere = matches!(op_type.idempotency, Idempotency::Always | Idempotency::ByKey);
-        let action = if is_safe_anywhere || pending.was_not_executed() {
+        let is_retry_safe = matches!(op_type.idempotency, Idempotency::Always | Idempotency::ByKey);
+        let action = if is_retry_safe || pending.was_not_executed() {
             let retry_after = op_type.latency_objective.min(self.settings.max_retry_after);
             Action::Reject { op: id, retry_after }
         } else {
@@ -149,7 +158,7 @@
         self.on_op_ended(id);
     }
 
-    /// The client waits no longer; the op is forgotten once none of its attempts is in flight.
+    /// The client no longer waits. The op is removed as soon as none of its attempts is in flight.
     pub(super) fn on_op_ended(&mut self, id: OpId) {
         let Some(pending) = self.ops.get_mut(&id) else { return };
         pending.has_ended = true;
--- a/src/scheduler/attempt_result.rs
+++ b/src/scheduler/attempt_result.rs
@@ -1,11 +1,12 @@
-//! The outcome of an attempt: what it tells of the op, its volume and its store, and what follows.
+//! Processing of an attempt's result: effects on the op, its volume and its store, and whether to retry.
 
 use super::SchedulerState;
 use super::pending_op::AttemptState;
 use super::store::FinishedAttempt;
 use crate::interface::{AttemptResult, Outcome, StoreId};
 
-/// Outcomes count as executed unless the code proves otherwise, unknown codes too (rule 2).
+/// Attempts count as executed unless the outcome code proves otherwise; so do attempts with unknown codes
+/// (rule 2).
 fn state_after(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => AttemptState::NotExecuted,
@@ -18,13 +19,13 @@
     }
 }
 
-/// Whether the store may still be at work on the op.
+/// Whether the store may still be executing the op.
 fn may_still_execute(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Unknown)
 }
 
 impl SchedulerState {
-    /// Results of attempts that are not in flight are ignored.
+    /// Processes the result of an attempt; ignored if the attempt is not in flight.
     pub(super) fn on_attempt_finished(&mut self, result: &AttemptResult) {
         let Some((store, finished)) = self.record_outcome(result) else { return };
         let pending = &self.ops[&result.op];
@@ -49,21 +50,22 @@
             return None;
         }
         attempt.state = state_after(result.outcome);
-        let mean_ops = (pending.op.units / self.mean_units).max(1.0);
+        let size_in_mean_ops = (pending.op.units / self.mean_units).max(1.0);
         let finished = FinishedAttempt {
             op: result.op,
             attempt: result.attempt,
             volume: pending.op.volume,
             outcome: result.outcome,
             started_at: attempt.started_at,
-            latency: result.latency.as_secs_f64() / mean_ops,
+            latency: result.latency.as_secs_f64() / size_in_mean_ops,
             units_elsewhere: result.units_elsewhere,
             plan_weight: self.settings.plans[pending.op.plan].weight,
         };
         Some((attempt.store, finished))
     }
 
-    /// No retry follows a time-out: its time is spent.
+    /// Retries the op if time and attempts are left, and ends it otherwise. There is no retry after a
+    /// timeout, since the op's time is used up.
     fn retry_or_end(&mut self, result: &AttemptResult) {
         let pending = &self.ops[&result.op];
         if result.op_ended || pending.has_ended {
@@ -74,7 +76,7 @@
         if has_time_left && self.has_attempts_left(pending) {
             self.enqueue(result.op);
         } else {
-            self.end_unserved(result.op);
+            self.reject_or_fail(result.op);
         }
     }
 }
--- a/src/scheduler/concurrency_limit.rs
+++ b/src/scheduler/concurrency_limit.rs
@@ -1,41 +1,42 @@
-//! The bound on units in flight to one store, steered by the latency of its answers.
+//! The limit on units in flight to one store, adjusted by the latency of its responses.
 //!
-//! Other gateways fill the same store: the limit falls while answers are slow, rises by weight while it is used up, and
-//! below one mean op it spaces ops in time instead.
+//! Other gateways send to the same store. The limit decreases while responses are slow and increases, by plan
+//! weight, while it is fully used; below one mean op it spaces ops in time instead.
 
 use std::time::Duration;
 
-/// Mean ops in flight that a store starts with.
+/// Initial limit, in mean ops.
 const INITIAL_LIMIT_OPS: f64 = 4.0;
-/// Mean ops in flight at most.
+/// Maximum limit, in mean ops.
 const MAX_LIMIT_OPS: f64 = 16.0;
-/// The least limit, in mean ops: three ops that it spaces take about 28 latency objectives, each answer bringing it
-/// back (docs/design.md, "No state that outlasts its cause").
+/// Minimum limit, in mean ops: three ops that it spaces take about 28 latency objectives, and each response
+/// raises the limit again (docs/design.md, "No state that outlasts its cause").
 const MIN_LIMIT_OPS: f64 = 0.015625;
-/// How far an answer moves the limit: down by this part of itself, up by this part of a mean op times the weight.
+/// Step by which a response changes the limit: down by this fraction of the limit, up by this fraction of a
+/// mean op times the plan weight.
 const LIMIT_STEP: f64 = 0.03;
-/// What an answer within the objective multiplies a limit below one mean op by.
+/// Factor by which a response within the objective raises a limit below one mean op.
 const RECOVERY_FACTOR: f64 = 4.0;
-/// What an overloaded store's limit is multiplied by.
+/// Factor by which overload reduces the limit.
 const OVERLOAD_FACTOR: f64 = 0.5;
-/// The limit counts as used up when fewer than this many mean ops more would fit.
+/// The limit counts as fully used if fewer than this many additional mean ops would fit.
 const FULL_MARGIN_OPS: f64 = 2.0;
 
-/// What an answer tells the limit, latencies in seconds.
+/// What the limit learns from a response; latencies are in seconds.
 pub(super) struct LimitFeedback {
-    pub(super) answer_latency: f64,
-    /// The store's average, with this answer.
+    pub(super) response_latency: f64,
+    /// The store's average latency, including this response.
     pub(super) average_latency: f64,
-    /// The average that the limit is steered to.
+    /// The average latency that the limit aims for.
     pub(super) target_latency: f64,
     pub(super) shortest_objective: f64,
-    /// Without the op that was answered.
+    /// Units in flight without the op of this response.
     pub(super) units_in_flight: f64,
-    /// Of the plan whose op was answered.
+    /// Weight of the plan to which the op belongs.
     pub(super) plan_weight: f64,
 }
 
-/// Units in flight at most.
+/// The maximum number of units in flight.
 ///
 /// Invariant: between `MIN_LIMIT_OPS` and `MAX_LIMIT_OPS` mean ops.
 pub(super) struct ConcurrencyLimit {
@@ -55,7 +56,7 @@
     pub(super) fn on_success(&mut self, feedback: &LimitFeedback) {
         let mean = self.mean_units;
         if self.units < mean {
-            if feedback.answer_latency < feedback.shortest_objective {
+            if feedback.response_latency < feedback.shortest_objective {
                 self.units *= RECOVERY_FACTOR;
             }
             return;
@@ -72,17 +73,17 @@
         self.units = (self.units * OVERLOAD_FACTOR).max(self.mean_units * MIN_LIMIT_OPS);
     }
 
-    /// The time between ops that a limit below one mean op stands for.
+    /// Minimum time between ops that a limit below one mean op represents.
     ///
-    /// A limit of one op at each of many gateways would still bury a store.
+    /// Without it, a limit of one op at each of many gateways would still overload a store.
     pub(super) fn spacing(&self, target_latency: f64) -> Duration {
         let gap = target_latency * (self.mean_units / self.units - 1.0).max(0.0);
         Duration::from_secs_f64(gap)
     }
 
-    /// Moves towards an earlier run's limit by the part that it is trusted.
+    /// Moves the limit towards that of an earlier run; `trust` is the fraction of the way, from 0 to 1.
     pub(super) fn restore(&mut self, units: f64, trust: f64) {
-        let (least, most) = (self.mean_units * MIN_LIMIT_OPS, self.mean_units * MAX_LIMIT_OPS);
-        self.units += trust * (units.clamp(least, most) - self.units);
+        let (min, max) = (self.mean_units * MIN_LIMIT_OPS, self.mean_units * MAX_LIMIT_OPS);
+        self.units += trust * (units.clamp(min, max) - self.units);
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending queued ops: which one goes next to a store, and what its start changes.
+//! Dispatch of queued ops: which one is sent to a store next, and what changes when its attempt starts.
 
 use std::time::Duration;
 
@@ -8,30 +8,31 @@
 use super::store::Store;
 use crate::interface::{Action, OpId, StoreId, VolumeId};
 
-/// The time of a quantum, in shortest latency objectives (docs/design.md, "Kept on the ordinary path").
+/// Duration of a quantum, in shortest latency objectives (docs/design.md, "Kept on the ordinary path").
 const QUANTUM_PER_OBJECTIVE: f64 = 0.25;
 
-/// What of a store decides whether one of its queued ops may go, the same for all ops of a volume.
+/// State of a store that decides which of its queued ops may be sent; the same for all ops of a volume.
 struct SelectionContext<'a> {
     id: StoreId,
     store: &'a Store,
-    /// Absent if the store can carry its full work.
+    /// Fraction of its full load that the store can carry; absent: all of it.
     slow_start_progress: Option<f64>,
-    /// Tokens left of the volume's limit.
+    /// Tokens left in the bucket of the volume's limit.
     tokens: f64,
 }
 
-/// What may still be sent to a store now.
+/// Units that may still be sent to a store now.
 struct Headroom {
     units_in_flight: f64,
     limit: f64,
-    /// With nothing in flight one op may go, whatever the limit, if the former was long enough ago.
-    is_spacing_over: bool,
+    /// Whether the previous op was sent long enough ago that, with nothing in flight, one op may be sent
+    /// regardless of the limit.
+    has_spacing_elapsed: bool,
 }
 
 impl Headroom {
     fn fits(&self, units: f64) -> bool {
-        self.units_in_flight == 0.0 && self.is_spacing_over || self.units_in_flight + units <= self.limit
+        self.units_in_flight == 0.0 && self.has_spacing_elapsed || self.units_in_flight + units <= self.limit
     }
 }
 
@@ -46,7 +47,8 @@
         }
     }
 
-    /// The op that goes to the store next, if one may go now. Starts a new quantum if the last is over.
+    /// The op to send to the store next, if one may be sent now. Starts a new quantum if the last one has
+    /// expired.
     fn next_op(&mut self, id: StoreId) -> Option<OpId> {
         let store = &self.stores[id];
         let headroom = self.headroom(store)?;
@@ -57,7 +59,7 @@
             if quantum.ops_left >= 1.0 && self.now < quantum.ends_at {
                 return fits(op).then_some(op);
             }
-            if self.must_wait_for_holder(store, quantum.volume) {
+            if self.must_wait_for_quantum_holder(store, quantum.volume) {
                 return None;
             }
         }
@@ -70,24 +72,25 @@
         Some(op)
     }
 
-    /// Absent if nothing may go to the store now.
+    /// Headroom of the store; absent if nothing may be sent to it now.
     fn headroom(&self, store: &Store) -> Option<Headroom> {
         let units_in_flight = store.units_in_flight();
         let limit = store.limit.units();
-        let is_full = units_in_flight > 0.0 && units_in_flight + self.least_units > limit;
+        let is_full = units_in_flight > 0.0 && units_in_flight + self.smallest_op_units > limit;
         if is_full || !self.is_usable(store) || !store.outlier.allows_attempt(self.now) {
             return None;
         }
         let spacing = store.limit.spacing(store.target_latency());
-        let is_spacing_over = store.last_sent_at + spacing <= self.now;
-        Some(Headroom { units_in_flight, limit, is_spacing_over })
+        let has_spacing_elapsed = store.last_sent_at + spacing <= self.now;
+        Some(Headroom { units_in_flight, limit, has_spacing_elapsed })
     }
 
-    /// A holder that ran out with ops queued waits for those in flight. Departure from Argon: not for stuck ones, nor
-    /// at a suspected store, or one stuck op would hold up all volumes until it times out.
-    fn must_wait_for_holder(&self, store: &Store, holder: VolumeId) -> bool {
-        let is_holders = |op: OpId| self.ops[&op].op.volume == holder;
-        !store.outlier.is_suspected() && store.has_in_flight(self.now, is_holders)
+    /// Whether a new quantum must wait for the attempts in flight of the holder, whose quantum has expired
+    /// while it still has queued ops. Departure from Argon: it does not wait for stuck attempts or at a
+    /// suspected store, since one stuck op would otherwise block all volumes until it times out.
+    fn must_wait_for_quantum_holder(&self, store: &Store, holder: VolumeId) -> bool {
+        let belongs_to_holder = |op: OpId| self.ops[&op].op.volume == holder;
+        !store.outlier.is_suspected() && store.has_in_flight(self.now, belongs_to_holder)
     }
 
     fn start_quantum(&mut self, id: StoreId, volume: VolumeId) {
@@ -99,7 +102,8 @@
         store.queues.quantum = Some(Quantum { volume, ops_left: ops.max(1.0), ends_at });
     }
 
-    /// The first op in rank of the volume that may go to the store now, one that continues the last key before others.
+    /// The volume's highest-ranked op that may be sent to the store now; ops on the same key as the last one
+    /// sent come first.
     fn select_next(&self, id: StoreId, volume: VolumeId) -> Option<OpId> {
         let store = &self.stores[id];
         let context = SelectionContext {
@@ -110,32 +114,33 @@
         };
         let ranked = store.queues.volume(volume)?.ranked();
         let last_key = store.queues.last_key;
-        let continues_run = |key: Option<u64>| key.is_some() && key == last_key;
-        let mut runs = ranked.iter().filter(|(_, key)| continues_run(*key));
-        let run = runs.find(|(op, _)| self.may_go(&context, *op));
-        run.or_else(|| ranked.iter().find(|(op, _)| self.may_go(&context, *op))).map(|(op, _)| *op)
+        let is_on_last_key = |key: Option<u64>| key.is_some() && key == last_key;
+        let mut on_last_key = ranked.iter().filter(|(_, key)| is_on_last_key(*key));
+        let preferred = on_last_key.find(|(op, _)| self.may_send(&context, *op));
+        preferred.or_else(|| ranked.iter().find(|(op, _)| self.may_send(&context, *op))).map(|(op, _)| *op)
     }
 
     /// Whether all rules allow an attempt of this op at the store now.
-    fn may_go(&self, context: &SelectionContext<'_>, op: OpId) -> bool {
+    fn may_send(&self, context: &SelectionContext<'_>, op: OpId) -> bool {
         let pending = &self.ops[&op];
-        let bears = |progress| self.has_slow_start_budget(context.store, &pending.op, progress);
-        context.slow_start_progress.is_none_or(bears)
-            && self.is_next_on_its_key(pending)
+        let has_budget = |progress| self.has_slow_start_budget(context.store, &pending.op, progress);
+        context.slow_start_progress.is_none_or(has_budget)
+            && self.is_next_for_key(pending)
             && self.may_attempt_at(pending, context.id)
             && self.is_within_quota(context, pending)
             && self.now < pending.deadline_at
-            && self.leaves_capacity(context.store, pending)
+            && self.leaves_capacity_for_others(context.store, pending)
             && !self.misses_objective(pending, context.store)
     }
 
-    fn is_next_on_its_key(&self, pending: &PendingOp) -> bool {
+    fn is_next_for_key(&self, pending: &PendingOp) -> bool {
         let Some(key) = pending.op.key.filter(|_| self.op_type(pending).ordered_by_key) else { return true };
         let has_started = !pending.attempts.is_empty();
         self.key_orders.may_start(key, pending.op.id, has_started, self.now)
     }
 
-    /// First attempts draw on the volume's limit, retries on the retry budget.
+    /// Whether a token bucket or budget allows the attempt: first attempts draw on the volume's limit,
+    /// retries on the retry budget.
     fn is_within_quota(&self, context: &SelectionContext<'_>, pending: &PendingOp) -> bool {
         if pending.attempts.is_empty() {
             let limit = self.settings.plans[pending.op.plan].limit;
@@ -145,13 +150,18 @@
         }
     }
 
-    /// Sends a queued op that `next_op` chose, and accounts for it with its volume, its store and the retry budget.
-    fn start_attempt(&mut self, id: OpId, to: StoreId) {
-        let progress = self.slow_start_progress(&self.stores[to].endpoint);
+    /// Sends a queued op selected by `next_op`, and accounts for it at its volume, its store and the retry
+    /// budget.
+    fn start_attempt(&mut self, id: OpId, store_id: StoreId) {
+        let progress = self.slow_start_progress(&self.stores[store_id].endpoint);
         let Some(pending) = self.ops.get_mut(&id) else { return };
         pending.queued_store = None;
         let attempt = pending.attempts.len() as u32;
-        pending.attempts.push(Attempt { store: to, started_at: self.now, state: AttemptState::InFlight });
+        pending.attempts.push(Attempt {
+            store: store_id,
+            started_at: self.now,
+            state: AttemptState::InFlight,
+        });
         let timeout = pending.deadline_at.saturating_sub(self.now);
         let op = pending.op.clone();
         if attempt > 0 {
@@ -160,13 +170,13 @@
             quota.draw(op.units);
         }
         let pacing = progress.and_then(|progress| self.pacing_interval(&op, progress));
-        let units_by_weight = op.units / self.settings.plans[op.plan].weight;
-        self.stores.dequeue(to, id, op.volume);
-        if let Some(store) = self.stores.get_mut(to) {
+        let units_per_weight = op.units / self.settings.plans[op.plan].weight;
+        self.stores.dequeue(store_id, id, op.volume);
+        if let Some(store) = self.stores.get_mut(store_id) {
             store.on_attempt_started(id, attempt, op.units, self.now);
             let pacing = pacing.unwrap_or(Duration::ZERO);
-            store.queues.on_attempt_started(&op, self.now, units_by_weight, pacing);
+            store.queues.on_attempt_started(&op, self.now, units_per_weight, pacing);
         }
-        self.actions.push(Action::StartAttempt { op: id, store: to, timeout });
+        self.actions.push(Action::StartAttempt { op: id, store: store_id, timeout });
     }
 }
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -1,30 +1,32 @@
-//! The volumes that share one store: Argon's quanta, given out by virtual time.
+//! Fair queuing of the volumes that share one store: Argon's quanta, assigned by virtual time.
 //!
-//! One volume at a time holds the store for a quantum, bounded by a count of ops and by time. The next quantum goes to
-//! the volume of the smallest virtual time, which grows by the units served over the weight of the volume's plan.
+//! One volume at a time holds the store for a quantum, which is limited by a number of ops and by time. The
+//! next quantum goes to the volume of the smallest virtual time, which grows by the units served divided by
+//! the weight of the volume's plan.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::interface::{Op, OpId, VolumeId};
 
-/// A volume without ops at a store for so long is forgotten there; what a snapshot tells fades within the same time.
+/// A volume that has had no ops at a store for this long is removed there; trust in a snapshot decays with
+/// the same time constant.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One volume at one store.
+/// The queue of one volume at one store.
 #[derive(Default)]
 pub(super) struct VolumeQueue {
-    /// Queued ops as they were enqueued.
+    /// Queued ops in the order in which they were enqueued.
     queued: Vec<OpId>,
-    /// The same with their keys, of the greatest priority weight first, then as they arrived.
+    /// The same ops with their keys, by descending priority weight, then by order of arrival.
     ranked: Vec<(OpId, Option<u64>)>,
     in_flight: usize,
-    /// Units served over the weight of the volume's plan.
+    /// Units served divided by the weight of the volume's plan.
     pub(super) virtual_time: f64,
-    /// Seconds of an average answer.
+    /// Average response latency in seconds.
     pub(super) latency: f64,
     pub(super) last_used: Duration,
-    /// When its next paced op may go to the store while that is in slow start.
+    /// When the volume's next paced op may be sent while the store is in slow start.
     pub(super) next_paced_send_at: Duration,
 }
 
@@ -41,25 +43,26 @@
         &self.ranked
     }
 
-    fn start_attempt(&mut self, now: Duration, units_by_weight: f64, pacing: Duration) {
+    fn start_attempt(&mut self, now: Duration, units_per_weight: f64, pacing: Duration) {
         self.last_used = now;
         self.next_paced_send_at = now + pacing;
         self.in_flight += 1;
-        self.virtual_time += units_by_weight;
+        self.virtual_time += units_per_weight;
     }
 
-    /// Units served elsewhere count too: Argon assumes that one scheduler sees the whole load.
-    pub(super) fn finish_attempt(&mut self, now: Duration, elsewhere_by_weight: f64) {
+    /// Units served through other gateways count too, whereas Argon assumes that one scheduler sees the full
+    /// load.
+    pub(super) fn finish_attempt(&mut self, now: Duration, units_elsewhere_per_weight: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_used = now;
-        self.virtual_time += elsewhere_by_weight;
+        self.virtual_time += units_elsewhere_per_weight;
     }
 }
 
-/// A volume's exclusive use of a store.
+/// A volume's exclusive use of a store for a limited time.
 pub(super) struct Quantum {
     pub(super) volume: VolumeId,
-    /// Ops that it may still start, at least one.
+    /// Number of ops that the volume may still start; at least one when the quantum begins.
     pub(super) ops_left: f64,
     pub(super) ends_at: Duration,
 }
@@ -69,18 +72,16 @@
     pub(super) op: OpId,
     pub(super) key: Option<u64>,
     pub(super) volume: VolumeId,
-    /// Seconds of an average answer that a volume new to the store starts with.
+    /// Initial average response latency, in seconds, of a volume that is new to the store.
     pub(super) initial_latency: f64,
 }
 
-/// All volumes at one store.
-///
-/// Invariant: `queued_count` is the sum of the queues' lengths.
+/// The queues of all volumes at one store.
 #[derive(Default)]
 pub(super) struct FairQueue {
     volumes: BTreeMap<VolumeId, VolumeQueue>,
     pub(super) quantum: Option<Quantum>,
-    /// The key of the last op sent: runs on one key stay together.
+    /// The key of the last op sent; consecutive ops on one key are kept together.
     pub(super) last_key: Option<u64>,
     queued_count: usize,
 }
@@ -98,7 +99,7 @@
         self.volumes.get_mut(&id)
     }
 
-    /// All queued ops, by volume, as they were enqueued.
+    /// All queued ops, by volume and in the order in which they were enqueued.
     pub(super) fn queued_ops(&self) -> Vec<OpId> {
         self.volumes.values().flat_map(|queue| queue.queued.iter().copied()).collect()
     }
@@ -107,10 +108,11 @@
         self.volumes.iter().map(|(id, queue)| (*id, queue.virtual_time)).collect()
     }
 
-    /// The virtual time that a volume starts at, or returns at if its own is smaller.
+    /// The virtual time at which a new volume starts, and the minimum for a volume that returns.
     ///
-    /// With no volume active it is the greatest: at the smallest, a volume that was served alone would wait until the
-    /// newcomer was served as much.
+    /// It is the smallest virtual time of the active volumes, or with none active, the greatest of all. With
+    /// the smallest in the latter case, a volume that had been served alone would wait until a newcomer had
+    /// been served as much.
     fn virtual_time_floor(&self) -> f64 {
         let times = |is_active: bool| {
             let queues = self.volumes.values().filter(move |queue| queue.is_active() == is_active);
@@ -120,7 +122,7 @@
         of_active.or_else(|| times(false).reduce(f64::max)).unwrap_or(0.0)
     }
 
-    /// `rank` orders the ops of a volume, smallest first.
+    /// Adds an op to its volume's queue. `rank` orders the ops of a volume, smallest first.
     pub(super) fn enqueue<R: PartialOrd>(
         &mut self,
         entry: &NewEntry,
@@ -129,9 +131,9 @@
     ) {
         self.queued_count += 1;
         let floor = self.virtual_time_floor();
-        let newcomer =
+        let new_queue =
             VolumeQueue { virtual_time: floor, latency: entry.initial_latency, ..VolumeQueue::default() };
-        let queue = self.volumes.entry(entry.volume).or_insert(newcomer);
+        let queue = self.volumes.entry(entry.volume).or_insert(new_queue);
         queue.virtual_time = queue.virtual_time.max(floor);
         queue.last_used = now;
         let position = queue.ranked.partition_point(|(other, _)| rank(other) < rank(&entry.op));
@@ -147,24 +149,25 @@
         }
     }
 
-    /// An op of a known volume starts, `units_by_weight` its units over the weight of the volume's plan.
+    /// An attempt of a known volume's op starts. `units_per_weight` is its units divided by the weight of the
+    /// volume's plan.
     pub(super) fn on_attempt_started(
         &mut self,
         op: &Op,
         now: Duration,
-        units_by_weight: f64,
+        units_per_weight: f64,
         pacing: Duration,
     ) {
         self.last_key = op.key;
         if let Some(queue) = self.volumes.get_mut(&op.volume) {
-            queue.start_attempt(now, units_by_weight, pacing);
+            queue.start_attempt(now, units_per_weight, pacing);
         }
         if let Some(quantum) = &mut self.quantum {
             quantum.ops_left -= 1.0;
         }
     }
 
-    /// Volumes with queued ops, of the smallest virtual time first.
+    /// Volumes with queued ops, by ascending virtual time.
     pub(super) fn waiting_volumes(&self) -> Vec<VolumeId> {
         let waiting = self.volumes.iter().filter(|(_, queue)| !queue.queued.is_empty());
         let mut waiting: Vec<_> = waiting.map(|(id, queue)| (queue.virtual_time, *id)).collect();
@@ -176,7 +179,7 @@
         self.volumes.retain(|_, queue| queue.is_active() || queue.last_used + IDLE_TIMEOUT > now);
     }
 
-    /// Adds an earlier run's virtual time, as far as it is trusted.
+    /// Adds the virtual time from an earlier run, already scaled by its trust.
     pub(super) fn restore(
         &mut self,
         volume: VolumeId,
@@ -184,7 +187,7 @@
         initial_latency: f64,
         now: Duration,
     ) {
-        let newcomer = || VolumeQueue { latency: initial_latency, last_used: now, ..VolumeQueue::default() };
-        self.volumes.entry(volume).or_insert_with(newcomer).virtual_time += virtual_time;
+        let new_queue = || VolumeQueue { latency: initial_latency, last_used: now, ..VolumeQueue::default() };
+        self.volumes.entry(volume).or_insert_with(new_queue).virtual_time += virtual_time;
     }
 }
--- a/src/scheduler/key_order.rs
+++ b/src/scheduler/key_order.rs
@@ -1,7 +1,7 @@
-//! Ops that must be executed one after the other on their key (rule 5).
+//! Serialization of ops on the same key (rule 5).
 //!
-//! Invariant: of the ops on a key only the earliest that has not ended has attempts in flight, and after an
-//! attempt of unknown outcome the next op waits until the pause is over.
+//! Invariant: of the ops on a key, only the earliest that has not ended has attempts in flight. After an
+//! attempt that the store may still be executing, the next op waits until the pause has elapsed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,12 +10,12 @@
 
 #[derive(Default)]
 struct KeyOrder {
-    /// As they arrived.
+    /// Ops in order of arrival.
     ops: VecDeque<OpId>,
     paused_until: Duration,
 }
 
-/// The order of ops on each key that has ops or a pause.
+/// The order of ops for each key that has pending ops or a pause.
 #[derive(Default)]
 pub(super) struct KeyOrders {
     by_key: BTreeMap<u64, KeyOrder>,
@@ -32,20 +32,20 @@
         }
     }
 
-    /// The next op on the key starts no sooner than `until`. A key without ops in order has no pause.
+    /// Delays the start of the next op on the key until `until`. No effect on a key without ordered ops.
     pub(super) fn pause(&mut self, key: u64, until: Duration) {
         if let Some(order) = self.by_key.get_mut(&key) {
             order.paused_until = until;
         }
     }
 
-    /// Whether the op is first on its key, and past the pause unless it has started already.
+    /// Whether the op is the first on its key and either has already started or the pause has elapsed.
     pub(super) fn may_start(&self, key: u64, op: OpId, has_started: bool, now: Duration) -> bool {
         let Some(order) = self.by_key.get(&key) else { return true };
         order.ops.front() == Some(&op) && (has_started || now >= order.paused_until)
     }
 
-    /// Forgets keys that have no ops and no pause.
+    /// Removes keys that have neither pending ops nor a pause.
     pub(super) fn drop_finished(&mut self, now: Duration) {
         self.by_key.retain(|_, order| !order.ops.is_empty() || order.paused_until > now);
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,11 +1,12 @@
-//! Every decision of a gateway: which queued op goes to which store, when, and which is rejected.
+//! The scheduler of one gateway: which queued op is sent to which store, when, and which op is rejected.
 //!
-//! [`Scheduler::handle`] takes what happened at one moment, an [`Event::Start`] first, and returns what must be done.
-//! Each module here has one concern; this one holds the state that they share and passes events on.
+//! [`Scheduler::handle`] takes the events of one moment, starting with an [`Event::Start`], and returns the
+//! actions to perform. Each submodule has one concern; this module holds the shared state and dispatches
+//! events.
 //!
-//! The ordinary path is Argon's: at each store one volume at a time holds a quantum of a count and a time
-//! (`fair_queue`), and a limit bounds the units in flight (`concurrency_limit`). Departures from the paper, and the
-//! numbered rules, are explained in docs/design.md.
+//! The ordinary path follows Argon: at each store, one volume at a time holds a quantum limited by a number
+//! of ops and by time (`fair_queue`), and a concurrency limit bounds the units in flight
+//! (`concurrency_limit`). docs/design.md explains the departures from the paper and the numbered rules.
 
 mod admission;
 mod attempt_result;
@@ -30,29 +31,33 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use self::admission::LongestRemaining;
+use self::admission::LongestTimeLeft;
 use self::endpoint_list::EndpointWatch;
 use self::key_order::KeyOrders;
 use self::pending_op::PendingOp;
 use self::quota::Quotas;
 use self::random::RandomSource;
 use self::retry::RetryBudget;
-use self::settings::{SchedulerSettings, SettingsError, discovery_is_by_request, number, parse_settings};
+use self::settings::{
+    SchedulerSettings, SettingsError, discovery_requires_subscription, number, parse_settings,
+};
 use self::store::StoreBaseline;
 use self::store_table::StoreTable;
 use crate::interface::{Action, Event, OpId, Settings, VolumeId};
 
-/// Decides for one gateway; without I/O, clock or randomness of its own.
+/// The scheduler of one gateway. It performs no I/O and reads no clock; its random draws follow from the
+/// seed.
 #[derive(Default)]
 pub struct Scheduler {
-    /// Absent until a `Start` with usable settings.
+    /// Absent until an [`Event::Start`] with valid settings.
     state: Option<SchedulerState>,
 }
 
 impl Scheduler {
-    /// Takes what happened at `now` and returns what must be done.
+    /// Processes the events that occurred at `now` and returns the actions to perform.
     ///
-    /// Unusable settings in a [`Event::Start`] give just an [`Action::Fatal`]. Events before the start are ignored.
+    /// Invalid settings in an [`Event::Start`] produce only an [`Action::Fatal`]. Events before the start are
+    /// ignored.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         for event in events {
             if let Event::Start { seed, settings } = event {
@@ -69,34 +74,34 @@
         std::mem::take(&mut state.actions)
     }
 
-    /// How many stores had work since the last sweep: what the next one may look at.
-    pub fn at_work(&self) -> usize {
+    /// Number of stores that have had work since the last sweep; the next sweep examines at most these.
+    pub fn active_store_count(&self) -> usize {
         self.state.as_ref().map_or(0, |state| state.stores.active_count())
     }
 }
 
-/// What a started gateway knows; each module implements its part of the decisions on it.
+/// State of a started gateway; each submodule implements its part of the decisions on it.
 struct SchedulerState {
     now: Duration,
     started_at: Duration,
     random: RandomSource,
     settings: SchedulerSettings,
-    /// Units of a mean op, as stated at the start.
+    /// Units of a mean op, from the settings at the start.
     mean_units: f64,
-    /// Units of the smallest op that has arrived.
-    least_units: f64,
-    /// Of all op types, as stated at the start.
+    /// Units of the smallest op that has arrived so far.
+    smallest_op_units: f64,
+    /// The shortest latency objective of all op types, from the settings at the start.
     shortest_objective: Duration,
     ops: BTreeMap<OpId, PendingOp>,
     stores: StoreTable,
     key_orders: KeyOrders,
     quotas: Quotas,
-    /// By op type.
-    longest_remaining: Vec<LongestRemaining>,
+    /// Indexed by op type.
+    longest_time_left: Vec<LongestTimeLeft>,
     retry_budget: RetryBudget,
     endpoint_watch: EndpointWatch,
     next_sweep_at: Duration,
-    /// The last event came later than its timer was set for: this gateway stood still.
+    /// Whether the latest event arrived later than the sweep timer was due: this gateway was stalled.
     is_stalled: bool,
     shutdown_at: Option<Duration>,
     actions: Vec<Action>,
@@ -113,15 +118,15 @@
             started_at: now,
             random: RandomSource::new(seed),
             mean_units: number(settings, "stores.mean_units")?,
-            least_units: f64::INFINITY,
+            smallest_op_units: f64::INFINITY,
             shortest_objective,
             ops: BTreeMap::new(),
             stores: StoreTable::default(),
             key_orders: KeyOrders::default(),
             quotas: Quotas::new(&parsed.plans),
-            longest_remaining: vec![LongestRemaining::default(); parsed.op_types.len()],
+            longest_time_left: vec![LongestTimeLeft::default(); parsed.op_types.len()],
             retry_budget: RetryBudget::default(),
-            endpoint_watch: EndpointWatch::new(discovery_is_by_request(settings).then_some(now)),
+            endpoint_watch: EndpointWatch::new(discovery_requires_subscription(settings).then_some(now)),
             next_sweep_at: now,
             is_stalled: false,
             shutdown_at: None,
@@ -136,7 +141,8 @@
         StoreBaseline { mean_units: self.mean_units, shortest_objective: self.shortest_objective }
     }
 
-    /// A timer that fires late tells of this gateway's own stall: what spans it is no store's doing.
+    /// A late timer reveals a stall of this gateway. Delays that span the stall are not attributed to the
+    /// stores.
     fn advance_clock(&mut self, now: Duration) {
         if now > self.now {
             self.is_stalled = now > self.next_sweep_at + self.sweep_interval();
@@ -165,7 +171,7 @@
         }
     }
 
-    /// The op's answer has begun: the attempt now belongs to the client, however long it takes.
+    /// The response to the op has begun: the client alone decides from now on how long the attempt lasts.
     fn on_stream_started(&mut self, op: OpId) {
         if let Some(pending) = self.ops.get_mut(&op) {
             pending.deadline_at = Duration::MAX;
@@ -178,7 +184,8 @@
         }
     }
 
-    /// Hazard: what is open when the gateway ends is lost, however long its client would wait.
+    /// Hazard: ops still open when the gateway terminates are lost, no matter how long their clients would
+    /// wait.
     fn on_shutting_down(&mut self, at: Duration) {
         for pending in self.ops.values_mut() {
             pending.deadline_at = pending.deadline_at.min(at);
@@ -186,36 +193,40 @@
         self.shutdown_at = Some(at);
     }
 
-    /// New settings must keep every op type and plan at its index. Unusable ones are logged and leave the old in force.
+    /// New settings must keep every op type and plan at its index. Invalid settings are logged and the
+    /// previous ones stay in force.
     fn on_settings_changed(&mut self, settings: &Settings) {
         self.stores.apply_all_missed_sweeps(&self.settings);
-        match self.parse_successor(settings) {
+        match self.parse_changed_settings(settings) {
             Ok(parsed) => {
-                self.longest_remaining.resize(parsed.op_types.len(), LongestRemaining::default());
+                self.longest_time_left.resize(parsed.op_types.len(), LongestTimeLeft::default());
                 self.quotas.change_limits(&parsed.plans, self.now);
                 self.settings = parsed;
             }
             Err(error) => {
                 let name = error.setting_name();
-                self.actions.push(Action::Log(format!("settings not taken: {name} cannot hold")));
+                let reason = format!("{name} is missing, invalid or lower than before");
+                let message = format!("settings change rejected, previous settings kept: {reason}");
+                self.actions.push(Action::Log(message));
             }
         }
     }
 
-    fn parse_successor(&self, settings: &Settings) -> Result<SchedulerSettings, SettingsError> {
+    fn parse_changed_settings(&self, settings: &Settings) -> Result<SchedulerSettings, SettingsError> {
         let parsed = parse_settings(settings)?;
         let keeps_op_types = parsed.op_types.len() >= self.settings.op_types.len();
         let keeps_plans = parsed.plans.len() >= self.settings.plans.len();
         if keeps_op_types && keeps_plans { Ok(parsed) } else { Err(SettingsError::FewerEntries) }
     }
 
-    /// Hazard: a volume that is new here may have been elsewhere before, so its tokens start empty.
+    /// Hazard: a volume that is new to this gateway may have been served by others before, so its token
+    /// bucket starts empty.
     fn on_volume_moved(&mut self, volume: VolumeId, plan: usize, gateways: f64) {
         if plan >= self.settings.plans.len() {
             return;
         }
         self.quotas.assign(volume, plan, gateways, self.now, self.now);
-        // Queued ops go by the new plan; those of which an attempt is in flight keep the old.
+        // Queued ops follow the new plan; ops with an attempt in flight keep the old one.
         for store in self.stores.with_queued_ops() {
             let queue = self.stores[store].queues.volume(volume);
             for op in queue.map_or(&[][..], |queue| queue.queued()) {
--- a/src/scheduler/pending_op.rs
+++ b/src/scheduler/pending_op.rs
@@ -1,4 +1,4 @@
-//! One op from its arrival until it has ended and none of its attempts is in flight.
+//! A pending op: from its arrival until it has ended and none of its attempts is in flight.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use super::settings::OpType;
 use crate::interface::{Op, StoreId};
 
-/// What is known of an attempt's effect.
+/// What is known about the execution of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptState {
     InFlight,
@@ -21,17 +21,17 @@
     pub(super) state: AttemptState,
 }
 
-/// An op that a client waits for, or of which an attempt is still in flight.
+/// An op whose client is waiting or which still has an attempt in flight.
 pub(super) struct PendingOp {
     pub(super) op: Op,
-    /// Until when an answer earns the full priority.
+    /// Time until which a response earns the full priority.
     pub(super) objective_at: Duration,
-    /// When the final answer is due.
+    /// Time at which the final response is due.
     pub(super) deadline_at: Duration,
-    /// The store at which it is queued.
+    /// The store at which the op is queued, if any.
     pub(super) queued_store: Option<StoreId>,
     pub(super) attempts: Vec<Attempt>,
-    /// The client has its final answer, or is gone.
+    /// Whether the client has received its final response or has disconnected.
     pub(super) has_ended: bool,
 }
 
@@ -40,7 +40,7 @@
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether no attempt can have had an effect.
+    /// Whether it is certain that none of the attempts was executed.
     pub(super) fn was_not_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NotExecuted)
     }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,4 +1,4 @@
-//! Which store an op is queued at, and which stores may be sent ops.
+//! Selection of the store at which an op is queued, and of the stores that may be sent ops.
 
 use super::SchedulerState;
 use super::pending_op::PendingOp;
@@ -7,17 +7,19 @@
 use super::sweep::SWEEP_INTERVAL_PER_OBJECTIVE;
 use crate::interface::{StoreId, StoreState};
 
-/// Among stores that all have enough, loads are compared in steps of this part of the limit.
+/// Step in which the loads of fully loaded stores are compared, as a fraction of the concurrency limit.
 const LOAD_STEP: f64 = 0.25;
-/// The load from which a store has enough, in limits.
+/// Load from which a store counts as fully loaded, in concurrency limits.
 const FULL_LOAD: f64 = 1.0;
-/// The part of the grace for draining stores that is left unused, to be on the safe side of the rule.
+/// Fraction of the drain grace that is left unused as a safety margin for rule 3.
 const DRAIN_GRACE_MARGIN: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
 
 impl SchedulerState {
-    /// The first store in rank that does not have enough: by age within a shard, by the volume's hash for a new object.
+    /// The first store in rank that is not fully loaded. Stores rank by age within a shard, and by a hash of
+    /// volume and shard for a new object.
     ///
-    /// An op on existing data stays with the newest store of its shard while none of them can take it.
+    /// An op on existing data stays with the newest store of its shard while no store of the shard is
+    /// eligible.
     pub(super) fn preferred_store(&self, pending: &PendingOp) -> Option<StoreId> {
         let is_eligible =
             |(id, store): &(StoreId, &Store)| store.is_ready() && self.may_attempt_at(pending, *id);
@@ -34,7 +36,8 @@
         best.or_else(newest).map(|(id, _)| id)
     }
 
-    /// What is queued and in flight, in steps above the limit; suspected stores and those in slow start come last.
+    /// Queued and in-flight units in steps of `LOAD_STEP` limits; 0 below a full load. Suspected stores and
+    /// stores in slow start rank last.
     fn load_steps(&self, store: &Store) -> u64 {
         if store.outlier.is_suspected() || self.slow_start_progress(&store.endpoint).is_some() {
             return u64::MAX;
@@ -44,8 +47,8 @@
         if load < FULL_LOAD { 0 } else { (load / LOAD_STEP) as u64 }
     }
 
-    /// Whether ops may be sent to the store (rule 3). Departure: one that is draining serves on within the grace, as
-    /// ops on its data have no other place.
+    /// Whether ops may be sent to the store (rule 3). Departure: a draining store is used within the grace,
+    /// because ops on its data have no other store.
     pub(super) fn is_usable(&self, store: &Store) -> bool {
         if store.is_ready() {
             return true;
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,7 +1,7 @@
 //! Plan limits: this gateway's part of each volume's limit as a token bucket, and the volume's recent rate.
 //!
-//! Invariant: the gateways of a volume together draw no more than its plan's limit (rule 7). Each fills an even part,
-//! from empty at its own start, since an earlier run may have drawn it.
+//! Invariant: the gateways of a volume together draw no more than its plan's limit (rule 7). Each fills an
+//! equal part, starting empty when the gateway starts, since an earlier run may have drawn its part already.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use super::settings::Plan;
 use crate::interface::VolumeId;
 
-/// The part of a volume's tokens that a snapshot's promise keeps undrawn.
+/// Fraction of a volume's tokens that a snapshot promises to leave undrawn.
 const RESERVED_TOKEN_SHARE: f64 = 0.5;
-/// Reserved tokens are kept this many times as long as was promised, as a margin.
+/// Reserved tokens are withheld for this multiple of the promised time, as a margin.
 const RESERVATION_MARGIN: f64 = 1.25;
-/// So many former limits of a plan are told apart; of earlier ones the least counts.
+/// Number of previous limits of a plan that are kept separately; older ones are merged into their minimum.
 const MAX_PREVIOUS_LIMITS: usize = 16;
 
-/// A plan's limit over all gateways; a rate of zero is no limit.
+/// A plan's limit over all gateways; a rate of zero means no limit.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub(super) rate: f64,
     /// Units that may be drawn at once.
     pub(super) burst: f64,
@@ -37,7 +37,7 @@
     limit: Limit,
 }
 
-/// A plan's limit over time: tokens fill at what was in force at each time.
+/// A plan's limit over time: tokens fill according to the limit that was in force at each time.
 struct LimitHistory {
     current: Limit,
     previous_limits: VecDeque<PreviousLimit>,
@@ -62,30 +62,30 @@
         }
     }
 
-    /// Limits in force between `from` and `now`, each with the time until which it was.
+    /// Limits in force between `from` and `now`, each with the time until which it was in force.
     fn in_force(&self, from: Duration, now: Duration) -> impl Iterator<Item = (Duration, Limit)> {
         let previous = self.previous_limits.iter().filter(move |previous| previous.until > from);
         previous.map(|previous| (previous.until, previous.limit)).chain([(now, self.current)])
     }
 }
 
-/// Tokens that stay undrawn, as promised by a snapshot.
+/// Tokens that a snapshot promised to leave undrawn.
 #[derive(Clone, Copy, Default)]
 struct Reservation {
     tokens: f64,
     until: Duration,
 }
 
-/// What this gateway knows of one volume over all stores.
+/// State of one volume at this gateway, over all stores.
 #[derive(Default)]
 pub(super) struct VolumeQuota {
     /// Units left of this gateway's part of the limit.
     tokens: f64,
-    /// By the last two snapshots: a crash may come before the later one is kept.
+    /// Reservations of the last two snapshots: a crash may occur before the later snapshot has been stored.
     reserved_tokens: [Reservation; 2],
-    /// Units a second lately sent from here or reported as served elsewhere.
+    /// Recent rate, in units per second, sent from here or reported as served through other gateways.
     rate: f64,
-    /// Units a second over all gateways, as stores reported it.
+    /// Rate over all gateways as reported by stores, in units per second.
     reported_rate: f64,
     updated_at: Duration,
     plan: Option<usize>,
@@ -97,13 +97,14 @@
         Self { updated_at, ..Self::default() }
     }
 
-    /// Fills the bucket up to `now`; rates fade within a second.
+    /// Fills the token bucket up to `now`; rates decay exponentially with a time constant of one second.
     fn advance(&mut self, limits: &LimitHistory, now: Duration) {
         let gateways = self.gateways.max(1.0);
         let mut filled_to = self.updated_at;
         for (until, limit) in limits.in_force(self.updated_at, now) {
             let elapsed = until.saturating_sub(filled_to).as_secs_f64();
-            // Without a limit anything may have been drawn: a first limit starts from nothing.
+            // Without a limit, any amount may have been drawn, so a newly introduced limit starts with an
+            // empty bucket.
             let filled = if limit.rate > 0.0 { self.tokens + limit.rate / gateways * elapsed } else { 0.0 };
             self.tokens = filled.min(limit.burst / gateways);
             filled_to = until;
@@ -116,22 +117,23 @@
 
     /// Tokens that may be drawn now.
     pub(super) fn available(&self, now: Duration) -> f64 {
-        let kept = self.reserved_tokens.iter().filter(|reserved| now < reserved.until);
-        self.tokens - kept.map(|reserved| reserved.tokens).fold(0.0, f64::max)
+        let reserved = self.reserved_tokens.iter().filter(|reserved| now < reserved.until);
+        self.tokens - reserved.map(|reserved| reserved.tokens).fold(0.0, f64::max)
     }
 
-    /// Units a second, by whichever source tells of more.
+    /// The volume's rate in units per second: the greater of the observed and the reported rate.
     pub(super) fn known_rate(&self) -> f64 {
         self.rate.max(self.reported_rate)
     }
 
-    /// An op's first attempt starts.
+    /// Accounts for the start of an op's first attempt.
     pub(super) fn draw(&mut self, units: f64) {
         self.tokens -= units;
         self.rate += units;
     }
 
-    /// A store told of units served through other gateways, and of the volume's rate over all of them.
+    /// Accounts for units that a store reports as served through other gateways, and for the volume's
+    /// reported rate over all gateways.
     pub(super) fn record_service_elsewhere(&mut self, units: f64, rate: Option<f64>) {
         self.rate += units;
         if let Some(rate) = rate {
@@ -147,7 +149,7 @@
     pub(super) reserved_tokens: f64,
 }
 
-/// All volumes seen, and the limits of their plans.
+/// All known volumes, and the limits of their plans.
 pub(super) struct Quotas {
     limits: Vec<LimitHistory>,
     volumes: BTreeMap<VolumeId, VolumeQuota>,
@@ -159,7 +161,7 @@
         Self { limits, volumes: BTreeMap::new() }
     }
 
-    /// Plans keep their indices; new ones follow.
+    /// Applies the limits of changed plans. Plans keep their indices; new ones are appended.
     pub(super) fn change_limits(&mut self, plans: &[Plan], now: Duration) {
         for (limits, plan) in self.limits.iter_mut().zip(plans) {
             limits.change(plan.limit, now);
@@ -176,23 +178,23 @@
         self.volumes.get_mut(&id)
     }
 
-    /// Notes a volume that a snapshot names. Hazard: its bucket fills from now on; from the clock's zero on it would be full,
-    /// and an earlier run may have drawn it.
+    /// Registers a volume that a snapshot names. Hazard: its bucket fills from now on; if it filled from the
+    /// clock's zero it would start full, although an earlier run may have drawn its tokens.
     pub(super) fn register(&mut self, id: VolumeId, now: Duration) {
         self.volumes.entry(id).or_insert_with(|| VolumeQuota::new(now));
     }
 
-    /// The volume is of this plan, through so many gateways, from now on. If it is new, its bucket fills from
-    /// `first_filled_at`.
+    /// Assigns the volume to a plan and sets the number of its gateways from now on. The bucket of a new
+    /// volume fills from `fills_from`.
     pub(super) fn assign(
         &mut self,
         id: VolumeId,
         plan: usize,
         gateways: f64,
-        first_filled_at: Duration,
+        fills_from: Duration,
         now: Duration,
     ) {
-        let volume = self.volumes.entry(id).or_insert_with(|| VolumeQuota::new(first_filled_at));
+        let volume = self.volumes.entry(id).or_insert_with(|| VolumeQuota::new(fills_from));
         if let Some(last_plan) = volume.plan {
             volume.advance(&self.limits[last_plan], now);
         }
@@ -201,9 +203,14 @@
         volume.advance(&self.limits[plan], now);
     }
 
-    /// Reserves a part of each volume's tokens for the promised time from now on, and tells what is known.
-    pub(super) fn snapshot(&mut self, now: Duration, promised: Duration) -> Vec<(VolumeId, QuotaSnapshot)> {
-        let until = now + promised.mul_f64(RESERVATION_MARGIN);
+    /// Reserves a fraction of each volume's tokens for the promised time from now on, and returns the current
+    /// state.
+    pub(super) fn snapshot(
+        &mut self,
+        now: Duration,
+        promise_duration: Duration,
+    ) -> Vec<(VolumeId, QuotaSnapshot)> {
+        let until = now + promise_duration.mul_f64(RESERVATION_MARGIN);
         let mut snapshots = Vec::new();
         for (id, volume) in &mut self.volumes {
             let tokens = volume.tokens.max(0.0) * RESERVED_TOKEN_SHARE;
@@ -218,7 +225,8 @@
         snapshots
     }
 
-    /// Takes over an earlier run's rates, faded by its age, and the tokens that it promised to leave undrawn.
+    /// Restores an earlier run's rates, decayed by their age, and the tokens that it promised to leave
+    /// undrawn.
     pub(super) fn restore(&mut self, id: VolumeId, snapshot: &QuotaSnapshot, age: Duration, now: Duration) {
         let elapsed = age.as_secs_f64();
         let volume = self.volumes.entry(id).or_default();
--- a/src/scheduler/random.rs
+++ b/src/scheduler/random.rs
@@ -1,7 +1,7 @@
-//! Random numbers that repeat for a seed.
+//! Reproducible random numbers.
 //!
-//! Invariant: the order of draws and the types that are hashed decide the numbers; a change of either changes
-//! decisions.
+//! Invariant: the order of draws and the types that are hashed determine the numbers; changing either changes
+//! the scheduler's decisions.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher, Hash};
 use std::time::Duration;
@@ -17,7 +17,7 @@
     hash as f64 / u64::MAX as f64
 }
 
-/// Draws from one seed.
+/// Generates random numbers from one seed.
 pub(super) struct RandomSource {
     seed: u64,
     draws: u64,
@@ -34,8 +34,8 @@
         fraction(stable_hash((self.seed, self.draws)))
     }
 
-    /// From 0 to 1, the same each time for a volume and the time at which a store came back.
-    pub(super) fn phase(&self, volume: VolumeId, back_at: Duration) -> f64 {
-        fraction(stable_hash((self.seed, volume, back_at)))
+    /// A number from 0 to 1 that is constant for a volume and the time at which a store returned to service.
+    pub(super) fn phase(&self, volume: VolumeId, returned_at: Duration) -> f64 {
+        fraction(stable_hash((self.seed, volume, returned_at)))
     }
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,4 +1,4 @@
-//! Attempts of an op: whether another one is safe, and whether there may be one.
+//! Retries of an op: whether another attempt is safe, and whether it is allowed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,9 +8,10 @@
 use super::settings::{Idempotency, RetryBudgetSettings};
 use crate::interface::StoreId;
 
-/// Counts ops and retries within the window of the retry budget (rule 6).
+/// Counts arrived ops and retries within the window of the retry budget (rule 6).
 ///
-/// Both are in order of time: to look through all of them for each queued op would cost more the more came.
+/// Both queues are ordered by time and searched by bisection: scanning all entries for each queued op would
+/// make the cost grow with the load.
 #[derive(Default)]
 pub(super) struct RetryBudget {
     arrivals: VecDeque<Duration>,
@@ -35,18 +36,18 @@
         retries + 1.0 <= settings.free + per_arrival * arrivals
     }
 
-    /// Forgets what is older than twice the window.
+    /// Removes entries older than twice the window.
     pub(super) fn drop_old(&mut self, window: Duration, now: Duration) {
-        let kept = 2 * window;
-        for times in [&mut self.arrivals, &mut self.retries] {
-            while times.pop_front_if(|at| *at + kept < now).is_some() {}
+        let retention = 2 * window;
+        for timestamps in [&mut self.arrivals, &mut self.retries] {
+            while timestamps.pop_front_if(|at| *at + retention < now).is_some() {}
         }
     }
 }
 
 impl SchedulerState {
-    /// Whether an attempt at this store is safe now (rule 2): nothing is executed twice, and no two attempts of an op
-    /// are in flight at once.
+    /// Whether an attempt at this store is safe now (rule 2): no op may be executed twice, and no op may have
+    /// two attempts in flight at once.
     pub(super) fn may_attempt_at(&self, pending: &PendingOp, store: StoreId) -> bool {
         if pending.is_in_flight() {
             return false;
@@ -55,22 +56,25 @@
         if op_type.idempotency == Idempotency::Always {
             return true;
         }
-        let executed = pending.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted);
-        let Some(first) = executed else { return true };
+        let maybe_executed =
+            pending.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted);
+        let Some(first) = maybe_executed else { return true };
         let Some(first_store) = self.stores.get(first.store) else { return false };
         let Some(next_store) = self.stores.get(store) else { return false };
-        let is_remembered = self.now + self.settings.tick < first.started_at + op_type.deduplication_window;
-        let (first_at, next_at) = (&first_store.endpoint, &next_store.endpoint);
+        let is_key_remembered =
+            self.now + self.settings.tick < first.started_at + op_type.deduplication_window;
+        let (first_endpoint, next_endpoint) = (&first_store.endpoint, &next_store.endpoint);
         match op_type.idempotency {
             Idempotency::Always => true,
-            Idempotency::ByKey => is_remembered,
-            Idempotency::ByKeyInZone => is_remembered && first_at.zone == next_at.zone,
-            Idempotency::ByKeyInShard => is_remembered && first_at.shard == next_at.shard,
+            Idempotency::ByKey => is_key_remembered,
+            Idempotency::ByKeyInZone => is_key_remembered && first_endpoint.zone == next_endpoint.zone,
+            Idempotency::ByKeyInShard => is_key_remembered && first_endpoint.shard == next_endpoint.shard,
             Idempotency::Never => false,
         }
     }
 
-    /// Retries go by priority weight: all that are allowed for the most important op type, fewer for others.
+    /// Whether the op may be attempted again. Retries scale with priority weight: the most important op type
+    /// may use all that are allowed, others fewer.
     pub(super) fn has_attempts_left(&self, pending: &PendingOp) -> bool {
         let retries = (self.settings.max_attempts - 1.0) * self.op_type(pending).priority_weight;
         (pending.attempts.len() as f64) < 1.0 + retries.round()
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,7 +1,7 @@
-//! The settings that the scheduler decides by, parsed once at the start and again at each change.
+//! Settings of the scheduler, parsed at the start and again at each change.
 //!
-//! Hazard: a setting that is present but unreadable is an error, never taken for absent, since the rule that it
-//! states would silently be out of force.
+//! Hazard: a setting that is present but unreadable is an error and is never treated as absent, because the
+//! rule that it configures would silently be disabled.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use super::quota::Limit;
 use crate::interface::Settings;
 
-/// Why settings cannot be used.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SettingsError {
-    /// The setting of this name is missing where it is required, or cannot be read.
+    /// The named setting is required but missing, or is unreadable.
     Invalid(String),
-    /// New settings state fewer op types or plans than are in use.
+    /// The new settings define fewer op types or plans than the current ones.
     FewerEntries,
 }
 
 impl SettingsError {
-    /// The name of the setting at fault, for log lines.
+    /// Name of the offending setting, for log lines.
     pub(super) fn setting_name(&self) -> &str {
         match self {
             Self::Invalid(name) => name,
@@ -36,99 +36,100 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Whether an op may be attempted again after an attempt that may have executed.
+/// Whether an op may be retried after an attempt that may have been executed.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Idempotency {
-    /// At any store, any number of times.
+    /// Retries are safe at any store, any number of times.
     Always,
-    /// At any store, while its idempotency key is remembered.
+    /// Retries are safe at any store while its idempotency key is remembered.
     ByKey,
-    /// Within the first attempt's zone, while its idempotency key is remembered.
+    /// Retries are safe within the first attempt's zone while its idempotency key is remembered.
     ByKeyInZone,
-    /// Within the first attempt's shard, while its idempotency key is remembered.
+    /// Retries are safe within the first attempt's shard while its idempotency key is remembered.
     ByKeyInShard,
-    /// Not at all.
+    /// Retries are never safe.
     Never,
 }
 
-/// A class of ops with the same objective and rules.
+/// A class of ops with the same latency objective and rules.
 pub(super) struct OpType {
-    /// Latency up to which an answer earns the full priority.
+    /// Latency up to which a response earns the full priority.
     pub(super) latency_objective: Duration,
-    /// The longest time that a client of such an op is taken to wait.
+    /// Upper bound on the time that a client of such an op is assumed to wait.
     pub(super) op_timeout: Duration,
-    /// Against the greatest weight of all op types: 1 is the most important.
+    /// Relative to the greatest weight of all op types: 1 is the most important type.
     pub(super) priority_weight: f64,
     pub(super) idempotency: Idempotency,
     /// How long a store remembers an idempotency key.
     pub(super) deduplication_window: Duration,
-    /// Ops on the same key are executed one after the other, as they arrived.
+    /// Whether ops on the same key are executed one at a time in order of arrival.
     pub(super) ordered_by_key: bool,
 }
 
-/// What a volume's plan entitles it to, over all gateways.
+/// The service to which a volume's plan entitles it, over all gateways.
 pub(super) struct Plan {
-    /// Against the mean of all plans.
+    /// Relative to the mean weight of all plans.
     pub(super) weight: f64,
     pub(super) limit: Limit,
-    /// Units a second that the plan is sized for.
+    /// Rate that the plan is sized for, in units per second.
     pub(super) rate: f64,
-    /// Units a second before a volume yields: its reservation, and by weight what plans are sized for beyond it.
+    /// Rate up to which a volume need not leave capacity for others, in units per second: its reservation
+    /// plus its share, by weight, of the rates that plans are sized for beyond their reservations.
     pub(super) guaranteed_rate: f64,
 }
 
-/// How much a store that has just started may be sent.
+/// How much may be sent to a store that has just started (rule 4).
 pub(super) struct SlowStartSettings {
-    /// The part of its full work that a store can carry when it starts.
+    /// Fraction of its full load that a store can carry when it starts.
     pub(super) initial_progress: f64,
-    /// Seconds from a store's start until it can carry its full work.
+    /// Seconds from a store's start until it can carry its full load.
     pub(super) duration_secs: f64,
     /// The window over which the units sent to a store are counted.
     pub(super) window: Duration,
-    /// Paced ops go at up to this multiple of the plan's rate, before the scheduler's own margin.
+    /// Multiple of the plan's rate up to which paced ops are sent, before the scheduler's own margin.
     pub(super) rate_multiple: f64,
-    /// Units that a store can carry within the window when it starts; absent: the mean op's.
+    /// Units that a store can carry within the window when it starts; absent: the units of a mean op.
     pub(super) initial_units: Option<f64>,
 }
 
-/// How many retries there may be, over all ops of this gateway.
+/// Bounds the retries of all ops of this gateway together (rule 6).
 pub(super) struct RetryBudgetSettings {
     /// Retries that are always allowed within the window.
     pub(super) free: f64,
-    /// Retries allowed for each op that arrived within the window; absent: retries have no budget.
+    /// Retries allowed per op that arrived within the window; absent: retries are unlimited.
     pub(super) per_arrival: Option<f64>,
     pub(super) window: Duration,
 }
 
-/// All settings that may change in service.
+/// All settings that may change while the gateway runs.
 pub(super) struct SchedulerSettings {
     pub(super) op_types: Vec<OpType>,
     pub(super) plans: Vec<Plan>,
     pub(super) slow_start: SlowStartSettings,
     pub(super) retry_budget: RetryBudgetSettings,
-    /// Gateways that share the stores, at least one.
+    /// Number of gateways that share the stores, at least one.
     pub(super) gateways: f64,
-    /// Events come in batches at least this far apart.
+    /// Minimum interval between batches of events.
     pub(super) tick: Duration,
-    /// Attempts of one op at most, for the op type of the greatest weight; at least one.
+    /// Maximum attempts per op for the op type of the greatest weight; at least one.
     pub(super) max_attempts: f64,
     pub(super) max_retry_after: Duration,
-    /// A failed endpoint list is asked for again within this time.
-    pub(super) watch_retry_within: Duration,
-    /// How long a draining store may still be sent ops.
+    /// After a failure, the subscription to the endpoint list is retried within this time.
+    pub(super) max_watch_backoff: Duration,
+    /// How long ops may still be sent to a draining store.
     pub(super) drain_grace: Duration,
-    /// How long ops on a key wait after an attempt whose outcome is unknown.
+    /// How long ops on a key wait after an attempt that the store may still be executing.
     pub(super) key_order_pause: Duration,
 }
 
-/// A setting in both of its readings: each must be possible, whichever is used.
+/// A setting as a number and as a duration. Both readings must be valid, even if only one is used.
 #[derive(Clone, Copy)]
-struct Figure {
+struct SettingValue {
     number: f64,
     duration: Duration,
 }
 
-impl Figure {
+impl SettingValue {
     fn read(settings: &Settings, name: &str) -> Result<Self, SettingsError> {
         Ok(Self { number: number(settings, name)?, duration: duration(settings, name)? })
     }
@@ -140,7 +141,7 @@
     SettingsError::Invalid(name.to_string())
 }
 
-/// A finite number, not negative.
+/// Reads a finite, non-negative number.
 pub(super) fn number(settings: &Settings, name: &str) -> Result<f64, SettingsError> {
     let value = settings.get(name).and_then(|text| text.parse::<f64>().ok());
     value.filter(|value| value.is_finite() && *value >= 0.0).ok_or_else(|| invalid(name))
@@ -148,21 +149,21 @@
 
 fn duration(settings: &Settings, name: &str) -> Result<Duration, SettingsError> {
     // Hazard: sums and small multiples of longer durations would overflow.
-    const HEADROOM: u32 = 64;
+    const OVERFLOW_MARGIN: u32 = 64;
     let duration = Duration::try_from_secs_f64(number(settings, name)?).ok();
-    duration.filter(|duration| *duration <= Duration::MAX / HEADROOM).ok_or_else(|| invalid(name))
+    duration.filter(|duration| *duration <= Duration::MAX / OVERFLOW_MARGIN).ok_or_else(|| invalid(name))
 }
 
-/// A setting that may be absent, but not unreadable.
+/// Reads a setting that may be absent but must not be unreadable.
 fn optional_setting<T>(settings: &Settings, name: &str, read: Reader<T>) -> Result<Option<T>, SettingsError> {
     if settings.contains_key(name) { read(settings, name).map(Some) } else { Ok(None) }
 }
 
-fn word<'a>(settings: &'a Settings, name: &str) -> Option<&'a str> {
+fn text_setting<'a>(settings: &'a Settings, name: &str) -> Option<&'a str> {
     settings.get(name).map(String::as_str)
 }
 
-/// Parses all that the rules are kept by.
+/// Parses all settings that the rules depend on.
 pub(super) fn parse_settings(settings: &Settings) -> Result<SchedulerSettings, SettingsError> {
     check_discovery(settings)?;
     let op_types = parse_op_types(settings)?;
@@ -170,13 +171,13 @@
     parse_rules(settings, op_types, plans)
 }
 
-/// Whether the endpoint list must be asked for; otherwise it is pushed.
-pub(super) fn discovery_is_by_request(settings: &Settings) -> bool {
-    word(settings, "discovery") == Some("asked")
+/// Whether the gateway must subscribe to the endpoint list; otherwise updates are pushed without a request.
+pub(super) fn discovery_requires_subscription(settings: &Settings) -> bool {
+    text_setting(settings, "discovery") == Some("asked")
 }
 
 fn check_discovery(settings: &Settings) -> Result<(), SettingsError> {
-    match word(settings, "discovery") {
+    match text_setting(settings, "discovery") {
         None | Some("pushed" | "asked") => Ok(()),
         Some(_) => Err(invalid("discovery")),
     }
@@ -187,9 +188,9 @@
     for index in 0..number(settings, "op_types.count")? as usize {
         op_types.push(parse_op_type(settings, index)?);
     }
-    let greatest = op_types.iter().map(|op_type| op_type.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
+    let max_weight = op_types.iter().map(|op_type| op_type.priority_weight).fold(f64::MIN_POSITIVE, f64::max);
     for op_type in &mut op_types {
-        op_type.priority_weight /= greatest;
+        op_type.priority_weight /= max_weight;
     }
     Ok(op_types)
 }
@@ -197,7 +198,8 @@
 fn parse_op_type(settings: &Settings, index: usize) -> Result<OpType, SettingsError> {
     let name = |field: &str| format!("op_types.{index}.{field}");
     let latency_objective = duration(settings, &name("target_latency"))?;
-    // Hazard: the sweep interval is a part of it; at zero there would be no end of sweeps.
+    // Hazard: the sweep interval is a fraction of the objective; an objective of zero would cause an endless
+    // loop of sweeps.
     if latency_objective.is_zero() {
         return Err(SettingsError::Invalid(name("target_latency")));
     }
@@ -205,7 +207,7 @@
     let priority_weight = number(settings, &name("utility"))?;
     let idempotency = parse_idempotency(settings, &name("repeats"), &name("dedup_scope"))?;
     let deduplication_window = optional_setting(settings, &name("dedup_span"), duration)?;
-    let ordered_by_key = word(settings, &name("in_order")).unwrap_or("false").parse();
+    let ordered_by_key = text_setting(settings, &name("in_order")).unwrap_or("false").parse();
     Ok(OpType {
         latency_objective,
         op_timeout: op_timeout.unwrap_or_default(),
@@ -217,7 +219,7 @@
 }
 
 fn parse_idempotency(settings: &Settings, name: &str, scope: &str) -> Result<Idempotency, SettingsError> {
-    match (word(settings, name), word(settings, scope)) {
+    match (text_setting(settings, name), text_setting(settings, scope)) {
         (Some("replayable"), _) => Ok(Idempotency::Always),
         (Some("deduplicated"), Some("all")) => Ok(Idempotency::ByKey),
         (Some("deduplicated"), Some("zone")) => Ok(Idempotency::ByKeyInZone),
@@ -232,21 +234,21 @@
     let mut plans = Vec::new();
     let mut in_use = Vec::new();
     for index in 0..number(settings, "plans.count")? as usize {
-        // A plan that is no longer offered keeps its index and has no part in the means.
-        let is_gone = word(settings, &format!("plans.{index}.gone")) == Some("true");
-        if !is_gone {
+        // A plan that is no longer offered keeps its index and is excluded from the means.
+        let is_removed = text_setting(settings, &format!("plans.{index}.gone")) == Some("true");
+        if !is_removed {
             in_use.push(index);
         }
-        plans.push(parse_plan(settings, index, is_gone)?);
+        plans.push(parse_plan(settings, index, is_removed)?);
     }
     normalize_plans(&mut plans, &in_use);
     Ok(plans)
 }
 
-/// One plan, its weight as stated and its guaranteed rate only the reservation.
-fn parse_plan(settings: &Settings, index: usize, is_gone: bool) -> Result<Plan, SettingsError> {
+/// Parses one plan; its weight is not normalized yet and its guaranteed rate is only the reservation.
+fn parse_plan(settings: &Settings, index: usize, is_removed: bool) -> Result<Plan, SettingsError> {
     let name = |field: &str| format!("plans.{index}.{field}");
-    let number_if_in_use = |field: &str| if is_gone { Ok(1.0) } else { number(settings, &name(field)) };
+    let number_if_in_use = |field: &str| if is_removed { Ok(1.0) } else { number(settings, &name(field)) };
     let weight = number_if_in_use("weight")?;
     let limit = optional_setting(settings, &name("limit"), number)?;
     let burst = optional_setting(settings, &name("limit_burst"), number)?;
@@ -260,16 +262,17 @@
     })
 }
 
-/// Relates weights to their mean, and adds to each reservation its part by weight of the rates beyond them.
+/// Divides weights by their mean, and adds to each plan's reservation its share, by weight, of the rates
+/// beyond the reservations.
 fn normalize_plans(plans: &mut [Plan], in_use: &[usize]) {
-    let mean = |of: &dyn Fn(&Plan) -> f64| {
-        in_use.iter().map(|index| of(&plans[*index])).sum::<f64>() / in_use.len() as f64
+    let mean = |value_of: &dyn Fn(&Plan) -> f64| {
+        in_use.iter().map(|index| value_of(&plans[*index])).sum::<f64>() / in_use.len() as f64
     };
     let mean_weight = mean(&|plan| plan.weight);
-    let spare = mean(&|plan| (plan.rate - plan.guaranteed_rate) / (plan.weight / mean_weight));
+    let mean_spare_rate = mean(&|plan| (plan.rate - plan.guaranteed_rate) / (plan.weight / mean_weight));
     for plan in plans {
         plan.weight /= mean_weight;
-        plan.guaranteed_rate += plan.weight * spare;
+        plan.guaranteed_rate += plan.weight * mean_spare_rate;
     }
 }
 
@@ -278,14 +281,14 @@
     op_types: Vec<OpType>,
     plans: Vec<Plan>,
 ) -> Result<SchedulerSettings, SettingsError> {
-    let optional = |name| optional_setting(settings, name, Figure::read);
-    let required = |name| Figure::read(settings, name);
-    let number_or = |figure: Option<Figure>, default| figure.map_or(default, |figure| figure.number);
-    let duration_or_zero = |figure: Option<Figure>| figure.map_or(Duration::ZERO, |figure| figure.duration);
-    // The first unreadable one in this order is named.
+    let optional = |name| optional_setting(settings, name, SettingValue::read);
+    let required = |name| SettingValue::read(settings, name);
+    let number_or = |value: Option<SettingValue>, default| value.map_or(default, |value| value.number);
+    let duration_or_zero = |value: Option<SettingValue>| value.map_or(Duration::ZERO, |value| value.duration);
+    // The error names the first invalid setting in this order.
     let max_attempts = optional("limits.max_dispatches")?;
     let max_retry_after = optional("limits.max_retry_after")?;
-    let watch_retry_within = optional("rules.ask_within")?;
+    let max_watch_backoff = optional("rules.ask_within")?;
     let initial_progress = optional("rules.cold_from")?;
     let drain_grace = optional("rules.drain_grace")?;
     let rate_multiple = optional("rules.fall_multiple")?;
@@ -306,18 +309,18 @@
             duration_secs: slow_start_duration.number,
             window: slow_start_window.duration,
             rate_multiple: number_or(rate_multiple, 0.0),
-            initial_units: initial_units.map(|figure| figure.number),
+            initial_units: initial_units.map(|value| value.number),
         },
         retry_budget: RetryBudgetSettings {
             free: number_or(free_retries, 0.0),
-            per_arrival: retries_per_arrival.map(|figure| figure.number),
+            per_arrival: retries_per_arrival.map(|value| value.number),
             window: duration_or_zero(retry_window),
         },
         gateways: gateways.number.max(1.0),
         tick: tick.duration,
         max_attempts: number_or(max_attempts, 1.0).max(1.0),
         max_retry_after: duration_or_zero(max_retry_after),
-        watch_retry_within: duration_or_zero(watch_retry_within),
+        max_watch_backoff: duration_or_zero(max_watch_backoff),
         drain_grace: duration_or_zero(drain_grace),
         key_order_pause: duration_or_zero(key_order_pause),
     })
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,7 +1,8 @@
-//! Stores that have just started and cannot carry their full work yet (rule 4).
+//! Slow start of stores that have just started and cannot carry their full load yet (rule 4).
 //!
-//! A gateway sends such a store its even part of what the store can carry. Where that part is less than an op, the ops
-//! of each volume are paced instead, so that the volume's gateways together stay under a multiple of its plan's rate.
+//! Each gateway sends such a store at most an equal part of what the store can carry. Where that part is less
+//! than an op, the ops of each volume are paced instead, so that the gateways of a volume together stay below
+//! a multiple of its plan's rate.
 
 use std::time::Duration;
 
@@ -10,10 +11,11 @@
 use super::store::Store;
 use crate::interface::{Endpoint, Op};
 
-/// The part of the rule's multiple that paced ops may use; the rest is for chance and for stores that are slow too.
+/// Fraction of the rule's multiple that paced ops may use; the rest absorbs random variation and other stores
+/// in slow start.
 const PACED_SHARE: f64 = 0.375;
 
-/// Units sent to a store, with their times.
+/// Units sent to a store, with the times of sending.
 #[derive(Default)]
 pub(super) struct RecentSends(Vec<(Duration, f64)>);
 
@@ -31,14 +33,14 @@
         recent.map(|(_, units)| units).sum()
     }
 
-    /// A store's sends count against its next start for twice the window.
+    /// Drops sends older than twice the window; until then they count against the store's next incarnation.
     pub(super) fn drop_old(&mut self, window: Duration, now: Duration) {
         self.0.retain(|(at, _)| *at + 2 * window >= now);
     }
 }
 
 impl SlowStartSettings {
-    /// The least part of its full work that a store can carry at its age; absent: all of it.
+    /// Minimum fraction of its full load that a store can carry at its age; absent: all of it.
     pub(super) fn progress(&self, endpoint: &Endpoint, now: Duration) -> Option<f64> {
         let age = now.saturating_sub(endpoint.started_at?).as_secs_f64();
         let (initial, duration) = (self.initial_progress, self.duration_secs);
@@ -51,31 +53,36 @@
         self.settings.slow_start.progress(endpoint, self.now)
     }
 
-    /// Whether a store in slow start may be sent the op: within this gateway's even part, or paced.
+    /// Whether the op may be sent to a store in slow start, within this gateway's equal part or as a paced
+    /// op.
     ///
-    /// Nothing goes within a window of this gateway's own start, as an earlier run's ops count.
+    /// Nothing is sent within one window after this gateway's own start, since the ops of an earlier run
+    /// still count.
     pub(super) fn has_slow_start_budget(&self, store: &Store, op: &Op, progress: f64) -> bool {
         let rules = &self.settings.slow_start;
         let sent = store.recent_sends.units_within(rules.window, self.now);
         let initial_progress = rules.initial_progress.max(f64::MIN_POSITIVE);
         let capacity = rules.initial_units.unwrap_or(self.mean_units) * progress / initial_progress;
-        let even_part = capacity / self.settings.gateways;
-        // Hazard: beside the even part, or each volume's by itself, paced ops exceed the rule in sum.
-        let paced_part =
+        let gateway_units = capacity / self.settings.gateways;
+        // Hazard: paced ops share one budget with the equal part and with one another. In addition to the
+        // equal part, or counted for each volume alone, they would exceed the rule in sum.
+        let paced_units =
             if self.is_paced_send_due(store, op, progress) { self.mean_units.max(op.units) } else { 0.0 };
-        self.now >= self.started_at + rules.window && op.units + sent <= even_part.max(paced_part)
+        self.now >= self.started_at + rules.window && op.units + sent <= gateway_units.max(paced_units)
     }
 
-    /// The first paced op of a volume goes at a random time within one interval of the store's return.
+    /// Whether the next paced op of the volume is due; the first one is sent at a random time within one
+    /// interval of the store's return.
     fn is_paced_send_due(&self, store: &Store, op: &Op, progress: f64) -> bool {
         let Some(interval) = self.pacing_interval(op, progress) else { return false };
-        let phase = self.random.phase(op.volume, store.back_at);
-        let first_at = store.back_at + interval.mul_f64(phase);
+        let phase = self.random.phase(op.volume, store.returned_at);
+        let first_at = store.returned_at + interval.mul_f64(phase);
         let next_at = store.queues.volume(op.volume).map(|queue| queue.next_paced_send_at);
         self.now >= next_at.unwrap_or_default().max(first_at)
     }
 
-    /// How long a volume waits after such an op to a store in slow start; absent: longer than can be counted.
+    /// Interval after such an op until the volume's next one to a store in slow start; absent: too long to
+    /// represent.
     pub(super) fn pacing_interval(&self, op: &Op, progress: f64) -> Option<Duration> {
         let rate_share = self.settings.slow_start.rate_multiple * PACED_SHARE * progress;
         let plan_rate = self.settings.plans[op.plan].rate;
--- a/src/scheduler/snapshot.rs
+++ b/src/scheduler/snapshot.rs
@@ -1,4 +1,4 @@
-//! What outlives this gateway's run, and how much of an earlier run's is believed.
+//! Snapshots of this gateway's state, and restoring those of an earlier run with limited trust.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::interface::{Action, StoreId, StoreSnapshot, VolumeSnapshot};
 
 impl SchedulerState {
-    /// Tells what is known. The reserved tokens bind from now on, or a crash in a moment would break the promise.
+    /// Emits a snapshot of the current state. The reserved tokens are withheld from now on, since a crash
+    /// right after the snapshot would otherwise break its promise.
     pub(super) fn snapshot(&mut self, promise_duration: Duration) {
         self.stores.apply_all_missed_sweeps(&self.settings);
         let ready = self.stores.iter().filter(|(_, store)| store.is_ready());
@@ -24,8 +25,9 @@
         self.actions.push(Action::Snapshot { stores, volumes: volumes.collect() });
     }
 
-    /// Believes an earlier run the less the older it is, and not at all if nobody can tell how old. Of a limit only
-    /// what it promised to leave undrawn is there, for as long as it promised (rule 7).
+    /// Restores an earlier run's snapshot. Trust decreases with its age, and a snapshot of unknown age is
+    /// ignored. Of a volume's limit, only the tokens that the snapshot promised to leave undrawn are
+    /// available, and only while the promise lasts (rule 7).
     pub(super) fn restore(
         &mut self,
         age: Option<Duration>,
@@ -39,12 +41,12 @@
         for snapshot in stores {
             self.restore_store(snapshot, trust);
         }
-        let is_promise_kept = age <= promise_duration;
+        let is_promise_valid = age <= promise_duration;
         for snapshot in volumes {
             let quota = QuotaSnapshot {
                 rate: snapshot.rate,
                 reported_rate: snapshot.reported_rate,
-                reserved_tokens: if is_promise_kept { snapshot.reserved_tokens } else { 0.0 },
+                reserved_tokens: if is_promise_valid { snapshot.reserved_tokens } else { 0.0 },
             };
             self.quotas.restore(snapshot.volume, &quota, age, self.now);
         }
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -1,4 +1,4 @@
-//! One store: its place in the endpoint list, what is in flight to it, and how it answers.
+//! State of one store: its entry in the endpoint list, its attempts in flight and its response latency.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +11,19 @@
 use super::sweep::{SWEEP_INTERVAL_PER_OBJECTIVE, SweepTime};
 use crate::interface::{Endpoint, OpId, Outcome, StoreState, VolumeId};
 
-/// Weight of a new answer in a latency average, after Argon.
+/// Weight of a new response in the moving average of latency, as in Argon.
 const LATENCY_SMOOTHING: f64 = 0.2;
-/// How much more an answer may weigh whose attempt started long after that of the last answer.
+/// Upper bound of the factor by which a response weighs more if its attempt started long after that of the
+/// previous response.
 const MAX_SMOOTHING_FACTOR: f64 = 2.0;
-/// What a latency average starts at, in latency objectives.
+/// Initial value of a latency average, in latency objectives.
 pub(super) const INITIAL_LATENCY_PER_OBJECTIVE: f64 = 0.125;
-/// The latency that the concurrency limit is steered to, in shortest latency objectives.
+/// Latency that the concurrency limit aims for, in shortest latency objectives.
 const TARGET_LATENCY_PER_OBJECTIVE: f64 = 0.35;
-/// The average latency at which the store counts as overloaded, in shortest latency objectives.
+/// Average latency above which the store is treated as overloaded, in shortest latency objectives.
 const OVERLOAD_LATENCY_PER_OBJECTIVE: f64 = 0.6;
 
-/// What all stores share: settings that hold from the start of the gateway to its end.
+/// Settings that all stores share and that stay constant from the gateway's start to its shutdown.
 #[derive(Clone, Copy)]
 pub(super) struct StoreBaseline {
     pub(super) mean_units: f64,
@@ -30,24 +31,25 @@
 }
 
 impl StoreBaseline {
-    /// Seconds that a store's latency average starts at and fades to.
+    /// Latency in seconds at which a store's average starts and to which it decays.
     pub(super) fn initial_latency(&self) -> f64 {
         self.shortest_objective.as_secs_f64() * INITIAL_LATENCY_PER_OBJECTIVE
     }
 }
 
-/// Which attempt an outcome is of.
+/// A finished attempt with its outcome.
 pub(super) struct FinishedAttempt {
     pub(super) op: OpId,
     pub(super) attempt: u32,
     pub(super) volume: VolumeId,
     pub(super) outcome: Outcome,
     pub(super) started_at: Duration,
-    /// Seconds; of an op heavier than the mean as a mean op's, since heavy ops would inflate the average.
+    /// Latency in seconds. That of an op heavier than the mean is scaled down to a mean op, because heavy ops
+    /// would inflate the average.
     pub(super) latency: f64,
     /// Units that the store's shard served for the volume through other gateways.
     pub(super) units_elsewhere: f64,
-    /// Of the volume's plan.
+    /// Weight of the volume's plan.
     pub(super) plan_weight: f64,
 }
 
@@ -56,7 +58,7 @@
     units: f64,
 }
 
-/// What is known of one store.
+/// State that the scheduler keeps about one store.
 pub(super) struct Store {
     pub(super) endpoint: Endpoint,
     pub(super) queues: FairQueue,
@@ -64,17 +66,17 @@
     pub(super) outlier: OutlierDetector,
     pub(super) recent_sends: RecentSends,
     in_flight: BTreeMap<(OpId, u32), InFlightAttempt>,
-    /// Without stuck attempts, as of the last event of the store.
+    /// Units in flight without those of stuck attempts, as of the store's latest event.
     units_in_flight: f64,
-    /// Seconds of an average answer.
+    /// Average response latency in seconds.
     pub(super) latency: f64,
     baseline: StoreBaseline,
     pub(super) last_sent_at: Duration,
-    /// When this gateway heard that the store is back.
-    pub(super) back_at: Duration,
-    /// When this gateway heard that the store, ready before, is draining.
+    /// When this gateway was notified that the store had returned to service.
+    pub(super) returned_at: Duration,
+    /// When this gateway was notified that the store had changed from ready to draining.
     pub(super) draining_since: Option<Duration>,
-    /// So many sweeps count as having looked at it.
+    /// Number of the last sweep that was applied to this store.
     last_sweep: u64,
 }
 
@@ -91,7 +93,7 @@
             latency: baseline.initial_latency(),
             baseline,
             last_sent_at: Duration::ZERO,
-            back_at: Duration::ZERO,
+            returned_at: Duration::ZERO,
             draining_since: None,
             last_sweep,
         }
@@ -105,13 +107,13 @@
         self.endpoint.state == StoreState::Gone
     }
 
-    /// Whether ops are queued here or in flight.
+    /// Whether ops are queued or in flight at this store.
     pub(super) fn has_work(&self) -> bool {
         self.queues.queued_count() > 0 || !self.in_flight.is_empty()
     }
 
-    /// Whether nothing of it counts any more, not even against its next start.
-    pub(super) fn can_be_dropped(&self) -> bool {
+    /// Whether the store no longer affects any decision, not even the slow start of its next incarnation.
+    pub(super) fn can_be_removed(&self) -> bool {
         self.is_gone() && !self.has_work() && self.recent_sends.is_empty()
     }
 
@@ -119,7 +121,7 @@
         self.units_in_flight
     }
 
-    /// Seconds that the average latency is steered to.
+    /// Target of the average latency, in seconds.
     pub(super) fn target_latency(&self) -> f64 {
         self.baseline.shortest_objective.as_secs_f64() * TARGET_LATENCY_PER_OBJECTIVE
     }
@@ -128,19 +130,21 @@
         silence_timeout(self.baseline.shortest_objective, self.latency)
     }
 
-    /// Whether an attempt is overdue on its connection rather than slow at the store.
+    /// Whether the attempt's response is overdue because its connection lost it rather than because the store
+    /// is slow.
     fn is_stuck(&self, attempt: &InFlightAttempt, now: Duration) -> bool {
         let started_at = attempt.started_at;
         self.outlier.may_be_lost(started_at, now) && started_at + self.silence_timeout() < now
     }
 
-    /// Departure from Argon: a stuck attempt takes no room, or each lost answer would cost up to an op timeout.
+    /// Recomputes the units in flight. Departure from Argon: stuck attempts are not counted, because
+    /// otherwise each lost response would occupy capacity for up to an op timeout.
     fn recount_units_in_flight(&mut self, now: Duration) {
         let counted = self.in_flight.values().filter(|attempt| !self.is_stuck(attempt, now));
         self.units_in_flight = counted.map(|attempt| attempt.units).sum();
     }
 
-    /// Whether attempts that match are in flight and not stuck.
+    /// Whether any matching attempt is in flight and not stuck.
     pub(super) fn has_in_flight(&self, now: Duration, matches: impl Fn(OpId) -> bool) -> bool {
         let mut matching = self.in_flight.iter().filter(|((op, _), _)| matches(*op));
         matching.any(|(_, attempt)| !self.is_stuck(attempt, now))
@@ -160,40 +164,40 @@
         self.outlier.on_attempt_started(now);
     }
 
-    /// Takes in an outcome. After this gateway's own stall neither averages nor limit learn from it, since the wait
-    /// may have been here.
+    /// Applies the outcome of an attempt. After a stall of this gateway, latency averages and the concurrency
+    /// limit are not updated from it, because the attempt may have waited here rather than at the store.
     pub(super) fn on_attempt_finished(
         &mut self,
         finished: &FinishedAttempt,
         now: Duration,
         is_stalled: bool,
     ) {
-        let is_measured = finished.outcome == Outcome::Succeeded && !is_stalled;
+        let is_latency_valid = finished.outcome == Outcome::Succeeded && !is_stalled;
         self.in_flight.remove(&(finished.op, finished.attempt));
         self.recount_units_in_flight(now);
         if let Some(queue) = self.queues.volume_mut(finished.volume) {
             queue.finish_attempt(now, finished.units_elsewhere / finished.plan_weight);
-            if is_measured {
+            if is_latency_valid {
                 queue.latency += LATENCY_SMOOTHING * (finished.latency - queue.latency);
             }
         }
-        // With an answer a second the average would lag by seconds.
-        let gap = self.outlier.objectives_since_answered(finished.started_at);
+        // With only one response per second and constant smoothing, the average would lag by seconds.
+        let gap = self.outlier.objectives_since_last_response(finished.started_at);
         let smoothing = LATENCY_SMOOTHING * gap.clamp(1.0, MAX_SMOOTHING_FACTOR);
         self.outlier.on_attempt_finished(finished.outcome, finished.started_at, now);
-        if is_measured {
+        if is_latency_valid {
             self.latency += smoothing * (finished.latency - self.latency);
             self.limit.on_success(&self.limit_feedback(finished));
         }
-        let tells_of_now = self.outlier.is_latest(finished.started_at) && !is_stalled;
-        if finished.outcome == Outcome::Rejected || self.is_overloaded() && tells_of_now {
+        let reflects_current_load = self.outlier.is_newest_responded(finished.started_at) && !is_stalled;
+        if finished.outcome == Outcome::Rejected || self.is_overloaded() && reflects_current_load {
             self.limit.on_overload();
         }
     }
 
     fn limit_feedback(&self, finished: &FinishedAttempt) -> LimitFeedback {
         LimitFeedback {
-            answer_latency: finished.latency,
+            response_latency: finished.latency,
             average_latency: self.latency,
             target_latency: self.target_latency(),
             shortest_objective: self.baseline.shortest_objective.as_secs_f64(),
@@ -206,12 +210,13 @@
         self.latency > OVERLOAD_LATENCY_PER_OBJECTIVE * self.baseline.shortest_objective.as_secs_f64()
     }
 
-    /// Moves the average towards an earlier run's by the part that it is trusted.
+    /// Moves the average towards that of an earlier run; `trust` is the fraction of the way, from 0 to 1.
     pub(super) fn restore_latency(&mut self, latency: f64, trust: f64) {
         self.latency += trust * (latency - self.latency);
     }
 
-    /// Does what sweeps up to this one do. With nothing queued or in flight, many at once do the same as one by one.
+    /// Applies all sweeps up to `sweep` that the store has missed. With nothing queued or in flight, applying
+    /// many at once has the same effect as applying them one by one.
     pub(super) fn apply_missed_sweeps(&mut self, sweep: SweepTime, settings: &SchedulerSettings) {
         let missed = sweep.number - self.last_sweep;
         self.last_sweep = sweep.number;
@@ -222,22 +227,25 @@
         self.queues.drop_idle(sweep.at);
         self.recount_units_in_flight(sweep.at);
         if self.in_flight.is_empty() {
-            self.fade_latency(missed, settings.gateways);
+            self.decay_latency(missed, settings.gateways);
         }
     }
 
-    /// Departure from Argon: an average that no answer renews fades, or what it keeps away would never show its end.
+    /// Lets the latency average decay towards its initial value. Departure from Argon: without decay, a high
+    /// average that keeps ops away from the store would never be corrected, since no response would update
+    /// it.
     ///
-    /// By a sixteenth over the number of gateways a sweep, since together they look that much more often.
-    fn fade_latency(&mut self, sweeps: u64, gateways: f64) {
+    /// Each sweep moves it by a sixteenth divided by the number of gateways: together, the gateways probe the
+    /// store that much more often.
+    fn decay_latency(&mut self, sweeps: u64, gateways: f64) {
         let initial = self.baseline.initial_latency();
-        let part = SWEEP_INTERVAL_PER_OBJECTIVE / gateways;
+        let decay_fraction = SWEEP_INTERVAL_PER_OBJECTIVE / gateways;
         for _ in 0..sweeps {
-            let faded = self.latency + (initial - self.latency) * part;
-            if faded == self.latency {
+            let decayed = self.latency + (initial - self.latency) * decay_fraction;
+            if decayed == self.latency {
                 return;
             }
-            self.latency = faded;
+            self.latency = decayed;
         }
     }
 }
--- a/src/scheduler/store_table.rs
+++ b/src/scheduler/store_table.rs
@@ -1,7 +1,8 @@
-//! All stores, and which of them need looking at.
+//! All stores, and which of them a sweep must examine.
 //!
-//! A sweep looks only at active stores. What it would have done to the others is caught up with, to the bit, before
-//! they are used next, and for one of them at the end of each sweep.
+//! A sweep examines only active stores. The effect of missed sweeps on an inactive store is applied, bit for
+//! bit the same, before the store is next used; in addition, each sweep ends by bringing one store up to
+//! date.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,21 +16,22 @@
 use super::sweep::SweepTime;
 use crate::interface::{Endpoint, OpId, StoreId, VolumeId};
 
-/// Stores by id, with the indices that keep events from looking at all of them.
+/// Stores by id, with indices that save events from scanning all of them.
 ///
-/// Invariant: `by_shard`, `with_queued_ops` and `active_stores` name only stores that are in `stores`, the second just
-/// those with queued ops, the last all that have work or are gone.
+/// Invariant: `by_shard`, `with_queued_ops` and `active_stores` name only stores that are in `stores`.
+/// `with_queued_ops` names exactly the stores with queued ops, and `active_stores` includes all stores that
+/// have work or are gone.
 #[derive(Default)]
 pub(super) struct StoreTable {
     stores: BTreeMap<StoreId, Store>,
     by_shard: BTreeSet<(u32, StoreId)>,
     with_queued_ops: BTreeSet<StoreId>,
-    /// Gone, or with ops queued or in flight since the last sweep.
+    /// Stores that are gone or have had ops queued or in flight since the last sweep.
     active_stores: BTreeSet<StoreId>,
     last_sweep: SweepTime,
-    /// The store that the sweep under way has come to, in the order of ids.
+    /// The last store that the current sweep has visited, in the order of ids.
     sweep_cursor: Option<StoreId>,
-    /// The store that was last caught up with at the end of a sweep.
+    /// The store that was brought up to date at the end of the last sweep.
     catch_up_cursor: Option<StoreId>,
 }
 
@@ -50,12 +52,12 @@
         self.stores.get_mut(&id)
     }
 
-    /// In the order of ids.
+    /// Iterates over all stores in the order of ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (StoreId, &Store)> {
         self.stores.iter().map(|(id, store)| (*id, store))
     }
 
-    /// The stores of a shard, in the order of ids.
+    /// Iterates over the stores of a shard in the order of ids.
     pub(super) fn of_shard(&self, shard: u32) -> impl Iterator<Item = (StoreId, &Store)> {
         let ids = self.by_shard.range((shard, StoreId(0))..=(shard, StoreId(u32::MAX)));
         ids.map(|(_, id)| (*id, &self.stores[id]))
@@ -69,14 +71,14 @@
         self.active_stores.len()
     }
 
-    /// Makes the store one that sweeps look at, as those up to now would have left it.
+    /// Marks the store active and applies the sweeps that it has missed.
     pub(super) fn activate(
         &mut self,
         id: StoreId,
         now: Duration,
         settings: &SchedulerSettings,
     ) -> Option<&mut Store> {
-        // The sweep under way counts for the stores that it has passed.
+        // For stores that the current sweep has already passed, that sweep counts as missed too.
         let sweep = if Some(id) <= self.sweep_cursor {
             SweepTime { number: self.last_sweep.number + 1, at: now }
         } else {
@@ -88,15 +90,16 @@
         Some(store)
     }
 
-    /// Before anything that judges all stores as they are now.
+    /// Applies missed sweeps to all stores; required before reading or changing what depends on the state of
+    /// all of them.
     pub(super) fn apply_all_missed_sweeps(&mut self, settings: &SchedulerSettings) {
         for store in self.stores.values_mut() {
             store.apply_missed_sweeps(self.last_sweep, settings);
         }
     }
 
-    /// Indexes a listed store, a new one if it is not known yet, and activates it.
-    pub(super) fn list(
+    /// Indexes and activates a store named by the endpoint list; inserts it if it is unknown.
+    pub(super) fn insert_listed(
         &mut self,
         endpoint: &Endpoint,
         baseline: StoreBaseline,
@@ -105,11 +108,11 @@
     ) -> Option<&mut Store> {
         let id = endpoint.store;
         match self.stores.entry(id) {
-            Entry::Occupied(known) => {
-                self.by_shard.remove(&(known.get().endpoint.shard, id));
+            Entry::Occupied(occupied) => {
+                self.by_shard.remove(&(occupied.get().endpoint.shard, id));
             }
-            Entry::Vacant(unknown) => {
-                unknown.insert(Store::new(baseline, now, self.last_sweep.number));
+            Entry::Vacant(vacant) => {
+                vacant.insert(Store::new(baseline, now, self.last_sweep.number));
             }
         }
         self.by_shard.insert((endpoint.shard, id));
@@ -138,25 +141,26 @@
         }
     }
 
-    /// Drops stores of which nothing counts any more, and leaves idle ones out of the next sweeps.
+    /// Removes gone stores that no longer affect any decision, and deactivates idle stores.
     pub(super) fn begin_sweep(&mut self) {
-        if self.active_stores.iter().any(|id| self.stores[id].can_be_dropped()) {
-            self.stores.retain(|_, store| !store.can_be_dropped());
+        if self.active_stores.iter().any(|id| self.stores[id].can_be_removed()) {
+            self.stores.retain(|_, store| !store.can_be_removed());
             self.by_shard.retain(|(_, id)| self.stores.contains_key(id));
         }
-        let stays = |store: &Store| store.has_work() || store.is_gone();
-        self.active_stores.retain(|id| self.stores.get(id).is_some_and(stays));
+        let stays_active = |store: &Store| store.has_work() || store.is_gone();
+        self.active_stores.retain(|id| self.stores.get(id).is_some_and(stays_active));
     }
 
-    /// Moves the sweep under way to the next active store.
-    pub(super) fn next_to_sweep(&mut self) -> Option<StoreId> {
+    /// Advances the current sweep to the next active store.
+    pub(super) fn next_store_to_sweep(&mut self) -> Option<StoreId> {
         let after = self.sweep_cursor.map_or(Unbounded, Excluded);
         let next = self.active_stores.range((after, Unbounded)).next().copied()?;
         self.sweep_cursor = Some(next);
         Some(next)
     }
 
-    /// Ends the sweep under way and catches up with one store, in turn: none keeps for long what is over.
+    /// Ends the current sweep and applies missed sweeps to one store, in rotation, so that no store keeps
+    /// expired state for long.
     pub(super) fn finish_sweep(&mut self, now: Duration, settings: &SchedulerSettings) {
         self.last_sweep = SweepTime { number: self.last_sweep.number + 1, at: now };
         self.sweep_cursor = None;
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep: what only the passing of time changes, looked at in short intervals.
+//! The periodic sweep, which handles everything that changes only with the passing of time.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use super::pending_op::PendingOp;
 use crate::interface::{Action, OpId, StoreId};
 
-/// The time between sweeps, in shortest latency objectives.
+/// Interval between sweeps, in shortest latency objectives.
 pub(super) const SWEEP_INTERVAL_PER_OBJECTIVE: f64 = 0.0625;
-/// The token of the sweep's timer, the only one that is set.
+/// Token of the sweep timer, the only timer that the scheduler sets.
 const SWEEP_TIMER: u64 = 0;
 
-/// The number of a sweep and when it began.
+/// A sweep's number and the time at which it began.
 #[derive(Clone, Copy, Default)]
 pub(super) struct SweepTime {
     pub(super) number: u64,
@@ -23,7 +23,8 @@
         self.shortest_objective.mul_f64(SWEEP_INTERVAL_PER_OBJECTIVE)
     }
 
-    /// Ends ops that are overdue or late, and brings what is known of active stores up to date.
+    /// Ends ops that are past their deadline or would miss their objective, and updates the state of active
+    /// stores.
     pub(super) fn sweep(&mut self) {
         self.next_sweep_at = self.now + self.sweep_interval();
         self.actions.push(Action::SetTimer { token: SWEEP_TIMER, at: self.next_sweep_at });
@@ -32,7 +33,7 @@
         }
         self.end_overdue_ops();
         self.stores.begin_sweep();
-        while let Some(id) = self.stores.next_to_sweep() {
+        while let Some(id) = self.stores.next_store_to_sweep() {
             self.sweep_store(id);
         }
         self.stores.finish_sweep(self.now, &self.settings);
@@ -46,11 +47,12 @@
         };
         let overdue: Vec<OpId> = self.ops.iter().filter_map(is_overdue).collect();
         for op in overdue {
-            self.end_unserved(op);
+            self.reject_or_fail(op);
         }
     }
 
-    /// Suspects the store if it is silent, and moves or ends queued ops that it will not serve in time.
+    /// Marks the store as suspected if it is silent, and moves or ends queued ops that it will not serve in
+    /// time.
     fn sweep_store(&mut self, id: StoreId) {
         let Some(store) = self.stores.activate(id, self.now, &self.settings) else { return };
         if !self.is_stalled && store.is_silent(self.now) {
@@ -58,7 +60,8 @@
         }
         let queued = store.queues.queued_ops();
         if store.outlier.is_suspected() || !store.is_ready() {
-            // Another store may do, or a successor: a drain that is not known yet looks like a silent store.
+            // Another store or a successor may serve the op: a drain that the endpoint list does not show yet
+            // looks like a silent store.
             for op in &queued {
                 self.enqueue(*op);
             }
@@ -66,19 +69,19 @@
         self.end_late_ops(id, queued);
     }
 
-    /// Ops that would be answered late are ended at the next sweep: kept, they fill gaps that other gateways' ops could
-    /// use.
+    /// Ends queued ops that would miss their latency objective or may no longer be attempted at this store.
+    /// If kept, they would fill gaps that ops of other gateways could use.
     fn end_late_ops(&mut self, id: StoreId, queued: Vec<OpId>) {
         let store = &self.stores[id];
-        let is_over = |op: &OpId| {
+        let must_end = |op: &OpId| {
             self.ops.get(op).is_some_and(|pending| {
                 pending.queued_store == Some(id)
                     && (self.misses_objective(pending, store) || !self.may_attempt_at(pending, id))
             })
         };
-        let over: Vec<OpId> = queued.into_iter().filter(is_over).collect();
-        for op in over {
-            self.end_unserved(op);
+        let ending: Vec<OpId> = queued.into_iter().filter(must_end).collect();
+        for op in ending {
+            self.reject_or_fail(op);
         }
     }
 }
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,9 +1,10 @@
-//! docs/CAPACITY.md keeps its word: no row without one of the four marks, sums that add up, ratios that follow from them.
+//! Checks docs/CAPACITY.md: each row has one of the four marks, calculations are correct, and ratios follow
+//! from the figures that they relate.
 
 const PAGE: &str = include_str!("../docs/CAPACITY.md");
 const MARKS: [&str; 4] = ["measured", "worked out", "assumed", "not known"];
 
-/// A row of a table whose head has a mark: its cells by the names in the head.
+/// A row of a table that has a `mark` column: the row's cells by column name.
 struct Row {
     line: usize,
     cells: Vec<(&'static str, &'static str)>,
@@ -42,99 +43,104 @@
     word.trim_end_matches([';', ':', ',', '.']).replace(',', "").parse().ok()
 }
 
-/// Products and quotients from left to right, then sums; nothing where a word is no number.
-fn evaluate(sum: &str) -> Option<f64> {
-    let (mut whole, mut term, mut sign, mut operator) = (0.0, 1.0, 1.0, "x");
-    for word in sum.split_whitespace() {
+/// Evaluates products and quotients from left to right, then sums; `None` if a word is not a number.
+fn evaluate(expression: &str) -> Option<f64> {
+    let (mut total, mut term, mut sign, mut operator) = (0.0, 1.0, 1.0, "x");
+    for word in expression.split_whitespace() {
         match word {
             "x" | "/" => operator = word,
             "+" | "-" => {
-                whole += sign * term;
+                total += sign * term;
                 (term, operator, sign) = (1.0, "x", if word == "+" { 1.0 } else { -1.0 });
             }
             _ if operator == "x" => term *= number(word)?,
             _ => term /= number(word)?,
         }
     }
-    Some(whole + sign * term)
+    Some(total + sign * term)
 }
 
-/// The first number of what stands after the sum, its unit after it.
-fn figure(need: &str) -> Option<f64> {
-    need.rsplit(" = ").next()?.split_whitespace().find_map(number)
+/// The first number after the last ` = ` of a cell, or of the whole cell if it has none.
+fn stated_figure(cell: &str) -> Option<f64> {
+    cell.rsplit(" = ").next()?.split_whitespace().find_map(number)
 }
 
-/// Figures are written short: within a fiftieth, or half of the last digit of small ones.
-fn is_near(told: f64, worth: f64) -> bool {
-    (told - worth).abs() <= (worth.abs() / 50.0).max(0.0051)
+/// Whether a stated figure equals the computed one up to rounding: within a fiftieth, or within half of the
+/// last digit of small figures.
+fn is_within_rounding(stated: f64, computed: f64) -> bool {
+    (stated - computed).abs() <= (computed.abs() / 50.0).max(0.0051)
 }
 
-/// All that is wrong at once: a page is mended in one go.
-fn assert_none_wrong(wrong: &[String]) {
-    assert!(wrong.is_empty(), "docs/CAPACITY.md\n{}", wrong.join("\n"));
+/// Reports all errors at once, so that the page can be corrected in one go.
+fn assert_no_errors(errors: &[String]) {
+    assert!(errors.is_empty(), "docs/CAPACITY.md\n{}", errors.join("\n"));
 }
 
 #[test]
 fn capacity_row_has_known_mark_and_a_run_or_a_sum() {
     let rows = rows();
-    assert!(rows.len() > 100, "{} rows: the page's tables are not found", rows.len());
-    let mut wrong = Vec::new();
+    assert!(rows.len() > 100, "only {} rows with a mark found in the page's tables", rows.len());
+    let mut errors = Vec::new();
     for row in &rows {
-        let mark = row.cell("mark").expect("kept for it");
+        let mark = row.cell("mark").expect("rows without a mark are filtered out");
         if !MARKS.contains(&mark) {
-            wrong.push(format!("line {}: {mark:?} is none of {MARKS:?}", row.line));
+            errors.push(format!("line {}: mark {mark:?} is not one of {MARKS:?}", row.line));
         }
-        // A figure that somebody has to say, or that nobody can, has no run and may have no sum.
-        let told = row.cells.iter().filter(|(_, cell)| cell.chars().any(|c| c.is_ascii_digit())).count();
-        let backed = ["from", "by"].iter().filter_map(|name| row.cell(name)).any(|cell| !cell.is_empty());
-        if mark == "measured" && (told == 0 || !backed) || mark == "worked out" && told == 0 && !backed {
-            wrong.push(format!("line {}: {mark}, and neither a run nor a sum", row.line));
+        // An assumed or unknown figure has no run and may have no calculation.
+        let cells_with_digits =
+            row.cells.iter().filter(|(_, cell)| cell.chars().any(|c| c.is_ascii_digit())).count();
+        let has_source = ["from", "by"].iter().filter_map(|name| row.cell(name)).any(|cell| !cell.is_empty());
+        if mark == "measured" && (cells_with_digits == 0 || !has_source)
+            || mark == "worked out" && cells_with_digits == 0 && !has_source
+        {
+            errors.push(format!("line {}: marked {mark}, but without a run or a calculation", row.line));
         }
     }
-    assert_none_wrong(&wrong);
+    assert_no_errors(&errors);
 }
 
 #[test]
 fn capacity_sum_equals_its_stated_result() {
-    let (mut sums, mut wrong) = (0, Vec::new());
+    let (mut calculations, mut errors) = (0, Vec::new());
     for row in rows() {
         for (head, cell) in &row.cells {
-            let Some((sum, rest)) = cell.split_once(" = ") else { continue };
-            let Some(worth) = evaluate(sum) else { continue };
-            sums += 1;
-            let told = rest.split_whitespace().find_map(number);
-            if !told.is_some_and(|told| is_near(told, worth)) {
-                wrong.push(format!("line {}, {head}: {sum} is {worth}, not {rest}", row.line));
+            let Some((expression, result)) = cell.split_once(" = ") else { continue };
+            let Some(computed) = evaluate(expression) else { continue };
+            calculations += 1;
+            let stated = result.split_whitespace().find_map(number);
+            if !stated.is_some_and(|stated| is_within_rounding(stated, computed)) {
+                errors.push(format!("line {}, {head}: {expression} is {computed}, not {result}", row.line));
             }
         }
     }
-    assert_none_wrong(&wrong);
-    assert!(sums > 60, "only {sums} sums are found");
+    assert_no_errors(&errors);
+    assert!(calculations > 60, "only {calculations} calculations found");
 }
 
 #[test]
 fn capacity_ratio_is_need_over_budget() {
-    let (mut ratios, mut wrong) = (0, Vec::new());
+    let (mut ratios, mut errors) = (0, Vec::new());
     for row in rows() {
         let cells = (row.cell("need"), row.cell("budget"), row.cell("ratio"));
         let (Some(need), Some(budget), Some(ratio)) = cells else { continue };
         let Some(ratio) = number(ratio) else { continue };
         ratios += 1;
-        let of = figure(need).zip(figure(budget));
-        if !of.is_some_and(|(need, budget)| is_near(ratio, need / budget)) {
-            wrong.push(format!("line {}: {need} over {budget} is not {ratio}", row.line));
+        let figures = stated_figure(need).zip(stated_figure(budget));
+        if !figures.is_some_and(|(need, budget)| is_within_rounding(ratio, need / budget)) {
+            errors.push(format!("line {}: {need} divided by {budget} is not {ratio}", row.line));
         }
     }
-    assert_none_wrong(&wrong);
-    assert!(ratios > 40, "only {ratios} ratios are found");
+    assert_no_errors(&errors);
+    assert!(ratios > 40, "only {ratios} ratios found");
 }
 
 #[test]
 fn capacity_ranking_is_ordered_by_ratio() {
-    let of = |row: &Row| Some((row.line, number(row.cell("rank")?)?, number(row.cell("ratio")?)?));
-    let ranked: Vec<(usize, f64, f64)> = rows().iter().filter_map(of).collect();
-    assert!(ranked.len() > 5, "no ranking");
+    let line_rank_ratio =
+        |row: &Row| Some((row.line, number(row.cell("rank")?)?, number(row.cell("ratio")?)?));
+    let ranked: Vec<(usize, f64, f64)> = rows().iter().filter_map(line_rank_ratio).collect();
+    assert!(ranked.len() > 5, "only {} ranked rows found", ranked.len());
     for (before, (line, rank, ratio)) in ranked.iter().zip(&ranked[1..]) {
-        assert!(before.1 < *rank && before.2 >= *ratio, "line {line}: ranked below what is less");
+        assert!(before.1 < *rank && before.2 >= *ratio, "line {line}: out of order by rank or ratio");
     }
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways under test, and a slow model of the rules that checks each of their actions.
+//! Gateways under test, and a simple, slow model of the rules that checks each of their actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 use umbertray::scheduler::Scheduler;
 
 pub(crate) const GATEWAYS: usize = 2;
-/// Units that a store can carry within the window when it starts.
+/// Units that a store can carry within the slow start window when it starts.
 pub(crate) const SLOW_START_UNITS: f64 = 12.0;
 const SLOW_START_INITIAL_PROGRESS: f64 = 0.25;
 const SLOW_START_SECS: f64 = 8.0;
 const SLOW_START_WINDOW_SECS: f64 = 1.0;
-/// The limit of plan 1: units a second, units at once, and units by which it may be passed.
+/// The limit of plan 1: units per second, burst in units, and the number of units by which the model lets it
+/// be exceeded.
 pub(crate) const LIMIT_RATE: f64 = 20.0;
 pub(crate) const LIMIT_BURST: f64 = 24.0;
 pub(crate) const LIMIT_SLACK: f64 = 2.4;
@@ -24,13 +25,13 @@
 const RETRY_WINDOW_SECS: f64 = 2.0;
 const KEY_ORDER_PAUSE: Duration = Duration::from_millis(300);
 const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(100);
-/// Twice the least time between two snapshots.
+/// Twice the minimum time between two snapshots.
 pub(crate) const PROMISE_DURATION: Duration = Duration::from_millis(400);
 pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(1000);
-/// The time by which a final answer may be late.
-const ANSWER_GRACE: Duration = Duration::from_millis(8);
+/// Time by which a final response may be late.
+const RESPONSE_GRACE: Duration = Duration::from_millis(8);
 
-/// The op types of [`settings`], by their index.
+/// Indices of the op types in [`settings`].
 const DEDUPLICATED: usize = 1;
 const ONCE_ONLY: usize = 2;
 const ORDERED: usize = 3;
@@ -39,19 +40,20 @@
     Duration::from_millis(millis)
 }
 
-/// Four op types: replayable, deduplicated in a cell, once-only, and replayable in order.
+/// Settings with four op types: replayable, deduplicated within a shard, once-only, and replayable in order.
 pub(crate) fn settings() -> Settings {
     let text = format!(
-        "gateways={GATEWAYS} tick=0.002 stores.mean_units=2 stores.cold_units={SLOW_START_UNITS} limits.max_dispatches=3 \
-         limits.max_retry_after=1 rules.drain_grace=1 rules.cold_from={SLOW_START_INITIAL_PROGRESS} \
-         rules.cold_time={SLOW_START_SECS} rules.fall_time={SLOW_START_WINDOW_SECS} rules.order_pause=0.3 \
-         rules.further_free={FREE_RETRIES} rules.further_share={RETRIES_PER_ARRIVAL} \
-         rules.further_span={RETRY_WINDOW_SECS} rules.ask_within=10 op_types.count=4 \
-         plans.count=2 plans.0.weight=1 plans.0.rate=4 plans.1.weight=2 plans.1.rate=8 plans.1.limit={LIMIT_RATE} \
-         plans.1.limit_burst={LIMIT_BURST} plans.1.limit_slack={LIMIT_SLACK}",
+        "gateways={GATEWAYS} tick=0.002 stores.mean_units=2 stores.cold_units={SLOW_START_UNITS} \
+         limits.max_dispatches=3 limits.max_retry_after=1 rules.drain_grace=1 \
+         rules.cold_from={SLOW_START_INITIAL_PROGRESS} rules.cold_time={SLOW_START_SECS} \
+         rules.fall_time={SLOW_START_WINDOW_SECS} rules.order_pause=0.3 rules.further_free={FREE_RETRIES} \
+         rules.further_share={RETRIES_PER_ARRIVAL} rules.further_span={RETRY_WINDOW_SECS} \
+         rules.ask_within=10 op_types.count=4 plans.count=2 plans.0.weight=1 plans.0.rate=4 \
+         plans.1.weight=2 plans.1.rate=8 plans.1.limit={LIMIT_RATE} plans.1.limit_burst={LIMIT_BURST} \
+         plans.1.limit_slack={LIMIT_SLACK}",
     );
-    let kinds = [("replayable", 3), ("deduplicated", 2), ("once_only", 2), ("replayable", 1)];
-    let types = kinds.iter().enumerate().flat_map(|(i, (repeats, utility))| {
+    let repeats_and_utility = [("replayable", 3), ("deduplicated", 2), ("once_only", 2), ("replayable", 1)];
+    let op_types = repeats_and_utility.iter().enumerate().flat_map(|(i, (repeats, utility))| {
         format!(
             "op_types.{i}.repeats={repeats} op_types.{i}.utility={utility} op_types.{i}.target_latency=0.2 \
              op_types.{i}.op_timeout=1 op_types.{i}.dedup_scope=cell op_types.{i}.dedup_span=0.1 \
@@ -62,7 +64,7 @@
         .map(String::from)
         .collect::<Vec<_>>()
     });
-    let pairs = text.split_whitespace().map(String::from).chain(types);
+    let pairs = text.split_whitespace().map(String::from).chain(op_types);
     pairs.filter_map(|pair| pair.split_once('=').map(|(k, v)| (k.to_string(), v.to_string()))).collect()
 }
 
@@ -70,7 +72,7 @@
     Endpoint { store: StoreId(store), shard, zone: 0, started_at, state }
 }
 
-/// An op of two units on existing data, whose client waits a second.
+/// An op of two units on existing data whose client waits one second.
 pub(crate) fn op(id: u32, volume: u32, op_type: usize) -> Op {
     Op {
         id: OpId(id),
@@ -103,7 +105,7 @@
         matches!(self.outcome, Some((Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent, _)))
     }
 
-    /// Whether the next op on its key must wait since the store may still be at work on this one.
+    /// Whether the next op on the key must wait because the store may still be executing this one.
     fn pauses_key(&self, now: Duration) -> bool {
         self.outcome.is_some_and(|(outcome, at)| may_still_execute(outcome) && now < at + KEY_ORDER_PAUSE)
     }
@@ -113,17 +115,17 @@
     matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled | Outcome::Unknown)
 }
 
-/// One op as the model sees it.
+/// The model's record of one op.
 pub(crate) struct TrackedOp {
     pub(crate) op: Op,
     pub(crate) arrived_at: Duration,
     pub(crate) attempts: Vec<SentAttempt>,
     pub(crate) has_ended: bool,
-    /// The number of ops that arrived before it.
-    pub(crate) order: usize,
+    /// Number of ops that arrived before this one.
+    pub(crate) arrival_index: usize,
 }
 
-/// One gateway, and what the model knows of it.
+/// One gateway, and the model's record of it.
 #[derive(Default)]
 pub(crate) struct TestGateway {
     scheduler: Scheduler,
@@ -134,7 +136,7 @@
     pub(crate) actions: Vec<Action>,
 }
 
-/// What a gateway's last snapshot told.
+/// The content of a gateway's last snapshot.
 #[derive(Clone)]
 struct SavedSnapshot {
     taken_at: Duration,
@@ -150,18 +152,18 @@
     units: f64,
 }
 
-/// All gateways, the list that they share, and what the rules count over them.
+/// All gateways, the endpoint list that they share, and the model's totals over them for the rules.
 #[derive(Default)]
 pub(crate) struct TestFleet {
     pub(crate) now: Duration,
     pub(crate) gateways: Vec<TestGateway>,
     pub(crate) list: Vec<Endpoint>,
-    /// What each gateway acts on.
+    /// The settings in force at each gateway.
     settings: Vec<Settings>,
-    /// Until when stores that are no more ready may be sent ops.
+    /// Time until which a store that is no longer ready may be sent ops.
     drain_until: BTreeMap<StoreId, Duration>,
     slow_start_sends: Vec<SlowStartSend>,
-    /// Tokens of volumes' limits, and when they were counted.
+    /// Tokens of each volume's limit, and the time of that count.
     limit_tokens: BTreeMap<VolumeId, (f64, Duration)>,
     snapshots: BTreeMap<usize, SavedSnapshot>,
 }
@@ -175,7 +177,7 @@
         Self::with_gateways(now, list, settings, GATEWAYS)
     }
 
-    /// The same with so many gateways.
+    /// Like [`Self::with_settings`], with the given number of gateways.
     pub(crate) fn with_gateways(
         now: Duration,
         list: Vec<Endpoint>,
@@ -197,7 +199,7 @@
         self.deliver(gateway, vec![start, Event::EndpointList(list)]);
     }
 
-    /// A gateway acts on another limit and burst of plan 1 from now on; 0: none.
+    /// Changes the limit and burst of plan 1 at one gateway; 0: no limit.
     pub(crate) fn change_limit(&mut self, gateway: usize, limit: f64, burst: f64) {
         let volumes: Vec<VolumeId> = self.limit_tokens.keys().copied().collect();
         for volume in volumes {
@@ -210,12 +212,12 @@
         self.deliver(gateway, vec![Event::SettingsChanged { settings }]);
     }
 
-    /// Rule 7: the tokens left of a volume's limit. They fill as fast, and are as many at most, as the parts are that
-    /// the gateways act on.
+    /// Rule 7: fills and returns the tokens left of a volume's limit. Fill rate and burst are those of the
+    /// gateways' parts, each taken from the settings in force at that gateway.
     fn fill_tokens(&mut self, volume: VolumeId) -> f64 {
         let mean = |name: &str| {
-            let figures = self.settings.iter().map(|settings| settings[name].parse::<f64>());
-            figures.map(|figure| figure.expect("a number")).sum::<f64>() / self.settings.len() as f64
+            let values = self.settings.iter().map(|settings| settings[name].parse::<f64>());
+            values.map(|value| value.expect("a number")).sum::<f64>() / self.settings.len() as f64
         };
         let (rate, burst) = (mean("plans.1.limit"), mean("plans.1.limit_burst"));
         let (tokens, at) = self.limit_tokens.get(&volume).copied().unwrap_or((burst, self.now));
@@ -224,24 +226,27 @@
         tokens
     }
 
-    /// Keeps a snapshot of what the gateway knows now.
+    /// Takes and keeps a snapshot of the gateway's state.
     pub(crate) fn take_snapshot(&mut self, gateway: usize) {
         self.deliver(gateway, vec![Event::TakeSnapshot { promise_duration: PROMISE_DURATION }]);
-        let known = self.gateways[gateway].actions.pop();
-        let Some(Action::Snapshot { stores, volumes }) = known else { panic!("not told: {known:?}") };
+        let action = self.gateways[gateway].actions.pop();
+        let Some(Action::Snapshot { stores, volumes }) = action else {
+            panic!("expected a snapshot, got {action:?}")
+        };
         let snapshot =
             SavedSnapshot { taken_at: self.now, promise_duration: PROMISE_DURATION, stores, volumes };
         self.snapshots.insert(gateway, snapshot);
     }
 
-    /// Whoever keeps a snapshot lets its promise be believed once: restart loops would draw it again and again.
+    /// A stored snapshot's promise may be used only once: a gateway that restarts in a loop would otherwise
+    /// draw the same tokens again each time.
     fn use_up_promise(&mut self, gateway: usize) {
         if let Some(snapshot) = self.snapshots.get_mut(&gateway) {
             snapshot.promise_duration = ms(0);
         }
     }
 
-    /// Restarts a gateway, which restores what it kept last; its age may be unknown.
+    /// Restarts a gateway, which restores its last snapshot; the snapshot's age may be unknown.
     pub(crate) fn restart_and_restore(&mut self, gateway: usize, is_age_known: bool) {
         self.restart(gateway);
         let Some(snapshot) = self.snapshots.get(&gateway).cloned() else { return };
@@ -251,7 +256,7 @@
         self.use_up_promise(gateway);
     }
 
-    /// All gateways hear of a new list.
+    /// Publishes a new endpoint list to all gateways.
     pub(crate) fn publish_list(&mut self, list: Vec<Endpoint>) {
         for known in &self.list {
             let listed = list.iter().find(|endpoint| endpoint.store == known.store);
@@ -271,10 +276,15 @@
 
     pub(crate) fn submit(&mut self, gateway: usize, op: Op) {
         let arrivals = &mut self.gateways[gateway].arrivals;
-        let order = arrivals.len();
+        let arrival_index = arrivals.len();
         arrivals.push(self.now);
-        let tracked =
-            TrackedOp { op: op.clone(), arrived_at: self.now, attempts: vec![], has_ended: false, order };
+        let tracked = TrackedOp {
+            op: op.clone(),
+            arrived_at: self.now,
+            attempts: vec![],
+            has_ended: false,
+            arrival_index,
+        };
         self.gateways[gateway].ops.insert(op.id, tracked);
         self.deliver(gateway, vec![Event::OpArrived(op)]);
     }
@@ -299,7 +309,7 @@
         self.deliver(gateway, vec![Event::AttemptFinished(result)]);
     }
 
-    /// Lets time pass: timers fire, attempts time out, and every final answer must be in.
+    /// Advances the clock: fires timers, times out attempts and checks that final responses are sent in time.
     pub(crate) fn advance(&mut self, duration: Duration) {
         let until = self.now + duration;
         while self.now < until {
@@ -322,8 +332,8 @@
 
     fn time_out_attempts(&mut self, gateway: usize) {
         let in_flight = self.in_flight(gateway).into_iter();
-        let over: Vec<_> = in_flight.filter(|(_, _, times_out_at)| *times_out_at <= self.now).collect();
-        for (op, attempt, _) in over {
+        let timed_out: Vec<_> = in_flight.filter(|(_, _, times_out_at)| *times_out_at <= self.now).collect();
+        for (op, attempt, _) in timed_out {
             self.finish_attempt(gateway, op, attempt, Outcome::TimedOut);
         }
     }
@@ -331,14 +341,14 @@
     fn check_deadlines(&self, gateway: usize) {
         for tracked in self.gateways[gateway].ops.values().filter(|tracked| !tracked.has_ended) {
             assert!(
-                self.now <= tracked.arrived_at + tracked.op.time_left + ANSWER_GRACE,
-                "rule 1: {:?} without its final answer",
+                self.now <= tracked.arrived_at + tracked.op.time_left + RESPONSE_GRACE,
+                "rule 1: {:?} has no final response at its deadline",
                 tracked.op.id
             );
         }
     }
 
-    /// Attempts in flight: of which op, which of its attempts, and when it times out.
+    /// Attempts in flight: the op, the index of the attempt, and the time at which it times out.
     pub(crate) fn in_flight(&self, gateway: usize) -> Vec<(OpId, usize, Duration)> {
         let mut in_flight = Vec::new();
         for (id, tracked) in &self.gateways[gateway].ops {
@@ -360,7 +370,7 @@
         self.gateways[gateway].actions.iter().filter_map(sent_op).collect()
     }
 
-    /// Hands over events, and checks what the gateway makes of them.
+    /// Delivers events to a gateway and checks the resulting actions.
     pub(crate) fn deliver(&mut self, gateway: usize, events: Vec<Event>) {
         let actions = self.gateways[gateway].scheduler.handle(self.now, events);
         for action in actions {
@@ -372,8 +382,8 @@
     fn check_action(&mut self, gateway: usize, action: &Action) {
         match action {
             Action::SetTimer { token, at } => self.gateways[gateway].timers.push((*at, *token)),
-            Action::Reject { op, .. } => self.check_final_answer(gateway, *op, true),
-            Action::Fail { op } => self.check_final_answer(gateway, *op, false),
+            Action::Reject { op, .. } => self.check_final_response(gateway, *op, true),
+            Action::Fail { op } => self.check_final_response(gateway, *op, false),
             Action::StartAttempt { op, store, timeout } => {
                 self.check_attempt(gateway, *op, *store);
                 self.record_attempt(gateway, *op, *store, *timeout);
@@ -383,22 +393,22 @@
         }
     }
 
-    fn check_final_answer(&mut self, gateway: usize, id: OpId, is_rejection: bool) {
+    fn check_final_response(&mut self, gateway: usize, id: OpId, is_rejection: bool) {
         let tracked = self.gateways[gateway].ops.get_mut(&id);
-        let tracked = tracked.expect("rule 1: a final answer to an op never taken");
-        assert!(!tracked.has_ended, "rule 1: a second final answer to {id:?}");
-        let may_have_run = tracked.attempts.iter().any(|attempt| !attempt.was_not_executed());
+        let tracked = tracked.expect("rule 1: final response to an op that was never submitted");
+        assert!(!tracked.has_ended, "rule 1: second final response to {id:?}");
+        let may_be_executed = tracked.attempts.iter().any(|attempt| !attempt.was_not_executed());
         let is_unsafe = [DEDUPLICATED, ONCE_ONLY].contains(&tracked.op.op_type);
         assert!(
-            !(is_rejection && may_have_run && is_unsafe),
-            "rule 2: {id:?} throttled after it may have run"
+            !(is_rejection && may_be_executed && is_unsafe),
+            "rule 2: {id:?} rejected after it may have been executed"
         );
         tracked.has_ended = true;
     }
 
     fn check_attempt(&mut self, gateway: usize, id: OpId, store: StoreId) {
         let tracked = &self.gateways[gateway].ops[&id];
-        assert!(!tracked.has_ended, "rule 1: {id:?} sent after its final answer");
+        assert!(!tracked.has_ended, "rule 1: {id:?} sent after its final response");
         assert!(
             self.drain_until.get(&store).is_none_or(|until| self.now <= *until),
             "rule 3: {id:?} sent to a draining store"
@@ -421,17 +431,17 @@
         let shard_of =
             |id: StoreId| self.list.iter().find(|known| known.store == id).map(|known| known.shard);
         if let Some(first) = tracked.attempts.iter().find(|attempt| !attempt.was_not_executed()) {
-            assert!(tracked.op.op_type != ONCE_ONLY, "rule 2: a once-only op sent again");
+            assert!(tracked.op.op_type != ONCE_ONLY, "rule 2: a once-only op was sent again");
             let is_within_window = self.now <= first.started_at + DEDUPLICATION_WINDOW;
             let is_deduplicated = shard_of(first.store) == shard_of(store) && is_within_window;
             assert!(
                 tracked.op.op_type != DEDUPLICATED || is_deduplicated,
-                "rule 2: a deduplicated op sent outside its scope or span"
+                "rule 2: a deduplicated op was sent outside its deduplication scope or window"
             );
         }
         assert!(
             tracked.attempts.iter().all(|attempt| !attempt.is_in_flight()),
-            "rule 2: two dispatches of one op at once"
+            "rule 2: two attempts of one op in flight at once"
         );
     }
 
@@ -440,17 +450,19 @@
         if tracked.op.op_type != ORDERED {
             return;
         }
-        let is_before = |other: &&TrackedOp| {
-            other.op.op_type == ORDERED && other.op.key == tracked.op.key && other.order < tracked.order
+        let precedes = |other: &&TrackedOp| {
+            other.op.op_type == ORDERED
+                && other.op.key == tracked.op.key
+                && other.arrival_index < tracked.arrival_index
         };
-        for before in self.gateways[gateway].ops.values().filter(is_before) {
-            let is_open = !before.has_ended || before.attempts.iter().any(SentAttempt::is_in_flight);
-            let pauses = before.attempts.iter().any(|attempt| attempt.pauses_key(self.now));
+        for earlier in self.gateways[gateway].ops.values().filter(precedes) {
+            let is_open = !earlier.has_ended || earlier.attempts.iter().any(SentAttempt::is_in_flight);
+            let pauses_key = earlier.attempts.iter().any(|attempt| attempt.pauses_key(self.now));
             assert!(
-                !is_open && !pauses,
-                "rule 5: {:?} sent before {:?} was over",
+                !is_open && !pauses_key,
+                "rule 5: {:?} sent before {:?} had finished",
                 tracked.op.id,
-                before.op.id
+                earlier.op.id
             );
         }
     }
@@ -464,14 +476,14 @@
         let budget = FREE_RETRIES + RETRIES_PER_ARRIVAL * within_window(&gateway.arrivals);
         assert!(
             within_window(&gateway.retries) + 1.0 <= budget,
-            "rule 6: more further dispatches than the budget"
+            "rule 6: more retries than the budget allows"
         );
     }
 
     /// Rule 7.
     fn check_limit(&mut self, volume: VolumeId, units: f64) {
         let left = self.fill_tokens(volume) - units;
-        assert!(left >= -LIMIT_SLACK, "rule 7: a volume past its limit by {left}");
+        assert!(left >= -LIMIT_SLACK, "rule 7: a volume exceeded its limit, tokens left: {left}");
         self.limit_tokens.insert(volume, (left, self.now));
     }
 
@@ -484,7 +496,7 @@
         if age >= SLOW_START_SECS {
             return;
         }
-        // What went to an earlier process of the store died with it.
+        // Work sent to an earlier incarnation of the store ended with that process.
         self.slow_start_sends.push(SlowStartSend { store, at: now, units });
         let is_recent = |send: &&SlowStartSend| {
             let is_in_window = (now - send.at).as_secs_f64() <= SLOW_START_WINDOW_SECS;
@@ -493,7 +505,7 @@
         let sum: f64 = self.slow_start_sends.iter().filter(is_recent).map(|send| send.units).sum();
         let growth = (1.0 - SLOW_START_INITIAL_PROGRESS) / SLOW_START_INITIAL_PROGRESS;
         let progress = 1.0 + growth * age / SLOW_START_SECS;
-        assert!(sum <= SLOW_START_UNITS * progress, "rule 4: {sum} units to a cold store");
+        assert!(sum <= SLOW_START_UNITS * progress, "rule 4: {sum} units sent to a store in slow start");
     }
 
     fn record_attempt(&mut self, gateway: usize, id: OpId, store: StoreId, timeout: Duration) {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -1,4 +1,4 @@
-//! A sweep looks at the stores where something is at work, however many are listed.
+//! A sweep examines only the stores that have work, no matter how many are listed.
 
 use std::time::Duration;
 
@@ -13,9 +13,10 @@
 const ANSWER_LATENCY: Duration = Duration::from_millis(1);
 
 fn settings() -> Settings {
-    let text = "gateways=2 tick=0.002 stores.mean_units=1 stores.cold_units=8 rules.cold_time=8 rules.fall_time=1 \
-        plans.count=1 plans.0.weight=1 plans.0.rate=1000 op_types.count=1 op_types.0.repeats=replayable \
-        op_types.0.utility=1 op_types.0.target_latency=0.2 op_types.0.op_timeout=1";
+    let text = "gateways=2 tick=0.002 stores.mean_units=1 stores.cold_units=8 rules.cold_time=8 \
+        rules.fall_time=1 plans.count=1 plans.0.weight=1 plans.0.rate=1000 op_types.count=1 \
+        op_types.0.repeats=replayable op_types.0.utility=1 op_types.0.target_latency=0.2 \
+        op_types.0.op_timeout=1";
     let pairs = text.split_whitespace().filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
@@ -39,7 +40,7 @@
     }
 }
 
-/// One gateway with warm stores listed, a shard each, and two sweeps made since.
+/// One gateway with an endpoint list of warm stores, one for each shard, after two sweeps.
 struct TestGateway {
     scheduler: Scheduler,
     now: Duration,
@@ -58,7 +59,7 @@
         gateway
     }
 
-    /// The stores that were sent an op.
+    /// Delivers events and returns the stores that were sent an op.
     fn deliver(&mut self, events: Vec<Event>) -> Vec<StoreId> {
         let mut sent = Vec::new();
         for action in self.scheduler.handle(self.now, events) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The op's first attempt ends well.
+    /// The op's first attempt succeeds.
     fn succeed(&mut self, op: u32, store: u32) {
         let result = AttemptResult {
             op: OpId(op),
@@ -98,14 +99,14 @@
 #[test]
 fn sweep_without_work_looks_at_no_store() {
     let mut gateway = TestGateway::new();
-    assert_eq!(gateway.scheduler.at_work(), 0);
+    assert_eq!(gateway.scheduler.active_store_count(), 0);
     gateway.sweep(100);
-    assert_eq!(gateway.scheduler.at_work(), 0);
+    assert_eq!(gateway.scheduler.active_store_count(), 0);
     gateway.deliver(vec![Event::EndpointList(EndpointListUpdate::Changes(vec![endpoint(
         7,
         StoreState::Draining,
     )]))]);
-    assert_eq!(gateway.scheduler.at_work(), 1, "what is told of one store costs one");
+    assert_eq!(gateway.scheduler.active_store_count(), 1, "an update of one store activates only that store");
 }
 
 #[test]
@@ -115,16 +116,17 @@
         assert_eq!(gateway.deliver(vec![Event::OpArrived(op(id, id * 100))]), [StoreId(id * 100)]);
     }
     gateway.sweep(1);
-    assert_eq!(gateway.scheduler.at_work(), 30, "all are out");
+    assert_eq!(gateway.scheduler.active_store_count(), 30, "all ops are in flight");
     (0..10).for_each(|id| gateway.succeed(id, id * 100));
     gateway.sweep(2);
-    assert_eq!(gateway.scheduler.at_work(), 20);
+    assert_eq!(gateway.scheduler.active_store_count(), 20);
     (10..30).for_each(|id| gateway.succeed(id, id * 100));
     gateway.sweep(2);
-    assert_eq!(gateway.scheduler.at_work(), 0, "a past that fades is no work");
+    assert_eq!(gateway.scheduler.active_store_count(), 0, "decaying averages do not keep a store active");
 }
 
-/// What a store that is gone was sent counts against its next start for twice the fall time, one second here.
+/// Ops sent to a store that is gone count against its next incarnation for twice the slow start window, which
+/// is one second here.
 #[test]
 fn store_that_is_gone_stays_active_until_dropped() {
     let mut gateway = TestGateway::new();
@@ -132,20 +134,20 @@
     gateway.succeed(1, 5);
     gateway
         .deliver(vec![Event::EndpointList(EndpointListUpdate::Changes(vec![endpoint(5, StoreState::Gone)]))]);
-    let gone = gateway.now;
-    while gateway.scheduler.at_work() > 0 {
-        assert!(gateway.now < gone + Duration::from_millis(2100));
+    let gone_at = gateway.now;
+    while gateway.scheduler.active_store_count() > 0 {
+        assert!(gateway.now < gone_at + Duration::from_millis(2100));
         gateway.sweep(1);
     }
-    assert!(gateway.now > gone + Duration::from_secs(2));
+    assert!(gateway.now > gone_at + Duration::from_secs(2));
     gateway.deliver(vec![Event::EndpointList(EndpointListUpdate::Whole(
         (0..100).map(|id| endpoint(id, StoreState::Ready)).collect(),
     ))]);
     assert_eq!(
-        gateway.scheduler.at_work(),
+        gateway.scheduler.active_store_count(),
         STORES as usize,
-        "a whole list: those it names, those it leaves out"
+        "a complete list activates the stores that it names and those that it omits"
     );
     gateway.sweep(2);
-    assert_eq!(gateway.scheduler.at_work(), 0);
+    assert_eq!(gateway.scheduler.active_store_count(), 0);
 }
