--- a/crates/adapter/src/codec/mod.rs
+++ b/crates/adapter/src/codec/mod.rs
@@ -1,7 +1,7 @@
-//! The binary frames: records of fixed size and a tail, little-endian.
+//! Binary frames: little-endian records of fixed size, followed by a tail of variable size.
 //!
-//! Records, actions and their fields have the names that the wire's page gives them, not the scheduler's: `host`
-//! translates. Numbers in code are offsets and codes of that page.
+//! Records, actions and fields keep the names of the wire protocol's page rather than the scheduler's; `host`
+//! translates between them. Numbers in the code are offsets and codes from that page.
 
 mod read;
 mod reply;
@@ -9,24 +9,24 @@
 pub use read::read_batch;
 pub use reply::Reply;
 
-/// Bytes of an event record.
+/// Size of an event record in bytes.
 pub const EVENT_BYTES: usize = 56;
-/// Bytes of an action record.
+/// Size of an action record in bytes.
 pub const ACTION_BYTES: usize = 32;
 
-/// A store as the wire names it: four bytes of address and a port.
+/// A store's address on the wire: four bytes of address and a port.
 pub type Address = [u8; 6];
 
-/// An entry of a sheet: one store of the list.
+/// An entry of a sheet: one store of the endpoint list.
 #[derive(Debug, PartialEq)]
 pub struct Entry {
-    /// The zone that the store is in.
+    /// The store's zone.
     pub zone: u16,
-    /// The clock time in seconds at which the store last started; 0: long ago.
+    /// Clock time in seconds at which the store last started; 0: long ago.
     pub started: f64,
     /// The shard that the store holds.
     pub shard: u16,
-    /// Which store.
+    /// The store's address.
     pub address: Address,
     /// 1: ready, 2: draining, 0: gone.
     pub state: u8,
@@ -36,52 +36,52 @@
 #[derive(Debug, PartialEq)]
 pub struct Load(pub Vec<f32>);
 
-/// An event of one instance.
+/// An event for one instance.
 #[derive(Debug, PartialEq)]
 pub enum Record {
     /// The instance starts.
     OpenInstance {
-        /// Of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Settings, a `path=value` pair a line.
+        /// Settings, one `path=value` pair per line.
         boot_info: String,
     },
-    /// News of the list.
+    /// An update of the endpoint list.
     Registry {
-        /// 0: changes, 1: a failure, 2: the whole list, 3: the whole list as last held.
+        /// 0: changes, 1: a failure, 2: the complete list, 3: the complete list as last held.
         scope: u8,
-        /// The sheet that holds the entries.
+        /// Number of the sheet that holds the entries.
         page: u32,
     },
     /// A client's request has arrived.
     Demand(Demand),
-    /// The answer of a streamed class has started.
+    /// The response to a request of a streamed class has started.
     Accepted {
-        /// The request.
+        /// The request's id.
         tid: u64,
     },
     /// An attempt has ended.
     ReportBack(ReportBack),
-    /// The client has left.
+    /// The client has disconnected.
     ClientLeft {
-        /// Its request.
+        /// The id of the client's request.
         tid: u64,
     },
-    /// A timer has come due.
+    /// A timer has fired.
     Bell {
-        /// As picked when it was set.
+        /// The label given when the timer was set.
         label: u64,
     },
     /// The result of a health check.
     Pong {
-        /// The store.
+        /// The store's address.
         address: Address,
-        /// The outcome's code.
+        /// Code of the outcome.
         how: u16,
         /// The store's load report.
         load: Load,
     },
-    /// A message of another instance, which is not used.
+    /// A message from another instance; ignored.
     Datagram,
     /// The instance stops.
     Stop,
@@ -92,11 +92,11 @@
 pub struct Demand {
     /// The request's id.
     pub tid: u64,
-    /// Its size in units.
+    /// Size of the request in units.
     pub price_units: f32,
     /// The volume.
     pub owner: u64,
-    /// The piece of data; 0: none.
+    /// The piece of data that the request accesses; 0: none.
     pub chunk: u64,
     /// The shard that holds the data; -1: a new object.
     pub home_cell: f32,
@@ -106,28 +106,28 @@
     pub policy: u32,
     /// The request's class.
     pub qos: u16,
-    /// Instances through which the volume's requests may arrive.
+    /// Number of instances through which the volume's requests may arrive.
     pub writers: f32,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Debug, PartialEq)]
 pub struct ReportBack {
     /// The request's id.
     pub tid: u64,
-    /// The attempt's number, from 0.
+    /// Index of the attempt, from 0.
     pub n: u8,
-    /// The store.
+    /// The store's address.
     pub address: Address,
-    /// The outcome's code.
+    /// Code of the outcome.
     pub how: u16,
     /// Seconds from the attempt's start.
     pub time_taken: f64,
-    /// The request has ended, by this outcome or earlier.
+    /// Whether the request has ended, by this outcome or earlier.
     pub complete: bool,
-    /// 1 + the volume's use of its plan's rate over all instances, in percent; 0: not reported.
+    /// 1 + the volume's use of its plan's rate over all instances in percent; 0: not reported.
     pub volume_use: u16,
-    /// Units served for the volume through other instances since the shard's last answer here.
+    /// Units served for the volume through other instances since the shard's previous response to this one.
     pub delta: u16,
     /// The store's load report.
     pub load: Load,
@@ -136,27 +136,27 @@
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Item {
-    /// Entries that registries refer to, for all instances.
+    /// Entries of the endpoint list, shared by all instances, to which registry records refer.
     Sheet {
         /// The sheet's number.
         page: u32,
-        /// The stores that it lists.
+        /// The stores that the sheet lists.
         entries: Vec<Entry>,
     },
-    /// An event.
-    For {
-        /// The instance that it concerns.
+    /// An event for one instance.
+    Event {
+        /// Number of the instance.
         instance: u16,
-        /// What happened.
+        /// The event.
         record: Record,
     },
 }
 
-/// All that a frame holds.
+/// The content of a frame.
 #[derive(Debug, PartialEq)]
 pub struct Batch {
-    /// The clock in seconds, at which all of it happens.
+    /// Clock time in seconds at which all events of the frame occur.
     pub now: f64,
-    /// In the order of arrival.
+    /// Records in order of arrival.
     pub items: Vec<Item>,
 }
--- a/crates/adapter/src/codec/read.rs
+++ b/crates/adapter/src/codec/read.rs
@@ -1,14 +1,14 @@
-//! Reading batches.
+//! Decoding of batches.
 
 use super::{Batch, Demand, EVENT_BYTES, Entry, Item, Load, Record, ReportBack};
 use crate::error::Malformed;
 
 const HEADER_BYTES: usize = 12;
 const ENTRY_BYTES: usize = 24;
-/// Values that a load report may have.
+/// Maximum number of values in a load report.
 const MAX_LOAD_VALUES: usize = 4;
 
-/// A record, or an entry, of which fields are read by their offset.
+/// The bytes of a record or of a sheet entry, whose fields are read by offset.
 struct Fields<'a>(&'a [u8]);
 
 impl Fields<'_> {
@@ -42,8 +42,9 @@
         Load((0..count).map(|index| self.f32(first + 4 * index)).collect())
     }
 
-    /// The bytes of the tail that the offset and length at `at` tell of, the length in items of `width` bytes.
-    fn in_tail<'t>(&self, tail: &'t [u8], at: usize, width: usize) -> Result<&'t [u8], Malformed> {
+    /// The part of the tail given by the offset and the length at `at`; the length counts items of `width`
+    /// bytes.
+    fn tail_slice<'t>(&self, tail: &'t [u8], at: usize, width: usize) -> Result<&'t [u8], Malformed> {
         let (offset, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
         let end = length.checked_mul(width).and_then(|bytes| offset.checked_add(bytes));
         let bytes = end.and_then(|end| tail.get(offset..end));
@@ -51,11 +52,11 @@
     }
 }
 
-/// Reads what follows a frame's length field.
+/// Decodes a frame without its length field.
 ///
 /// # Errors
 ///
-/// Names what in the frame does not follow the wire's page, with the record's index.
+/// [`Malformed`] states where the frame violates the wire protocol, with the index of the record.
 pub fn read_batch(frame: &[u8]) -> Result<Batch, Malformed> {
     if frame.len() < HEADER_BYTES {
         return Err(Malformed::ShorterThanHeader { bytes: frame.len() });
@@ -78,63 +79,69 @@
 }
 
 fn read_item(record: &[u8], tail: &[u8]) -> Result<Item, Malformed> {
-    let f = Fields(record);
+    let fields = Fields(record);
     let record = match record[0] {
-        1 => Record::OpenInstance { seed: f.u64(3), boot_info: read_settings(&f, tail)? },
-        2 => Record::Registry { scope: record[3], page: f.u32(12) },
-        3 => Record::Demand(read_demand(&f)),
-        4 => Record::Accepted { tid: f.u64(3) },
-        5 => Record::ReportBack(read_report_back(&f)),
-        6 => Record::ClientLeft { tid: f.u64(3) },
-        7 => Record::Bell { label: f.u64(3) },
-        8 => Record::Pong { address: f.bytes(3), how: f.u16(9), load: f.load(19) },
+        1 => Record::OpenInstance { seed: fields.u64(3), boot_info: read_settings(&fields, tail)? },
+        2 => Record::Registry { scope: record[3], page: fields.u32(12) },
+        3 => Record::Demand(read_demand(&fields)),
+        4 => Record::Accepted { tid: fields.u64(3) },
+        5 => Record::ReportBack(read_report_back(&fields)),
+        6 => Record::ClientLeft { tid: fields.u64(3) },
+        7 => Record::Bell { label: fields.u64(3) },
+        8 => Record::Pong { address: fields.bytes(3), how: fields.u16(9), load: fields.load(19) },
         9 => Record::Datagram,
         10 => Record::Stop,
-        11 => return read_sheet(&f, tail),
+        11 => return read_sheet(&fields, tail),
         code => return Err(Malformed::UnknownEventCode(code)),
     };
-    Ok(Item::For { instance: f.u16(1), record })
+    Ok(Item::Event { instance: fields.u16(1), record })
 }
 
-fn read_settings(f: &Fields<'_>, tail: &[u8]) -> Result<String, Malformed> {
-    let bytes = f.in_tail(tail, 11, 1)?;
+fn read_settings(fields: &Fields<'_>, tail: &[u8]) -> Result<String, Malformed> {
+    let bytes = fields.tail_slice(tail, 11, 1)?;
     String::from_utf8(bytes.to_vec()).map_err(|_| Malformed::SettingsEncoding)
 }
 
-fn read_demand(f: &Fields<'_>) -> Demand {
+fn read_demand(fields: &Fields<'_>) -> Demand {
     Demand {
-        tid: f.u64(3),
-        price_units: f.f32(11),
-        owner: f.u64(15),
-        chunk: f.u64(23),
-        home_cell: f.f32(31),
-        budget: f.f64(35),
-        policy: f.u32(43),
-        qos: f.u16(47),
-        writers: f.f32(49),
+        tid: fields.u64(3),
+        price_units: fields.f32(11),
+        owner: fields.u64(15),
+        chunk: fields.u64(23),
+        home_cell: fields.f32(31),
+        budget: fields.f64(35),
+        policy: fields.u32(43),
+        qos: fields.u16(47),
+        writers: fields.f32(49),
     }
 }
 
-fn read_report_back(f: &Fields<'_>) -> ReportBack {
+fn read_report_back(fields: &Fields<'_>) -> ReportBack {
     ReportBack {
-        tid: f.u64(3),
-        n: f.0[11],
-        address: f.bytes(12),
-        how: f.u16(18),
-        time_taken: f.f64(20),
-        complete: f.0[28] != 0,
-        volume_use: f.u16(29),
-        delta: f.u16(31),
-        load: f.load(33),
+        tid: fields.u64(3),
+        n: fields.0[11],
+        address: fields.bytes(12),
+        how: fields.u16(18),
+        time_taken: fields.f64(20),
+        complete: fields.0[28] != 0,
+        volume_use: fields.u16(29),
+        delta: fields.u16(31),
+        load: fields.load(33),
     }
 }
 
-fn read_sheet(f: &Fields<'_>, tail: &[u8]) -> Result<Item, Malformed> {
-    let entries = f.in_tail(tail, 5, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
-    Ok(Item::Sheet { page: f.u32(1), entries: entries.map(read_entry).collect() })
+fn read_sheet(fields: &Fields<'_>, tail: &[u8]) -> Result<Item, Malformed> {
+    let entries = fields.tail_slice(tail, 5, ENTRY_BYTES)?.chunks_exact(ENTRY_BYTES);
+    Ok(Item::Sheet { page: fields.u32(1), entries: entries.map(read_entry).collect() })
 }
 
 fn read_entry(entry: &[u8]) -> Entry {
-    let f = Fields(entry);
-    Entry { zone: f.u16(0), started: f.f64(2), shard: f.u16(14), address: f.bytes(16), state: entry[23] }
+    let fields = Fields(entry);
+    Entry {
+        zone: fields.u16(0),
+        started: fields.f64(2),
+        shard: fields.u16(14),
+        address: fields.bytes(16),
+        state: entry[23],
+    }
 }
--- a/crates/adapter/src/codec/reply.rs
+++ b/crates/adapter/src/codec/reply.rs
@@ -1,10 +1,10 @@
-//! Writing replies.
+//! Encoding of replies.
 
 use std::time::Duration;
 
 use super::{ACTION_BYTES, Address};
 
-/// A reply under construction: one method for each action of the wire that is used.
+/// A reply under construction, with one method for each wire action in use.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -32,57 +32,57 @@
         self.record(code, instance, &[&offset, &length]);
     }
 
-    /// Subscribes to the list.
+    /// Subscribes to the endpoint list.
     pub fn observe(&mut self, instance: u16) {
         self.record(1, instance, &[&[1]]);
     }
 
-    /// Final answer: rejected, with how long the client ought to keep away.
+    /// Final response: the request is rejected; the client should wait for `come_back` before it retries.
     pub fn bounce(&mut self, instance: u16, tid: u64, come_back: Duration) {
         self.record(2, instance, &[&tid.to_le_bytes(), &seconds(come_back)]);
     }
 
-    /// Sets a timer for a clock time.
+    /// Sets a timer for an absolute clock time.
     pub fn after(&mut self, instance: u16, label: u64, at: Duration) {
         self.record(3, instance, &[&label.to_le_bytes(), &seconds(at)]);
     }
 
-    /// Starts an attempt with a time-out.
+    /// Starts an attempt at a store, with a timeout.
     pub fn place(&mut self, instance: u16, tid: u64, address: Address, allow: Duration) {
         self.record(4, instance, &[&tid.to_le_bytes(), &address, &seconds(allow)]);
     }
 
-    /// Checks a store.
+    /// Starts a health check of a store.
     pub fn ping(&mut self, instance: u16, address: Address) {
         self.record(5, instance, &[&address]);
     }
 
-    /// Asks for the whole list.
+    /// Requests the complete endpoint list.
     pub fn get_list(&mut self, instance: u16) {
         self.record(7, instance, &[]);
     }
 
-    /// Logs a line.
+    /// Writes a log line.
     pub fn emit(&mut self, instance: u16, text: &str) {
         self.text(8, instance, text);
     }
 
-    /// Tells that the instance cannot run, and why.
+    /// Reports that the instance cannot run, with the reason.
     pub fn fatal(&mut self, instance: u16, text: &str) {
         self.text(9, instance, text);
     }
 
-    /// Final answer: failed.
+    /// Final response: the request failed.
     pub fn fail(&mut self, instance: u16, tid: u64) {
         self.record(10, instance, &[&tid.to_le_bytes()]);
     }
 
-    /// Stops the wait for an attempt.
+    /// Abandons an attempt: stops waiting for its response.
     pub fn undo_send(&mut self, instance: u16, tid: u64, n: u8) {
         self.record(11, instance, &[&tid.to_le_bytes(), &[n]]);
     }
 
-    /// The whole frame, with its length.
+    /// The complete frame, including its length field.
     pub fn frame(&self) -> Vec<u8> {
         let length = (4 + self.records.len() + self.tail.len()) as u32;
         [&length.to_le_bytes()[..], &self.count.to_le_bytes(), &self.records, &self.tail].concat()
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,46 +1,46 @@
-//! What is wrong with the input, and where.
+//! Errors in the input, with their position.
 
 use std::fmt;
 
-/// Why a frame's content cannot be used.
+/// Why a frame is malformed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Malformed {
-    /// The frame has fewer bytes than its header.
+    /// The frame is shorter than its header.
     ShorterThanHeader {
-        /// Of the frame.
+        /// Size of the frame in bytes.
         bytes: usize,
     },
-    /// The clock in the header is not a time.
+    /// The clock in the header is negative or not finite.
     Clock(f64),
-    /// The header tells of more records than the frame can hold.
+    /// The header announces more records than fit into the frame.
     RecordCount {
-        /// As the header has it.
+        /// Number of records according to the header.
         count: usize,
-        /// Of the frame.
+        /// Size of the frame in bytes.
         bytes: usize,
     },
-    /// A record refers to bytes that are not in the tail.
+    /// A record refers to bytes outside the tail.
     OutsideTail {
-        /// From the tail's start.
+        /// Offset in bytes from the start of the tail.
         offset: usize,
-        /// As the record has it: in bytes, or in entries of a list.
+        /// Length according to the record, in bytes or in entries of a list.
         length: usize,
-        /// Bytes of the tail.
+        /// Size of the tail in bytes.
         tail: usize,
     },
-    /// Settings are not UTF-8.
+    /// The settings are not valid UTF-8.
     SettingsEncoding,
-    /// The event code is not one of the wire's.
+    /// The wire protocol does not define this event code.
     UnknownEventCode(u8),
-    /// A registry names a sheet that was not sent.
+    /// A registry record refers to a sheet that was not sent.
     UnknownSheet(u32),
-    /// The scope of a registry is not one of the wire's.
+    /// The wire protocol does not define this scope of a registry record.
     UnknownScope(u8),
-    /// One record of the frame cannot be read.
+    /// A record of the frame is malformed.
     Record {
-        /// Counted from 0.
+        /// Index of the record, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the record.
         error: Box<Malformed>,
     },
 }
@@ -51,7 +51,9 @@
             Self::ShorterThanHeader { bytes } => {
                 write!(f, "frame of {bytes} bytes is shorter than its header")
             }
-            Self::Clock(now) => write!(f, "clock {now} in the header"),
+            Self::Clock(now) => {
+                write!(f, "clock {now} in the header is not a finite, non-negative number of seconds")
+            }
             Self::RecordCount { count, bytes } => {
                 write!(f, "{count} records do not fit a frame of {bytes} bytes")
             }
@@ -69,21 +71,21 @@
 
 impl std::error::Error for Malformed {}
 
-/// Why a frame was not answered. I/O errors are kept as their text.
+/// Why a frame could not be handled. I/O errors are kept as their text.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrameError {
-    /// Reading failed.
+    /// Reading the input failed.
     Read(String),
     /// The input ends inside the length field.
     EndsInLength,
     /// The input ends inside the frame.
     Truncated {
-        /// Bytes that came.
+        /// Number of bytes that were read.
         read: usize,
-        /// Bytes that the length field tells of.
+        /// Size of the frame according to its length field.
         size: u32,
     },
-    /// The frame came whole and cannot be used.
+    /// The frame was read completely but is malformed.
     Malformed(Malformed),
 }
 
@@ -96,7 +98,7 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Read(error) => write!(f, "input: {error}"),
+            Self::Read(error) => write!(f, "reading the input failed: {error}"),
             Self::EndsInLength => write!(f, "input ends inside the length field"),
             Self::Truncated { read, size } => write!(f, "input ends after {read} of {size} bytes"),
             Self::Malformed(error) => error.fmt(f),
@@ -106,17 +108,17 @@
 
 impl std::error::Error for FrameError {}
 
-/// Why serving ended before the input did.
+/// Why serving ended before the end of the input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServeError {
-    /// A frame was not answered.
+    /// A frame could not be handled.
     Frame {
-        /// Counted from 0.
+        /// Index of the frame, from 0.
         number: u64,
-        /// Why.
+        /// The error in the frame.
         error: FrameError,
     },
-    /// Writing a reply failed, with the text of the I/O error.
+    /// Writing a reply failed; holds the text of the I/O error.
     Write(String),
 }
 
@@ -124,7 +126,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Frame { number, error } => write!(f, "frame {number}: {error}"),
-            Self::Write(error) => write!(f, "reply: {error}"),
+            Self::Write(error) => write!(f, "writing the reply failed: {error}"),
         }
     }
 }
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its scheduler, and the ids of the wire turned into small indices and back.
+//! One instance: its scheduler, and the mapping between ids of the wire and the scheduler's small indices.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::codec::{Address, Demand, Entry, Load, Record, Reply, ReportBack};
 use crate::error::Malformed;
 
-/// What the wire calls an op, and how many of its attempts have no result yet.
+/// A request: the wire id of an op and the number of its attempts in flight.
 struct OpenRequest {
     tid: u64,
     in_flight: u32,
@@ -23,12 +23,12 @@
 #[derive(Default)]
 pub(super) struct Instance {
     scheduler: Scheduler,
-    /// Names of the values in a load report.
+    /// Field names of the values in a load report.
     report_fields: Vec<String>,
     requests: HashMap<OpId, OpenRequest>,
     op_ids: HashMap<u64, OpId>,
     next_op: u32,
-    /// By store id.
+    /// Addresses by store id.
     stores: Vec<Address>,
     store_ids: HashMap<Address, StoreId>,
     volume_ids: HashMap<u64, VolumeId>,
@@ -57,13 +57,13 @@
     }
 }
 
-/// A store reports 1 + percents, so that 0 can stand for no report.
+/// The wire carries 1 + a percentage, so that 0 can represent an absent report.
 fn plan_rate_used(volume_use: u16) -> Option<f64> {
     (volume_use > 0).then(|| (f64::from(volume_use) - 1.0) / 100.0)
 }
 
 impl Instance {
-    /// Takes in a record, to be decided on with the others of its batch.
+    /// Queues a record as an event, to be processed with the others of its batch.
     pub(super) fn receive(&mut self, record: &Record, sheets: &Sheets) -> Result<(), Malformed> {
         let event = match record {
             Record::OpenInstance { seed, boot_info } => Some(self.on_open(*seed, boot_info)),
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Decides on the events taken in since the last call.
+    /// Runs the scheduler on the events received since the last call.
     pub(super) fn decide(&mut self, now: Duration) -> Vec<Action> {
         let events = std::mem::take(&mut self.events);
         self.scheduler.handle(now, events)
@@ -167,7 +167,7 @@
             request.in_flight = request.in_flight.saturating_sub(1);
             request.has_ended |= report.complete;
         }
-        self.forget_if_over(op);
+        self.remove_if_finished(op);
         Some(Event::AttemptFinished(AttemptResult {
             op,
             attempt: report.n.into(),
@@ -183,19 +183,19 @@
 
     fn on_client_left(&mut self, tid: u64) -> Option<Event> {
         let op = *self.op_ids.get(&tid)?;
-        self.end(op);
+        self.mark_ended(op);
         Some(Event::ClientDisconnected { op })
     }
 
-    fn end(&mut self, op: OpId) {
+    fn mark_ended(&mut self, op: OpId) {
         if let Some(request) = self.requests.get_mut(&op) {
             request.has_ended = true;
         }
-        self.forget_if_over(op);
+        self.remove_if_finished(op);
     }
 
-    /// Forgets a request once it has ended and none of its attempts is in flight.
-    fn forget_if_over(&mut self, op: OpId) {
+    /// Removes a request once it has ended and none of its attempts is in flight.
+    fn remove_if_finished(&mut self, op: OpId) {
         let Some(request) = self.requests.get(&op) else { return };
         if request.has_ended && request.in_flight == 0 {
             self.op_ids.remove(&request.tid);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Writes an action to the reply; one on a request that is forgotten is dropped.
+    /// Writes an action to the reply; an action for a removed request is dropped.
     pub(super) fn apply_action(&mut self, instance: u16, action: Action, reply: &mut Reply) {
         match action {
             Action::StartAttempt { op, store, timeout } => {
@@ -215,13 +215,13 @@
             Action::Reject { op, retry_after } => {
                 if let Some(tid) = self.tid(op) {
                     reply.bounce(instance, tid, retry_after);
-                    self.end(op);
+                    self.mark_ended(op);
                 }
             }
             Action::Fail { op } => {
                 if let Some(tid) = self.tid(op) {
                     reply.fail(instance, tid);
-                    self.end(op);
+                    self.mark_ended(op);
                 }
             }
             Action::Cancel { op, attempt } => {
@@ -233,7 +233,7 @@
             Action::WatchEndpoints => reply.observe(instance),
             Action::FetchEndpoints => reply.get_list(instance),
             Action::CheckHealth { store } => reply.ping(instance, self.stores[store.0 as usize]),
-            // Instances here keep nothing: each is killed outright.
+            // Instances store no snapshots: the simulator kills each of them outright.
             Action::Snapshot { .. } => {}
             Action::Log(text) => reply.emit(instance, &text),
             Action::Fatal(text) => reply.fatal(instance, &text),
--- a/crates/adapter/src/host/mod.rs
+++ b/crates/adapter/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! Hosting: one scheduler for each instance of the wire.
+//! Hosting of instances: one scheduler for each.
 
 mod instance;
 
@@ -10,18 +10,18 @@
 use crate::codec::{Batch, Entry, Item, Record, Reply};
 use crate::error::Malformed;
 
-/// The wire counts whole microseconds.
+/// The resolution of times on the wire is one microsecond.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A time of the wire, in seconds; negative ones count as zero.
+/// Converts a wire time in seconds; negative values are treated as zero.
 fn wire_duration(seconds: f64) -> Duration {
     Duration::from_micros((seconds.max(0.0) * MICROS_PER_SECOND).round() as u64)
 }
 
-/// Sheets of list entries by their number, as registries refer to them.
+/// Sheets of endpoint list entries by number, to which registry records refer.
 type Sheets = HashMap<u32, Vec<Entry>>;
 
-/// All instances that run, and the sheets that they share.
+/// All running instances, and the sheets that they share.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
@@ -29,38 +29,38 @@
 }
 
 impl Host {
-    /// Hands each instance its events of the batch and collects what they ask for.
+    /// Delivers the events of a batch to their instances and collects the resulting actions.
     ///
     /// # Errors
     ///
-    /// A registry with an unknown scope or a sheet that was not sent.
+    /// [`Malformed`] if a registry record has an unknown scope or refers to a sheet that was not sent.
     pub fn handle(&mut self, batch: Batch) -> Result<Reply, Malformed> {
-        let mut touched = Vec::new();
+        let mut affected = Vec::new();
         for item in batch.items {
             if let Some(instance) = self.receive(item)?
-                && !touched.contains(&instance)
+                && !affected.contains(&instance)
             {
-                touched.push(instance);
+                affected.push(instance);
             }
         }
         let now = wire_duration(batch.now);
         let mut reply = Reply::default();
-        for id in touched {
+        for id in affected {
             if let Some(instance) = self.instances.get_mut(&id) {
-                run(id, instance, now, &mut reply);
+                run_scheduler(id, instance, now, &mut reply);
             }
         }
         Ok(reply)
     }
 
-    /// Takes in one item; gives the instance that it concerns, if that runs.
+    /// Processes one item; returns the instance that it concerns, if that is running.
     fn receive(&mut self, item: Item) -> Result<Option<u16>, Malformed> {
         let (id, record) = match item {
             Item::Sheet { page, entries } => {
                 self.sheets.insert(page, entries);
                 return Ok(None);
             }
-            Item::For { instance, record } => (instance, record),
+            Item::Event { instance, record } => (instance, record),
         };
         match record {
             Record::Stop => {
@@ -78,14 +78,14 @@
     }
 }
 
-/// Lets an instance decide on its events. A panic there ends just that instance.
-fn run(id: u16, instance: &mut Instance, now: Duration, reply: &mut Reply) {
+/// Runs an instance's scheduler on its events. A panic there fails only this instance.
+fn run_scheduler(id: u16, instance: &mut Instance, now: Duration, reply: &mut Reply) {
     match catch_unwind(AssertUnwindSafe(|| instance.decide(now))) {
         Ok(actions) => {
             for action in actions {
                 instance.apply_action(id, action, reply);
             }
         }
-        Err(_) => reply.fatal(id, "the decision module panicked"),
+        Err(_) => reply.fatal(id, "the scheduler panicked"),
     }
 }
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,6 +1,7 @@
-//! The simulator's wire on one side, the scheduler on the other.
+//! Adapter between the simulator's wire protocol and the scheduler.
 //!
-//! [`codec`] turns frames into records and back, [`host`] keeps a scheduler for each instance. Nothing is decided here.
+//! [`codec`] decodes frames into records and encodes replies, [`host`] runs a scheduler for each instance.
+//! The adapter itself makes no decisions.
 
 pub mod codec;
 pub mod error;
@@ -10,14 +11,14 @@
 
 use error::{FrameError, ServeError};
 
-/// Bytes of the length field before each frame.
+/// Size in bytes of the length field before each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Answers frames until the input ends.
+/// Responds to frames until the input ends.
 ///
 /// # Errors
 ///
-/// A frame that cannot be read or is malformed, or a reply that cannot be written, ends serving.
+/// Serving ends at a frame that cannot be read or is malformed, or at a reply that cannot be written.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), ServeError> {
     let mut host = host::Host::default();
     for number in 0u64.. {
@@ -31,7 +32,7 @@
     Ok(())
 }
 
-/// The next frame without its length field; absent: the input ended before it.
+/// Reads the next frame without its length field; `None` if the input ends before it.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, FrameError> {
     let length = read_up_to(input, LENGTH_BYTES as u64)?;
     if length.is_empty() {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Answers the simulator's frames on standard input with replies on standard output.
+//! Responds to the simulator's frames on standard input with replies on standard output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames in and out, and the errors that name what is malformed.
+//! Decoding and encoding of frames, and the errors that state what is malformed.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
         .concat()
 }
 
-fn complaint(input: &[u8]) -> String {
+fn serve_error(input: &[u8]) -> String {
     let Err(error) = serve(input, Vec::new()) else { panic!("accepted") };
     error.to_string()
 }
@@ -37,15 +37,15 @@
 
 #[test]
 fn malformed_frame_gives_error_that_names_fault() {
-    assert!(complaint(&[1, 2]).contains("inside the length field"));
-    assert!(complaint(&[200, 0, 0, 0, 1]).contains("after 1 of 200 bytes"));
-    assert!(complaint(&[2, 0, 0, 0, 1, 1]).contains("shorter than its header"));
-    assert!(complaint(&frame(&[], 9, &[])).contains("9 records do not fit"));
-    assert!(complaint(&frame(&[vec![99]], 1, &[])).contains("record 0: unknown event code 99"));
-    assert!(complaint(&frame(&[open_instance("x=1")], 1, &[])).contains("outside the tail"));
+    assert!(serve_error(&[1, 2]).contains("inside the length field"));
+    assert!(serve_error(&[200, 0, 0, 0, 1]).contains("after 1 of 200 bytes"));
+    assert!(serve_error(&[2, 0, 0, 0, 1, 1]).contains("shorter than its header"));
+    assert!(serve_error(&frame(&[], 9, &[])).contains("9 records do not fit"));
+    assert!(serve_error(&frame(&[vec![99]], 1, &[])).contains("record 0: unknown event code 99"));
+    assert!(serve_error(&frame(&[open_instance("x=1")], 1, &[])).contains("outside the tail"));
     let registry = [&[2u8, 3, 0, 2][..], &[0; 8], &5u32.to_le_bytes()].concat();
     let start = open_instance("");
-    assert!(complaint(&frame(&[start, registry], 2, &[])).contains("no sheet numbered 5"));
+    assert!(serve_error(&frame(&[start, registry], 2, &[])).contains("no sheet numbered 5"));
 }
 
 #[test]
@@ -63,9 +63,9 @@
         "profiles.0.promiseS=0.3\nprofiles.0.effect=single_shot\nbad line\ndiscovery=subscribe",
     );
     let pairs: Vec<_> = settings.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
-    let ours =
+    let expected =
         [("discovery", "asked"), ("op_types.0.repeats", "once_only"), ("op_types.0.target_latency", "0.3")];
-    assert_eq!(pairs, ours);
+    assert_eq!(pairs, expected);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     record.extend(77u64.to_le_bytes());
     let batch = codec::read_batch(&frame(&[record], 1, &[])[4..]).expect("well formed");
     assert_eq!(batch.now, 2.5);
-    assert_eq!(batch.items, [Item::For { instance: 5, record: Record::ClientLeft { tid: 77 } }]);
+    assert_eq!(batch.items, [Item::Event { instance: 5, record: Record::ClientLeft { tid: 77 } }]);
     let mut reply = Reply::default();
     reply.place(3, 77, [10, 18, 74, 7, 43, 35], Duration::from_millis(1250));
     reply.emit(3, "two");
