--- a/crates/control-plane/src/coordinator/interface.rs
+++ b/crates/control-plane/src/coordinator/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the coordinator and comes out of it.
+//! Inputs and outputs of the coordinator.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,41 +8,41 @@
 
 use crate::state::Record;
 
-/// A connection of a peer. An id is never used twice in a run.
+/// Identifies a connection of a peer. An id is not reused within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What has happened, as the coordinator's owner tells it.
+/// An event that the coordinator's owner reports.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A peer sent a request.
     Request {
-        /// The connection it came over, which the answer goes to.
+        /// The connection that the request came over; the response is sent to it.
         connection: ConnectionId,
         /// The request.
         message: ToList,
     },
     /// A peer's connection has ended.
     Closed(ConnectionId),
-    /// The shards that have a store, also one that is draining.
+    /// The shards that have a store, including stores that are draining.
     Shards(BTreeSet<u32>),
     /// An order was answered, or has failed.
     OrderFinished {
         /// The token of [`Output::Order`].
         token: u64,
-        /// The store's reply; none where it was not reached, or its answer was lost or late.
+        /// The store's reply; `None` if the store was not reached, or its reply was lost or late.
         reply: Option<OrderReply>,
     },
-    /// The time of [`Output::SetTimer`] has come.
+    /// The time of [`Output::SetTimer`] was reached.
     TimerExpired,
 }
 
-/// What the coordinator's owner has to do, in the order given.
+/// An action that the coordinator's owner has to perform, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     /// Append records to the log.
     ///
-    /// Hazard: they have to be durable before anything that follows is done.
+    /// Hazard: the records have to be durable before any later output is performed.
     Log(Vec<Record>),
     /// Send a message to a peer.
     Send {
@@ -51,7 +51,7 @@
         /// The message.
         message: FromList,
     },
-    /// Send an order to the store that serves a shard; the answer is [`Input::OrderFinished`].
+    /// Send an order to the store that serves a shard; the result is reported by [`Input::OrderFinished`].
     Order {
         /// Identifies the order in this run.
         token: u64,
@@ -64,9 +64,9 @@
         /// The order.
         order: Order,
     },
-    /// Send [`Input::TimerExpired`] at this time; it replaces an earlier timer.
+    /// Send [`Input::TimerExpired`] at this time, which replaces an earlier timer.
     SetTimer(Duration),
-    /// A later run of the coordinator is at work: this one has to end, and gives out nothing more.
+    /// A later run of the coordinator is active: this run has to terminate, and returns no further outputs.
     Superseded {
         /// The term of the later run.
         term: u64,
--- a/crates/control-plane/src/coordinator/mod.rs
+++ b/crates/control-plane/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator's core: answers requests of gateways, and sees moves through.
+//! The coordinator's core: answers requests of gateways and operators, and carries out moves.
 
 mod interface;
 mod requests;
@@ -16,7 +16,8 @@
 
 /// One run of the coordinator, as a state machine without I/O and clock.
 ///
-/// Invariant: the state changes by logged records alone, and [`Output::Log`] comes before every output that depends on it.
+/// Invariant: the state is changed only by logged records, and [`Output::Log`] precedes every output that
+/// depends on it.
 #[derive(Clone, Default, Hash)]
 pub struct Coordinator {
     state: CoordinatorState,
@@ -24,10 +25,11 @@
     deferred_lookups: Vec<DeferredLookup>,
     /// Shards that have a store.
     shards: BTreeSet<u32>,
-    /// Moves that have sent an order, by number; the others wait for their shards to be free.
+    /// Moves that have sent an order, by number. The other moves wait until no running move uses their
+    /// shards.
     running: BTreeMap<u64, MoveWait>,
     last_token: u64,
-    /// Records of this step, which come out first.
+    /// Records of this step, which are returned before the other outputs.
     records: Vec<Record>,
     /// Other outputs of this step.
     outputs: Vec<Output>,
@@ -35,7 +37,8 @@
 }
 
 impl Coordinator {
-    /// Begins a new run on what former runs left. Its term is logged before anything else comes out.
+    /// Starts a new run from the state that earlier runs left. The output that logs its term precedes all
+    /// others.
     pub fn start(state: CoordinatorState) -> (Coordinator, Vec<Output>) {
         let mut coordinator = Coordinator { state, ..Coordinator::default() };
         let term = coordinator.state.term + 1;
@@ -44,12 +47,13 @@
         (coordinator, outputs)
     }
 
-    /// What outlives this run.
+    /// The durable state.
     pub fn state(&self) -> &CoordinatorState {
         &self.state
     }
 
-    /// Handles all inputs as one step. `now` is a time since any fixed point; one before an earlier one counts as that.
+    /// Handles all inputs as one step. `now` is the time since any fixed point; if it is earlier than in a
+    /// previous call, the previous time is used.
     pub fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output> {
         self.now = now.max(self.now);
         if self.superseded {
--- a/crates/control-plane/src/coordinator/requests.rs
+++ b/crates/control-plane/src/coordinator/requests.rs
@@ -7,12 +7,12 @@
 use crate::moves::Phase;
 use crate::state::{MoveRejected, Record};
 
-/// Moves under way, at most.
+/// Maximum number of unfinished moves.
 const MAX_MOVES: usize = 4096;
-/// Lookups that wait for a newer map, at most.
+/// Maximum number of lookups that wait for a newer map.
 const MAX_DEFERRED_LOOKUPS: usize = 1 << 16;
 
-/// A lookup that waits until the map has at least an epoch for its extent.
+/// A lookup that waits until the extent's epoch in the map is at least `min_epoch`.
 #[derive(Clone, Hash)]
 pub(super) struct DeferredLookup {
     pub(super) connection: ConnectionId,
@@ -22,25 +22,25 @@
     min_epoch: u64,
 }
 
-/// An answer to a deferred lookup.
-struct Answer {
+/// The response to a deferred lookup.
+struct LookupResponse {
     connection: ConnectionId,
     token: u64,
     location: Location,
 }
 
-/// How far a move is.
+/// The status of a move.
 struct MoveStatus {
-    /// For people; it goes over the wire.
+    /// Text for operators, which is sent over the wire.
     text: String,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl Coordinator {
     pub(super) fn on_request(&mut self, connection: ConnectionId, message: &ToList) {
-        let answer = match *message {
+        let response = match *message {
             ToList::Hello { .. } => FromList::Welcome { term: self.state.term },
-            // The list of stores is served by another process.
+            // The list of stores is served by the list service, not by the coordinator.
             ToList::Watch | ToList::Fetch => FromList::Failed,
             ToList::Lookup { token, volume, extent, min_epoch } => {
                 let lookup = DeferredLookup { connection, token, volume, extent, min_epoch };
@@ -56,8 +56,8 @@
             ToList::Shards { token, volume } => {
                 FromList::Shards { token, shards: self.state.map.shards(volume).into_iter().collect() }
             }
-            ToList::Move { token, span, shard } => {
-                let number = self.plan_move(span, shard).map_err(|rejected| rejected.to_string());
+            ToList::Move { token, span: range, shard } => {
+                let number = self.plan_move(range, shard).map_err(|rejected| rejected.to_string());
                 FromList::Move { token, number }
             }
             ToList::MoveStatus { token, number, abandon } => {
@@ -65,18 +65,19 @@
                     self.abandon_move(number);
                 }
                 let status = self.move_status(number);
-                FromList::MoveStatus { token, state: status.text, over: status.is_over }
+                FromList::MoveStatus { token, state: status.text, over: status.has_ended }
             }
         };
-        self.send(connection, answer);
+        self.send(connection, response);
     }
 
-    /// Answers a lookup once the map is as new as it asks for. Beyond the bound it fails, and the peer asks again later.
+    /// Answers a lookup at once if the map is as new as it requires, and defers it otherwise. If too many
+    /// lookups are deferred it fails, and the peer retries later.
     fn on_lookup(&mut self, lookup: DeferredLookup) {
         let location = self.state.map.location(lookup.volume, lookup.extent);
         if location.map_or(0, |location| location.epoch) >= lookup.min_epoch {
-            let answer = FromList::Location { token: lookup.token, place: location };
-            return self.send(lookup.connection, answer);
+            let response = FromList::Location { token: lookup.token, place: location };
+            return self.send(lookup.connection, response);
         }
         if self.deferred_lookups.len() >= MAX_DEFERRED_LOOKUPS {
             return self.send(lookup.connection, FromList::Failed);
@@ -84,7 +85,7 @@
         self.deferred_lookups.push(lookup);
     }
 
-    /// Answers the deferred lookups for which the map is new enough now.
+    /// Answers the deferred lookups for which the map is now new enough.
     pub(super) fn answer_deferred_lookups(&mut self) {
         let map = &self.state.map;
         let mut ready = Vec::new();
@@ -93,17 +94,17 @@
             let Some(location) = location.filter(|location| location.epoch >= lookup.min_epoch) else {
                 return true;
             };
-            ready.push(Answer { connection: lookup.connection, token: lookup.token, location });
+            ready.push(LookupResponse { connection: lookup.connection, token: lookup.token, location });
             false
         });
-        for Answer { connection, token, location } in ready {
+        for LookupResponse { connection, token, location } in ready {
             self.send(connection, FromList::Location { token, place: Some(location) });
         }
     }
 
-    /// Plans a move; its number.
-    fn plan_move(&mut self, span: ExtentRange, target: u32) -> Result<u64, MoveRejected> {
-        let planned = self.state.plan(span, target)?;
+    /// Plans and logs a move, and returns its number.
+    fn plan_move(&mut self, range: ExtentRange, target: u32) -> Result<u64, MoveRejected> {
+        let planned = self.state.plan(range, target)?;
         let shards = [planned.source, target];
         if let Some(shard) = shards.into_iter().find(|shard| !self.shards.contains(shard)) {
             return Err(MoveRejected::NoStore(shard));
@@ -127,13 +128,13 @@
         if let Some(moving) = self.state.moves.get(&number) {
             let is_running = self.running.contains_key(&number);
             let prefix = if is_running { "" } else { "waiting for its shards; " };
-            return MoveStatus { text: format!("{prefix}{}", moving.status_text()), is_over: false };
+            return MoveStatus { text: format!("{prefix}{}", moving.status_text()), has_ended: false };
         }
-        let text = match self.state.ended.get(&number) {
+        let text = match self.state.ended_moves.get(&number) {
             Some(Phase::Committed) => "moved, the source is cleared",
             Some(_) => "given up, the source serves",
             None => "no such move",
         };
-        MoveStatus { text: text.into(), is_over: true }
+        MoveStatus { text: text.into(), has_ended: true }
     }
 }
--- a/crates/control-plane/src/coordinator/running_moves.rs
+++ b/crates/control-plane/src/coordinator/running_moves.rs
@@ -1,6 +1,6 @@
-//! Moves under way: one order of each at a time, sent again until it is answered.
+//! Running moves: each sends one order at a time, and repeats it until the store answers.
 //!
-//! Invariant: a shard takes part in one move at a time; other moves wait for it.
+//! Invariant: a shard takes part in one running move at a time; other moves of that shard wait.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,20 +11,21 @@
 use crate::moves::Phase;
 use crate::state::Record;
 
-/// An order without a usable answer is sent again after so long.
+/// Delay before an order without a usable reply is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a move waits for.
+/// What a running move waits for.
 #[derive(Clone, Hash)]
 pub(super) enum MoveWait {
-    /// The answer to an order.
+    /// The reply to the order with this token.
     Reply { token: u64 },
-    /// The time to send its order again.
+    /// The time at which its order is sent again.
     Retry { at: Duration },
 }
 
 impl Coordinator {
-    /// Logs that a move enters a phase, which it acts on afterwards. An answer to an order of the former phase is ignored.
+    /// Logs that a move enters a phase; its orders are sent afterwards. A late reply to an order of the
+    /// previous phase is ignored.
     pub(super) fn enter_phase(&mut self, number: u64, phase: Phase) {
         self.log(Record::Entered { number, phase });
         self.running.remove(&number);
@@ -37,8 +38,8 @@
                 self.superseded = true;
                 self.outputs.push(Output::Superseded { term });
             }
-            // Hazard: an order that never arrived must not count as done, or a target would be activated whose source still
-            // serves.
+            // Hazard: an order that may not have arrived must not be treated as done. Otherwise a target
+            // would be activated while its source still serves.
             None | Some(OrderReply::StaleTerm(_)) => self.retry_later(number),
             Some(reply) => self.on_order_reply(number, reply),
         }
@@ -64,7 +65,7 @@
         self.running.insert(number, MoveWait::Retry { at });
     }
 
-    /// When the next order has to be sent again.
+    /// When the next order is due to be sent again; `None` if no move waits for a retry.
     pub(super) fn next_retry_at(&self) -> Option<Duration> {
         let retries = self.running.values().filter_map(|wait| match wait {
             MoveWait::Retry { at } => Some(*at),
@@ -73,7 +74,7 @@
         retries.min()
     }
 
-    /// Sends the orders that are due again, and starts the moves whose shards are free.
+    /// Repeats the orders whose retry is due, and starts the moves whose shards are free.
     pub(super) fn run_moves(&mut self) {
         for number in self.due_retries() {
             self.send_order(number);
--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -1,5 +1,5 @@
-//! Which orders of a coordinator a store accepts, and which ops it may serve. The fences are stored with the shard's data, and
-//! checked in the same step that applies an op.
+//! Decides at a store which orders of a coordinator are accepted and which ops may run. The fences are stored
+//! with the shard's data, and are checked in the same step that applies an op.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -11,67 +11,67 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 enum FenceState {
+    /// Ops are accepted.
     Serving,
-    /// Content is accepted, and no op.
+    /// Content from a move's source is accepted; ops are not.
     Incoming,
-    /// The extents have moved elsewhere, or never came.
+    /// Neither is accepted: the extents have moved to another shard, or a move to this one was abandoned or rolled back.
     Closed,
 }
 
-/// The fence of some extents. The order of the fields is part of the format.
-
+/// The fence of a range of extents. The order of the fields is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 struct Fence {
     state: FenceState,
     epoch: u64,
     /// The last move that the extents took part in.
     move_number: u64,
-    /// The map has this epoch, or will have it however the move ends.
+    /// An epoch that the map has, or will reach whether the move is committed or not.
     settled_epoch: u64,
 }
 
-/// Extents that no move has touched are served at epoch 0 by the store that holds them.
+/// The fence of extents that no move has included: the store that holds them serves them at epoch 0.
 const UNTOUCHED: Fence = Fence { state: FenceState::Serving, epoch: 0, move_number: 0, settled_epoch: 0 };
 
 /// The fences of a shard.
 ///
-/// Invariant: an extent's epoch never falls. At one epoch a store goes from incoming to serving to closed and never back, and
-/// an order of an earlier move, or of an earlier term, changes nothing, however late it comes.
-
+/// Invariant: an extent's epoch never decreases. Within one epoch a store goes from incoming to serving to
+/// closed and never back. A delayed order of an earlier move, or of an earlier term, changes nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fences {
-    /// The highest term of a coordinator whose order was received.
+    /// The highest term among the orders received.
     pub term: u64,
     volumes: BTreeMap<u64, RangeMap<Fence>>,
 }
 
-/// Whether an op may run here now.
+/// Whether an op may run at this store now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EpochCheck {
-    /// The gateway's map is right.
+    /// The gateway's map is up to date: the op may run.
     Current,
-    /// The gateway's map is old; the range has this epoch, or a higher one.
+    /// The gateway's map is stale: the range has this epoch, or a higher one.
     Stale(u64),
-    /// The gateway's map is newer: the coordinator's order is on its way. The op may wait as long as it has time.
+    /// The gateway's map is newer than the fence: the coordinator's order has not arrived yet. The op may
+    /// wait until its deadline.
     NotActiveYet,
 }
 
 /// How an accepted order is applied to the data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderCheck {
-    /// For the first time.
+    /// The order is new and is applied.
     Apply,
-    /// It was applied before. Hazard: what was written since must not be lost by applying it twice.
+    /// The order was applied before. Hazard: applying it again must not discard data that was written since.
     Repeated,
 }
 
 impl Fences {
-    /// Whether an op that names this epoch may run on an extent.
+    /// Whether an op that was sent with this epoch may run on an extent.
     pub fn check(&self, volume: u64, extent: u64, epoch: u64) -> EpochCheck {
         let fence = self.volumes.get(&volume).and_then(|ranges| ranges.get(extent)).unwrap_or(UNTOUCHED);
         match fence.state {
-            // Hazard: a target's epoch is the map's only once the move is committed. A gateway that was told of it before
-            // would wait for a map that never comes if the move is abandoned.
+            // Hazard: the target's epoch enters the map only when the move is committed. A gateway that
+            // learned it earlier would wait for a map version that never exists if the move is abandoned.
             _ if epoch < fence.epoch => EpochCheck::Stale(fence.settled_epoch),
             FenceState::Serving if epoch == fence.epoch => EpochCheck::Current,
             FenceState::Closed if epoch == fence.epoch => EpochCheck::Stale(fence.settled_epoch),
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Takes an order of a move: how it is applied to the data.
+    /// Applies an order of a move to the fences, and returns how the order is applied to the data.
     ///
     /// # Errors
-    /// The reply for the coordinator where the order is not accepted.
+    /// The reply to send to the coordinator if the order is not accepted.
     pub fn take(&mut self, term: u64, number: u64, order: &Order) -> Result<OrderCheck, OrderReply> {
         if term < self.term {
             return Err(OrderReply::StaleTerm(self.term));
         }
         self.term = term;
-        let span = *order.span();
-        let current = self.fences_within(&span);
+        let range = *order.span();
+        let current = self.fences_within(&range);
         if current.iter().any(|(_, fence)| fence.move_number > number) {
             return Err(OrderReply::WrongState);
         }
@@ -97,39 +97,40 @@
             current.iter().map(|(_, fence)| fence.after_order(number, order)).collect();
         let next = next.ok_or(OrderReply::WrongState)?;
         let is_changed = current.iter().zip(&next).any(|((_, fence), next)| fence != next);
-        let ranges = self.volumes.entry(span.volume).or_default();
+        let ranges = self.volumes.entry(range.volume).or_default();
         for ((part, _), fence) in current.into_iter().zip(next) {
             ranges.set(part, fence);
         }
         Ok(if is_changed { OrderCheck::Apply } else { OrderCheck::Repeated })
     }
 
-    /// Whether nothing of a span is served here, or will be by the move under way.
-    pub fn closed(&self, span: &ExtentRange) -> bool {
-        self.fences_within(span).iter().all(|(_, fence)| fence.state == FenceState::Closed)
+    /// Whether no extent of a range is served here, or will be by the present move.
+    pub fn closed(&self, range: &ExtentRange) -> bool {
+        self.fences_within(range).iter().all(|(_, fence)| fence.state == FenceState::Closed)
     }
 
-    /// The fences of a span, those of untouched parts among them.
-    fn fences_within(&self, span: &ExtentRange) -> Vec<(Range<u64>, Fence)> {
+    /// The fences of a range, including [`UNTOUCHED`] for the parts that have no stored fence.
+    fn fences_within(&self, range: &ExtentRange) -> Vec<(Range<u64>, Fence)> {
         let mut fences = Vec::new();
-        let mut covered_to = span.start;
-        let ranges = self.volumes.get(&span.volume).into_iter();
-        for (run, fence) in ranges.flat_map(|ranges| ranges.overlapping(span.start..span.end)) {
+        let mut covered_to = range.start;
+        let ranges = self.volumes.get(&range.volume).into_iter();
+        for (run, fence) in ranges.flat_map(|ranges| ranges.overlapping(range.start..range.end)) {
             if covered_to < run.start {
                 fences.push((covered_to..run.start, UNTOUCHED));
             }
             covered_to = run.end;
             fences.push((run, fence));
         }
-        if covered_to < span.end {
-            fences.push((covered_to..span.end, UNTOUCHED));
+        if covered_to < range.end {
+            fences.push((covered_to..range.end, UNTOUCHED));
         }
         fences
     }
 }
 
 impl Fence {
-    /// The fence after an order of a move that is not older than its last one; none where the order does not fit.
+    /// The fence after an order of a move that is not older than the fence's last one; `None` if the order
+    /// does not fit its state.
     fn after_order(self, number: u64, order: &Order) -> Option<Fence> {
         let is_same_move = self.move_number == number;
         let is_at = |state, epoch| is_same_move && self.state == state && self.epoch == epoch;
@@ -156,18 +157,19 @@
         }
     }
 
-    /// A fence whose epoch the map has, or will have however the move ends.
+    /// A fence whose epoch the map has, or will reach whether the move is committed or not.
     fn settled(state: FenceState, epoch: u64, move_number: u64) -> Fence {
         Fence { state, epoch, move_number, settled_epoch: epoch }
     }
 
-    /// A fence at an epoch that the map has only if the move is committed.
+    /// A fence at an epoch that the map reaches only if the move is committed.
     fn unsettled(self, state: FenceState, epoch: u64, move_number: u64) -> Fence {
         Fence { state, epoch, move_number, settled_epoch: self.settled_epoch }
     }
 
     fn after_prepare(self, number: u64, epoch: u64) -> Option<Fence> {
-        // Hazard: a store that serves at this epoch or a higher one must not be emptied by a delayed order.
+        // Hazard: a delayed order must not clear the data of a store that serves at this epoch or a higher
+        // one.
         if self.move_number == number {
             return (self.state == FenceState::Incoming && self.epoch == epoch).then_some(self);
         }
@@ -201,14 +203,15 @@
 
     fn after_clear(self, number: u64, epoch: u64) -> Option<Fence> {
         if self.move_number != number {
-            // It was never prepared for this move; from now on it cannot be.
+            // The range was never prepared for this move. Recording the move's number prevents it from now
+            // on.
             return Some(Fence { move_number: number, ..self });
         }
         if self.state == FenceState::Incoming && self.epoch == epoch {
             return Some(self.unsettled(FenceState::Closed, epoch, number));
         }
-        // Hazard: what an earlier move closed, at its epoch, is cleared by this one as often as it is ordered, or the move
-        // that was abandoned would never finish.
+        // Hazard: a range that an earlier move closed, at that move's epoch, has to accept every clear order
+        // of this move. Otherwise an abandoned move would never finish.
         (self.state != FenceState::Incoming).then_some(self)
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,10 +1,15 @@
-//! Decisions for all gateways and stores together: where data lies, how a range moves, and how configuration changes reach
-//! every gateway.
+//! Fleet-wide decisions: where data lies, how a range moves between shards, and how configuration changes
+//! reach every gateway.
 //!
-//! Plain data in, plain data out; no I/O, no clock, no randomness. [`map`] holds ranges with their epochs, [`fence`] decides
-//! at a store on orders and epochs, [`moves`] is one move as a state machine, [`state`] what outlives a run of the
-//! coordinator and the records that change it; [`Coordinator::handle`] puts them together. Its steps are: decide, log, sync,
-//! act; outputs come in that order. [`relay`] carries the log of changes.
+//! All modules map plain data to plain data, without I/O, clock or randomness:
+//!
+//! - [`map`] holds the ranges of each volume with their shards and epochs.
+//! - [`fence`] decides at a store which orders and which epochs are accepted.
+//! - [`moves`] is the state machine of one move.
+//! - [`state`] is the coordinator's durable state and the records that change it.
+//! - [`Coordinator::handle`] combines them. Each step decides, logs, syncs and then acts, and the outputs are
+//!   returned in that order.
+//! - [`relay`] replicates the log of changes.
 
 mod coordinator;
 pub mod fence;
--- a/crates/control-plane/src/map.rs
+++ b/crates/control-plane/src/map.rs
@@ -1,4 +1,4 @@
-//! Where extents lie: ranges of each volume, each at one shard with one epoch.
+//! Extent locations: ranges of each volume, each at one shard with one epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 
 use crate::ranges::RangeMap;
 
-/// A [`Location`] as it is stored. The order of the fields is part of the format.
+/// A [`Location`] as it is stored. The order of the fields is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 struct StoredLocation {
     shard: u32,
@@ -21,16 +21,16 @@
     }
 }
 
-/// The map of all volumes.
+/// The extent map of all volumes.
 ///
-/// Invariant: an extent's epoch never falls, and grows with every change of its shard.
+/// Invariant: an extent's epoch never decreases, and increases with every change of its shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ExtentMap {
     volumes: BTreeMap<u64, RangeMap<StoredLocation>>,
 }
 
 impl ExtentMap {
-    /// Where an extent lies; none where it was never claimed.
+    /// The location of an extent; `None` if it was never claimed.
     pub fn location(&self, volume: u64, extent: u64) -> Option<Location> {
         self.volumes.get(&volume)?.get(extent).map(Location::from)
     }
@@ -41,25 +41,25 @@
         locations.map(|location| location.shard).collect()
     }
 
-    /// How many ranges it has.
+    /// Number of ranges over all volumes.
     pub fn ranges(&self) -> usize {
         self.volumes.values().map(RangeMap::len).sum()
     }
 
-    /// The ranges that overlap a span, in order, cut to it.
-    pub fn overlapping(&self, span: &ExtentRange) -> impl Iterator<Item = (ExtentRange, Location)> {
-        let volume = span.volume;
-        let range = span.start..span.end;
+    /// The stored ranges that overlap `range`, in order and cut to it.
+    pub fn overlapping(&self, range: &ExtentRange) -> impl Iterator<Item = (ExtentRange, Location)> {
+        let volume = range.volume;
+        let extents = range.start..range.end;
         let ranges = self.volumes.get(&volume).into_iter();
-        let overlapping = ranges.flat_map(move |ranges| ranges.overlapping(range.clone()));
+        let overlapping = ranges.flat_map(move |ranges| ranges.overlapping(extents.clone()));
         overlapping.map(move |(run, location)| {
             (ExtentRange { volume, start: run.start, end: run.end }, location.into())
         })
     }
 
-    /// Gives all extents of a span this location.
-    pub fn set(&mut self, span: &ExtentRange, Location { shard, epoch }: Location) {
-        let ranges = self.volumes.entry(span.volume).or_default();
-        ranges.set(span.start..span.end, StoredLocation { shard, epoch });
+    /// Sets the location of all extents of a range.
+    pub fn set(&mut self, range: &ExtentRange, Location { shard, epoch }: Location) {
+        let ranges = self.volumes.entry(range.volume).or_default();
+        ranges.set(range.start..range.end, StoredLocation { shard, epoch });
     }
 }
--- a/crates/control-plane/src/moves.rs
+++ b/crates/control-plane/src/moves.rs
@@ -1,26 +1,31 @@
-//! One move of a range from a shard to another, as a state machine.
+//! State machine of one move of a range from one shard to another.
 //!
-//! What a crash must not lose is the phase, which is logged before it is acted on. The step within it is not stored: a new run
-//! begins the phase again, since every order may be repeated. What holds in each phase:
+//! Only the phase has to survive a crash; it is logged before it is acted on. The step within a phase is not
+//! stored: a new run of the coordinator starts the phase again, which is safe because every order may be
+//! repeated. The phases are:
 //!
-//! - *Copying*: the source serves; the target refuses the range. It may be abandoned.
-//! - *Fenced*: the source may refuse for good, and the target still refuses: nobody serves. It may be rolled back, at a higher
-//!   epoch still, since the source has all data.
-//! - *Committed*: the map says the target. The source never serves again at this or a lower epoch; the move only goes on.
-//! - *Rolled back*: the source serves again, at the epoch after the one that was meant for the target.
-//! - *Abandoned*: the source serves as before; what the target holds is cleared.
+//! - *Copying*: the source serves the range, the target rejects ops on it. The move may be abandoned.
+//! - *Fenced*: the source may already reject ops on the range, which only a rollback reverses, and the target
+//!   still rejects them, so possibly no store serves the range. The move may be rolled back, at a still
+//!   higher epoch, since the source has all data.
+//! - *Committed*: the map names the target. The source never serves again at this or a lower epoch, and the
+//!   move can no longer be undone.
+//! - *Rolled back*: the source serves again, at the epoch after the one that was planned for the target.
+//! - *Abandoned*: the source serves as before, and the target's copy is cleared.
 //!
-//! Invariant: at any epoch at most one store serves the range, whoever has crashed or cannot be reached. A store serves at an
-//! epoch at which it was activated, an epoch is activated at one store, and the source is fenced before the target is
-//! activated.
+//! Invariant: at any epoch at most one store serves the range, whichever processes have crashed or are
+//! unreachable. A store serves only at an epoch at which it was activated, each epoch is activated at one
+//! store only, and the source is fenced before the target is activated.
 
 use serde::{Deserialize, Serialize};
 use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply};
 
-/// Extents written while the range is copied are copied again, up to so many times the range; the rest while it is fenced.
+/// Extents that are written during the copying phase are copied again. The total of copies in that phase is
+/// limited to this many times the number of extents; the remaining extents are copied while the range is
+/// fenced.
 const MAX_COPY_PASSES: u64 = 3;
 
-/// How far a move is. The order of the variants is part of the format.
+/// The phase of a move. The order of the variants is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
     /// Extents are copied while the source serves.
@@ -31,20 +36,20 @@
     Committed,
     /// The source serves again; the target is cleared.
     RolledBack,
-    /// The source serves still; the target is cleared.
+    /// The source still serves; the target is cleared.
     Abandoned,
     /// Nothing is left to do.
     Finished,
 }
 
-/// Which order is sent next.
+/// The order to send next within a phase.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 enum Step {
-    /// The first of the phase, where a new run of the coordinator begins.
+    /// The first order of the phase. A new run of the coordinator starts here.
     #[default]
     First,
     TrackChanges,
-    /// With the extent that was copied last, and its change count.
+    /// Fetches the next extent. Holds the number of the extent that was copied last, and its change count.
     Fetch(Option<(u64, u64)>),
     Put(ExtentContent),
     FetchExecuted,
@@ -53,10 +58,10 @@
     Clear,
 }
 
-/// What an answer leads to.
+/// The effect of a store's reply on the move.
 struct Transition {
     step: Step,
-    /// The phase that is logged and entered next, if the present one ends.
+    /// The phase to log and enter next, if the current one has ended.
     next_phase: Option<Phase>,
 }
 
@@ -70,7 +75,7 @@
     }
 }
 
-/// An order, and the shard whose store it goes to.
+/// An order and the shard whose store it is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedOrder {
     /// The shard.
@@ -79,11 +84,11 @@
     pub order: Order,
 }
 
-/// One move. The order of the fields is part of the format.
+/// One move. The order of the fields is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Move {
     /// The extents that are moved.
-    pub span: ExtentRange,
+    pub range: ExtentRange,
     /// The shard they are moved from.
     pub source: u32,
     /// The shard they are moved to.
@@ -94,19 +99,19 @@
     pub phase: Phase,
     #[serde(skip)]
     step: Step,
-    /// Extents that the source had to copy when this run began to copy.
+    /// Number of extents that the source had to copy when this run started copying.
     #[serde(skip)]
     pub extents_left: u64,
-    /// Copies made since.
+    /// Number of copies made since then.
     #[serde(skip)]
     pub copies: u64,
 }
 
 impl Move {
-    /// A move in its first phase.
-    pub fn new(span: ExtentRange, source: u32, target: u32, epoch: u64) -> Move {
+    /// Creates a move in its first phase.
+    pub fn new(range: ExtentRange, source: u32, target: u32, epoch: u64) -> Move {
         Move {
-            span,
+            range,
             source,
             target,
             epoch,
@@ -122,49 +127,51 @@
         self.epoch + 1
     }
 
-    /// Begins a phase that was logged.
+    /// Starts a phase that was logged.
     pub fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.step = Step::First;
     }
 
-    /// The order that has to be sent now; none once the move is finished.
+    /// The order to send now; `None` once the move is finished.
     pub fn order(&self) -> Option<AddressedOrder> {
-        let Move { span, epoch, .. } = *self;
+        let Move { range, epoch, .. } = *self;
         let to_source = |order| Some(AddressedOrder { shard: self.source, order });
         let to_target = |order| Some(AddressedOrder { shard: self.target, order });
         match (self.phase, &self.step) {
             (Phase::Finished, _) => None,
-            (Phase::Copying, Step::First) => to_target(Order::Prepare { span, epoch }),
-            (Phase::Copying, Step::TrackChanges) => to_source(Order::TrackChanges { span }),
+            (Phase::Copying, Step::First) => to_target(Order::Prepare { span: range, epoch }),
+            (Phase::Copying, Step::TrackChanges) => to_source(Order::TrackChanges { span: range }),
             (Phase::Copying | Phase::Fenced, Step::Fetch(copied)) => {
-                to_source(Order::FetchNext { span, copied: *copied })
+                to_source(Order::FetchNext { span: range, copied: *copied })
             }
-            (_, Step::Put(content)) => to_target(Order::Put { span, epoch, content: content.clone() }),
-            (Phase::Fenced, Step::First) => to_source(Order::Fence { span, epoch }),
-            (_, Step::FetchExecuted) => to_source(Order::FetchExecuted { span }),
-            (_, Step::RecordExecuted(marks)) => {
-                to_target(Order::RecordExecuted { span, epoch, marks: marks.clone() })
+            (_, Step::Put(content)) => to_target(Order::Put { span: range, epoch, content: content.clone() }),
+            (Phase::Fenced, Step::First) => to_source(Order::Fence { span: range, epoch }),
+            (_, Step::FetchExecuted) => to_source(Order::FetchExecuted { span: range }),
+            (_, Step::RecordExecuted(executed)) => {
+                to_target(Order::RecordExecuted { span: range, epoch, marks: executed.clone() })
             }
-            (_, Step::Sync) => to_target(Order::Sync { span, epoch }),
-            (Phase::Committed, Step::First) => to_target(Order::Activate { span, epoch }),
-            (Phase::Committed, _) => to_source(Order::Clear { span, epoch }),
+            (_, Step::Sync) => to_target(Order::Sync { span: range, epoch }),
+            (Phase::Committed, Step::First) => to_target(Order::Activate { span: range, epoch }),
+            (Phase::Committed, _) => to_source(Order::Clear { span: range, epoch }),
             (Phase::RolledBack, Step::First) => {
-                to_source(Order::Reactivate { span, epoch: self.rollback_epoch() })
+                to_source(Order::Reactivate { span: range, epoch: self.rollback_epoch() })
             }
-            (Phase::Abandoned, Step::First) => to_source(Order::StopTracking { span }),
-            (Phase::RolledBack | Phase::Abandoned, _) => to_target(Order::Clear { span, epoch }),
-            // No other step is entered in these phases; sending the phase's first order again does no harm.
-            (Phase::Copying, _) => to_target(Order::Prepare { span, epoch }),
-            (Phase::Fenced, _) => to_source(Order::Fence { span, epoch }),
+            (Phase::Abandoned, Step::First) => to_source(Order::StopTracking { span: range }),
+            (Phase::RolledBack | Phase::Abandoned, _) => to_target(Order::Clear { span: range, epoch }),
+            // These steps do not occur in these phases; if one did, repeating the phase's first order would
+            // be safe.
+            (Phase::Copying, _) => to_target(Order::Prepare { span: range, epoch }),
+            (Phase::Fenced, _) => to_source(Order::Fence { span: range, epoch }),
         }
     }
 
-    /// Takes the answer to the last order. Returns the phase that has to be logged and entered next, if the present one ends.
+    /// Handles a store's reply to the last order. Returns the phase to log and enter next, if the current one
+    /// has ended.
     pub fn on_reply(&mut self, reply: OrderReply) -> Option<Phase> {
         let step = std::mem::take(&mut self.step);
         let transition = match self.phase {
-            // The target has restarted, or what another move left is there: the phase begins again.
+            // The target has restarted, or holds the remains of another move: the phase starts again.
             _ if reply == OrderReply::WrongState => Transition::step(Step::First),
             Phase::Copying => self.on_copying_reply(step, reply),
             Phase::Fenced => self.on_fenced_reply(step, reply),
@@ -198,8 +205,8 @@
             (Step::Fetch(_), OrderReply::NextExtent(Some(content))) => Transition::step(Step::Put(content)),
             (Step::Fetch(_), OrderReply::NextExtent(None)) => Transition::step(Step::FetchExecuted),
             (Step::Put(content), OrderReply::Done) => self.on_copied(&content),
-            (Step::FetchExecuted, OrderReply::ExecutedOps(marks)) => {
-                Transition::step(Step::RecordExecuted(marks))
+            (Step::FetchExecuted, OrderReply::ExecutedOps(executed)) => {
+                Transition::step(Step::RecordExecuted(executed))
             }
             (Step::RecordExecuted(_), OrderReply::Done) => Transition::step(Step::Sync),
             (Step::Sync, OrderReply::Done) => Transition::phase(Phase::Committed),
@@ -216,7 +223,7 @@
         Transition::step(Step::Fetch(Some((content.extent, content.change_count))))
     }
 
-    /// The phase that abandoning the move leads to; none where it can only go on.
+    /// The phase that the move enters if it is abandoned now; `None` if it can no longer be abandoned.
     pub fn abandoned_phase(&self) -> Option<Phase> {
         match self.phase {
             Phase::Copying => Some(Phase::Abandoned),
@@ -225,20 +232,20 @@
         }
     }
 
-    /// How far it is, for people. The text goes over the wire.
+    /// The status of the move as text for operators. It is sent over the wire.
     pub fn status_text(&self) -> String {
         match self.phase {
             Phase::Copying => format!("copying: {} of about {} extents", self.copies, self.extents_left),
             Phase::Fenced => "paused: the rest is copied".into(),
             Phase::Committed => "moved: the source is cleared".into(),
-            Phase::RolledBack => "taken back: the source serves again".into(),
+            Phase::RolledBack => "rolled back: the source serves again".into(),
             Phase::Abandoned => "given up: the target is cleared".into(),
             Phase::Finished => "over".into(),
         }
     }
 }
 
-/// What an answer leads to in the phases that have two steps: the first, and clearing.
+/// The transition after a reply in the phases that have two steps: the first one, and clearing.
 fn clearing_transition(step: Step, reply: &OrderReply) -> Transition {
     match (step, reply) {
         (Step::First, OrderReply::Done) => Transition::step(Step::Clear),
@@ -247,7 +254,7 @@
     }
 }
 
-/// An answer to another order, or one that is not allowed here: the order is sent again.
+/// The transition after a reply that does not fit the order: the order is sent again.
 fn unexpected_reply(step: Step) -> Transition {
     Transition::step(step)
 }
--- a/crates/control-plane/src/ranges/mod.rs
+++ b/crates/control-plane/src/ranges/mod.rs
@@ -1,11 +1,11 @@
-//! Runs of consecutive numbers, each with a value.
+//! A map from numbers to values that stores runs of consecutive numbers with the same value.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
 use serde::{Deserialize, Serialize};
 
-/// The end of a run, which is not part of it, and its value.
+/// The exclusive end of a run, and the value of its numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 struct Run<V> {
     end: u64,
@@ -14,10 +14,10 @@
 
 /// A map from numbers to values, stored as runs.
 ///
-/// Invariant: runs do not overlap, and two neighbours of the same value are one run.
+/// Invariant: runs do not overlap, and adjacent runs have different values.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RangeMap<V> {
-    /// By their first number.
+    /// Runs by their first number.
     runs: BTreeMap<u64, Run<V>>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl<V: Copy + PartialEq> RangeMap<V> {
-    /// How many runs there are.
+    /// Number of runs.
     pub(crate) fn len(&self) -> usize {
         self.runs.len()
     }
@@ -37,12 +37,12 @@
         self.runs.values().map(|run| run.value)
     }
 
-    pub(crate) fn get(&self, at: u64) -> Option<V> {
-        let (_, run) = self.runs.range(..=at).next_back()?;
-        (at < run.end).then_some(run.value)
+    pub(crate) fn get(&self, number: u64) -> Option<V> {
+        let (_, run) = self.runs.range(..=number).next_back()?;
+        (number < run.end).then_some(run.value)
     }
 
-    /// The runs that overlap a range, in order, cut to it.
+    /// The runs that overlap a range, in order and cut to it.
     pub(crate) fn overlapping(&self, range: Range<u64>) -> impl Iterator<Item = (Range<u64>, V)> {
         let containing_start = self.runs.range(..=range.start).next_back();
         let first = containing_start.map_or(range.start, |(start, _)| *start);
@@ -51,7 +51,7 @@
         overlapping.map(move |(start, run)| ((*start).max(range.start)..run.end.min(range.end), run.value))
     }
 
-    /// Gives all numbers of a range this value. The range must not be empty.
+    /// Sets the value of all numbers of a range, which must not be empty.
     pub(crate) fn set(&mut self, range: Range<u64>, value: V) {
         let Range { mut start, mut end } = range;
         self.split_at(start);
@@ -72,16 +72,16 @@
         self.runs.insert(start, Run { end, value });
     }
 
-    /// Splits the run that contains a number and begins before it.
-    fn split_at(&mut self, at: u64) {
-        let Some((start, run)) = self.runs.range(..at).next_back() else { return };
-        if run.end <= at {
+    /// Splits the run that contains a number, unless the run begins with it.
+    fn split_at(&mut self, number: u64) {
+        let Some((start, run)) = self.runs.range(..number).next_back() else { return };
+        if run.end <= number {
             return;
         }
         let start = *start;
         let Run { end, value } = *run;
-        self.runs.insert(start, Run { end: at, value });
-        self.runs.insert(at, Run { end, value });
+        self.runs.insert(start, Run { end: number, value });
+        self.runs.insert(number, Run { end, value });
     }
 }
 
--- a/crates/control-plane/src/ranges/tests.rs
+++ b/crates/control-plane/src/ranges/tests.rs
@@ -2,28 +2,31 @@
 
 use super::*;
 
-/// Compares with a plain table of numbers: the same values, and no more runs than are needed.
+/// Compares a range map with a plain table of numbers after the same operations: it has to return the same
+/// values and to store no more runs than necessary.
 #[test]
 fn range_map_after_random_sets_matches_table() {
-    fn same(sets: Vec<(u8, u8, u8)>) -> bool {
+    fn matches_table(sets: Vec<(u8, u8, u8)>) -> bool {
         let (mut ranges, mut table) = (RangeMap::default(), BTreeMap::new());
         for (from, length, value) in sets {
             let from = u64::from(from % 40);
             let range = from..from + 1 + u64::from(length % 12);
             ranges.set(range.clone(), value % 4);
-            range.for_each(|at| _ = table.insert(at, value % 4));
-            let told: Vec<_> =
-                ranges.overlapping(3..30).flat_map(|(run, v)| run.map(move |at| (at, v))).collect();
-            let known: Vec<_> = table.range(3..30).map(|(at, value)| (*at, *value)).collect();
-            if told != known || (0..60).any(|at| ranges.get(at) != table.get(&at).copied()) {
+            range.for_each(|number| _ = table.insert(number, value % 4));
+            let actual: Vec<_> =
+                ranges.overlapping(3..30).flat_map(|(run, v)| run.map(move |number| (number, v))).collect();
+            let expected: Vec<_> = table.range(3..30).map(|(number, value)| (*number, *value)).collect();
+            if actual != expected || (0..60).any(|number| ranges.get(number) != table.get(&number).copied()) {
                 return false;
             }
         }
-        let begins = |at: &u64| table.contains_key(at) && (*at == 0 || table.get(&(at - 1)) != table.get(at));
-        ranges.len() == (0..60).filter(begins).count()
+        let begins_run = |number: &u64| {
+            table.contains_key(number) && (*number == 0 || table.get(&(number - 1)) != table.get(number))
+        };
+        ranges.len() == (0..60).filter(begins_run).count()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 5))
         .tests(200)
-        .quickcheck(same as fn(Vec<(u8, u8, u8)>) -> bool);
+        .quickcheck(matches_table as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -1,4 +1,4 @@
-//! What outlives a run of the coordinator, and the records that change it.
+//! The coordinator's durable state, and the log records that change it.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,25 @@
 use crate::map::ExtentMap;
 use crate::moves::{Move, Phase};
 
-/// One step, which is logged before it is acted on. The order of variants and fields is part of the format.
+/// One change of the state, which is logged before it is acted on. The order of variants and fields is part
+/// of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// A run of the coordinator begins, with this term. Its orders are refused once a store has received one of a later run.
+    /// A run of the coordinator has started with this term. Stores reject its orders once they have received
+    /// an order with a higher term.
     Term(u64),
-    /// An extent was placed.
+    /// An extent was placed at a shard.
     Claimed {
         /// The volume.
         volume: u64,
-        /// The extent's number in it.
+        /// The extent's number in the volume.
         extent: u64,
-        /// Where it lies from now on, at epoch 0.
+        /// The shard that holds the extent from now on, at epoch 0.
         shard: u32,
     },
     /// A move was planned.
     Planned {
-        /// Its number.
+        /// The number of the move.
         number: u64,
         /// The move, in its first phase.
         planned: Move,
@@ -39,79 +41,81 @@
     },
 }
 
-/// Finished moves whose result is kept for those who ask.
+/// Maximum number of finished moves whose result is kept for status requests.
 const MAX_ENDED_MOVES: usize = 1024;
 
-/// What outlives a run of the coordinator. The order of the fields is part of the format.
+/// The state that survives a restart of the coordinator. The order of the fields is part of the stored
+/// format.
 ///
-/// Invariant: it changes by [`CoordinatorState::apply`] alone, so that the log gives it again.
+/// Invariant: it is changed only by [`CoordinatorState::apply`], so that replaying the log restores it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CoordinatorState {
     /// The term of the last run.
     pub term: u64,
-    /// Where extents lie.
+    /// The location of every extent that was claimed.
     pub map: ExtentMap,
     /// Moves that are not finished, by number.
     pub moves: BTreeMap<u64, Move>,
-    /// The phase in which finished moves ended, by number.
-    pub ended: BTreeMap<u64, Phase>,
-    /// The number of the last move planned; the first has number 1.
+    /// The phase that each finished move was in before [`Phase::Finished`], by the number of the move.
+    pub ended_moves: BTreeMap<u64, Phase>,
+    /// The number of the move that was planned last; numbers start at 1.
     pub last_move_number: u64,
 }
 
-/// The location of an extent that a gateway claimed.
+/// The result of a gateway's claim of an extent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Where the extent lies.
+    /// The extent's location.
     pub location: Location,
-    /// What has to be logged first, where it was placed by this claim.
+    /// The record to log before the response, if this claim placed the extent.
     pub record: Option<Record>,
 }
 
-/// Why a move is rejected, and what can be done. The texts go over the wire.
+/// Why a move is rejected, and what the operator can do about it. The texts are sent over the wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MoveRejected {
     /// The range has no extents.
     #[error("the range is empty: its end has to lie after its beginning")]
     Empty,
-    /// Extents of the range lie at different shards.
+    /// The extents of the range lie at different shards.
     #[error(
         "extent {extent} lies at shard {shard}, others of the range at {other}: move each part by itself"
     )]
     Split {
         /// The first extent that lies at another shard.
         extent: u64,
-        /// Its shard.
+        /// The shard of that extent.
         shard: u32,
         /// The shard of the extents before it.
         other: u32,
     },
     /// No extent of the range was claimed.
-    #[error("nothing of the range lies anywhere yet: its first write places it")]
+    #[error("no extent of the range is placed yet: the first write to an extent places it")]
     NotPlaced,
-    /// The range lies at the target.
-    #[error("the range lies at shard {0} already")]
+    /// The range already lies at the target.
+    #[error("the range already lies at shard {0}")]
     AlreadyThere(u32),
-    /// This move of a part of the range is not finished.
-    #[error("move {0} of a part of the range is not over: wait for it, or give it up")]
+    /// The move with this number covers a part of the range and is not finished.
+    #[error("move {0} of a part of the range is not finished: wait for it, or give it up")]
     InProgress(u64),
     /// This shard has no store.
     #[error("no store serves shard {0}: see the list of stores")]
     NoStore(u32),
-    /// So many moves are under way.
-    #[error("{0} moves wait already: come back when one is over")]
+    /// The maximum number of unfinished moves is reached; the value is their current number.
+    #[error("{0} moves are unfinished, which is the maximum: retry when one has finished")]
     TooManyMoves(usize),
 }
 
 impl CoordinatorState {
-    /// Decodes a state; none where the bytes are not one.
+    /// Decodes a state; `None` if the bytes are not a valid encoding.
     pub fn decode(bytes: &[u8]) -> Option<CoordinatorState> {
         postcard::from_bytes(bytes).ok()
     }
 
     /// Encodes the state, as a checkpoint of the log.
     pub fn encode(&self) -> Vec<u8> {
-        // Invariant: encoding numbers and maps of them into memory cannot fail.
+        // Invariant: the state holds only numbers and maps of numbers, whose encoding into memory cannot
+        // fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -120,8 +124,8 @@
         match record {
             Record::Term(term) => self.term = *term,
             Record::Claimed { volume, extent, shard } => {
-                let span = ExtentRange { volume: *volume, start: *extent, end: *extent + 1 };
-                self.map.set(&span, Location { shard: *shard, epoch: 0 });
+                let range = ExtentRange { volume: *volume, start: *extent, end: *extent + 1 };
+                self.map.set(&range, Location { shard: *shard, epoch: 0 });
             }
             Record::Planned { number, planned } => {
                 self.moves.insert(*number, planned.clone());
@@ -141,7 +145,7 @@
             _ => None,
         };
         if let Some(location) = location {
-            self.map.set(&moving.span, location);
+            self.map.set(&moving.range, location);
         }
         if phase == Phase::Finished {
             self.finish(number, previous);
@@ -150,21 +154,21 @@
 
     fn finish(&mut self, number: u64, last_phase: Phase) {
         self.moves.remove(&number);
-        self.ended.insert(number, last_phase);
-        while self.ended.len() > MAX_ENDED_MOVES {
-            self.ended.pop_first();
+        self.ended_moves.insert(number, last_phase);
+        while self.ended_moves.len() > MAX_ENDED_MOVES {
+            self.ended_moves.pop_first();
         }
     }
 
-    /// Where an extent lies that a gateway wants at this shard: where it was placed, where its range is being moved from, or
-    /// at that shard.
+    /// Places an extent that a gateway claims for `shard`. An extent that is already placed keeps its
+    /// location. One whose range is being moved is placed at the source of that move, any other at `shard`.
     pub fn claim(&self, volume: u64, extent: u64, shard: u32) -> Claim {
         if let Some(location) = self.map.location(volume, extent) {
             return Claim { location, record: None };
         }
-        // Hazard: an extent placed elsewhere during a move of its range would be left out of the move, and the map would be
-        // wrong about it.
-        let moving = self.moves.values().find(|moving| moving.span.contains(volume, extent));
+        // Hazard: if an extent were placed at another shard while its range is being moved, the move would
+        // not copy it, and the map would then have a wrong location for it.
+        let moving = self.moves.values().find(|moving| moving.range.contains(volume, extent));
         let shard = moving.map_or(shard, |moving| moving.source);
         Claim {
             location: Location { shard, epoch: 0 },
@@ -172,27 +176,28 @@
         }
     }
 
-    /// A move of a range to a shard.
+    /// Plans a move of a range to a shard, without changing the state.
     ///
     /// # Errors
-    /// [`MoveRejected`] where the range is empty, not placed, split over shards, at the target or being moved.
-    pub fn plan(&self, span: ExtentRange, target: u32) -> Result<Move, MoveRejected> {
-        if span.start >= span.end {
+    /// [`MoveRejected`] if the range is empty, not placed, split over shards, already at the target or being
+    /// moved.
+    pub fn plan(&self, range: ExtentRange, target: u32) -> Result<Move, MoveRejected> {
+        if range.start >= range.end {
             return Err(MoveRejected::Empty);
         }
-        if let Some((number, _)) = self.moves.iter().find(|(_, moving)| moving.span.overlaps(&span)) {
+        if let Some((number, _)) = self.moves.iter().find(|(_, moving)| moving.range.overlaps(&range)) {
             return Err(MoveRejected::InProgress(*number));
         }
-        let source = self.single_location(&span)?;
+        let source = self.single_location(&range)?;
         if source.shard == target {
             return Err(MoveRejected::AlreadyThere(target));
         }
-        Ok(Move::new(span, source.shard, target, source.epoch + 1))
+        Ok(Move::new(range, source.shard, target, source.epoch + 1))
     }
 
-    /// The one shard that holds all placed extents of a span, and the highest of their epochs.
-    fn single_location(&self, span: &ExtentRange) -> Result<Location, MoveRejected> {
-        let mut parts = self.map.overlapping(span);
+    /// The one shard that holds all placed extents of a range, and the highest of their epochs.
+    fn single_location(&self, range: &ExtentRange) -> Result<Location, MoveRejected> {
+        let mut parts = self.map.overlapping(range);
         let (_, first) = parts.next().ok_or(MoveRejected::NotPlaced)?;
         let mut epoch = first.epoch;
         for (part, location) in parts {
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -66,5 +66,5 @@
     assert_eq!(read, state());
     assert_eq!(read.map.location(3, 2), Some(Location { shard: 5, epoch: 1 }), "committed");
     assert_eq!(read.map.location(4, 2), Some(Location { shard: 4, epoch: 2 }), "taken back");
-    assert_eq!(read.ended.get(&6), Some(&Phase::Committed));
+    assert_eq!(read.ended_moves.get(&6), Some(&Phase::Committed));
 }
