--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -15,7 +15,8 @@
     Serving,
     /// Content from a move's source is accepted; ops are not.
     Incoming,
-    /// Neither is accepted: the extents have moved to another shard, or a move to this one was abandoned or rolled back.
+    /// Neither is accepted: the extents have moved to another shard, or a move to this one was abandoned or
+    /// rolled back.
     Closed,
 }
 
--- a/crates/control-plane/src/relay/config.rs
+++ b/crates/control-plane/src/relay/config.rs
@@ -1,10 +1,10 @@
-//! How a node is configured: who it is, and where it has the log from.
+//! Configuration of a node: its identity, and where it receives the log from.
 
 use std::collections::BTreeSet;
 
 use umbertray_store_protocol::changes::{MAX_NAME, Role};
 
-/// A node that another one follows, as the configuration names it.
+/// A configured upstream: a node that another one may follow.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Upstream {
     /// Its name among all relays and gateways.
@@ -13,16 +13,17 @@
     pub zone: String,
 }
 
-/// Where a node has the log from.
+/// Where a node receives the log from.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Origin {
-    /// The writer's folder, which the node's owner reads, and which is trusted as a gateway trusts it.
+    /// The writer's folder, which the node's owner reads. It is trusted, as it is by a gateway that reads the
+    /// folder.
     Folder,
     /// Other nodes.
     Upstreams {
-        /// All that may be connected to.
+        /// All upstreams that the node may connect to.
         upstreams: Vec<Upstream>,
-        /// How many of them must say the same: one more than may lie.
+        /// How many of them have to report the same: one more than the number that may lie.
         quorum: usize,
     },
 }
@@ -36,32 +37,32 @@
     pub zone: String,
     /// Whether it has followers.
     pub role: Role,
-    /// Where it has the log from.
+    /// Where it receives the log from.
     pub origin: Origin,
     /// Seed of its jitter.
     pub seed: u64,
-    /// Followers at once, at most; those beyond are refused.
+    /// Maximum number of connected followers; further ones are rejected.
     pub max_followers: usize,
 }
 
 /// Why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// A name that the protocol cannot carry.
-    #[error("the name {0:?} of a relay, gateway or zone is empty or over 128 bytes")]
+    /// A name is empty or too long for the protocol.
+    #[error("the name {0:?} of a relay, gateway or zone is empty or longer than 128 bytes")]
     Name(String),
     /// The node is its own upstream.
-    #[error("{0:?} follows itself: take it out of its own upstreams")]
+    #[error("{0:?} follows itself: remove it from its own upstreams")]
     FollowsItself(String),
     /// An upstream is named twice.
     #[error("the upstream {0:?} is named twice: one relay would vouch for itself")]
     Duplicate(String),
     /// The quorum is zero, or above the number of upstreams.
-    #[error("vouch = {quorum} with {upstreams} upstreams: name at least so many, and ask for at least 1")]
+    #[error("vouch = {quorum} with {upstreams} upstreams: it must be at least 1 and at most their number")]
     Quorum {
-        /// The quorum that was configured.
+        /// The configured quorum.
         quorum: usize,
-        /// How many upstreams are named.
+        /// The number of configured upstreams.
         upstreams: usize,
     },
 }
--- a/crates/control-plane/src/relay/downstreams/checkpoint_slots.rs
+++ b/crates/control-plane/src/relay/downstreams/checkpoint_slots.rs
@@ -1,4 +1,4 @@
-//! Which followers are being sent a checkpoint, and when the others may ask again.
+//! Limits how many followers are sent a checkpoint at the same time, and decides when the others may retry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,15 +19,15 @@
     last_request_at: Duration,
 }
 
-/// Checkpoint transfers under way.
+/// The checkpoint transfers in progress.
 ///
-/// Invariant: at most [`MAX_CHECKPOINT_TRANSFERS`] are under way; each further follower is given a time to ask again, behind
-/// those that were told before it.
+/// Invariant: at most [`MAX_CHECKPOINT_TRANSFERS`] are in progress. Each further follower is given a time to
+/// retry, which is after the turns of the followers that were rejected before it.
 pub(super) struct CheckpointSlots {
     transfers: BTreeMap<ConnectionId, Transfer>,
-    /// Weighted mean of how long recent transfers took.
+    /// Exponentially weighted mean of the durations of recent transfers.
     mean_duration: Duration,
-    /// Until when turns have been given out.
+    /// The latest turn that was given to a rejected follower.
     last_turn_at: Duration,
     jitter: Jitter,
 }
@@ -46,29 +46,29 @@
         self.transfers.len()
     }
 
-    /// Takes a slot for a follower unless it has one.
+    /// Takes a slot for a follower, unless it has one.
     ///
     /// # Errors
-    /// When all slots are taken: how long the follower has to wait before it asks again.
+    /// If all slots are taken: how long the follower has to wait before it retries.
     pub(super) fn acquire(&mut self, connection: ConnectionId, now: Duration) -> Result<(), Duration> {
         if self.transfers.contains_key(&connection) {
             return Ok(());
         }
         if self.transfers.len() >= MAX_CHECKPOINT_TRANSFERS {
-            return Err(self.next_turn(now));
+            return Err(self.next_retry_after(now));
         }
         self.transfers.insert(connection, Transfer { started_at: now, last_request_at: now });
         Ok(())
     }
 
-    /// A part that is not the last was sent.
+    /// Records that a part other than the last was sent.
     pub(super) fn part_sent(&mut self, connection: ConnectionId, now: Duration) {
         if let Some(transfer) = self.transfers.get_mut(&connection) {
             transfer.last_request_at = now;
         }
     }
 
-    /// The last part was sent.
+    /// Records that the last part was sent, and frees the slot.
     pub(super) fn finish(&mut self, connection: ConnectionId, now: Duration) {
         if let Some(transfer) = self.transfers.remove(&connection) {
             let duration = (now - transfer.started_at).min(MAX_RETRY_AFTER);
@@ -80,7 +80,7 @@
         self.transfers.remove(&connection);
     }
 
-    /// Frees the slots of followers that stopped asking, or take too long.
+    /// Frees the slots of followers that stopped requesting parts, or whose transfer takes too long.
     pub(super) fn expire(&mut self, now: Duration) {
         self.transfers.retain(|_, transfer| {
             let idle_at = transfer.last_request_at + IDLE_TIMEOUT;
@@ -88,11 +88,13 @@
         });
     }
 
-    /// When a follower that finds no slot may ask again: a turn behind those told before, at the pace of recent transfers.
-    fn next_turn(&mut self, now: Duration) -> Duration {
+    /// How long a follower that found no free slot has to wait. Turns are spaced by the mean duration of
+    /// recent transfers divided by the number of slots. The wait is drawn between the time until the
+    /// follower's turn and twice that time.
+    fn next_retry_after(&mut self, now: Duration) -> Duration {
         let interval = self.mean_duration.max(MIN_MEAN_DURATION) / MAX_CHECKPOINT_TRANSFERS as u32;
         self.last_turn_at = (self.last_turn_at.max(now) + interval).min(now + MAX_RETRY_AFTER / 2);
-        let longest = (self.last_turn_at - now) * 2;
-        self.jitter.delay(longest.max(MIN_RETRY_AFTER)).min(MAX_RETRY_AFTER)
+        let max_wait = (self.last_turn_at - now) * 2;
+        self.jitter.delay(max_wait.max(MIN_RETRY_AFTER)).min(MAX_RETRY_AFTER)
     }
 }
--- a/crates/control-plane/src/relay/downstreams/follower.rs
+++ b/crates/control-plane/src/relay/downstreams/follower.rs
@@ -1,4 +1,4 @@
-//! What is known of one follower.
+//! The state of one follower.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use crate::relay::Entry;
 use crate::relay::log_suffix::LogSuffix;
 
-/// The next byte to send to a follower.
+/// The position of the next byte to send to a follower.
 #[derive(Clone, Copy)]
 pub(super) struct Cursor {
     /// The last version that was sent in full.
     pub(super) after: u64,
-    /// Bytes already sent of the entry after that.
+    /// Number of bytes already sent of the next entry.
     pub(super) offset: usize,
 }
 
 impl Cursor {
-    /// Where the next part of the entry ends.
+    /// The offset at which the next part of the entry ends.
     pub(super) fn part_end(self, entry: &Entry) -> usize {
         entry.body.len().min(self.offset + MAX_PART)
     }
 
-    /// The cursor once the entry was sent up to `end`.
-    pub(super) fn moved_to(self, entry: &Entry, end: usize) -> Cursor {
+    /// The cursor after the entry was sent up to `end`.
+    pub(super) fn advanced_to(self, entry: &Entry, end: usize) -> Cursor {
         if end == entry.body.len() {
             Cursor { after: entry.at.version, offset: 0 }
         } else {
@@ -34,7 +34,7 @@
     }
 }
 
-/// What this node can serve, as followers are told.
+/// What this node can serve, as announced to followers.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct Announcement {
     head: Position,
@@ -59,20 +59,20 @@
 
 /// One follower's connection.
 pub(super) struct Follower {
-    /// Empty until its hello.
+    /// Empty until its hello was received.
     pub(super) name: String,
     pub(super) role: Role,
     pub(super) hello_received: bool,
     pub(super) last_received_at: Duration,
-    /// Where it follows; none where it does not.
+    /// The position from which entries are sent; `None` while it does not follow.
     pub(super) cursor: Option<Cursor>,
-    /// Bytes sent to it that it has not taken yet.
+    /// Bytes sent to it that it has not acknowledged by a window update.
     pub(super) in_flight: u32,
     pub(super) announced: Option<Announcement>,
     pub(super) announced_at: Duration,
     pub(super) last_heartbeat_at: Duration,
     pub(super) progress: ProgressSummary,
-    /// Since when a gateway has applied nothing newer.
+    /// Since when a gateway has reported the same newest applied version.
     pub(super) progress_since: Duration,
     pub(super) invalid_progress_logged: bool,
 }
@@ -102,16 +102,16 @@
         self.progress = progress;
     }
 
-    /// A gateway that has not applied the head yet, for the summary.
+    /// The entry for the progress summary if the follower is a gateway that has not applied the head yet.
     pub(super) fn lagging(&self, now: Duration, head: u64) -> Option<LaggingMember> {
-        let level = self.progress.levels.first().filter(|level| level.version < head)?;
+        let applied = self.progress.levels.first().filter(|count| count.version < head)?;
         if self.role != Role::Gateway {
             return None;
         }
         let lag = now.saturating_sub(self.progress_since).as_secs();
         Some(LaggingMember {
             name: self.name.clone(),
-            version: level.version,
+            version: applied.version,
             lag_seconds: lag.min(u64::from(u32::MAX)) as u32,
         })
     }
--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Followers: what each is sent, and how much at once.
+//! The upstream side of a node: what it sends to each follower, and how much of it at a time.
 
 mod checkpoint_slots;
 mod follower;
@@ -17,22 +17,23 @@
 use super::{Action, DisconnectReason, ENTRY_FRAME_OVERHEAD, HEARTBEAT, LEASE, RelayEvent, WINDOW, progress};
 use crate::ConnectionId;
 
-/// Between two announcements of new entries to a follower, at least; what came in between is announced at the next tick.
+/// Minimum interval between two announcements of new entries to a follower. Entries that arrive in between
+/// are announced at the next tick.
 const MIN_ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The followers of a node.
 ///
-/// Invariant: what is on its way to a follower is at most [`WINDOW`] and one part of a change.
+/// Invariant: the entry bytes in flight to a follower are at most [`WINDOW`] and one part of a change.
 pub(super) struct Downstreams {
     own_name: String,
     max_followers: usize,
     followers: BTreeMap<ConnectionId, Follower>,
     checkpoint_slots: CheckpointSlots,
-    /// Names of the relays that entries come by, this node last.
+    /// Names of the relays that entries pass through, ending with this node.
     path: Vec<String>,
 }
 
-/// What an event is handled with.
+/// The state that the handlers of an event share.
 pub(super) struct Context<'a> {
     pub(super) now: Duration,
     pub(super) suffix: &'a LogSuffix,
@@ -64,12 +65,12 @@
         }
     }
 
-    /// Followers that have sent their hello.
+    /// Number of followers that have sent their hello.
     pub(super) fn count(&self) -> usize {
         self.followers.values().filter(|follower| follower.hello_received).count()
     }
 
-    /// Checkpoints that are being sent.
+    /// Number of checkpoints that are being sent.
     pub(super) fn checkpoint_transfers(&self) -> usize {
         self.checkpoint_slots.count()
     }
@@ -149,7 +150,7 @@
                 }
             }
             ToUpstream::Heartbeat => {}
-            // The event loop answers a status request, which comes without a hello.
+            // The event loop answers status requests, which are sent without a hello.
             ToUpstream::Status => self.refuse_violation(connection, context),
         }
     }
@@ -179,7 +180,7 @@
                 follower.cursor = Some(Cursor { after: after.version, offset: 0 });
                 self.send_entries(connection, context);
             }
-            // Its announcement says from where entries can be sent.
+            // The announcement tells the follower from which version entries can be sent.
             Err(Gap::Trimmed) => self.on_follower_behind(connection, after.version, context),
             Err(Gap::Fork) => self.refuse(connection, RefusalReason::Fork, DisconnectReason::Fork, context),
             Err(Gap::Ahead) => {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Sends a follower the entries that come next, as far as its window goes.
+    /// Sends a follower the next entries, as far as its window allows.
     fn send_entries(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get_mut(&connection) else { return };
         while let Some(cursor) = follower.cursor
@@ -219,7 +220,7 @@
             let end = cursor.part_end(entry);
             let part = entry.body.slice(cursor.offset..end);
             follower.in_flight += ENTRY_FRAME_OVERHEAD + part.len() as u32;
-            follower.cursor = Some(cursor.moved_to(entry, end));
+            follower.cursor = Some(cursor.advanced_to(entry, end));
             let frame = FromUpstream::Entry {
                 at: entry.at,
                 length: entry.body.len() as u32,
@@ -240,7 +241,7 @@
         let suffix = context.suffix;
         let held = suffix.checkpoint().filter(|held| held.at.version == version);
         let (Some(_), Some(bytes)) = (held, suffix.checkpoint_bytes()) else {
-            // It has been told of a newer one since, or is now.
+            // A newer checkpoint was announced to the follower since its request, or is announced now.
             self.checkpoint_slots.release(connection);
             return self.announce(connection, context);
         };
@@ -278,7 +279,7 @@
         }
     }
 
-    /// The progress of all followers and of those below them.
+    /// The progress of all followers and of the members below them.
     pub(super) fn progress(&self, now: Duration, head: u64) -> ProgressSummary {
         let mut sum = ProgressSummary::default();
         for follower in self.followers.values() {
@@ -289,19 +290,19 @@
         sum
     }
 
-    /// Tells followers of the path to the folder, if it has changed.
+    /// Sends the path from the folder to the followers, if it has changed.
     pub(super) fn set_path(&mut self, path: Vec<String>, context: &mut Context<'_>) {
         if self.path == path {
             return;
         }
-        let greeted = self.followers.iter().filter(|(_, follower)| follower.hello_received);
-        for (connection, _) in greeted {
+        let with_hello = self.followers.iter().filter(|(_, follower)| follower.hello_received);
+        for (connection, _) in with_hello {
             context.send(*connection, FromUpstream::Path(path.clone()));
         }
         self.path = path;
     }
 
-    /// Tells a follower what this node can serve, if it has not been told.
+    /// Announces to a follower what this node can serve, unless it was the last announcement already.
     fn announce(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get_mut(&connection) else { return };
         let announcement = Announcement::of(context.suffix);
@@ -313,7 +314,7 @@
         }
     }
 
-    /// The log suffix has changed.
+    /// Handles a change of the log suffix.
     pub(super) fn on_log_advanced(&mut self, context: &mut Context<'_>) {
         let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
         for connection in connections {
@@ -334,12 +335,12 @@
         self.checkpoint_slots.expire(context.now);
         let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
         for connection in connections {
-            self.maintain(connection, context);
+            self.on_follower_timer(connection, context);
         }
     }
 
-    /// Ends a follower whose lease is over; otherwise tells it what is due.
-    fn maintain(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
+    /// Disconnects a follower whose lease has expired; otherwise sends it a due announcement or heartbeat.
+    fn on_follower_timer(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get(&connection) else { return };
         if context.now >= follower.last_received_at + LEASE {
             return self.disconnect(connection, DisconnectReason::IdleTimeout, context);
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and comes out of it: events, actions, log events and its status.
+//! Inputs and outputs of a node: events, actions, log events and its status.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::ConnectionId;
 
-/// A change at its position, its hash checked.
+/// A change and its position, whose hash has been verified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The position after this change.
@@ -16,21 +16,23 @@
     pub body: Bytes,
 }
 
-/// What has happened, as the node's owner tells it.
+/// An event that the node's owner reports.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The writer's folder has a checkpoint: that of the newest segment, at the start and whenever a segment begins.
+    /// A checkpoint was read from the writer's folder. The owner reports the checkpoint of the newest
+    /// segment, at the start and whenever a segment begins.
     FolderCheckpoint {
-        /// The position it stands at.
+        /// The position of the checkpoint.
         at: Position,
-        /// The state there.
+        /// The state at that position.
         bytes: Bytes,
     },
-    /// The writer's folder has entries after what was told before; they are durable, and their chain is checked.
+    /// Further entries were read from the writer's folder. They follow the ones reported before, are durable,
+    /// and their chain is verified.
     FolderEntries(Vec<Entry>),
-    /// A connection that [`Action::Connect`] asked for is open; the node sends first.
+    /// A connection that [`Action::Connect`] requested is open. The node sends the first frame.
     Connected(ConnectionId),
-    /// A connection to an upstream could not be made, or has ended.
+    /// A connection to an upstream could not be established, or has ended.
     Disconnected(ConnectionId),
     /// An upstream sent a frame.
     FromUpstream {
@@ -39,7 +41,8 @@
         /// The frame.
         frame: FromUpstream,
     },
-    /// A follower has connected. Its id does not have the top bit, as those of [`Action::Connect`] do.
+    /// A follower has connected. The top bit of its connection id is 0; in ids of [`Action::Connect`] it is
+    /// 1.
     FollowerConnected(ConnectionId),
     /// A follower's connection has ended.
     FollowerDisconnected(ConnectionId),
@@ -50,30 +53,32 @@
         /// The frame.
         frame: ToUpstream,
     },
-    /// A peer of either kind sent bytes that are no frame of its direction; the answer is [`Action::Close`].
+    /// An upstream or follower sent bytes that are not a valid frame in that direction. The node returns
+    /// [`Action::Close`].
     Malformed(ConnectionId),
-    /// Everything up to this version, which [`Action::Commit`] gave out, is in force.
+    /// All changes up to this version, which [`Action::Commit`] named, are in force.
     Applied(u64),
-    /// [`TICK`](super::TICK) is over.
+    /// Sent every [`TICK`](super::TICK).
     Tick,
 }
 
-/// What the node's owner has to do, in the order given.
+/// An action that the node's owner has to perform, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to an upstream; the answer is [`Event::Connected`] or [`Event::Disconnected`].
+    /// Connect to an upstream; the result is reported by [`Event::Connected`] or [`Event::Disconnected`].
     Connect {
-        /// Its place in the configuration.
+        /// The index of the upstream in the configuration.
         upstream: usize,
         /// The id of the new connection.
         connection: ConnectionId,
     },
-    /// End a connection of either kind, once all frames given before are sent or [`HEARTBEAT`](super::HEARTBEAT) is over.
-    /// No event of it may follow.
+    /// Close a connection to an upstream or follower once all frames returned before are sent, but no later
+    /// than after [`HEARTBEAT`](super::HEARTBEAT). The owner must not report further events of this
+    /// connection.
     Close {
-        /// The connection to end.
+        /// The connection to close.
         connection: ConnectionId,
-        /// Why.
+        /// Why it is closed.
         reason: DisconnectReason,
     },
     /// Send a frame to an upstream.
@@ -83,26 +88,28 @@
         /// The frame.
         frame: ToUpstream,
     },
-    /// Send a frame to a follower. The owner ends one whose unsent bytes pass [`MAX_UNSENT`](super::MAX_UNSENT).
+    /// Send a frame to a follower. The owner closes the connection if its unsent bytes exceed
+    /// [`MAX_UNSENT`](super::MAX_UNSENT).
     SendFollower {
         /// The connection to it.
         connection: ConnectionId,
         /// The frame.
         frame: FromUpstream,
     },
-    /// Replace the state by this one, to be extended and not in force yet: at the start, and where the log has gone on
-    /// further than entries are held. A node that reads the folder is given none of these three actions.
+    /// Replace the state by this one, which is not in force until it is committed. Returned at the start, and
+    /// when the entries that would follow the present state are no longer held by the upstreams. A node that
+    /// reads the folder returns neither this action nor the next two.
     LoadCheckpoint {
-        /// The position it stands at.
+        /// The position of the checkpoint.
         at: Position,
-        /// The state there.
+        /// The state at that position.
         checkpoint: Bytes,
     },
-    /// Extend the state by the next change, not in force yet.
+    /// Append the next change to the state; it is not in force until it is committed.
     AppendEntry(Entry),
-    /// Put in force all that was given up to here.
+    /// Put the state in force as it is at this position.
     ///
-    /// Hazard: a gateway makes the position durable before it acts on it, and gives it to
+    /// Hazard: a gateway has to make the position durable before it acts on it, and has to pass it to
     /// [`RelayNode::new`](super::RelayNode::new) after a restart.
     Commit(Position),
     /// Write a log event.
@@ -112,40 +119,41 @@
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DisconnectReason {
-    /// The peer closed it, or it could not be made.
-    #[error("closed, or could not be made")]
+    /// The peer closed it, or it could not be established.
+    #[error("closed by the peer, or could not be established")]
     Closed,
-    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for [`LEASE`](super::LEASE) from a follower.
+    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for [`LEASE`](super::LEASE) from a
+    /// follower.
     #[error("idle timeout")]
     IdleTimeout,
-    /// The upstream did not send in time what it has by its own word or others'.
-    #[error("too slow: it did not send in time what it has")]
+    /// The upstream did not send in time what it, or other upstreams, reported to have.
+    #[error("too slow: entries or a checkpoint were not sent in time")]
     TooSlow,
-    /// The connection was not made in time.
+    /// The connection was not established in time.
     #[error("not connected in time")]
     NotConnected,
-    /// An entry is not chained to the one before, or a checkpoint does not have its digest.
+    /// An entry is not chained to the previous one, or a checkpoint does not match its digest.
     #[error("an entry does not follow on the one before")]
     BrokenChain,
-    /// The peer's history is not the one committed.
-    #[error("fork: its history is not the one committed")]
+    /// The peer's history differs from the committed one.
+    #[error("fork: its history differs from the committed one")]
     Fork,
-    /// The peer is this node, or is below it.
+    /// The peer is this node, or follows it directly or through other relays.
     #[error("loop: it is this node, or is below it")]
     Loop,
     /// The upstream's name is not the configured one.
     #[error("wrong name: not the configured one")]
     WrongName,
-    /// A frame that is malformed, or is not allowed at that point.
+    /// A frame is malformed, or is not allowed at that point.
     #[error("protocol violation")]
     ProtocolViolation,
-    /// More was sent than was requested.
+    /// The upstream sent frames that were not requested, or more than is allowed without a request.
     #[error("more than was requested")]
     Unrequested,
-    /// The upstream refused this node.
+    /// The upstream rejected this node.
     #[error("refused: {0:?}")]
     Refused(RefusalReason),
-    /// The node has as many followers as it takes.
+    /// The node already has its maximum number of followers.
     #[error("too many followers")]
     TooManyFollowers,
     /// The connection is no longer needed.
@@ -154,7 +162,7 @@
 }
 
 impl DisconnectReason {
-    /// Whether no honest upstream would have caused it.
+    /// Whether an honest upstream would never have caused it.
     pub(super) fn is_misbehaviour(self) -> bool {
         matches!(
             self,
@@ -169,14 +177,14 @@
     }
 }
 
-/// A log event for each decision that an operator would ask about.
+/// The log events of a node, one for each decision that matters to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent {
-    /// Entries are taken from this upstream from now on.
+    /// Entries are replicated from this upstream from now on.
     Following {
         /// Its name.
         upstream: String,
-        /// The position after which entries are taken.
+        /// The position after which entries are replicated.
         after: Position,
     },
     /// The connection to an upstream ended.
@@ -185,42 +193,42 @@
         upstream: String,
         /// Why.
         reason: DisconnectReason,
-        /// How long it is not connected to.
+        /// How long the node waits before it connects to the upstream again.
         backoff: Duration,
     },
     /// Relays follow one another in a loop.
     LoopDetected {
-        /// The peer that closes the loop.
+        /// The peer whose connection would complete the loop.
         upstream: String,
-        /// The path that it told.
+        /// The path on which the loop was found.
         path: Vec<String>,
     },
-    /// Two upstreams tell different histories: one of them lies, or follows another log.
+    /// Two upstreams report different histories: one of them lies, or follows another log.
     Disagreement {
-        /// The one that differs from the replication source.
+        /// The upstream that differs from the replication source.
         upstream: String,
         /// The version at which it differs.
         version: u64,
     },
-    /// The history with a quorum is not the one committed: the log was replaced, or more upstreams lie than the quorum allows
-    /// for. Nothing is put in force, and an operator has to look.
+    /// The history with a quorum is not the committed one: the log was replaced, or more upstreams lie than
+    /// the quorum tolerates. No change is put in force, and an operator has to investigate.
     DivergentHistory {
         /// The version at which they differ.
         version: u64,
     },
-    /// What the folder has at this version is not chained to what is held; nothing of it is taken.
+    /// The folder's content at this version is not chained to the entries held; none of it is accepted.
     FolderRejected {
         /// The version.
         version: u64,
     },
     /// A checkpoint is needed, and none has a quorum.
     CheckpointQuorumMissing {
-        /// The version of the newest that was told.
+        /// The version of the newest checkpoint that an upstream reported.
         version: u64,
     },
     /// A checkpoint was loaded.
     CheckpointLoaded {
-        /// The position it stands at.
+        /// The position of the checkpoint.
         at: Position,
         /// The upstream it came from.
         upstream: String,
@@ -229,24 +237,24 @@
     FollowerBehind {
         /// Its name.
         follower: String,
-        /// The version it asked to follow after.
+        /// The version after which it requested entries.
         after: u64,
     },
-    /// A follower's connection was ended.
+    /// A follower was disconnected.
     FollowerDisconnected {
         /// Its name; empty before its hello.
         follower: String,
         /// Why.
         reason: DisconnectReason,
     },
-    /// A follower's progress summary is implausible and is not counted; logged once a connection.
+    /// A follower's progress summary is implausible and is not counted. Logged once per connection.
     InvalidProgress {
         /// Its name.
         follower: String,
         /// What is implausible.
         reason: &'static str,
     },
-    /// Entries after the checkpoint were trimmed: new followers wait for the next checkpoint.
+    /// Entries after the checkpoint were trimmed: new followers have to wait for the next checkpoint.
     SuffixOutgrown {
         /// The oldest version after which entries are held.
         version: u64,
@@ -262,9 +270,9 @@
     pub checkpoint: Option<u64>,
     /// The oldest version after which entries are held.
     pub oldest_version: u64,
-    /// Names of the relays that entries come by, itself last.
+    /// Names of the relays that entries pass through from the folder to this node, which is the last.
     pub path: Vec<String>,
-    /// The upstream whose entries are taken.
+    /// The replication source: the upstream whose entries are replicated.
     pub source: Option<String>,
     /// Upstreams that are connected.
     pub connected: Vec<String>,
@@ -278,7 +286,7 @@
     pub unconfirmed_bytes: usize,
     /// Checkpoints being sent to followers.
     pub checkpoint_transfers: usize,
-    /// The gateways below and the versions they have applied. The summaries of all relays that read the folder add up to the
-    /// fleet: each member is counted at the one relay that it follows.
+    /// The gateways below this node and the versions they have applied. The summaries of all relays that read
+    /// the folder add up to the whole fleet, since each member is counted only at the relay that it follows.
     pub progress: ProgressSummary,
 }
--- a/crates/control-plane/src/relay/jitter.rs
+++ b/crates/control-plane/src/relay/jitter.rs
@@ -1,4 +1,4 @@
-//! Seeded random delays, and the order in which a follower prefers its upstreams.
+//! Seeded random delays, and the preference order of a follower's upstreams.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -11,7 +11,8 @@
 
 /// A seeded sequence of delays.
 ///
-/// Invariant: the n-th delay depends on the seed, the name of the stream and n alone, so that a run can be repeated.
+/// Invariant: the n-th delay depends only on the seed, the name of the stream and n, so that a run can be
+/// repeated.
 pub(super) struct Jitter {
     seed: u64,
     draws: u64,
@@ -22,19 +23,20 @@
         Jitter { seed: hash_of((seed, stream)), draws: 0 }
     }
 
-    /// The next delay, between half of `longest` and all of it.
-    pub(super) fn delay(&mut self, longest: Duration) -> Duration {
+    /// The next delay, between half of `max_delay` and `max_delay`.
+    pub(super) fn delay(&mut self, max_delay: Duration) -> Duration {
         self.draws += 1;
-        let part = (hash_of((self.seed, self.draws)) % 1024) as u32;
-        let half = longest / 2;
-        half + half * part / 1024
+        let numerator = (hash_of((self.seed, self.draws)) % 1024) as u32;
+        let half = max_delay / 2;
+        half + half * numerator / 1024
     }
 }
 
-/// Rendezvous hashing: the weight of an upstream for a follower, the highest preferred.
+/// Rendezvous hashing: the weight of an upstream for a follower, which prefers the highest.
 ///
-/// Each follower works out its own order, so no two processes have to agree on the hash. When an upstream goes, only its
-/// followers move, each to its own next one; when it returns, only they come back.
+/// Each follower computes its own order, so that processes need not agree on the hash function. When an
+/// upstream fails, only its followers reconnect, each to the next upstream in its own order; when it returns
+/// to service, only they change back.
 pub(super) fn rendezvous_weight(follower: &str, upstream: &str) -> u64 {
     hash_of((follower, upstream))
 }
--- a/crates/control-plane/src/relay/log_suffix.rs
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -1,4 +1,4 @@
-//! What a node holds of the log: a checkpoint and the newest entries, within bounds.
+//! The part of the log that a node holds: a checkpoint and the newest entries, both bounded.
 
 use std::collections::VecDeque;
 
@@ -7,38 +7,39 @@
 
 use super::{Entry, MAX_SUFFIX_BYTES, MAX_SUFFIX_ENTRIES};
 
-/// Bytes that an entry counts as besides its body.
+/// Bytes that each entry counts in addition to its body.
 pub(super) const ENTRY_OVERHEAD: usize = 96;
-/// Hashes held by a node without followers, which recognize an upstream with another history.
+/// Maximum number of hashes held by a node without followers. It uses them to detect an upstream with another
+/// history.
 const MAX_HASHES: usize = 4096;
 
 /// Why the entries after a position cannot be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Gap {
-    /// They are no longer held.
+    /// The entries are no longer held.
     Trimmed,
-    /// The version has not been reached yet.
+    /// The position is after the head.
     Ahead,
-    /// The version has another hash.
+    /// The hash at this version is a different one.
     Fork,
 }
 
 /// Whether entries are held with their bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Retention {
-    /// For followers: bodies and checkpoints are held.
+    /// Bodies and checkpoints are held, to send them to followers.
     Bodies,
-    /// Hashes only.
+    /// Only hashes are held.
     Hashes,
 }
 
 /// The newest part of the log.
 ///
-/// Invariant: entries have no gap, the newest is last, and each is chained to the one before.
+/// Invariant: the entries have no gap, the newest is last, and each is chained to the previous one.
 pub(super) struct LogSuffix {
     retention: Retention,
     checkpoint: Option<(Checkpoint, Bytes)>,
-    /// The position before the first entry; none while nothing is known.
+    /// The position before the first entry; `None` while no part of the log is known.
     base: Option<Position>,
     entries: VecDeque<Entry>,
     entry_bytes: usize,
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Whether this history has another hash at the version of `position`; false where it holds none.
+    /// Whether this history has a different hash at the version of `position`; false if it holds no hash
+    /// there.
     pub(super) fn contradicts(&self, position: Position) -> bool {
         self.hash_at(position.version).is_some_and(|hash| hash != position.hash)
     }
@@ -97,7 +99,10 @@
         self.entries.get(usize::try_from(index).ok()?)
     }
 
-    /// Whether entries can be sent after a position.
+    /// Whether the entries after a position can be sent.
+    ///
+    /// # Errors
+    /// The [`Gap`] that prevents it.
     pub(super) fn check_position(&self, position: &Position) -> Result<(), Gap> {
         let head = self.head().ok_or(Gap::Ahead)?;
         match self.hash_at(position.version) {
@@ -108,14 +113,14 @@
         }
     }
 
-    /// Starts again from a checkpoint.
+    /// Discards everything held and starts again from a checkpoint.
     pub(super) fn reset(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
         self.clear();
         self.base = Some(checkpoint.at);
         self.replace_checkpoint(checkpoint, bytes);
     }
 
-    /// Starts at a state that the owner already has.
+    /// Starts at the position of a state that the owner already has.
     pub(super) fn resume_from(&mut self, position: Position) {
         self.base = Some(position);
     }
@@ -124,7 +129,7 @@
         *self = LogSuffix::new(self.retention);
     }
 
-    /// Takes a newer checkpoint of the history that is held.
+    /// Replaces the checkpoint by a newer one of the same history.
     pub(super) fn replace_checkpoint(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
         if self.retention == Retention::Bodies {
             self.checkpoint = Some((checkpoint, bytes));
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Whether entries right after the checkpoint were trimmed: a new follower cannot start from it.
+    /// Whether entries right after the checkpoint were trimmed, so that a new follower cannot start from it.
     pub(super) fn has_outgrown_checkpoint(&self) -> bool {
         self.checkpoint().is_some_and(|checkpoint| checkpoint.at.version < self.oldest_version())
     }
--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -1,15 +1,17 @@
-//! How the log of changes gets from its folder to every gateway: a node of the tree that carries it, as a state machine
-//! without I/O, clock or randomness of its own. Relays and gateways are the same node; a gateway has no followers.
+//! Replication of the log of changes from the writer's folder to every gateway, over a tree of relays. A node
+//! of the tree is a state machine without I/O, clock or unseeded randomness. Relays and gateways are nodes of
+//! the same kind; a gateway has no followers.
 //!
-//! Invariant: a node acts on an entry, or loads a checkpoint, only where a quorum of its upstreams
-//! ([`Origin::Upstreams::quorum`]) have told it the same hash at the same version (by chain, for an entry; with the same
-//! digest, for a checkpoint). The chain alone proves nothing of an entry that is new: whoever knows the newest hash can chain
-//! a forged change to it. So up to `quorum - 1` relays that lie, wherever they stand, can delay and do no more: the first
-//! honest node to act on what no writer wrote would have needed an honest one that did so before it. docs/relays.md has the
-//! whole argument, the times and the bounds.
+//! Invariant: a node acts on an entry, or loads a checkpoint, only if a quorum of its upstreams
+//! ([`Origin::Upstreams::quorum`]) have reported the same hash at the same version (for an entry, by the hash
+//! chain; for a checkpoint, together with the same digest). The chain alone does not prove that a new entry
+//! is genuine, since any party that knows the newest hash can chain a forged change to it. Up to `quorum - 1`
+//! lying relays, at any place in the tree, can therefore delay changes but not forge them: the first honest
+//! node to act on a change that no writer wrote would have needed another honest node that did so before it.
+//! docs/relays.md has the full argument, the times and the bounds.
 //!
-//! `relay_node` takes events and returns actions; `upstreams` is its side as a follower, `downstreams` as an upstream, and
-//! `log_suffix` holds what both share.
+//! `relay_node` handles events and returns actions. `upstreams` is the node's side as a follower,
+//! `downstreams` its side as an upstream, and `log_suffix` is the part of the log that both share.
 
 mod config;
 mod downstreams;
@@ -26,37 +28,41 @@
 pub use events::{Action, DisconnectReason, Entry, Event, RelayEvent, RelayStatus};
 pub use relay_node::RelayNode;
 
-/// The owner sends [`Event::Tick`] this often; all times below are rounded up to it.
+/// Interval at which the owner sends [`Event::Tick`]; all times below are rounded up to it.
 pub const TICK: Duration = Duration::from_millis(250);
-/// An upstream announces its head at each change, and sends something at least this often.
+/// Maximum interval between two frames of an upstream: it announces its head at each change, and sends a
+/// heartbeat if it has sent no other frame for this long.
 pub const HEARTBEAT: Duration = Duration::from_secs(1);
-/// An upstream from which nothing was received for so long, three heartbeats, is disconnected.
+/// An upstream from which nothing was received for this long, three heartbeats, is disconnected.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A replication source that has not sent what others have, for so long, is replaced.
+/// A replication source is replaced if it has lacked entries that other upstreams have for this long.
 pub const MAX_LAG: Duration = Duration::from_secs(3);
-/// A connection that is not made in so long has failed.
+/// A connection attempt that takes longer than this has failed.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A follower from which nothing was received for so long is gone, and counts in no sum any more.
+/// A follower from which nothing was received for this long is disconnected, and no longer counts in progress
+/// summaries.
 pub const LEASE: Duration = Duration::from_secs(10);
-/// The backoff after the first failure of an upstream. It doubles up to [`MAX_BACKOFF`]; each wait is drawn between half of
-/// it and all of it.
+/// Backoff after the first failure of an upstream. Exponential backoff with jitter: it doubles up to
+/// [`MAX_BACKOFF`], and each wait is drawn from the upper half of the backoff.
 pub const MIN_BACKOFF: Duration = Duration::from_millis(500);
 /// The longest backoff.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(8);
-/// How long an upstream is avoided that told another history, violated the protocol or is in a loop.
+/// How long an upstream is avoided that reported another history, violated the protocol or is part of a loop.
 pub const AVOID_DURATION: Duration = Duration::from_secs(60);
-/// Bytes of entries on the way to a follower, at most; one part of a change may go beyond it.
+/// Maximum bytes of entries in flight to a follower; one part of a change may exceed it.
 pub const WINDOW: u32 = 256 << 10;
-/// Bytes given out for a follower and not sent yet, at most: the window, a checkpoint's part, and heartbeats until its lease
-/// is over. A follower that passes it does not read, or requests without waiting for answers.
+/// Maximum bytes that are queued for a follower and not sent yet: the window, one part of a checkpoint, and
+/// heartbeats until its lease expires. A follower that exceeds it does not read, or sends requests without
+/// waiting for the responses.
 pub const MAX_UNSENT: usize = 1 << 20;
-/// Bytes of entries that a node holds for its followers, at most, or as many as its checkpoint has where that is more: the
-/// log grows by no more than that before the next checkpoint.
+/// Maximum bytes of entries that a node holds for its followers; the size of its checkpoint, if that is
+/// larger. The log grows by no more than that before the next checkpoint.
 pub const MAX_SUFFIX_BYTES: usize = 8 << 20;
-/// Entries that a node holds for its followers, at most.
+/// Maximum number of entries that a node holds for its followers.
 pub const MAX_SUFFIX_ENTRIES: usize = 65_536;
-/// Checkpoints that a node sends at once; other followers are told when to ask again.
+/// Maximum number of checkpoints that a node sends at the same time; other followers are told when to retry.
 pub const MAX_CHECKPOINT_TRANSFERS: usize = 8;
 
-/// Bytes of the window that a frame of an entry counts as besides its part, so that no number of frames is free.
+/// Bytes of the window that each frame of an entry uses in addition to its part, so that empty frames are
+/// limited too.
 const ENTRY_FRAME_OVERHEAD: u32 = 64;
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -13,37 +13,40 @@
 use super::upstreams::{self, Identity, Upstreams};
 use super::{Action, Config, ConfigError, Entry, Event, Origin, RelayEvent, RelayStatus};
 
-/// Names of the jitter's two streams. They are hash inputs: another name would change every delay drawn with a seed.
+/// Names of the two jitter streams. They are hash inputs: a different name would change every delay drawn
+/// with a seed.
 const UPSTREAM_STREAM: &str = "above";
 const DOWNSTREAM_STREAM: &str = "below";
 
-/// A relay or gateway: a follower of its upstreams and, if a relay, an upstream of its followers.
+/// A relay or gateway. Each node follows its upstreams; a relay is also an upstream of its followers.
 pub struct RelayNode {
     config: Config,
     suffix: LogSuffix,
-    /// None where the node reads the folder.
+    /// `None` if the node reads the folder.
     upstreams: Option<Upstreams>,
     downstreams: Downstreams,
-    /// What an earlier run had committed; a folder with another history there is not served.
+    /// The position that an earlier run had committed; a folder with another history at that version is not
+    /// served.
     committed: Option<Position>,
     applied_version: u64,
-    suffix_outgrown: bool,
+    is_suffix_outgrown: bool,
 }
 
-/// What followers are told of the log suffix; they hear of each change of it.
+/// The part of the log that followers can be sent. They are notified of each change of it.
 #[derive(PartialEq)]
-struct Served {
+struct ServedLog {
     head: Option<Position>,
     oldest_version: u64,
     checkpoint: Option<Checkpoint>,
 }
 
 impl RelayNode {
-    /// A node that knows nothing of the log yet. `committed` is what an earlier run had committed: nothing before it is given
-    /// out, and no other history.
+    /// Creates a node that holds no part of the log yet. `committed` is the position that an earlier run had
+    /// committed: the node commits no position before it, and none of another history.
     ///
     /// # Errors
-    /// [`ConfigError`] where the configuration names a peer twice, itself, or a quorum that cannot be reached.
+    /// [`ConfigError`] if a name is empty or too long, an upstream is named twice or is the node itself, or
+    /// the quorum cannot be reached.
     pub fn new(config: Config, committed: Option<Position>) -> Result<RelayNode, ConfigError> {
         config.check()?;
         let jitter = |stream: &str| Jitter::new(config.seed, &format!("{}/{stream}", config.name));
@@ -68,12 +71,12 @@
             downstreams,
             committed,
             applied_version: 0,
-            suffix_outgrown: false,
+            is_suffix_outgrown: false,
         })
     }
 
-    /// A gateway whose owner has the state at what it had committed: it continues from there, and requests only what came
-    /// since. A relay starts as with [`RelayNode::new`].
+    /// Creates a gateway whose owner has saved the state at the position `committed`. The gateway continues
+    /// from there, and requests only the entries after it. A relay starts as with [`RelayNode::new`].
     ///
     /// # Errors
     /// As [`RelayNode::new`].
@@ -86,14 +89,15 @@
         Ok(node)
     }
 
-    /// What has to be done about an event, in this order. `now` is a time since any fixed point, and never goes back.
+    /// Handles an event, and returns the actions to perform in this order. `now` is the time since any fixed
+    /// point, and never decreases.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        let served_before = self.served();
+        let served_before = self.served_log();
         self.on_event(now, event, &mut actions);
-        self.log_outgrown(&mut actions);
+        self.log_outgrown_suffix(&mut actions);
         let path = self.path();
-        let is_changed = self.served() != served_before;
+        let is_changed = self.served_log() != served_before;
         let mut context = downstreams::Context { now, suffix: &self.suffix, actions: &mut actions };
         self.downstreams.set_path(path, &mut context);
         if is_changed {
@@ -102,8 +106,8 @@
         actions
     }
 
-    fn served(&self) -> Served {
-        Served {
+    fn served_log(&self) -> ServedLog {
+        ServedLog {
             head: self.suffix.head(),
             oldest_version: self.suffix.oldest_version(),
             checkpoint: self.suffix.checkpoint(),
@@ -196,18 +200,19 @@
     }
 
     fn on_folder_checkpoint(&mut self, at: Position, bytes: Bytes, actions: &mut Vec<Action>) {
-        let broken = Action::Log(RelayEvent::FolderRejected { version: at.version });
+        let rejected = Action::Log(RelayEvent::FolderRejected { version: at.version });
         let length = u32::try_from(bytes.len()).ok().filter(|length| *length <= MAX_CHECKPOINT);
         let Some(length) = length.filter(|_| !self.contradicts_committed(at)) else {
-            return actions.push(broken);
+            return actions.push(rejected);
         };
         let checkpoint = Checkpoint { at, digest: digest(&bytes), length };
         match (self.suffix.head(), self.suffix.hash_at(at.version)) {
-            // The segments in between were deleted before they were read.
+            // The log's segments between the head and the checkpoint were deleted before the owner had read
+            // them.
             (Some(head), _) if at.version > head.version => self.suffix.reset(checkpoint, bytes),
             (None, _) => self.suffix.reset(checkpoint, bytes),
             (Some(_), Some(hash)) if hash == at.hash => self.suffix.replace_checkpoint(checkpoint, bytes),
-            _ => actions.push(broken),
+            _ => actions.push(rejected),
         }
     }
 
@@ -226,22 +231,22 @@
         self.committed.is_some_and(|committed| committed.version == at.version && committed.hash != at.hash)
     }
 
-    /// Logs, once, that new followers have to wait for the next checkpoint.
-    fn log_outgrown(&mut self, actions: &mut Vec<Action>) {
+    /// Logs that new followers have to wait for the next checkpoint, once until that checkpoint is held.
+    fn log_outgrown_suffix(&mut self, actions: &mut Vec<Action>) {
         let is_outgrown = self.suffix.has_outgrown_checkpoint();
-        if is_outgrown && !self.suffix_outgrown {
+        if is_outgrown && !self.is_suffix_outgrown {
             let version = self.suffix.oldest_version();
             actions.push(Action::Log(RelayEvent::SuffixOutgrown { version }));
         }
-        self.suffix_outgrown = is_outgrown;
+        self.is_suffix_outgrown = is_outgrown;
     }
 
-    /// The configuration it was made with.
+    /// The configuration that the node was created with.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Its state, for operators.
+    /// The state of the node, for operators.
     pub fn status(&self, now: Duration) -> RelayStatus {
         let upstreams = self.upstreams.as_ref();
         let connected = upstreams.into_iter().flat_map(Upstreams::connected_names);
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -1,7 +1,8 @@
-//! Which pending entries have a quorum: hashes that upstreams told, compared with the entries of the replication source.
+//! Decides which pending entries have a quorum, by comparing the hashes that upstreams reported with the
+//! entries of the replication source.
 //!
-//! Hazard: the chain proves nothing of an entry that is new, since whoever knows the newest hash can chain a forged change to
-//! it. Only the quorum does.
+//! Hazard: the chain does not prove that a new entry is genuine, since any party that knows the newest hash
+//! can chain a forged change to it. Only the quorum proves it.
 
 use umbertray_store_protocol::changes::{Position, ToUpstream};
 
@@ -9,7 +10,11 @@
 use crate::relay::{AVOID_DURATION, Action, DisconnectReason, Entry, RelayEvent};
 
 impl Upstreams {
-    /// An upstream told a hash that it was asked for.
+    /// Handles an upstream's response to a hash query.
+    ///
+    /// # Errors
+    /// [`DisconnectReason::Unrequested`] if this version was not queried, [`DisconnectReason::Fork`] if the
+    /// hash contradicts the log suffix.
     pub(super) fn on_hash(
         &mut self,
         peer: usize,
@@ -17,15 +22,15 @@
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let session = self.peers[peer].session_mut();
-        let answered =
+        let query =
             session.and_then(|session| session.queried_version.take_if(|queried| *queried == at.version));
-        if answered.is_none() {
+        if query.is_none() {
             return Err(DisconnectReason::Unrequested);
         }
         self.compare_position(peer, at, context)
     }
 
-    /// Compares a position that an upstream told with what was committed and with the pending entries.
+    /// Compares a position that an upstream reported with the log suffix and with the pending entries.
     fn compare_position(
         &mut self,
         peer: usize,
@@ -65,7 +70,7 @@
             }
             let reported = state.head;
             let compared = self.compare_position(peer, reported, context);
-            // A version at which it disagreed while it was pending has been committed since.
+            // The upstream disagreed at a version that was pending then and is committed by now.
             let disagrees_at = self.peers[peer].session().and_then(|session| session.disagrees_at);
             let disagrees_with_committed = disagrees_at.is_some_and(|version| version <= head.version);
             if compared.is_err() || disagrees_with_committed {
@@ -74,8 +79,9 @@
         }
     }
 
-    /// Asks the upstreams that are ahead of the pending entries for their hash at the last of these. While a node catches up,
-    /// the heads that they report by themselves are beyond what is pending here.
+    /// Queries the upstreams that are ahead of the pending entries for their hash at the last of these. While
+    /// a node catches up, the heads that upstreams announce are beyond its pending entries and cannot be
+    /// compared with them.
     pub(super) fn query_hashes(&mut self, context: &mut Context<'_>) {
         let (Some(source), Some(head)) = (&self.source, context.suffix.head()) else { return };
         let source_peer = source.peer;
@@ -91,7 +97,7 @@
                 continue;
             }
             let oldest_version = session.state.as_ref().map_or(0, |state| state.oldest_version);
-            // It no longer holds the version that it was asked for, and will not answer.
+            // The upstream no longer holds the queried version, and will not answer the query.
             session.queried_version.take_if(|queried| *queried < oldest_version);
             let holds_end = session
                 .state
@@ -105,13 +111,14 @@
         }
     }
 
-    /// The newest pending version on which a quorum agrees.
+    /// The newest pending version on which a quorum agrees, if any.
     fn quorum_version(&self, head: Position) -> Option<u64> {
         let source = self.source.as_ref()?;
         let mut agreed: Vec<u64> = Vec::new();
         for (index, peer) in self.peers.iter().enumerate() {
             let Some(session) = peer.session() else { continue };
-            // Invariant: the source is one member of the quorum, however much it sent.
+            // Invariant: the replication source counts as one member of the quorum, however many frames it
+            // sent.
             if index == source.peer {
                 agreed.push(source.end(head).version);
             } else {
@@ -138,7 +145,8 @@
         }
         self.checkpoint_transfer.restart_ahead_wait(context.now);
         self.commit_head(context);
-        // What was told of versions that were pending until now is compared again.
+        // Heads that were reported for versions that were pending until now are compared with the committed
+        // history.
         self.compare_heads(context);
     }
 
@@ -146,12 +154,14 @@
         self.source.as_mut()?.take_pending(up_to)
     }
 
-    /// Whether a position is another history than the one committed, by this run or an earlier one.
+    /// Whether a position belongs to another history than the position that this run or an earlier one
+    /// committed.
     pub(super) fn contradicts_committed(&self, at: Position) -> bool {
         self.committed.is_some_and(|committed| committed.version == at.version && committed.hash != at.hash)
     }
 
-    /// Commits the head. Hazard: nothing before what was committed by this run or an earlier one may be put in force.
+    /// Commits the head. Hazard: no position before the one that this run or an earlier one committed may be
+    /// put in force.
     pub(super) fn commit_head(&mut self, context: &mut Context<'_>) {
         let Some(head) = context.suffix.head() else { return };
         if head.version > self.committed.map_or(0, |committed| committed.version) {
@@ -162,7 +172,8 @@
         }
     }
 
-    /// The history with a quorum is not the one committed. Which of them is right is for an operator to say.
+    /// Stops replication for [`AVOID_DURATION`], because the history with a quorum is not the committed one.
+    /// An operator has to decide which of the two is right.
     pub(super) fn halt(&mut self, version: u64, context: &mut Context<'_>) {
         context.log(RelayEvent::DivergentHistory { version });
         self.halted_until = context.now + AVOID_DURATION;
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -1,7 +1,7 @@
-//! Which checkpoint is fetched, when, and from which upstream.
+//! Decides which checkpoint is fetched, when, and from which upstream.
 //!
-//! Invariant: a checkpoint is loaded only where a quorum told the same version, hash and digest of it, and its bytes have
-//! that digest.
+//! Invariant: a checkpoint is loaded only if a quorum reported the same version, hash and digest of it, and
+//! its bytes have that digest.
 
 use std::time::Duration;
 
@@ -13,16 +13,17 @@
 use crate::relay::log_suffix::LogSuffix;
 use crate::relay::{AVOID_DURATION, Action, DisconnectReason, IDLE_TIMEOUT, MAX_LAG, RelayEvent};
 
-/// Bytes a second at which a checkpoint arrives at least, or another upstream is asked.
+/// Minimum transfer rate of a checkpoint in bytes per second. A slower upstream is disconnected and avoided.
 const MIN_BYTES_PER_SECOND: u32 = 1 << 20;
-/// What a download may take besides, whatever its length.
+/// Time that a download of any length may take in addition to its transfer time at the minimum rate.
 const MIN_DOWNLOAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two log events that no checkpoint has a quorum.
+/// Minimum interval between two log events that no checkpoint has a quorum.
 const NO_QUORUM_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// A checkpoint with a quorum is fetched when nothing was committed for so long although it is ahead.
+/// A checkpoint that has a quorum and is ahead of the head is fetched if no entry was committed for this
+/// long.
 const MAX_CHECKPOINT_LAG: Duration = MAX_LAG.saturating_mul(3);
 
-/// A checkpoint that had a quorum when it was requested, while it arrives.
+/// A checkpoint that is being received. It had a quorum when it was requested.
 struct Download {
     peer: usize,
     checkpoint: Checkpoint,
@@ -37,13 +38,13 @@
     }
 }
 
-/// The state of fetching checkpoints.
+/// The state of checkpoint transfers from upstreams.
 #[derive(Default)]
 pub(super) struct CheckpointTransfer {
     download: Option<Download>,
-    /// Since when a checkpoint with a quorum is ahead of the head, and nothing was committed.
+    /// Since when a checkpoint with a quorum has been ahead of the head without any entry being committed.
     ahead_since: Option<Duration>,
-    /// Since when a checkpoint is needed and none has a quorum.
+    /// Since when a checkpoint has been needed while none has a quorum.
     no_quorum_since: Option<Duration>,
     no_quorum_logged_at: Option<Duration>,
 }
@@ -54,12 +55,12 @@
         self.download.as_ref().map(|download| download.peer)
     }
 
-    /// Ends the download if it is from this upstream; whether it was.
+    /// Cancels the download if it is from this upstream, and returns whether it was.
     pub(super) fn cancel_from(&mut self, peer: usize) -> bool {
         self.download.take_if(|download| download.peer == peer).is_some()
     }
 
-    /// Something was committed: the wait for entries starts again.
+    /// Restarts the wait for entries, after some were committed.
     pub(super) fn restart_ahead_wait(&mut self, now: Duration) {
         if self.ahead_since.is_some() {
             self.ahead_since = Some(now);
@@ -72,7 +73,7 @@
 }
 
 impl Upstreams {
-    /// An upstream has no slot for a checkpoint transfer before `retry_at`.
+    /// Handles an upstream's response that it has no slot for a checkpoint transfer before `retry_at`.
     pub(super) fn on_retry_after(&mut self, peer: usize, retry_at: Duration) {
         if self.checkpoint_transfer.cancel_from(peer) {
             self.peers[peer].retry_checkpoint_at = retry_at;
@@ -118,7 +119,7 @@
         context.send(connection, ToUpstream::Fetch { version, offset });
     }
 
-    /// Takes a checkpoint whose bytes have the digest that had a quorum.
+    /// Loads a checkpoint whose bytes match the digest that had a quorum.
     fn load_checkpoint(
         &mut self,
         peer: usize,
@@ -131,7 +132,7 @@
         if context.suffix.head().is_some_and(|head| head.version >= at.version) {
             return context.suffix.replace_checkpoint(checkpoint, bytes);
         }
-        // The pending entries are chained to what was held before.
+        // The pending entries are chained to the log suffix that this checkpoint replaces.
         if let Some(source) = &self.source {
             self.disconnect(source.peer, DisconnectReason::NotNeeded, context);
         }
@@ -141,7 +142,7 @@
         self.commit_head(context);
     }
 
-    /// Ends a download that is outdated, or too slow.
+    /// Cancels a download that is outdated or too slow.
     pub(super) fn expire_download(&mut self, context: &mut Context<'_>) {
         let Some(download) = &self.checkpoint_transfer.download else { return };
         let peer = download.peer;
@@ -153,21 +154,23 @@
         }
     }
 
-    /// The newest wanted checkpoint that a quorum tells alike.
+    /// The newest checkpoint that is wanted and that a quorum reported identically.
     fn quorum_checkpoint(&self, is_wanted: impl Fn(&Checkpoint) -> bool) -> Option<Checkpoint> {
         let reported = || self.peers.iter().filter_map(Peer::checkpoint);
         let has_quorum = |one: &Checkpoint| reported().filter(|other| other == one).count() >= self.quorum;
         reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.at.version)
     }
 
-    /// Whether no entries can be had after the head, although an upstream has later ones.
-    fn is_stranded(&self, head: Position) -> bool {
+    /// Whether no upstream can send the entries after the head, although at least one upstream has later
+    /// entries.
+    fn is_checkpoint_required(&self, head: Position) -> bool {
         let mut states = self.peers.iter().filter_map(Peer::state);
         self.source.is_none() && states.any(|state| state.oldest_version > head.version)
     }
 
-    /// The checkpoint to continue from: where entries cannot be had (`is_needed`), or where none has had a quorum for long,
-    /// since too few of the upstreams that tell the checkpoint still have them.
+    /// The checkpoint to continue from. It is loaded if no upstream can send the entries after the head
+    /// (`is_needed`), or if no entry has had a quorum for [`MAX_CHECKPOINT_LAG`], since too few of the
+    /// upstreams that report the checkpoint still have the entries.
     fn checkpoint_ahead(
         &mut self,
         head: Option<Position>,
@@ -184,7 +187,8 @@
         newest.filter(|_| is_needed || now >= ahead_since + MAX_CHECKPOINT_LAG)
     }
 
-    /// A newer checkpoint of the history that is held: all relays hold the newest, so that followers find a quorum for it.
+    /// A newer checkpoint of the history that is held. Every relay holds the newest checkpoint, so that
+    /// followers find a quorum for it.
     fn newer_checkpoint(&self, suffix: &LogSuffix) -> Option<Checkpoint> {
         let head = suffix.head()?;
         let held = suffix.checkpoint()?;
@@ -194,13 +198,13 @@
         })
     }
 
-    /// Begins to fetch a checkpoint where one is needed or newer.
+    /// Starts to fetch a checkpoint if one is needed, or a newer one than the one held is available.
     pub(super) fn choose_checkpoint(&mut self, context: &mut Context<'_>) {
         if self.checkpoint_transfer.download.is_some() || context.now < self.halted_until {
             return;
         }
         let head = context.suffix.head();
-        let is_needed = head.is_none_or(|head| self.is_stranded(head));
+        let is_needed = head.is_none_or(|head| self.is_checkpoint_required(head));
         let ahead = self.checkpoint_ahead(head, is_needed, context.now);
         match ahead.or_else(|| self.newer_checkpoint(context.suffix)) {
             Some(checkpoint) => {
@@ -228,14 +232,16 @@
         self.request_part(context);
     }
 
-    /// The most preferred upstream that has a checkpoint; one that is avoided is better than none.
+    /// The most preferred upstream that has a checkpoint. An avoided upstream is chosen only if no other has
+    /// it.
     fn best_checkpoint_peer(&self, checkpoint: Checkpoint, now: Duration) -> Option<usize> {
-        let has_it = |peer: &Peer| peer.retry_checkpoint_at <= now && peer.checkpoint() == Some(checkpoint);
-        let preferred = self.peers.iter().position(|peer| has_it(peer) && peer.avoid_until <= now);
-        preferred.or_else(|| self.peers.iter().position(has_it))
+        let can_send = |peer: &Peer| peer.retry_checkpoint_at <= now && peer.checkpoint() == Some(checkpoint);
+        let preferred = self.peers.iter().position(|peer| can_send(peer) && peer.avoid_until <= now);
+        preferred.or_else(|| self.peers.iter().position(can_send))
     }
 
-    /// A checkpoint is needed, and none has a quorum: all upstreams are connected to.
+    /// Handles that a checkpoint is needed and none has a quorum: after [`MAX_QUORUM_DELAY`] the node
+    /// connects to all upstreams.
     fn on_quorum_missing(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         let newest = self.peers.iter().filter_map(Peer::checkpoint).max_by_key(|one| one.at.version);
--- a/crates/control-plane/src/relay/upstreams/connections.rs
+++ b/crates/control-plane/src/relay/upstreams/connections.rs
@@ -1,7 +1,7 @@
-//! Which upstreams are connected.
+//! Decides which upstreams are connected.
 //!
-//! Invariant: while a quorum agrees, the connected upstreams are `quorum + 1` of those that answer, the most preferred first;
-//! while one is missing, all that answer.
+//! Invariant: while a quorum agrees, the `quorum + 1` most preferred of the responsive upstreams are
+//! connected. While no quorum agrees, all responsive upstreams are connected.
 
 use std::time::Duration;
 
@@ -15,9 +15,10 @@
     RelayEvent,
 };
 
-/// A failed upstream is preferred again after half to all of this, as long as enough others are connected.
+/// Longest time until a failed upstream is preferred again while enough others are connected. The time is
+/// drawn from the upper half of this duration.
 const RETRY_PREFERRED_AFTER: Duration = Duration::from_secs(30);
-/// Doublings of the backoff, at most; [`MAX_BACKOFF`] is reached before.
+/// Maximum number of doublings of the backoff; [`MAX_BACKOFF`] is reached before.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
 impl Upstreams {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Ends the connection to an upstream, if there is one.
+    /// Closes the connection to an upstream, if there is one.
     pub(super) fn disconnect(&mut self, peer: usize, reason: DisconnectReason, context: &mut Context<'_>) {
         if let Some(connection) = self.peers[peer].connection() {
             context.actions.push(Action::Close { connection, reason });
@@ -55,7 +56,8 @@
         }
     }
 
-    /// A connection has ended: when it is tried again, and what depended on it is forgotten.
+    /// Handles the end of a connection: schedules the next attempt, and drops the replication source or the
+    /// download if it used this connection.
     fn enter_backoff(&mut self, peer: usize, reason: DisconnectReason, context: &mut Context<'_>) {
         let now = context.now;
         let backoff = self.backoff_after(peer, reason);
@@ -85,7 +87,7 @@
         self.jitter.delay(doubled.min(MAX_BACKOFF))
     }
 
-    /// Ends connections that were not made in time, or have been idle for too long.
+    /// Closes connections that were not established in time, or have been idle for too long.
     pub(super) fn disconnect_idle(&mut self, context: &mut Context<'_>) {
         for peer in 0..self.peers.len() {
             let reason = match &self.peers[peer].connection_state {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Connects to as many upstreams as are wanted, the most preferred first.
+    /// Connects to as many upstreams as wanted, the most preferred first.
     pub(super) fn connect_preferred(&mut self, context: &mut Context<'_>) {
         let wanted = self.wanted_connections(context.now);
         for peer in 0..self.peers.len() {
@@ -109,7 +111,7 @@
                 self.connect(peer, context);
             }
         }
-        self.disconnect_spare(wanted, context);
+        self.disconnect_surplus(wanted, context);
     }
 
     fn wanted_connections(&self, now: Duration) -> usize {
@@ -140,8 +142,8 @@
         context.actions.push(Action::Connect { upstream: self.peers[peer].config_index, connection });
     }
 
-    /// Ends the least preferred connection once enough others have reported their state.
-    fn disconnect_spare(&mut self, wanted: usize, context: &mut Context<'_>) {
+    /// Closes the least preferred connection once enough others have reported their state.
+    fn disconnect_surplus(&mut self, wanted: usize, context: &mut Context<'_>) {
         let has_reported = |peer: &Peer| peer.state().is_some();
         let reporting = self.peers.iter().filter(|peer| has_reported(peer)).count();
         if reporting > wanted
--- a/crates/control-plane/src/relay/upstreams/mod.rs
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -1,11 +1,18 @@
-//! Upstreams: which are connected, whose entries are taken, and what is believed.
+//! The follower side of a node: which upstreams it connects to, which one it replicates entries from, and
+//! which data it accepts.
 //!
-//! A node is connected to one more upstream than its quorum, so that any one of them may be gone, old or lying and the others
-//! still suffice. Entries are taken from one, the replication source; the others say by hash that they have the same.
+//! A node connects to one more upstream than its quorum, so that the others still form a quorum if any one of
+//! them is down, stale or lying. Entries are replicated from one upstream, the replication source; the others
+//! confirm them by their hashes.
 //!
-//! `peer` is one upstream, `connections` which are connected, `agreement` which entries have a quorum, `replication` the
-//! entries of the source, `checkpoint_transfer` the checkpoint that is fetched. After each event, [`Upstreams::update`] does
-//! all that follows from it, always in the same order.
+//! - `peer` is the state of one upstream.
+//! - `connections` decides which upstreams are connected.
+//! - `agreement` decides which entries have a quorum.
+//! - `replication` handles the entries of the replication source.
+//! - `checkpoint_transfer` fetches checkpoints.
+//!
+//! After each event, [`Upstreams::update`] runs all decisions that may depend on it, always in the same
+//! order.
 
 mod agreement;
 mod checkpoint_transfer;
@@ -27,12 +34,12 @@
 use super::{Action, DisconnectReason, HEARTBEAT, RelayEvent, Upstream};
 use crate::ConnectionId;
 
-/// With a quorum missing for so long, all upstreams are connected to.
+/// If a quorum has been missing for this long, the node connects to all upstreams.
 const MAX_QUORUM_DELAY: Duration = Duration::from_secs(1);
-/// How long all upstreams are connected to then.
+/// How long the node then tries to keep connections to all upstreams.
 const CONNECT_ALL_DURATION: Duration = Duration::from_secs(10);
 
-/// Who this node is to others.
+/// How this node identifies itself to its upstreams.
 pub(super) struct Identity {
     pub(super) name: String,
     pub(super) zone: String,
@@ -41,25 +48,26 @@
 
 /// The upstreams of a node.
 ///
-/// Invariant: an entry is appended and a checkpoint loaded only where `quorum` of the peers have told the same of it.
+/// Invariant: an entry is appended, or a checkpoint loaded, only if `quorum` of the peers have confirmed it.
 pub(super) struct Upstreams {
     identity: Identity,
     quorum: usize,
-    /// In the order of preference: own zone first, then by weight.
+    /// In the order of preference: upstreams in the node's own zone first, then by rendezvous weight.
     peers: Vec<Peer>,
     jitter: Jitter,
-    /// Connection ids of this node's own connections have the top bit.
+    /// The id of the last connection that this node requested. The top bit of these ids is 1.
     last_connection: u64,
     source: Option<ReplicationSource>,
     checkpoint_transfer: CheckpointTransfer,
     /// The newest position that was committed, by this run or an earlier one.
     committed: Option<Position>,
     connect_all_until: Duration,
-    /// Nothing is requested before: the history with a quorum was not the one committed.
+    /// No entries or checkpoints are requested before this time, because the history with a quorum was not
+    /// the committed one.
     halted_until: Duration,
 }
 
-/// What an event is handled with.
+/// The state that the handlers of an event share.
 pub(super) struct Context<'a> {
     pub(super) now: Duration,
     pub(super) suffix: &'a mut LogSuffix,
@@ -147,12 +155,13 @@
             }
             FromUpstream::Refused { reason } => Err(DisconnectReason::Refused(reason)),
             FromUpstream::Heartbeat => Ok(()),
-            // No status is requested here.
+            // This node never requests a status from an upstream.
             FromUpstream::Status(_) => Err(DisconnectReason::ProtocolViolation),
         }
     }
 
-    /// Checks that a frame may come now: hello first and once, and not too many of those that are sent unasked.
+    /// Checks that a frame is allowed now: a hello has to be the first frame and must not be repeated, and
+    /// the number of frames that were not requested is limited.
     fn check_order(
         &mut self,
         peer: usize,
@@ -168,7 +177,7 @@
             FromUpstream::Entry { .. } | FromUpstream::CheckpointPart { .. } | FromUpstream::HashAt { .. }
         );
         if !was_requested {
-            session.spend_frame(now)?;
+            session.count_unrequested_frame(now)?;
         }
         let is_hello = matches!(frame, FromUpstream::Hello { .. });
         let is_refusal = matches!(frame, FromUpstream::Refused { .. });
@@ -251,7 +260,7 @@
         Ok(())
     }
 
-    /// Does all that follows from what is known now. The order of these steps is part of the protocol's behaviour.
+    /// Runs all decisions on the current state. The order of these steps is part of the protocol's behaviour.
     fn update(&mut self, context: &mut Context<'_>) {
         self.compare_heads(context);
         self.commit_agreed(context);
@@ -263,7 +272,8 @@
         self.choose_checkpoint(context);
     }
 
-    /// Time has passed: idle upstreams are disconnected, and heartbeats sent. `progress` goes to the source.
+    /// Handles a tick: disconnects idle upstreams and sends heartbeats. `progress` is sent to the replication
+    /// source in place of a heartbeat.
     pub(super) fn on_timer(&mut self, progress: &ProgressSummary, context: &mut Context<'_>) {
         self.disconnect_idle(context);
         self.expire_download(context);
@@ -290,7 +300,8 @@
         }
     }
 
-    /// Names of the relays that entries come by.
+    /// Names of the relays that entries pass through before they reach this node; empty without a replication
+    /// source.
     pub(super) fn path(&self) -> &[String] {
         let session = self.source.as_ref().and_then(|source| self.peers[source.peer].session());
         session.map_or(&[], |session| &session.path)
--- a/crates/control-plane/src/relay/upstreams/peer.rs
+++ b/crates/control-plane/src/relay/upstreams/peer.rs
@@ -1,4 +1,4 @@
-//! One configured upstream: its connection, what it has reported, and when it may be used again.
+//! One configured upstream: its connection, the state that it reported, and when it may be used again.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 use crate::ConnectionId;
 use crate::relay::{DisconnectReason, HEARTBEAT};
 
-/// Frames other than entries, hashes and checkpoint parts that an upstream may send in a second; an honest one sends 15.
+/// Maximum number of frames other than entries, hashes and checkpoint parts that an upstream may send per
+/// second. An honest upstream sends up to 15.
 const MAX_FRAMES_PER_SECOND: u32 = 100;
 
-/// What an upstream last said it has.
+/// The part of the log that an upstream last reported to hold.
 pub(super) struct UpstreamState {
     pub(super) head: Position,
     /// The oldest version after which it can send entries.
     pub(super) oldest_version: u64,
     pub(super) checkpoint: Option<Checkpoint>,
-    /// Since when its head has been ahead of the pending entries.
+    /// Since when its head has been after the last pending entry.
     pub(super) ahead_since: Option<Duration>,
 }
 
-/// Counts frames within a second.
+/// Counts frames within windows of one second.
 struct FrameBudget {
     window_started_at: Duration,
     frames: u32,
 }
 
 impl FrameBudget {
-    fn spend(&mut self, now: Duration) -> Result<(), DisconnectReason> {
+    fn count_frame(&mut self, now: Duration) -> Result<(), DisconnectReason> {
         if now >= self.window_started_at + HEARTBEAT {
             self.window_started_at = now;
             self.frames = 0;
@@ -48,14 +49,14 @@
     pub(super) last_heartbeat_at: Duration,
     frame_budget: FrameBudget,
     pub(super) hello_received: bool,
-    /// Names of the relays that its entries come by, itself last.
+    /// Names of the relays that its entries pass through, ending with the upstream itself.
     pub(super) path: Vec<String>,
     pub(super) state: Option<UpstreamState>,
-    /// The newest pending version at which it has told the same hash.
+    /// The newest pending version for which it reported the same hash.
     pub(super) agrees_at: Option<u64>,
-    /// The first pending version at which it has told another hash.
+    /// The first pending version for which it reported a different hash.
     pub(super) disagrees_at: Option<u64>,
-    /// The version whose hash it was asked for and has not told yet.
+    /// The version of the hash query that it has not answered yet.
     pub(super) queried_version: Option<u64>,
 }
 
@@ -76,16 +77,16 @@
         }
     }
 
-    /// Counts a frame that was not asked for.
+    /// Counts a frame that was not requested.
     ///
     /// # Errors
-    /// [`DisconnectReason::Unrequested`] when it sends too many.
-    pub(super) fn spend_frame(&mut self, now: Duration) -> Result<(), DisconnectReason> {
-        self.frame_budget.spend(now)
+    /// [`DisconnectReason::Unrequested`] if the upstream has sent more than [`MAX_FRAMES_PER_SECOND`].
+    pub(super) fn count_unrequested_frame(&mut self, now: Duration) -> Result<(), DisconnectReason> {
+        self.frame_budget.count_frame(now)
     }
 
-    /// Forgets what it told of pending entries, which are gone.
-    pub(super) fn forget_pending(&mut self) {
+    /// Clears what it reported about pending entries, after these were dropped.
+    pub(super) fn clear_pending(&mut self) {
         self.agrees_at = None;
         self.disagrees_at = None;
         if let Some(state) = &mut self.state {
@@ -96,7 +97,7 @@
 
 /// The connection to an upstream.
 pub(super) enum ConnectionState {
-    /// Not connected, and not to be connected to before `until`.
+    /// Not connected; no connection is attempted before `until`.
     Backoff {
         until: Duration,
     },
@@ -109,16 +110,19 @@
 
 /// One configured upstream.
 pub(super) struct Peer {
-    /// Its place in the configuration, by which the owner knows its address.
+    /// Its index in the configuration, from which the owner knows its address.
     pub(super) config_index: usize,
     pub(super) name: String,
     pub(super) connection_state: ConnectionState,
+    /// Consecutive failures; reset when it reports its head.
     pub(super) failures: u32,
-    /// After a failure: not connected to before, as long as enough others are.
+    /// Set by a failure: no connection is attempted before this time while enough other upstreams are
+    /// connected.
     pub(super) retry_preferred_at: Duration,
-    /// Not asked for entries or checkpoints before, as long as others have them.
+    /// Neither entries nor checkpoints are requested from it before this time while other upstreams have
+    /// them.
     pub(super) avoid_until: Duration,
-    /// Not asked for a checkpoint before, by its own word.
+    /// No checkpoint is requested from it before this time, which it reported itself.
     pub(super) retry_checkpoint_at: Duration,
 }
 
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Its session, once it has sent its hello.
+    /// Its session, once its hello was received.
     pub(super) fn session(&self) -> Option<&Session> {
         match &self.connection_state {
             ConnectionState::Open(session) if session.hello_received => Some(session),
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Its session, also before its hello.
+    /// Its session, including before its hello was received.
     pub(super) fn session_mut(&mut self) -> Option<&mut Session> {
         match &mut self.connection_state {
             ConnectionState::Open(session) => Some(session),
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -1,4 +1,5 @@
-//! Entries of the replication source: the one upstream whose entries are taken, and when another takes its place.
+//! Replication of entries from one upstream, the replication source, and the rules by which another one
+//! replaces it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,15 +15,15 @@
     WINDOW,
 };
 
-/// A preferred upstream becomes the source again when it has been connected for so long.
+/// A preferred upstream becomes the source again once it has been connected for this long.
 const PREFERRED_STABLE_AFTER: Duration = Duration::from_secs(5);
-/// Bytes a second at which a long entry arrives at least, or another upstream takes its place.
+/// Minimum transfer rate of a long entry in bytes per second. A slower source is replaced.
 const MIN_ENTRY_BYTES_PER_SECOND: u32 = 1 << 20;
 
-/// A part of an entry, as a frame brings it.
+/// A part of an entry, as received in one frame.
 pub(super) struct EntryPart {
     pub(super) at: Position,
-    /// Of the whole entry, in bytes.
+    /// Length of the complete entry in bytes.
     pub(super) length: u32,
     pub(super) offset: u32,
     pub(super) bytes: Bytes,
@@ -47,7 +48,7 @@
     }
 }
 
-/// The upstream whose entries are taken, and its entries that have no quorum yet.
+/// The upstream that entries are replicated from, and its entries that have no quorum yet.
 ///
 /// Invariant: pending entries are chained to the head of the log suffix, and to one another.
 pub(super) struct ReplicationSource {
@@ -55,9 +56,9 @@
     pending: VecDeque<Entry>,
     pending_bytes: usize,
     partial: Option<PartialEntry>,
-    /// Bytes received that it has not been granted anew.
+    /// Bytes received for which no window update was sent yet.
     unacknowledged: u32,
-    /// When the last entry was complete, or the present one has to be.
+    /// When the last entry was complete, or when the entry that is being received has to be complete.
     progress_at: Duration,
     /// Since when there are pending entries.
     pending_since: Option<Duration>,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The position of the last pending entry, or `head` where there is none.
+    /// The position of the last pending entry, or `head` if there is none.
     pub(super) fn end(&self, head: Position) -> Position {
         self.pending.back().map_or(head, |entry| entry.at)
     }
@@ -85,14 +86,14 @@
         self.pending.get(index)
     }
 
-    /// Takes the oldest pending entry, if its version is not above `up_to`.
-    pub(super) fn take_pending(&mut self, up_to: u64) -> Option<Entry> {
-        let entry = self.pending.pop_front_if(|entry| entry.at.version <= up_to)?;
+    /// Removes and returns the oldest pending entry, if its version is at most `max_version`.
+    pub(super) fn take_pending(&mut self, max_version: u64) -> Option<Entry> {
+        let entry = self.pending.pop_front_if(|entry| entry.at.version <= max_version)?;
         self.pending_bytes -= ENTRY_OVERHEAD + entry.body.len();
         Some(entry)
     }
 
-    /// A quorum has agreed on something: the wait of what is still pending starts again.
+    /// Restarts the wait of the entries that are still pending, after a quorum has agreed on earlier ones.
     pub(super) fn restart_quorum_wait(&mut self, now: Duration) {
         self.pending_since = if self.pending.is_empty() { None } else { Some(now) };
     }
@@ -114,7 +115,7 @@
         self.pending_since.is_some_and(|since| now >= since + wait)
     }
 
-    /// Takes a part of an entry; a complete entry becomes pending.
+    /// Handles a part of an entry; a complete entry becomes pending.
     fn on_part(&mut self, part: &EntryPart, head: Position, now: Duration) -> Result<(), DisconnectReason> {
         self.unacknowledged += ENTRY_FRAME_OVERHEAD + part.bytes.len() as u32;
         if self.unacknowledged > WINDOW + ENTRY_FRAME_OVERHEAD + MAX_PART as u32 {
@@ -177,16 +178,17 @@
         source.on_part(part, head, context.now)
     }
 
-    /// Forgets the source, and all that has no quorum with it.
+    /// Drops the replication source and its pending entries.
     pub(super) fn drop_source(&mut self) {
         self.source = None;
-        self.peers.iter_mut().filter_map(Peer::session_mut).for_each(Session::forget_pending);
+        self.peers.iter_mut().filter_map(Peer::session_mut).for_each(Session::clear_pending);
     }
 
-    /// Tells the source how much more it may send.
+    /// Sends the source a window update, which allows it to send more bytes.
     ///
-    /// Invariant: what waits for a quorum is bounded by the size of a log suffix, since another upstream may know hashes only
-    /// from where its own begins, by the window and by one long entry. Beyond it nothing is granted.
+    /// Invariant: the bytes that wait for a quorum are bounded by the size of a log suffix, the window and
+    /// one long entry; beyond that no window is granted. The bound is that of a log suffix because another
+    /// upstream may hold hashes only from the start of its own suffix.
     pub(super) fn grant_window(&mut self, context: &mut Context<'_>) {
         let Some(source) = self.source.as_mut().filter(|source| !source.is_full()) else { return };
         if source.unacknowledged < WINDOW / 4 {
@@ -198,21 +200,22 @@
         }
     }
 
-    /// Drops a source that lags behind others, or is alone with its entries.
+    /// Disconnects a source that lags behind other upstreams or that they contradict. If its entries only
+    /// lack a quorum, the node connects to all upstreams.
     pub(super) fn review_source(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         let (Some(source), Some(head)) = (&self.source, context.suffix.head()) else { return };
         let peer = source.peer;
         let disagreeing = self.disagreeing_with(peer);
-        let is_outvoted = source.has_waited(MAX_LAG, now) && disagreeing > 0;
+        let is_contradicted = source.has_waited(MAX_LAG, now) && disagreeing > 0;
         let is_behind = !source.is_full() && self.is_source_behind(source, now);
         let lacks_quorum = source.has_waited(MAX_QUORUM_DELAY, now);
         let pending_end = source.end(head).version;
         let is_end_trimmed = self.peers[peer].state().is_some_and(|state| state.oldest_version > pending_end);
         if disagreeing >= self.quorum {
-            // At least one of those is honest.
+            // At least one of the upstreams that disagree is honest.
             self.disconnect(peer, DisconnectReason::Fork, context);
-        } else if is_outvoted || is_behind {
+        } else if is_contradicted || is_behind {
             self.peers[peer].avoid_until = now + AVOID_DURATION;
             self.disconnect(peer, DisconnectReason::TooSlow, context);
         } else if is_end_trimmed {
@@ -222,14 +225,14 @@
         }
     }
 
-    /// Upstreams other than the source that told another hash than one of its pending entries.
+    /// Number of upstreams that reported a different hash than one of the source's pending entries.
     fn disagreeing_with(&self, source: usize) -> usize {
         let sessions = self.peers.iter().map(Peer::session).enumerate();
         let others = sessions.filter(|(index, _)| *index != source).filter_map(|(_, session)| session);
         others.filter(|session| session.disagrees_at.is_some()).count()
     }
 
-    /// Whether another upstream has had more than the source sent, for too long.
+    /// Whether another upstream has been ahead of the entries that the source sent for [`MAX_LAG`].
     fn is_source_behind(&self, source: &ReplicationSource, now: Duration) -> bool {
         self.peers.iter().enumerate().any(|(index, peer)| {
             let ahead_since = peer.state().and_then(|state| state.ahead_since);
@@ -239,7 +242,7 @@
         })
     }
 
-    /// Chooses whose entries are taken.
+    /// Chooses the replication source.
     pub(super) fn choose_source(&mut self, context: &mut Context<'_>) {
         let Some(head) = context.suffix.head() else { return };
         if context.now < self.halted_until {
@@ -263,7 +266,7 @@
         }
     }
 
-    /// The most preferred upstream that can send entries; one that is avoided is better than none.
+    /// The most preferred upstream that can send entries. An avoided upstream is chosen only if no other can.
     fn best_source(&self, head: Position, now: Duration) -> Option<usize> {
         let any = || self.peers.iter().position(|peer| can_serve(peer, head));
         self.preferred_source(head, now).or_else(any)
@@ -288,7 +291,8 @@
     }
 }
 
-/// Whether an upstream can send the entries after a position. One without a checkpoint has nothing yet.
+/// Whether an upstream can send the entries after a position. An upstream without a checkpoint holds no part
+/// of the log yet.
 fn can_serve(peer: &Peer, after: Position) -> bool {
     peer.state().is_some_and(|state| {
         state.checkpoint.is_some()
