--- a/crates/admission/src/tests.rs
+++ b/crates/admission/src/tests.rs
@@ -1,12 +1,14 @@
-//! Fair shares of the byte budget, and its bound under generated sequences.
+//! Checks that volumes get fair shares of the byte budget, and that generated sequences of requests never
+//! exceed it.
 
 use quickcheck::{Arbitrary, Gen};
 
 use super::*;
 
-const MOST: u64 = 1000;
+const MAX_BYTES: u64 = 1000;
 
-fn plain(weight: f64) -> VolumeShare {
+/// A share without a reserve.
+fn weighted(weight: f64) -> VolumeShare {
     VolumeShare { weight, reserve: 0.0 }
 }
 
@@ -15,40 +17,44 @@
 }
 
 fn budget() -> ByteBudget {
-    ByteBudget::new(MOST, ms(1000))
+    ByteBudget::new(MAX_BYTES, ms(1000))
 }
 
-/// Requests until rejected; returns how many bytes were granted.
-fn fill(budget: &mut ByteBudget, now: Duration, volume: usize, claim: VolumeShare) -> u64 {
-    let mut held = 0;
-    while budget.request(now, volume, claim, 10, 0.5) == Admission::Granted {
-        held += 10;
+/// Requests bytes until a request is rejected; returns how many bytes were granted.
+fn fill(budget: &mut ByteBudget, now: Duration, volume: usize, share: VolumeShare) -> u64 {
+    let mut granted = 0;
+    while budget.request(now, volume, share, 10, 0.5) == Admission::Granted {
+        granted += 10;
     }
-    held
+    granted
 }
 
 #[test]
 fn flooding_volume_leaves_other_volumes_their_share() {
     let mut budget = budget();
-    assert_eq!(budget.request(ms(0), 1, plain(1.0), 10, 0.5), Admission::Granted);
-    assert_eq!(budget.request(ms(0), 2, plain(3.0), 10, 0.5), Admission::Granted);
-    let flood = fill(&mut budget, ms(1), 0, plain(1.0));
-    assert_eq!(flood, 480, "what was open, and more than its fifth of what is kept");
-    assert_eq!(fill(&mut budget, ms(2), 2, plain(3.0)), 290, "three fifths of 500, ten of them held before");
-    assert_eq!(fill(&mut budget, ms(2), 1, plain(1.0)), 90);
-    assert!(budget.held_bytes() <= MOST);
-    // A volume that is new has a share at once.
-    assert!(fill(&mut budget, ms(3), 7, plain(1.0)) >= 80);
+    assert_eq!(budget.request(ms(0), 1, weighted(1.0), 10, 0.5), Admission::Granted);
+    assert_eq!(budget.request(ms(0), 2, weighted(3.0), 10, 0.5), Admission::Granted);
+    let flood = fill(&mut budget, ms(1), 0, weighted(1.0));
+    assert_eq!(flood, 480, "the rest of the open part, which exceeds its guaranteed fifth of 500");
+    assert_eq!(
+        fill(&mut budget, ms(2), 2, weighted(3.0)),
+        290,
+        "three fifths of 500, ten of them held before"
+    );
+    assert_eq!(fill(&mut budget, ms(2), 1, weighted(1.0)), 90);
+    assert!(budget.held_bytes() <= MAX_BYTES);
+    // A new volume has a guaranteed share at once.
+    assert!(fill(&mut budget, ms(3), 7, weighted(1.0)) >= 80);
 }
 
 #[test]
 fn single_request_of_half_the_budget_is_granted() {
     let mut budget = budget();
     for other in 1..9 {
-        assert_eq!(budget.request(ms(0), other, plain(1.0), 1, 0.5), Admission::Granted);
+        assert_eq!(budget.request(ms(0), other, weighted(1.0), 1, 0.5), Admission::Granted);
         budget.release(ms(0), other, 1);
     }
-    assert_eq!(budget.request(ms(1), 0, plain(1.0), MOST / 2, 0.5), Admission::Granted);
+    assert_eq!(budget.request(ms(1), 0, weighted(1.0), MAX_BYTES / 2, 0.5), Admission::Granted);
 }
 
 #[test]
@@ -56,7 +62,7 @@
     let mut budget = budget();
     let reserved = VolumeShare { weight: 1.0, reserve: 100.0 };
     assert_eq!(budget.request(ms(0), 1, reserved, 10, 0.5), Admission::Granted);
-    fill(&mut budget, ms(1), 0, plain(9.0));
+    fill(&mut budget, ms(1), 0, weighted(9.0));
     assert_eq!(
         fill(&mut budget, ms(2), 1, reserved),
         260,
@@ -67,45 +73,51 @@
 #[test]
 fn rejected_requests_get_spread_retry_after_from_release_rate() {
     let mut budget = budget();
-    fill(&mut budget, ms(0), 0, plain(1.0));
-    let retry_after =
-        |budget: &mut ByteBudget, chance| match budget.request(ms(1000), 0, plain(1.0), 10, chance) {
-            Admission::Rejected { retry_after } => retry_after,
-            Admission::Granted => panic!("it is full"),
-        };
-    assert_eq!(retry_after(&mut budget, 0.5), ms(1000), "nothing is given back: the longest");
+    fill(&mut budget, ms(0), 0, weighted(1.0));
+    let retry_after = |budget: &mut ByteBudget, random_fraction| match budget.request(
+        ms(1000),
+        0,
+        weighted(1.0),
+        10,
+        random_fraction,
+    ) {
+        Admission::Rejected { retry_after } => retry_after,
+        Admission::Granted => panic!("granted although the budget is full"),
+    };
+    assert_eq!(retry_after(&mut budget, 0.5), ms(1000), "no bytes are released: the maximum");
     budget.release(ms(1000), 0, 100);
-    fill(&mut budget, ms(1000), 0, plain(1.0));
-    let (least, most) = (retry_after(&mut budget, 0.0), retry_after(&mut budget, 1.0));
+    fill(&mut budget, ms(1000), 0, weighted(1.0));
+    let (shortest, longest) = (retry_after(&mut budget, 0.0), retry_after(&mut budget, 1.0));
     assert!(
-        least < ms(100) && most > least * 2,
-        "a hundred bytes a second, ten wanted: {least:?} to {most:?}"
+        shortest < ms(100) && longest > shortest * 2,
+        "100 bytes per second are released, 10 are requested: {shortest:?} to {longest:?}"
     );
 }
 
-/// Whatever is requested and released, the bytes held are what was granted and never more than the budget.
+/// For any sequence of requests and releases, the bytes held are those granted and not released, and never
+/// exceed the budget.
 #[test]
 fn held_bytes_never_exceed_the_budget() {
     for seed in 0..200 {
         let steps: Vec<(u8, u8, u8)> = Arbitrary::arbitrary(&mut Gen::from_size_and_seed(300, seed));
-        let (mut budget, mut now, mut holds) = (budget(), ms(0), Vec::new());
-        for (what, volume, size) in steps {
+        let (mut budget, mut now, mut grants) = (budget(), ms(0), Vec::new());
+        for (step_kind, volume, size) in steps {
             let (volume, bytes) = (usize::from(volume % 5), u64::from(size) + 1);
-            let claim = VolumeShare { weight: 1.0 + volume as f64, reserve: [0.0, 50.0][volume % 2] };
-            match what % 4 {
+            let share = VolumeShare { weight: 1.0 + volume as f64, reserve: [0.0, 50.0][volume % 2] };
+            match step_kind % 4 {
                 0 | 1 => {
-                    if budget.request(now, volume, claim, bytes, 0.5) == Admission::Granted {
-                        holds.push((volume, bytes));
+                    if budget.request(now, volume, share, bytes, 0.5) == Admission::Granted {
+                        grants.push((volume, bytes));
                     }
                 }
-                2 if !holds.is_empty() => {
-                    let (volume, bytes) = holds.swap_remove(usize::from(size) % holds.len());
+                2 if !grants.is_empty() => {
+                    let (volume, bytes) = grants.swap_remove(usize::from(size) % grants.len());
                     budget.release(now, volume, bytes);
                 }
                 _ => now += ms(u64::from(size) * 4),
             }
-            let held: u64 = holds.iter().map(|(_, bytes)| bytes).sum();
-            assert!(held == budget.held_bytes() && held <= MOST, "seed {seed}: {held}");
+            let held: u64 = grants.iter().map(|(_, bytes)| bytes).sum();
+            assert!(held == budget.held_bytes() && held <= MAX_BYTES, "seed {seed}: {held}");
         }
     }
 }
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request on its way to one store.
+//! Rules for attempts. An attempt is one transmission of a request to one store.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 /// State of the request that an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Its client waits for the final answer.
+    /// Its client waits for the final response.
     Open,
-    /// It has its final answer.
+    /// Its final response was sent.
     Ended,
     /// Its client has closed its connection.
     ClientGone,
@@ -22,29 +22,29 @@
 pub enum Idempotency {
     /// Any number of executions has the effect of one.
     Idempotent,
-    /// Stores recognise and discard a repeat within this window after the first execution.
+    /// Stores recognise and discard a repetition within this window after the first execution.
     DeduplicatedFor(Duration),
-    /// A second execution would be a second effect.
+    /// A second execution would have a second effect.
     NotIdempotent,
 }
 
-/// What this gateway knows of the store that an attempt goes to.
+/// What this gateway knows about the store that an attempt is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreStatus {
-    /// The endpoint list marks it as gone, or does not name it.
+    /// Whether the endpoint list marks the store as gone, or does not contain it.
     pub is_gone: bool,
     /// When this gateway was notified that the store is draining.
     pub draining_since: Option<Duration>,
-    /// How long after that notification the settings allow attempts.
+    /// How long after that notification the settings still allow attempts.
     pub drain_grace: Duration,
 }
 
 /// Input of [`may_begin`]. All times are on one monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
-    /// The present.
+    /// The current time.
     pub now: Duration,
-    /// End of the attempt's time.
+    /// The attempt's deadline.
     pub deadline: Duration,
     /// State of the request.
     pub request: RequestStatus,
@@ -58,22 +58,23 @@
 
 /// Whether the first byte of an attempt may be written now.
 ///
-/// Invariant: no attempt for a request that has ended or whose client has gone (rule 1), none that may be a second
-/// effect (rule 2), none to a store past its drain grace (rule 3). Source: the protocol page, "The rules on sockets".
+/// Invariant: no attempt begins for a request that has ended or whose client has disconnected (rule 1), none
+/// that could have a second effect (rule 2), and none to a store whose drain grace has expired (rule 3).
+/// Source: the protocol page, "The rules on sockets".
 ///
-/// Hazard: the connection may come up late; settings, endpoint list and client may have changed since the attempt was
-/// decided on.
+/// Hazard: the connection may be established late, and the settings, the endpoint list and the state of the
+/// client may have changed since the attempt was decided on.
 ///
 /// # Errors
 /// The reason why the attempt must not begin.
 pub fn may_begin(start: &AttemptStart) -> Decision<DenialReason> {
-    request_open(start.request)?;
-    may_run_again(start)?;
+    check_request_open(start.request)?;
+    check_may_run_again(start)?;
     store_accepts(&start.store, start.now)?;
     if start.now < start.deadline { Ok(()) } else { Err(DenialReason::DeadlineOver) }
 }
 
-fn request_open(request: RequestStatus) -> Decision<DenialReason> {
+fn check_request_open(request: RequestStatus) -> Decision<DenialReason> {
     match request {
         RequestStatus::Open => Ok(()),
         RequestStatus::Ended => Err(DenialReason::RequestEnded),
@@ -81,7 +82,7 @@
     }
 }
 
-fn may_run_again(start: &AttemptStart) -> Decision<DenialReason> {
+fn check_may_run_again(start: &AttemptStart) -> Decision<DenialReason> {
     let Some(since) = start.may_have_run_since else { return Ok(()) };
     let may = match start.idempotency {
         Idempotency::Idempotent => true,
@@ -93,16 +94,17 @@
 
 /// The part of a drain grace in which an attempt may begin.
 ///
-/// Hazard: the process may be held up between this decision and the first byte, and the grace has to cover that
-/// (standing page, "More than these days").
+/// Hazard: the process may be paused for [`HOLD_UP`] between this decision and the first byte, and the grace
+/// has to cover that pause (standing page, "More than these days").
 pub fn usable_drain_grace(grace: Duration) -> Duration {
     grace.saturating_sub(HOLD_UP)
 }
 
-/// Whether the deadline propagated to a store still held when the last byte of the request was written, `written_after`
-/// it was computed.
+/// Whether the deadline that was propagated to a store was still correct when the last byte of the request
+/// was written. `written_after` is the time from computing the deadline until that write.
 ///
-/// Invariant: a store is never told more time than its client has left, within the slack of the operators' terms.
+/// Invariant: the time left that is sent to a store exceeds what its client has left by at most the slack of
+/// the operators' terms, [`TIME_LEFT_SLACK`].
 ///
 /// # Errors
 /// [`Violation::TimeLeftOverstated`] if the write took longer than that slack.
@@ -110,10 +112,10 @@
     if written_after <= TIME_LEFT_SLACK { Ok(()) } else { Err(Violation::TimeLeftOverstated) }
 }
 
-/// Whether a store may still be sent attempts.
+/// Whether attempts may still be sent to a store.
 ///
 /// # Errors
-/// The store is gone, or its drain grace is over.
+/// The store is gone, or its drain grace has expired.
 pub fn store_accepts(store: &StoreStatus, now: Duration) -> Decision<DenialReason> {
     if store.is_gone {
         return Err(DenialReason::StoreGone);
--- a/crates/lifecycle/src/check.rs
+++ b/crates/lifecycle/src/check.rs
@@ -1,19 +1,19 @@
-//! Rules checked once more where their effect happens: a violation is counted and logged.
+//! Checks of rules at the point where they take effect: a violation is counted and logged.
 
 use crate::reason::Violation;
 use crate::{Counters, Decision};
 
-/// Counts a violation of ordering, if the decision is one, and passes it to `log`.
+/// Counts a violation of an ordering rule, if the decision is one, and passes it to `log`.
 ///
 /// # Panics
-/// In debug builds, on a violation: whatever peers and system do, it is a fault of this program.
+/// In debug builds, on a violation. It is a bug of this program, whatever the peers and the system do.
 pub fn check(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
     observe(counters, decision, log);
     debug_assert!(decision.is_ok(), "lifecycle rule violated: {decision:?}");
 }
 
-/// Counts a violation of timing, if the decision is one, and passes it to `log`. The cause may be a process that was held
-/// up for longer than the rules allow for.
+/// Counts a violation of a time limit, if the decision is one, and passes it to `log`. The cause may be that
+/// the process was paused for longer than the rules allow for.
 pub fn observe(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
     let Err(violation) = decision else { return };
     counters.count(violation);
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: when one may be closed, evicted or left behind by a process that ends.
+//! Rules for client connections: when one may be closed or evicted, and when the process may exit with open
+//! ones.
 
 use std::time::Duration;
 
@@ -6,33 +7,34 @@
 use crate::limits::BAD_CLIENT_LIMIT;
 use crate::reason::Violation;
 
-/// What this side still owes on a connection before it may be closed.
+/// What this side still has to do on a connection before it may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Obligation {
     /// Nothing.
     None,
-    /// A whole request was read: its final response is owed.
+    /// A complete request was read, and its final response is pending.
     Response,
-    /// Time for the client to read what was written.
+    /// Leave the client time to read what was written.
     LingeringClose,
 }
 
 /// Observed state of a connection's peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Peer {
-    /// Connected, as far as is known.
+    /// Connected, as far as this side knows.
     Open,
-    /// It has closed or reset the connection.
+    /// The peer has closed or reset the connection.
     Closed,
-    /// It did not read what was written within its time.
+    /// The peer did not read what was written within the timeout.
     NotReading,
 }
 
 /// Whether this side may close a connection now.
 ///
-/// Invariant: a request that was read whole gets its final response, unless its client has closed or does not read it
-/// (rule 1). Source: the protocol page, "The rules on sockets"; the operators' terms: a request read and then closed
-/// with no answer is lost, on new connections too.
+/// Invariant: a request that was read completely gets its final response, unless its client has closed the
+/// connection or does not read the response (rule 1). Source: the protocol page, "The rules on sockets"; the
+/// operators' terms: a request that was read and whose connection was then closed without a response counts
+/// as lost, on new connections too.
 ///
 /// # Errors
 /// [`Violation::ClosedOwingResponse`].
@@ -43,27 +45,30 @@
     }
 }
 
-/// Whether a connection may be closed for the descriptor that another one needs.
+/// Whether a connection may be closed to free its file descriptor for another connection.
 ///
-/// Invariant: that of [`may_close`]; a connection that is being evicted already is not chosen again.
-pub fn may_evict(obligation: Obligation, evicted_already: bool) -> bool {
-    obligation != Obligation::Response && !evicted_already
+/// Invariant: as for [`may_close`], no connection with a pending response is closed. A connection that is
+/// already being evicted is not chosen again.
+pub fn may_evict(obligation: Obligation, is_being_evicted: bool) -> bool {
+    obligation != Obligation::Response && !is_being_evicted
 }
 
-/// Whether a process may end with these connections open, once its drain is over.
+/// Whether a process may exit with these connections open, once its drain has finished.
 ///
 /// Invariant: every request that was read is answered before the exit. Source: the protocol page, "Figures".
 ///
 /// # Errors
 /// [`Violation::ExitOwingResponse`].
 pub fn may_exit(obligations: impl IntoIterator<Item = Obligation>) -> Decision<Violation> {
-    let owed = obligations.into_iter().any(|obligation| obligation == Obligation::Response);
-    if owed { Err(Violation::ExitOwingResponse) } else { Ok(()) }
+    let has_pending = obligations.into_iter().any(|obligation| obligation == Obligation::Response);
+    if has_pending { Err(Violation::ExitOwingResponse) } else { Ok(()) }
 }
 
-/// Whether a client that stopped within a request got its error or close in time, `waited` after the first byte.
+/// Whether a client that stopped within a request got its error or close in time, `waited` after the first
+/// byte.
 ///
-/// Invariant: the standing page's limit for bad clients. Behind an open request the limit begins with its response.
+/// Invariant: the standing page's limit for misbehaving clients, [`BAD_CLIENT_LIMIT`]. If an earlier request
+/// of the connection is still open, the limit starts with its response.
 ///
 /// # Errors
 /// [`Violation::BadClientKeptWaiting`].
--- a/crates/lifecycle/src/counters.rs
+++ b/crates/lifecycle/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters by reason, logged at an interval, on a signal and at exit; never sent on a wire.
+//! Counters by reason. They are logged at an interval, on a signal and at exit, and never sent over a wire.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use crate::reason::{Category, Reason};
 
-/// Occurrences of each reason. Bounded in size: the names are those of the program's own enums.
+/// Occurrences of each reason. The size is bounded, since all names are those of the program's own enums.
 #[derive(Debug, Default)]
 pub struct Counters(Mutex<BTreeMap<(Category, &'static str), u64>>);
 
@@ -22,17 +22,18 @@
     }
 
     fn counts(&self) -> MutexGuard<'_, BTreeMap<(Category, &'static str), u64>> {
-        // A count is whole whatever its holder did after it.
+        // A poisoned lock is safe to use: each update is a single increment, so the counts are always
+        // consistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// `category.reason=count`, in order, with spaces between.
+/// Writes `category.reason=count` for each reason, sorted and separated by spaces.
 impl fmt::Display for Counters {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, ((category, name), count)) in self.counts().iter().enumerate() {
-            let space = if place == 0 { "" } else { " " };
-            write!(formatter, "{space}{}.{name}={count}", category.name())?;
+        for (index, ((category, name), count)) in self.counts().iter().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
+            write!(formatter, "{separator}{}.{name}={count}", category.name())?;
         }
         Ok(())
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,9 @@
-//! The lifecycle rules of a gateway process: whether something may be sent, repeated, closed, evicted or started now.
+//! Lifecycle rules of a gateway process: whether an attempt may begin or be repeated, whether a connection
+//! may be reused, closed or evicted, and whether the process may exit.
 //!
-//! Pure functions over plain data; no I/O, no clock, no randomness. All times are monotonic spans. A rule returns
-//! [`Decision`]: allowed, or denied with a typed reason that the log lines and the [`Counters`] share.
+//! Pure functions over plain data, without I/O, clock or randomness. All times are durations on a monotonic
+//! clock. A rule returns a [`Decision`]: allowed, or denied with a typed reason. Log lines and [`Counters`]
+//! use the same reasons.
 
 pub mod attempt;
 pub mod check;
--- a/crates/lifecycle/src/reason.rs
+++ b/crates/lifecycle/src/reason.rs
@@ -1,11 +1,12 @@
-//! Why a connection was closed, a request refused, an attempt repeated or denied. One name each, in logs and counters.
+//! Reasons why a connection was closed, a request rejected, an attempt repeated or denied. Each has one name,
+//! which logs and counters use.
 
 /// What a [`Reason`] is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Category {
     /// A client's connection was closed.
     Close,
-    /// A client's request got an error without an attempt.
+    /// A client's request was answered with an error without any attempt.
     Refusal,
     /// A further attempt of a request was made.
     Retry,
@@ -13,7 +14,7 @@
     Denial,
     /// A connection to a store was closed.
     StoreClose,
-    /// A rule was not kept.
+    /// A rule was violated.
     Violation,
 }
 
@@ -40,10 +41,13 @@
 }
 
 macro_rules! reasons {
-    ($(#[$about:meta])* $name:ident in $category:ident { $($(#[$doc:meta])* $variant:ident = $text:literal,)* }) => {
-        $(#[$about])*
+    (
+        $(#[$enum_doc:meta])*
+        $name:ident in $category:ident { $($(#[$variant_doc:meta])* $variant:ident = $text:literal,)* }
+    ) => {
+        $(#[$enum_doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum $name { $($(#[$doc])* $variant,)* }
+        pub enum $name { $($(#[$variant_doc])* $variant,)* }
 
         impl Reason for $name {
             const CATEGORY: Category = Category::$category;
@@ -61,27 +65,27 @@
 }
 
 reasons! {
-    /// Why a client's connection came to its end.
+    /// Why a client's connection was closed.
     CloseReason in Close {
         /// The client closed or reset it with no request open.
         PeerClosed = "peer_closed",
         /// The client closed or reset it with a request open.
         RequestCancelled = "request_cancelled",
-        /// The request asked for a close after its response.
+        /// The request asked for the connection to be closed after its response.
         LastResponse = "last_response",
-        /// What was sent is no request, or one that cannot be served.
+        /// The client sent bytes that are not an HTTP request, or a request that cannot be served.
         RequestRefused = "request_refused",
-        /// A request did not come whole in its time.
+        /// A request was not received completely in time.
         RequestReadTimeout = "request_read_timeout",
-        /// No byte of a first request came in its time.
+        /// No byte of a first request was received in time.
         FirstRequestTimeout = "first_request_timeout",
         /// It was idle for too long after a response.
         IdleTimeout = "idle_timeout",
-        /// The client did not read a response in its time.
+        /// The client did not read a response in time.
         PeerNotReading = "peer_not_reading",
-        /// Its descriptor was needed for another connection, or there was none for it.
+        /// Its file descriptor was needed for another connection, or none was available for it.
         NoCapacity = "no_capacity",
-        /// The process ends.
+        /// The process is shutting down.
         Draining = "draining",
     }
 }
@@ -89,57 +93,58 @@
 reasons! {
     /// Why an attempt that was decided on must not begin.
     DenialReason in Denial {
-        /// The request has its final answer.
+        /// The final response of the request was sent.
         RequestEnded = "request_ended",
         /// The request's client has closed its connection.
         ClientGone = "client_gone",
-        /// The attempt's time is over.
+        /// The attempt's deadline has passed.
         DeadlineOver = "deadline_over",
-        /// The store is gone from the list.
+        /// The endpoint list no longer contains the store.
         StoreGone = "store_gone",
-        /// The store drains, and the grace since this gateway was notified is over.
+        /// The store is draining, and the drain grace since this gateway was notified has expired.
         DrainGraceOver = "drain_grace_over",
-        /// An earlier attempt may have run, and the request must not run twice, or may not by now.
+        /// An earlier attempt may have run, and the request is not idempotent or its deduplication window has
+        /// passed.
         MayHaveRun = "may_have_run",
     }
 }
 
 reasons! {
-    /// How the attempt before a further one ended.
+    /// How the previous attempt ended, when a further one is made.
     RetryReason in Retry {
-        /// No connection came up, or not all of the request was written.
+        /// No connection was established, or the request was not written completely.
         NotSent = "not_sent",
         /// The store rejected it without running it.
         Rejected = "rejected",
         /// The store answered with an error: it may have run.
         StoreError = "store_error",
-        /// The connection ended after the last byte: it may have run.
+        /// The connection ended after the last byte was written: it may have run.
         ConnectionLost = "connection_lost",
-        /// No answer came in its time: it may have run, or may yet.
+        /// No response was received in time: it may have run, or may still run.
         TimedOut = "timed_out",
-        /// It was cancelled after its last byte: it may have run.
+        /// It was cancelled after its last byte was written: it may have run.
         Cancelled = "cancelled",
         /// It was denied at its first byte.
         Denied = "denied",
-        /// It is still out: this is a hedged request.
+        /// It is still outstanding: the further attempt is a hedged attempt.
         Hedged = "hedged",
     }
 }
 
 reasons! {
-    /// Why a request got an error with no attempt made.
+    /// Why a request was answered with an error without any attempt.
     RefusalReason in Refusal {
-        /// It is no HTTP request, or none that can be served.
+        /// It is not an HTTP request, or one that cannot be served.
         Malformed = "malformed",
         /// It names no operation, or one that is not allowed.
         NotAnOperation = "not_an_operation",
-        /// An open request has its id.
+        /// Another open request has the same id.
         DuplicateId = "duplicate_id",
-        /// It did not come whole in its time.
+        /// It was not received completely in time.
         RequestReadTimeout = "request_read_timeout",
         /// There is no capacity for its connection.
         NoCapacity = "no_capacity",
-        /// The process ends.
+        /// The process is shutting down.
         Draining = "draining",
     }
 }
@@ -149,36 +154,38 @@
     StoreCloseReason in StoreClose {
         /// It was idle for too long.
         IdleTimeout = "idle_timeout",
-        /// It ended, or bytes came on it, with nothing asked.
+        /// The store closed it, or sent bytes on it, while no request was outstanding.
         UnexpectedData = "unexpected_data",
-        /// Its descriptor was needed for another store.
+        /// Its file descriptor was needed for a connection to another store.
         Evicted = "evicted",
-        /// The store is gone, or at another address.
+        /// The store is gone, or has another address.
         StoreLeft = "store_left",
-        /// The answer said that it is the last, or its end was the end of the connection.
+        /// The response announced that it is the last one, or was delimited by the end of the connection.
         LastAnswer = "last_answer",
-        /// What came cannot be read, or ended before it was whole.
+        /// The response could not be parsed, or ended before it was complete.
         AnswerBroken = "answer_broken",
-        /// The answer needs more memory than there is for it.
+        /// The response needs more memory than is available for it.
         AnswerTooLarge = "answer_too_large",
-        /// The attempt ended before its answer came: timed out, cancelled, or never written whole.
+        /// The attempt ended before its response was received: it timed out, was cancelled, or was not
+        /// written completely.
         AttemptEnded = "attempt_ended",
     }
 }
 
 reasons! {
-    /// A rule that was not kept where its effect happens. Those of time may come of a process that was held up; each other
-    /// is a fault of this program.
+    /// A rule that was violated, detected at the point where the rule takes effect. Violations of time limits
+    /// may be caused by a paused process; every other violation is a bug of this program.
     Violation in Violation {
-        /// A connection was closed by this side with a response owed.
+        /// This side closed a connection with a response pending.
         ClosedOwingResponse = "closed_owing_response",
-        /// The process ended with a response owed.
+        /// The process exited with a response pending.
         ExitOwingResponse = "exit_owing_response",
-        /// A client that stopped within a request had no error and no close in time.
+        /// A client that stopped within a request got neither an error nor a close in time.
         BadClientKeptWaiting = "bad_client_kept_waiting",
-        /// A request had its final answer later than its time and the slack.
+        /// A request got its final response after its deadline and the slack.
         AnsweredLate = "answered_late",
-        /// The time told to a store was more than what the client had left when the last byte was written.
+        /// The time left that was sent to a store exceeded what the client had left when the last byte was
+        /// written.
         TimeLeftOverstated = "time_left_overstated",
     }
 }
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests: when a final answer is in time.
+//! Rules for requests: when a final response is in time.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use crate::limits::ANSWER_SLACK;
 use crate::reason::Violation;
 
-/// Whether a final answer is in time: it came `took` after the request's last byte (protocol page, "Figures") and its
-/// client waits for `left`.
+/// Whether a final response is in time. It was sent `took` after the request's last byte (protocol page,
+/// "Figures"), and the client waits for `left`.
 ///
-/// Invariant: a request gets one final answer in its client's time; up to [`ANSWER_SLACK`] later it only earns nothing.
+/// Invariant: a request gets one final response before its client's deadline. A response up to
+/// [`ANSWER_SLACK`] later is not a violation, but earns nothing.
 ///
 /// # Errors
 /// [`Violation::AnsweredLate`].
--- a/crates/lifecycle/src/store_connection.rs
+++ b/crates/lifecycle/src/store_connection.rs
@@ -1,15 +1,17 @@
-//! Pooled connections to stores: when an idle one may be used again.
+//! Rules for pooled connections to stores: when an idle one may be used again.
 
 use std::time::Duration;
 
 use crate::Decision;
 use crate::reason::StoreCloseReason;
 
-/// Whether an idle connection to a store may carry another request, or has to be closed and why.
+/// Whether an idle connection to a store may carry another request. `readable` says that bytes, or the end of
+/// the connection, were received while no request was outstanding.
 ///
-/// Invariant: no request is written to a connection that its store has closed, may close at any moment, or on which bytes
-/// came that nobody asked for. Source: the protocol page, "Gateways to stores": a store closes a connection that has been
-/// idle for the settings' time; a request written to it from then on ends as a reset.
+/// Invariant: no request is written to a connection that its store has closed or may close at any moment, or
+/// on which bytes were received without a request. Source: the protocol page, "Gateways to stores": a store
+/// closes a connection that has been idle for the time in the settings, and a request that is written to it
+/// afterwards ends as a reset.
 ///
 /// # Errors
 /// The reason why the connection has to be closed.
@@ -20,8 +22,9 @@
     if readable { Err(StoreCloseReason::UnexpectedData) } else { Ok(()) }
 }
 
-/// Whether an idle connection has been silent for long enough to be used again. Hazard: a second answer to the request
-/// before may come some milliseconds late, and would be taken for that of the next.
+/// Whether an idle connection has been silent for long enough to be used again. Hazard: a second response to
+/// the previous request may arrive some milliseconds late, and would be treated as the response to the next
+/// request.
 pub fn is_settled(idle_for: Duration, reuse_delay: Duration) -> bool {
     idle_for >= reuse_delay
 }
--- a/crates/lifecycle/tests/rules.rs
+++ b/crates/lifecycle/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule by a table of what it allows and denies.
+//! Checks each rule with a table of the cases that it allows and denies.
 
 use std::time::Duration;
 
@@ -21,13 +21,14 @@
     may_have_run_since: None,
 };
 
-fn drains(since: Duration) -> AttemptStart {
+/// An attempt to a store that is draining since this time.
+fn to_draining_store(since: Duration) -> AttemptStart {
     AttemptStart { store: StoreStatus { draining_since: Some(since), ..START.store }, ..START }
 }
 
 #[test]
 fn attempt_may_begin_only_for_open_request_to_accepting_store() {
-    let again = |repeats| AttemptStart { idempotency: repeats, may_have_run_since: Some(ms(9_000)), ..START };
+    let repeated = |idempotency| AttemptStart { idempotency, may_have_run_since: Some(ms(9_000)), ..START };
     let cases = [
         ("first", START, Ok(())),
         ("ended", AttemptStart { request: RequestStatus::Ended, ..START }, Err(DenialReason::RequestEnded)),
@@ -36,32 +37,41 @@
             AttemptStart { request: RequestStatus::ClientGone, ..START },
             Err(DenialReason::ClientGone),
         ),
-        ("its time over", AttemptStart { now: START.deadline, ..START }, Err(DenialReason::DeadlineOver)),
-        ("may have run", again(Idempotency::NotIdempotent), Err(DenialReason::MayHaveRun)),
-        ("recognised", again(Idempotency::DeduplicatedFor(ms(1001))), Ok(())),
-        ("forgotten", again(Idempotency::DeduplicatedFor(ms(1000))), Err(DenialReason::MayHaveRun)),
-        ("harmless again", again(Idempotency::Idempotent), Ok(())),
+        ("deadline passed", AttemptStart { now: START.deadline, ..START }, Err(DenialReason::DeadlineOver)),
+        ("may have run", repeated(Idempotency::NotIdempotent), Err(DenialReason::MayHaveRun)),
+        ("within deduplication window", repeated(Idempotency::DeduplicatedFor(ms(1001))), Ok(())),
+        (
+            "after deduplication window",
+            repeated(Idempotency::DeduplicatedFor(ms(1000))),
+            Err(DenialReason::MayHaveRun),
+        ),
+        ("idempotent", repeated(Idempotency::Idempotent), Ok(())),
         (
             "store gone",
             AttemptStart { store: StoreStatus { is_gone: true, ..START.store }, ..START },
             Err(DenialReason::StoreGone),
         ),
-        ("store drains", drains(ms(9_500)), Ok(())),
+        ("store draining", to_draining_store(ms(9_500)), Ok(())),
     ];
     for (name, start, expected) in cases {
         assert_eq!(attempt::may_begin(&start), expected, "{name}");
     }
 }
 
-/// A process that was held up between its decision and its first byte sent to stores past their grace.
+/// Guards against attempts to stores whose drain grace has expired: a process that was paused between its
+/// decision and the first byte sent such an attempt.
 #[test]
 fn drain_grace_is_shortened_by_a_hold_up() {
     let grace = START.store.drain_grace;
-    for late in [HOLD_UP, HOLD_UP / 2, Duration::ZERO] {
-        let notified = START.now + late - grace;
-        assert_eq!(attempt::may_begin(&drains(notified)), Err(DenialReason::DrainGraceOver), "{late:?} left");
+    for grace_left in [HOLD_UP, HOLD_UP / 2, Duration::ZERO] {
+        let notified_at = START.now + grace_left - grace;
+        assert_eq!(
+            attempt::may_begin(&to_draining_store(notified_at)),
+            Err(DenialReason::DrainGraceOver),
+            "{grace_left:?} left"
+        );
     }
-    assert_eq!(attempt::may_begin(&drains(START.now + HOLD_UP + ms(1) - grace)), Ok(()));
+    assert_eq!(attempt::may_begin(&to_draining_store(START.now + HOLD_UP + ms(1) - grace)), Ok(()));
     assert_eq!(attempt::usable_drain_grace(HOLD_UP / 2), Duration::ZERO);
 }
 
@@ -69,8 +79,8 @@
 fn connection_owing_response_to_open_peer_may_not_close() {
     for obligation in [Obligation::None, Obligation::Response, Obligation::LingeringClose] {
         for peer in [Peer::Open, Peer::Closed, Peer::NotReading] {
-            let owes = obligation == Obligation::Response && peer == Peer::Open;
-            let expected = if owes { Err(Violation::ClosedOwingResponse) } else { Ok(()) };
+            let has_pending_response = obligation == Obligation::Response && peer == Peer::Open;
+            let expected = if has_pending_response { Err(Violation::ClosedOwingResponse) } else { Ok(()) };
             assert_eq!(connection::may_close(obligation, peer), expected, "{obligation:?}, {peer:?}");
         }
         let may_exit = connection::may_exit([Obligation::None, obligation]);
@@ -100,6 +110,6 @@
     check::observe(&counters, Ok(()), |violation| logged.push(violation));
     assert_eq!(logged, [Violation::AnsweredLate]);
     assert_eq!(counters.get(CloseReason::IdleTimeout), 2);
-    let told = "close.idle_timeout=2 store_close.idle_timeout=1 violation.answered_late=1";
-    assert_eq!(counters.to_string(), told);
+    let expected = "close.idle_timeout=2 store_close.idle_timeout=1 violation.answered_late=1";
+    assert_eq!(counters.to_string(), expected);
 }
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -1,24 +1,25 @@
-//! The waits over generated settings: none exceeds what a page leaves for it, none is lost to rounding.
+//! Checks the timeouts over generated settings: none exceeds what the limit of a page allows, and none is
+//! rounded down to zero.
 
 use std::time::Duration;
 
-use umbertray_lifecycle::limits::{BAD_CLIENT_LIMIT, HOLD_UP, KILL_AFTER_AT_MOST, KILL_MARGIN};
+use umbertray_lifecycle::limits::{BAD_CLIENT_LIMIT, HOLD_UP, KILL_MARGIN, MAX_KILL_AFTER};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
 
-/// Spans from 0.05 s to 600 s, as settings have them.
-const SPANS: [u64; 14] =
+/// Durations in milliseconds, from 0.05 s to 600 s, as settings may contain them.
+const DURATIONS_MS: [u64; 14] =
     [50, 120, 300, 600, 900, 1_500, 3_000, 6_000, 9_000, 12_000, 30_000, 60_000, 200_000, 600_000];
 
 fn all_settings() -> impl Iterator<Item = SettingsTimes> {
-    let span = Duration::from_millis;
-    let deadlines = SPANS.into_iter().filter(|deadline| (300..=60_000).contains(deadline));
+    let ms = Duration::from_millis;
+    let deadlines = DURATIONS_MS.into_iter().filter(|deadline| (300..=60_000).contains(deadline));
     deadlines.flat_map(move |deadline| {
-        SPANS.into_iter().flat_map(move |connect| {
-            SPANS.into_iter().map(move |idle| SettingsTimes {
-                longest_deadline: span(deadline),
-                shortest_objective: span(deadline / 5),
-                connect_timeout: span(connect),
-                connection_idle: span(idle),
+        DURATIONS_MS.into_iter().flat_map(move |connect| {
+            DURATIONS_MS.into_iter().map(move |idle| SettingsTimes {
+                longest_deadline: ms(deadline),
+                shortest_objective: ms(deadline / 5),
+                connect_timeout: ms(connect),
+                connection_idle: ms(idle),
             })
         })
     })
@@ -28,13 +29,13 @@
 fn bad_client_waits_leave_a_hold_up_on_either_side_of_the_limit() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
-        let owed = [
+        let bad_client_waits = [
             timeouts.request_read,
             timeouts.first_request_rejecting,
             timeouts.response_write,
             timeouts.linger,
         ];
-        for wait in owed {
+        for wait in bad_client_waits {
             assert!(HOLD_UP + wait + HOLD_UP <= BAD_CLIENT_LIMIT, "{wait:?} with {settings:?}");
         }
     }
@@ -44,10 +45,10 @@
 fn drain_ends_before_sigkill() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
-        let killed = settings.longest_deadline.min(KILL_AFTER_AT_MOST) + KILL_MARGIN;
-        assert!(timeouts.drain_deadline + timeouts.drain_close < killed, "{settings:?}");
+        let killed_at = settings.longest_deadline.min(MAX_KILL_AFTER) + KILL_MARGIN;
+        assert!(timeouts.drain_deadline + timeouts.drain_close < killed_at, "{settings:?}");
         assert!(timeouts.retry_until <= timeouts.drain_deadline, "{settings:?}");
-        assert!(timeouts.accept_until < killed, "{settings:?}");
+        assert!(timeouts.accept_until < killed_at, "{settings:?}");
     }
 }
 
