--- a/crates/control-plane/tests/explore/search.rs
+++ b/crates/control-plane/tests/explore/search.rs
@@ -8,7 +8,8 @@
 use crate::properties::{Property, terminates};
 use crate::world::{Event, World};
 
-/// A part that worlds have in common with those before them, and its hash, computed once a change.
+/// A part of the state that a world shares with its predecessors, and its hash, which is computed once per
+/// change.
 #[derive(Clone)]
 pub(crate) struct Shared<T> {
     pub value: Arc<T>,
@@ -79,63 +80,64 @@
     pub violation: Option<Violation>,
 }
 
-/// Searches breadth first, so that a violation is found by a shortest trace.
+/// Searches all states breadth first, so that a violation is reported with a shortest trace.
 pub(crate) fn explore(start: World) -> SearchResult {
-    let mut seen = HashSet::from([fingerprint(&start)]);
+    let mut visited = HashSet::from([fingerprint(&start)]);
     let mut level = vec![Node { world: start, trace: None }];
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let mut known = vec![HashSet::new(); threads];
+    let mut terminating = vec![HashSet::new(); threads];
     while !level.is_empty() {
         let parts = level.chunks(level.len().div_ceil(threads));
         let results: Vec<Result<Vec<(u64, Node)>, Violation>> = std::thread::scope(|scope| {
-            let seen = &seen;
-            let part = |(nodes, known)| scope.spawn(move || expand(nodes, seen, known));
-            let parts: Vec<_> = parts.zip(&mut known).map(part).collect();
+            let visited = &visited;
+            let part = |(nodes, terminating)| scope.spawn(move || expand(nodes, visited, terminating));
+            let parts: Vec<_> = parts.zip(&mut terminating).map(part).collect();
             parts.into_iter().map(|part| part.join().expect("a part of the search ends")).collect()
         });
         let mut next = Vec::new();
         for result in results {
             match result {
                 Ok(nodes) => {
-                    next.extend(nodes.into_iter().filter(|(fingerprint, _)| seen.insert(*fingerprint)));
+                    next.extend(nodes.into_iter().filter(|(fingerprint, _)| visited.insert(*fingerprint)));
                 }
-                Err(violation) => return SearchResult { states: seen.len(), violation: Some(violation) },
+                Err(violation) => return SearchResult { states: visited.len(), violation: Some(violation) },
             }
         }
         level = next.into_iter().map(|(_, node)| node).collect();
     }
-    SearchResult { states: seen.len(), violation: None }
+    SearchResult { states: visited.len(), violation: None }
 }
 
 pub(crate) fn expand(
     nodes: &[Node],
-    seen: &HashSet<u64>,
-    known: &mut HashSet<u64>,
+    visited: &HashSet<u64>,
+    terminating: &mut HashSet<u64>,
 ) -> Result<Vec<(u64, Node)>, Violation> {
-    let (mut next, mut fresh) = (Vec::new(), HashSet::new());
+    let (mut next, mut found) = (Vec::new(), HashSet::new());
     for node in nodes {
-        terminates(&node.world, known).map_err(|property| (property, node.events()))?;
+        terminates(&node.world, terminating).map_err(|property| (property, node.events()))?;
         for event in node.world.events() {
             let mut world = node.world.clone();
             let outputs = world.step(&event);
             let mut after = vec![(event.clone(), world, outputs)];
-            if let (Event::Coordinator(heard, _), Ok(outputs), true) =
+            if let (Event::Coordinator(coordinator_event, _), Ok(outputs), true) =
                 (event, outputs, node.world.faults.coordinator)
             {
                 for crash in 1..outputs {
                     let mut world = node.world.clone();
-                    let event = Event::Coordinator(heard, Some(crash));
+                    let event = Event::Coordinator(coordinator_event, Some(crash));
                     let outputs = world.step(&event);
                     after.push((event, world, outputs));
                 }
             }
             for (event, world, outputs) in after {
-                // Hazard: a step that violates a property may leave the world as it was, which has been seen.
+                // Hazard: a step that violates a property may leave the world unchanged, in a state that was
+                // visited. The violation therefore has to be reported before that check.
                 if let Err(property) = outputs {
                     return Err((property, node.after(event, world).events()));
                 }
                 let fingerprint = fingerprint(&world);
-                if !seen.contains(&fingerprint) && fresh.insert(fingerprint) {
+                if !visited.contains(&fingerprint) && found.insert(fingerprint) {
                     next.push((fingerprint, node.after(event, world)));
                 }
             }
--- a/crates/control-plane/tests/explore/store.rs
+++ b/crates/control-plane/tests/explore/store.rs
@@ -1,4 +1,5 @@
-//! A store: the product's fences before a small medium that applies orders to data.
+//! A simulated store: the product's fences in front of a small storage medium that orders and writes are
+//! applied to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,19 +9,21 @@
 use umbertray_store_protocol::list::Location;
 use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, Order, OrderReply};
 
-use crate::{EXTENT, PlantedBug, SPAN, VOLUME};
+use crate::{EXTENT, PlantedBug, RANGE, VOLUME};
 
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Store {
     pub fences: Fences,
-    /// The writes that were applied; one that was applied twice is here twice.
+    /// The writes that were applied; a write that was applied twice is listed twice.
     pub data: Vec<u64>,
-    pub stamp: u64,
-    /// Moves that copy the extent, and whether it has to be copied again.
-    pub following: BTreeMap<u64, bool>,
-    /// The move that put content here, and the content's change count.
-    pub held: Option<(u64, u64)>,
-    pub marks: BTreeSet<u64>,
+    pub change_count: u64,
+    /// The moves for which changes of the extent are tracked, and whether the extent has to be copied again
+    /// for each.
+    pub tracked_by: BTreeMap<u64, bool>,
+    /// The move that put content into this store, and the change count of that content.
+    pub content_from: Option<(u64, u64)>,
+    /// Ops that were executed, here or at the source of a move.
+    pub executed: BTreeSet<u64>,
 }
 
 impl Store {
@@ -31,62 +34,66 @@
         order: &Order,
         planted_bug: PlantedBug,
     ) -> OrderReply {
-        let fits = match self.fences.take(term, number, order) {
-            Ok(fits) => fits,
-            Err(refusal) => return refusal,
+        let check = match self.fences.take(term, number, order) {
+            Ok(check) => check,
+            Err(rejection) => return rejection,
         };
         match order {
             Order::Prepare { epoch, .. } if planted_bug == PlantedBug::ActivatedBeforeFenced => {
-                _ = self.fences.take(term, number, &Order::Activate { span: SPAN, epoch: *epoch });
+                _ = self.fences.take(term, number, &Order::Activate { span: RANGE, epoch: *epoch });
+            }
+            Order::Prepare { .. } if check == OrderCheck::Apply => {
+                (self.data, self.content_from) = (Vec::new(), None)
             }
-            Order::Prepare { .. } if fits == OrderCheck::Apply => (self.data, self.held) = (Vec::new(), None),
             Order::TrackChanges { .. } => {
-                let dirty = self.following.entry(number).or_default();
+                let dirty = self.tracked_by.entry(number).or_default();
                 *dirty |= !self.data.is_empty();
                 return OrderReply::ExtentsLeft(u64::from(*dirty));
             }
             Order::FetchNext { copied, .. } => return OrderReply::NextExtent(self.fetch(number, *copied)),
             Order::Put { content, .. } => self.put(number, content),
             Order::Fence { .. } => {
-                return OrderReply::ExtentsLeft(u64::from(self.following.get(&number) == Some(&true)));
+                return OrderReply::ExtentsLeft(u64::from(self.tracked_by.get(&number) == Some(&true)));
             }
             Order::FetchExecuted { .. } => {
                 let mark =
                     |op: &u64| ExecutedOp { gateway_run: *op, op: *op, extent: EXTENT, remembered_for: 1 };
-                return OrderReply::ExecutedOps(self.marks.iter().map(mark).collect());
+                return OrderReply::ExecutedOps(self.executed.iter().map(mark).collect());
             }
             Order::RecordExecuted { marks, .. } if planted_bug != PlantedBug::ExecutedOpsNotMoved => {
-                self.marks.extend(marks.iter().map(|mark| mark.op));
+                self.executed.extend(marks.iter().map(|mark| mark.op));
+            }
+            Order::Clear { .. } if self.fences.closed(&RANGE) => {
+                (self.data, self.content_from) = (Vec::new(), None)
             }
-            Order::Clear { .. } if self.fences.closed(&SPAN) => (self.data, self.held) = (Vec::new(), None),
-            Order::StopTracking { .. } => _ = self.following.remove(&number),
+            Order::StopTracking { .. } => _ = self.tracked_by.remove(&number),
             _ => {}
         }
         OrderReply::Done
     }
 
     pub(crate) fn fetch(&mut self, number: u64, copied: Option<(u64, u64)>) -> Option<ExtentContent> {
-        let dirty = self.following.get_mut(&number)?;
-        *dirty &= copied != Some((EXTENT, self.stamp));
+        let dirty = self.tracked_by.get_mut(&number)?;
+        *dirty &= copied != Some((EXTENT, self.change_count));
         let pages = vec![(0, self.data.iter().map(|id| *id as u8).collect::<Bytes>())];
-        dirty.then_some(ExtentContent { extent: EXTENT, change_count: self.stamp, pages })
+        dirty.then_some(ExtentContent { extent: EXTENT, change_count: self.change_count, pages })
     }
 
     pub(crate) fn put(&mut self, number: u64, content: &ExtentContent) {
-        let newer = |(by, stamp)| by == number && stamp > content.change_count;
-        if !self.held.is_some_and(newer) {
-            self.held = Some((number, content.change_count));
+        let newer = |(by, change_count)| by == number && change_count > content.change_count;
+        if !self.content_from.is_some_and(newer) {
+            self.content_from = Some((number, content.change_count));
             self.data = content.pages.iter().flat_map(|(_, page)| page).map(|id| u64::from(*id)).collect();
-            self.stamp += 1;
+            self.change_count += 1;
         }
     }
 
     pub(crate) fn write(&mut self, op: u64) {
-        if self.marks.insert(op) {
+        if self.executed.insert(op) {
             self.data.push(op);
             self.data.sort_unstable();
-            self.stamp += 1;
-            self.following.values_mut().for_each(|dirty| *dirty = true);
+            self.change_count += 1;
+            self.tracked_by.values_mut().for_each(|dirty| *dirty = true);
         }
     }
 
@@ -94,9 +101,9 @@
         self.fences.check(VOLUME, EXTENT, epoch)
     }
 
-    pub(crate) fn serves(&self, shard: u32, known_by_gateway: &BTreeSet<Location>) -> bool {
-        known_by_gateway
-            .iter()
-            .any(|place| place.shard == shard && self.check_epoch(place.epoch) == EpochCheck::Current)
+    pub(crate) fn serves(&self, shard: u32, locations: &BTreeSet<Location>) -> bool {
+        locations.iter().any(|location| {
+            location.shard == shard && self.check_epoch(location.epoch) == EpochCheck::Current
+        })
     }
 }
--- a/crates/control-plane/tests/explore/world/types.rs
+++ b/crates/control-plane/tests/explore/world/types.rs
@@ -1,10 +1,10 @@
-//! The parts of a world: orders, ops, faults that may still come, and events.
+//! The parts of a world: orders, ops, remaining faults, and events.
 
 use umbertray_store_protocol::list::Location;
 use umbertray_store_protocol::orders::Order;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Sent {
+pub(crate) struct SentOrder {
     pub token: u64,
     pub shard: u32,
     pub term: u64,
@@ -15,13 +15,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Stage {
     Unsent,
-    Net(Location),
+    InTransit(Location),
     Queued(Location),
-    /// An answer on its way: stale with an epoch, or none where the op has run.
+    /// The store's response is in transit: the epoch of the store if the op was rejected as stale, `None` if
+    /// it has run.
     Answered {
         stale: Option<u64>,
     },
-    Asking {
+    /// The gateway waits for the coordinator's response to a lookup.
+    LookingUp {
         min_epoch: u64,
     },
     Done,
@@ -33,11 +35,11 @@
     pub stage: Stage,
 }
 
-/// The faults that may still come.
+/// The faults that may still occur in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Faults {
     pub loss: bool,
-    pub double: bool,
+    pub duplication: bool,
     pub coordinator: bool,
     pub store: bool,
     pub abandon: bool,
@@ -47,18 +49,18 @@
 pub(crate) enum Event {
     Coordinator(CoordinatorEvent, Option<usize>),
     CoordinatorCrash,
-    Order { doubled: bool },
-    Late(usize),
-    Former(usize),
-    Run { op: usize, doubled: bool },
-    Stray(usize),
+    DeliverOrder { duplicated: bool },
+    DeliverLateOrder(usize),
+    DeliverFormerOrder(usize),
+    RunOp { op: usize, duplicated: bool },
+    RunLateOp(usize),
     Acked(usize),
     TimedOut(usize),
     Read { gateway: usize },
     StoreCrash(u32),
 }
 
-/// An event for the coordinator. A crash may follow after some of its outputs.
+/// An event that the coordinator handles. A crash may follow after some of its outputs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CoordinatorEvent {
     Reply(usize),
