--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden examples of what the coordinator stores: its state and each record of its log. Every later version has
-//! to write and read them byte for byte.
+//! Recorded examples of the coordinator's stored data: its state and each kind of log record. Every later
+//! version has to write and read them byte for byte.
 
 use umbertray_control_plane::moves::{Move, Phase};
 use umbertray_control_plane::{CoordinatorState, Record};
@@ -18,7 +18,7 @@
     ExtentRange { volume, start: 2, end: 900 }
 }
 
-/// Claims of extents, then a move of each volume's range, one in each phase.
+/// Claims of extents, then one move per volume, each in a different phase.
 fn records() -> Vec<Record> {
     let mut records = vec![Record::Term(3)];
     for volume in 1..=6 {
@@ -65,6 +65,6 @@
     let read = CoordinatorState::decode(&bytes).expect("a state");
     assert_eq!(read, state());
     assert_eq!(read.map.location(3, 2), Some(Location { shard: 5, epoch: 1 }), "committed");
-    assert_eq!(read.map.location(4, 2), Some(Location { shard: 4, epoch: 2 }), "taken back");
+    assert_eq!(read.map.location(4, 2), Some(Location { shard: 4, epoch: 2 }), "rolled back");
     assert_eq!(read.ended_moves.get(&6), Some(&Phase::Committed));
 }
--- a/crates/control-plane/tests/relay/fault_cases.rs
+++ b/crates/control-plane/tests/relay/fault_cases.rs
@@ -1,4 +1,4 @@
-//! One fault at a time, and the frames that it costs.
+//! Single faults: how soon changes are applied, and which frames are sent.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::{MAX_APPLY_DELAY, tree};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// The bound without faults.
-const APPLIED_SOON: Duration = Duration::from_secs(2);
+/// Maximum time from write to commit without faults.
+const MAX_DELAY_WITHOUT_FAULTS: Duration = Duration::from_secs(2);
 
-/// A network in which all has been committed.
-fn settled_net(seed: u64, gateways: usize) -> Network {
+/// A network in which every gateway has committed all changes.
+fn settled_network(seed: u64, gateways: usize) -> Network {
     let mut network = tree(seed, 2, gateways);
     (0..20).for_each(|_| network.write(200));
     network.start_all();
@@ -24,77 +24,77 @@
     network
 }
 
-/// Writes a change a second; the longest time that one of them took.
+/// Writes one change per second, and returns the longest time from the write of a change until its commit.
 fn longest_apply_time(network: &mut Network, changes: usize) -> Duration {
-    network.longest = Duration::ZERO;
+    network.longest_delay = Duration::ZERO;
     for _ in 0..changes {
         network.write(200);
         network.run_for(SECOND);
     }
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
-    network.longest
+    network.longest_delay
 }
 
 #[test]
 fn change_without_faults_is_applied_soon() {
-    let longest = longest_apply_time(&mut settled_net(1, 10), 20);
-    println!("without fault: {longest:?}");
-    assert!(longest < APPLIED_SOON, "{longest:?}");
+    let longest = longest_apply_time(&mut settled_network(1, 10), 20);
+    println!("without faults: {longest:?}");
+    assert!(longest < MAX_DELAY_WITHOUT_FAULTS, "{longest:?}");
 }
 
 #[test]
 fn change_with_any_one_relay_failed_is_applied_in_time() {
     let mut worst = Duration::ZERO;
     for relay in 0..6 {
-        for inject_fault in 0..3 {
-            let mut network = settled_net(relay as u64, 4);
-            match inject_fault {
+        for fault in 0..3 {
+            let mut network = settled_network(relay as u64, 4);
+            match fault {
                 0 => network.kill(relay),
                 1 => network.members[relay].frozen = true,
-                _ => network.members[relay].slow = 2 * SECOND,
+                _ => network.members[relay].send_delay = 2 * SECOND,
             }
             let longest = longest_apply_time(&mut network, 8);
-            assert!(
-                longest < MAX_APPLY_DELAY,
-                "{}, trouble {inject_fault}: {longest:?}",
-                network.members[relay].name
-            );
+            assert!(longest < MAX_APPLY_DELAY, "{}, fault {fault}: {longest:?}", network.members[relay].name);
             worst = worst.max(longest);
         }
     }
-    println!("with one relay gone, silent or slow by 2 s: {worst:?}");
+    println!("with one relay killed, frozen or slow by 2 s: {worst:?}");
 }
 
-fn frames_down(network: &Network, of: &[Id], kinds: &[u8]) -> usize {
-    let counted = of.iter().filter_map(|id| network.counted.get(&(*id, Direction::Down)));
-    counted
-        .flat_map(|counted| &counted.frames)
+/// Number of frames of these kinds that members sent to their followers.
+fn frames_down(network: &Network, members: &[Id], kinds: &[u8]) -> usize {
+    let traffic = members.iter().filter_map(|id| network.traffic.get(&(*id, Direction::Down)));
+    traffic
+        .flat_map(|traffic| &traffic.frames)
         .filter(|(kind, _)| kinds.contains(kind))
         .map(|(_, count)| count)
         .sum()
 }
 
-fn bytes(network: &Network, of: &[Id]) -> usize {
-    let directions = of.iter().flat_map(|id| [(*id, Direction::Up), (*id, Direction::Down)]);
-    directions.filter_map(|direction| network.counted.get(&direction)).map(|counted| counted.bytes).sum()
+/// Number of bytes that members sent, to upstreams and followers.
+fn bytes(network: &Network, members: &[Id]) -> usize {
+    let directions = members.iter().flat_map(|id| [(*id, Direction::Up), (*id, Direction::Down)]);
+    directions.filter_map(|direction| network.traffic.get(&direction)).map(|traffic| traffic.bytes).sum()
 }
 
 const HEAD_KIND: u8 = 99;
 const ENTRY_KIND: u8 = 100;
 const CHECKPOINT_PART_KIND: u8 = 101;
+const RETRY_AFTER_KIND: u8 = 102;
 
 #[test]
 fn change_crosses_each_connection_once() {
-    let mut network = settled_net(3, 10);
+    let mut network = settled_network(3, 10);
     let folder_relays = [0, 1, 2];
     let zone_relays = [3, 4, 5];
-    network.counted.clear();
+    network.traffic.clear();
     for _ in 0..10 {
         network.write(200);
         network.run_for(SECOND);
     }
-    // Ten changes to 3 zone relays and 30 gateways, each from one upstream; heads are announced by three.
+    // Each of 3 zone relays and 30 gateways receives ten changes from one upstream, and their heads from
+    // three.
     assert_eq!(frames_down(&network, &folder_relays, &[ENTRY_KIND]), 10 * 3);
     assert_eq!(frames_down(&network, &zone_relays, &[ENTRY_KIND]), 10 * 30);
     assert_eq!(frames_down(&network, &folder_relays, &[HEAD_KIND]), 10 * 3 * 3);
@@ -104,33 +104,35 @@
 
 #[test]
 fn gateway_idle_costs_few_bytes_a_second() {
-    let mut network = settled_net(4, 10);
-    network.counted.clear();
+    let mut network = settled_network(4, 10);
+    network.traffic.clear();
     network.run_for(60 * SECOND);
     let gateways = network.gateways();
     let all = bytes(&network, &[3, 4, 5]) + bytes(&network, &gateways);
     let each = all / gateways.len() / 60;
-    println!("{each} bytes a second a gateway, both ways, of frames");
+    println!("{each} bytes of frames per second and gateway, in both directions");
     assert!(each < 100, "{each}");
 }
 
 #[test]
 fn region_cut_off_for_an_hour_receives_only_missing_entries() {
-    let mut network = settled_net(5, 2);
-    network.cut = true;
+    let mut network = settled_network(5, 2);
+    network.is_region_cut_off = true;
     for _ in 0..175 {
         network.write(200);
         network.run_for(Duration::from_secs_f64(3600.0 / 175.0));
     }
-    let apart: Vec<Id> =
-        network.gateways().into_iter().filter(|id| network.members[*id].place.region == 1).collect();
-    let held: Vec<_> = apart.iter().map(|id| network.members[*id].committed.map(|at| at.version)).collect();
-    assert_eq!(held, vec![Some(20); apart.len()], "they go on with what they have");
-    network.cut = false;
-    network.counted.clear();
+    let cut_off: Vec<Id> =
+        network.gateways().into_iter().filter(|id| network.members[*id].site.region == 1).collect();
+    let committed: Vec<_> =
+        cut_off.iter().map(|id| network.members[*id].committed.map(|at| at.version)).collect();
+    assert_eq!(committed, vec![Some(20); cut_off.len()], "they continue with the version that they have");
+    network.is_region_cut_off = false;
+    network.traffic.clear();
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
-    // Of checkpoints only the newest, to the relay, which holds it for new followers as all relays do.
+    // The only checkpoint sent is the newest one, to the zone relay, since every relay holds it for new
+    // followers.
     assert_eq!(
         (
             frames_down(&network, &[0, 1, 2], &[CHECKPOINT_PART_KIND]),
@@ -139,7 +141,8 @@
         (1, 0)
     );
     let relays = network.relays();
-    // To the relay of the zone that was cut off and its two gateways; some may have changed their source meanwhile.
+    // The entries are sent to the relay of the zone that was cut off and to its two gateways. Some of these
+    // may have changed their source in the meantime and received entries twice.
     let entries = frames_down(&network, &relays, &[ENTRY_KIND]);
     assert!((175 * 3..=175 * 4).contains(&entries), "{entries} entries");
 }
@@ -147,34 +150,34 @@
 #[test]
 fn checkpoint_requests_of_thundering_herd_are_bounded_and_told_to_retry() {
     let mut network = tree(6, 2, 60);
-    network.log.state = 200_000;
+    network.log.checkpoint_bytes = 200_000;
     (0..20).for_each(|_| network.write(200));
     network.start_all();
-    let begun = network.now;
-    while !network.lagging().is_empty() && network.now < begun + 60 * SECOND {
+    let started_at = network.now;
+    while !network.lagging().is_empty() && network.now < started_at + 60 * SECOND {
         network.run_for(SECOND / 4);
     }
     let relays = network.relays();
     println!(
-        "180 gateways and 3 relays from nothing in {:?}, {} checkpoints at once, {} told to return",
-        network.now - begun,
-        network.most_checkpoint_transfers,
-        frames_down(&network, &relays, &[102]),
+        "180 gateways and 3 relays started without state in {:?}, up to {} checkpoints at once, {} retries",
+        network.now - started_at,
+        network.max_checkpoint_transfers,
+        frames_down(&network, &relays, &[RETRY_AFTER_KIND]),
     );
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
-    assert!(network.most_checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS);
-    assert!(frames_down(&network, &relays, &[102]) > 0, "nobody was told to return");
-    assert!(network.now - begun < MAX_APPLY_DELAY);
-    // All relays restart: the gateways keep what they have, and none is sent a checkpoint.
+    assert!(network.max_checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS);
+    assert!(frames_down(&network, &relays, &[RETRY_AFTER_KIND]) > 0, "no follower was told to retry");
+    assert!(network.now - started_at < MAX_APPLY_DELAY);
+    // All relays restart: the gateways keep their state, and no checkpoint is sent to them.
     let gateways = network.gateways();
-    network.counted.clear();
+    network.traffic.clear();
     relays.iter().for_each(|relay| network.kill(*relay));
     relays.iter().for_each(|relay| network.start(*relay));
     network.write(200);
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
     let checkpoints_loaded: usize = gateways.iter().map(|id| network.members[*id].checkpoints_loaded).sum();
-    assert_eq!(checkpoints_loaded, gateways.len(), "each gateway was sent one checkpoint in its life");
+    assert_eq!(checkpoints_loaded, gateways.len(), "each gateway has loaded one checkpoint in total");
 }
 
 #[test]
@@ -198,14 +201,15 @@
     assert_eq!(network.members[slow].checkpoints_loaded, 2);
 }
 
-/// The folder is restored from an older copy and everything restarts; then another history grows from there.
+/// Restores the folder from an older copy and restarts all members; then the writer continues with another
+/// history.
 fn roll_back_folder(resumes: bool) -> Network {
-    let mut network = settled_net(8, 1);
+    let mut network = settled_network(8, 1);
     let gateway = network.gateways()[0];
     network.write(200);
     network.run_for(SECOND);
     network.log.entries.truncate(18);
-    network.written.truncate(18);
+    network.written_at.truncate(18);
     (0..network.members.len()).for_each(|id| network.kill(id));
     (0..network.members.len()).for_each(|id| network.start_with(id, resumes));
     network.run_for(MAX_APPLY_DELAY);
@@ -223,7 +227,7 @@
     assert!(
         network.members[network.gateways()[0]].logged.contains(&RelayEvent::DivergentHistory { version: 21 })
     );
-    // A gateway that kept its state is refused by each upstream that it follows.
+    // A gateway that kept its state is rejected by every upstream that it follows.
     let network = roll_back_folder(true);
     let logged = &network.members[network.gateways()[0]].logged;
     let fork = |event: &&RelayEvent| {
@@ -237,11 +241,11 @@
 
 #[test]
 fn gateways_with_saved_state_request_only_newer_entries() {
-    let mut network = settled_net(10, 4);
+    let mut network = settled_network(10, 4);
     let gateways = network.gateways();
     gateways.iter().for_each(|id| network.kill(*id));
     (0..5).for_each(|_| network.write(200));
-    network.counted.clear();
+    network.traffic.clear();
     gateways.iter().for_each(|id| network.start_with(*id, true));
     network.run_for(MAX_APPLY_DELAY);
     assert_eq!((network.lagging(), &network.violations), (vec![], &vec![]));
@@ -259,8 +263,8 @@
     network.add("one", ("a", 0), Role::Relay, vec![other]);
     network.add("other", ("a", 0), Role::Relay, vec![one, top]);
     let gateway = network.add("gateway", ("a", 0), Role::Gateway, vec![one]);
-    // It prefers the upstream in the loop, which is in its zone.
-    network.members[top].place.zone = "b".into();
+    // Relay "other" prefers the upstream in the loop, which is in its own zone.
+    network.members[top].site.zone = "b".into();
     network.start_all();
     network.run_for(MAX_APPLY_DELAY);
     let looped = |id: Id| {
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower makes of each frame of its upstreams.
+//! How a follower handles each frame of its upstreams.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     harness.log.write("change", 9);
     harness.entries("near", 3);
     harness.announce("near", 4, 0);
-    assert_eq!(harness.appended_versions(), [], "one that says it twice is one");
+    assert_eq!(harness.appended_versions(), [], "one upstream that reports it twice counts once");
     harness.announce(&one, 4, 0);
     assert_eq!(harness.appended_versions(), [4]);
     assert!(harness.actions.contains(&Action::Commit(harness.log.head())));
@@ -43,7 +43,7 @@
     harness.entry("near", &forged);
     harness.log.write("change", 9);
     harness.announce(&one, 4, 0);
-    assert_eq!(harness.disconnected(), [], "it may be the other that lies");
+    assert_eq!(harness.disconnected(), [], "the other upstream may be the one that lies");
     assert!(
         harness
             .actions
@@ -52,9 +52,9 @@
     harness.announce(&other, 4, 0);
     assert_eq!(harness.disconnected(), [("near", DisconnectReason::Fork)]);
     assert!(harness.sent_to(|frame| matches!(frame, ToUpstream::Follow { .. })).is_some());
-    let followed = harness.node.status(harness.now).source.expect("another is followed");
-    harness.entries(&followed, 3);
-    assert_eq!(harness.appended_versions(), [4], "the true one");
+    let source = harness.node.status(harness.now).source.expect("another source");
+    harness.entries(&source, 3);
+    assert_eq!(harness.appended_versions(), [4], "the true entry");
 }
 
 #[test]
@@ -65,21 +65,21 @@
     harness.announce(&one, 53, 0);
     let entries = harness.log.entries[3..9].to_vec();
     entries.iter().for_each(|entry| harness.entry("near", entry));
-    let asked = harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
-    assert_eq!(asked, Some(harness.connections[&one]));
+    let queried = harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
+    assert_eq!(queried, Some(harness.connections[&one]));
     assert_eq!(harness.appended_versions(), []);
-    let at = harness.log.at(4).expect("written");
+    let at = harness.log.position_at(4).expect("written");
     harness.receive(&one, FromUpstream::HashAt { at });
     assert_eq!(harness.appended_versions(), [4]);
     assert!(
         harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 9 })).is_some(),
-        "and so on"
+        "the last pending version is queried next"
     );
     harness.receive(&one, FromUpstream::HashAt { at });
     assert_eq!(
         harness.disconnected(),
         [(one.as_str(), DisconnectReason::Unrequested)],
-        "what was not asked for"
+        "a hash that was not queried"
     );
 }
 
@@ -88,23 +88,23 @@
     let mut harness = FollowerHarness::new();
     let (one, other) = harness.others();
     (0..20).for_each(|_| _ = harness.log.write("change", 9));
-    // They no longer hold the entries that need a quorum.
+    // These upstreams no longer hold the entries that need a quorum.
     harness.announce(&one, 23, 16);
     harness.announce(&other, 23, 16);
     let fetch = |frame: &ToUpstream| matches!(frame, ToUpstream::Fetch { version: 16, .. });
     for nth in 3..12 {
-        assert_eq!(harness.sent_to(fetch), None, "the tail may come yet");
+        assert_eq!(harness.sent_to(fetch), None, "the entries may still get a quorum");
         let entry = harness.log.entries[nth].clone();
         harness.entry("near", &entry);
         harness.advance_time(SECOND);
     }
-    let connection = harness.sent_to(fetch).expect("the checkpoint that two vouch for");
+    let connection = harness.sent_to(fetch).expect("a request for the checkpoint with a quorum");
     let part = harness.log.checkpoint(16).1;
     harness.event(Event::FromUpstream {
         connection,
         frame: FromUpstream::CheckpointPart { version: 16, offset: 0, part },
     });
-    assert_eq!(harness.node.status(harness.now).head, harness.log.at(16).expect("written"));
+    assert_eq!(harness.node.status(harness.now).head, harness.log.position_at(16).expect("written"));
     assert_eq!(harness.appended_versions(), []);
 }
 
@@ -116,10 +116,10 @@
         let entry = harness.log.write("runaway", MAX_PART);
         harness.entry("near", &entry);
         sent += entry.body.len();
-        let waiting = harness.node.status(harness.now).unconfirmed_bytes;
+        let unconfirmed = harness.node.status(harness.now).unconfirmed_bytes;
         assert!(
-            waiting <= MAX_SUFFIX_BYTES + 2 * (WINDOW as usize + MAX_PART),
-            "{waiting} bytes after {sent}"
+            unconfirmed <= MAX_SUFFIX_BYTES + 2 * (WINDOW as usize + MAX_PART),
+            "{unconfirmed} bytes after {sent}"
         );
     }
     assert_eq!(harness.disconnected(), [("near", DisconnectReason::Unrequested)]);
@@ -215,8 +215,8 @@
 fn preferred_upstream_stable_again_becomes_source() {
     let mut harness = FollowerHarness::new();
     let fourth = harness.lose("near");
-    let followed = |harness: &FollowerHarness| harness.node.status(harness.now).source;
-    assert!(followed(&harness).is_some_and(|name| name != "near"));
+    let source = |harness: &FollowerHarness| harness.node.status(harness.now).source;
+    assert!(source(&harness).is_some_and(|name| name != "near"));
     harness.connect(&fourth);
     harness.announce(&fourth, 3, 0);
     assert!(!harness.connections.contains_key("near"));
@@ -225,12 +225,12 @@
         harness.advance_time(SECOND / 4);
         waited += SECOND / 4;
     }
-    // It is tried again although others suffice, after a random delay.
+    // The node connects to it again after a random delay, although enough other upstreams are connected.
     assert!((15 * SECOND..=31 * SECOND).contains(&waited), "{waited:?}");
     harness.connect("near");
     harness.announce("near", 3, 0);
-    assert_eq!(harness.connections.len(), 3, "the spare one is left");
-    assert_ne!(followed(&harness), Some("near".into()));
+    assert_eq!(harness.connections.len(), 3, "the surplus connection is closed");
+    assert_ne!(source(&harness), Some("near".into()));
     harness.advance_time(6 * SECOND);
-    assert_eq!(followed(&harness), Some("near".into()));
+    assert_eq!(source(&harness), Some("near".into()));
 }
--- a/crates/control-plane/tests/relay/follower_harness.rs
+++ b/crates/control-plane/tests/relay/follower_harness.rs
@@ -1,4 +1,4 @@
-//! A gateway whose upstreams are played by the test.
+//! A harness for a gateway whose upstreams are simulated by the test.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// A gateway with four upstreams and a quorum of two; the first upstream is in its zone. It is connected to three.
+/// A gateway with four upstreams and a quorum of two. The first upstream is in its zone, and three are
+/// connected.
 pub(crate) struct FollowerHarness {
     pub node: RelayNode,
     pub now: Duration,
@@ -23,7 +24,7 @@
 }
 
 impl FollowerHarness {
-    /// Three changes are committed, and "near" is the replication source.
+    /// Creates a gateway that has committed three changes and whose replication source is "near".
     pub(crate) fn new() -> FollowerHarness {
         let zone = |nth: usize| if nth == 0 { "a".to_string() } else { format!("z{nth}") };
         let names = ["near", "one", "two", "three"].iter().zip(0..);
@@ -37,7 +38,7 @@
             seed: 1,
             max_followers: 0,
         };
-        let node = RelayNode::new(config, None).expect("sound");
+        let node = RelayNode::new(config, None).expect("a valid configuration");
         let now = Duration::ZERO;
         let connections = BTreeMap::new();
         let mut harness = FollowerHarness { node, now, connections, log: Log::new(100), actions: Vec::new() };
@@ -51,7 +52,7 @@
         let connection =
             harness.sent_to(|frame| matches!(frame, ToUpstream::Fetch { version: 0, offset: 0 }));
         let part = FromUpstream::CheckpointPart { version: 0, offset: 0, part: bytes };
-        let connection = connection.expect("a checkpoint that two vouch for is asked for");
+        let connection = connection.expect("a request for the checkpoint with a quorum");
         harness.event(Event::FromUpstream { connection, frame: part });
         assert_eq!(
             harness.sent_to(|frame| matches!(frame, ToUpstream::Follow { .. })),
@@ -91,16 +92,17 @@
         self.receive(name, FromUpstream::Hello { name: name.into(), path });
     }
 
-    /// An upstream announces a version of the log, with entries and a checkpoint from another version on.
-    pub(crate) fn announce(&mut self, name: &str, version: u64, from: u64) {
-        let head = self.log.at(version).expect("a version");
-        self.announce_head(name, head, from);
+    /// An upstream announces a version of the log as its head. Its checkpoint is at `oldest_version`, and it
+    /// holds the entries after that version.
+    pub(crate) fn announce(&mut self, name: &str, version: u64, oldest_version: u64) {
+        let head = self.log.position_at(version).expect("a version");
+        self.announce_head(name, head, oldest_version);
     }
 
-    pub(crate) fn announce_head(&mut self, name: &str, head: Position, from: u64) {
-        let (at, bytes) = self.log.checkpoint(from);
+    pub(crate) fn announce_head(&mut self, name: &str, head: Position, oldest_version: u64) {
+        let (at, bytes) = self.log.checkpoint(oldest_version);
         let checkpoint = Checkpoint { at, digest: digest(&bytes), length: bytes.len() as u32 };
-        self.receive(name, FromUpstream::Head { head, oldest_version: from, checkpoint: Some(checkpoint) });
+        self.receive(name, FromUpstream::Head { head, oldest_version, checkpoint: Some(checkpoint) });
     }
 
     pub(crate) fn entry(&mut self, name: &str, entry: &Entry) {
@@ -116,33 +118,34 @@
 
     /// Answers all hash queries with the true hashes.
     pub(crate) fn answer_hash_queries(&mut self) {
-        let ask = |action: &Action| match action {
+        let hash_query = |action: &Action| match action {
             Action::SendUpstream { connection, frame: ToUpstream::QueryHash { version } } => {
                 Some((*connection, *version))
             }
             _ => None,
         };
-        let asks: Vec<(ConnectionId, u64)> = self.actions.iter().filter_map(ask).collect();
-        for (connection, version) in asks {
-            let at = self.log.at(version).expect("written");
+        let queries: Vec<(ConnectionId, u64)> = self.actions.iter().filter_map(hash_query).collect();
+        for (connection, version) in queries {
+            let at = self.log.position_at(version).expect("written");
             self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { at } });
         }
     }
 
-    /// The connection to an upstream ends; the name of the one that is connected to instead.
+    /// Ends the connection to an upstream, and returns the name of the upstream that the gateway connects to
+    /// instead.
     pub(crate) fn lose(&mut self, name: &str) -> String {
         let connection = self.connections.remove(name).expect("connected");
         self.event(Event::Disconnected(connection));
-        self.connecting().expect("another is connected to instead")
+        self.connecting().expect("a connection to another upstream")
     }
 
-    /// An upstream that is being connected to.
+    /// The name of an upstream that the gateway is connecting to.
     pub(crate) fn connecting(&self) -> Option<String> {
         let connected = self.node.status(self.now).connected;
         self.connections.keys().find(|name| !connected.contains(name)).cloned()
     }
 
-    /// Time passes, with heartbeats from all connected upstreams.
+    /// Advances the time in steps of a tick, with heartbeats from all connected upstreams.
     pub(crate) fn advance_time(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -154,32 +157,33 @@
     }
 
     pub(crate) fn appended_versions(&self) -> Vec<u64> {
-        let acted = |action: &Action| match action {
+        let appended_version = |action: &Action| match action {
             Action::AppendEntry(entry) => Some(entry.at.version),
             _ => None,
         };
-        self.actions.iter().filter_map(acted).collect()
+        self.actions.iter().filter_map(appended_version).collect()
     }
 
-    pub(crate) fn sent_to(&self, which: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
+    /// The connection that the first matching frame was sent to.
+    pub(crate) fn sent_to(&self, matches: impl Fn(&ToUpstream) -> bool) -> Option<ConnectionId> {
         self.actions.iter().find_map(|action| match action {
-            Action::SendUpstream { connection, frame } if which(frame) => Some(*connection),
+            Action::SendUpstream { connection, frame } if matches(frame) => Some(*connection),
             _ => None,
         })
     }
 
-    /// Upstreams whose connections it ended, and why.
+    /// The upstreams whose connections ended, and the reasons.
     pub(crate) fn disconnected<'a>(&'a self) -> Vec<(&'a str, DisconnectReason)> {
-        let left = |action: &'a Action| match action {
+        let disconnect = |action: &'a Action| match action {
             Action::Log(RelayEvent::UpstreamDisconnected { upstream, reason, .. }) => {
                 Some((upstream.as_str(), *reason))
             }
             _ => None,
         };
-        self.actions.iter().filter_map(left).collect()
+        self.actions.iter().filter_map(disconnect).collect()
     }
 
-    /// Two connected upstreams besides "near".
+    /// The names of two connected upstreams other than "near".
     pub(crate) fn others(&self) -> (String, String) {
         let mut names = self.connections.keys().filter(|name| *name != "near").cloned();
         (names.next().expect("another"), names.next().expect("a third"))
--- a/crates/control-plane/tests/relay/lies.rs
+++ b/crates/control-plane/tests/relay/lies.rs
@@ -1,4 +1,5 @@
-//! Relays that lie. Some serve another log and are correct in all else; some send frames that no honest relay sends.
+//! The ways in which a relay may lie. Some lying relays serve a false log and behave correctly otherwise;
+//! others send frames that no honest relay sends.
 
 use std::time::Duration;
 
@@ -8,39 +9,39 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lie {
-    /// Changes that nobody wrote, chained to those that were written.
+    /// Serves changes that the writer did not write, chained to changes that it did write.
     Forged,
-    /// Another history from the beginning on.
+    /// Serves another history from the first version on.
     OtherLog,
-    /// True changes, and checkpoints at the right position with another state.
+    /// Serves true changes, but checkpoints at the right position with another state.
     FalseState,
-    /// Nothing that was written since it began to lie.
+    /// Serves no change that was written after it started to lie.
     Old,
-    /// Forged changes without end.
+    /// Serves forged changes without end.
     Runaway,
-    /// Bodies edited under the hashes that belong to them.
+    /// Edits the bodies of entries and sends them with their original hashes.
     Edited,
-    /// Hashes edited.
+    /// Edits hashes.
     Hashes,
-    /// Entries are left out; heartbeats are not.
+    /// Sends heartbeats but no entries.
     Withheld,
-    /// A version far ahead of what was written.
+    /// Announces a version far ahead of the newest one.
     FarAhead,
-    /// Versions that run backwards.
+    /// Announces versions that decrease.
     Backwards,
-    /// Frames without end.
+    /// Sends frames without end.
     Endless,
-    /// Empty parts without end.
+    /// Sends empty parts without end.
     Empty,
-    /// Bytes that are no frame.
+    /// Sends bytes that are not a frame.
     Noise,
-    /// Every request for a checkpoint is answered with a time to retry.
+    /// Answers every request for a checkpoint with a time to retry.
     Later,
-    /// Another checkpoint's bytes.
+    /// Sends bytes that are not those of the requested checkpoint.
     Parts,
-    /// A path with all names on it.
+    /// Announces a path that contains the names of many members.
     Path,
-    /// Another's name.
+    /// Uses the name of another member.
     Name,
 }
 
@@ -65,12 +66,12 @@
         Lie::Name,
     ];
 
-    /// Whether it serves a log of its own, as if it read it from a folder.
+    /// Whether the relay serves a separate false log, as if it read that log from a folder.
     pub fn of_log(self) -> bool {
         matches!(self, Lie::Forged | Lie::OtherLog | Lie::FalseState | Lie::Old | Lie::Runaway)
     }
 
-    /// What it sends in place of a frame; `nth` counts its frames.
+    /// The frames that it sends in place of a frame; `nth` is the number of frames it has sent so far.
     pub fn falsify(self, frame: FromUpstream, nth: u64, names: &[String]) -> Vec<Bytes> {
         let frames = match frame {
             FromUpstream::Entry { .. } => self.falsify_entry(frame),
@@ -123,7 +124,7 @@
         checkpoint: Option<Checkpoint>,
         nth: u64,
     ) -> Vec<FromUpstream> {
-        let told = FromUpstream::Head { head, oldest_version, checkpoint };
+        let truth = FromUpstream::Head { head, oldest_version, checkpoint };
         match self {
             Lie::FarAhead => {
                 let head = Position { version: head.version + 1_000_000_000 + nth, hash: [9; 32] };
@@ -132,9 +133,9 @@
             }
             Lie::Backwards if nth % 3 == 2 => {
                 let back = Position { version: head.version / 2, ..head };
-                vec![told, FromUpstream::Head { head: back, oldest_version: 0, checkpoint: None }]
+                vec![truth, FromUpstream::Head { head: back, oldest_version: 0, checkpoint: None }]
             }
-            _ => vec![told],
+            _ => vec![truth],
         }
     }
 
@@ -162,7 +163,7 @@
     }
 }
 
-/// Bytes that are no frame.
+/// Bytes that are not a valid frame.
 fn noise() -> Bytes {
     let mut noise = BytesMut::new();
     noise.put_u32(3);
--- a/crates/control-plane/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -1,8 +1,10 @@
-//! The whole tree of relays and gateways in virtual time: the product's nodes on connections that delay, end and are
-//! cut, as processes that die, freeze and are slow, with relays among them that lie.
+//! Simulates the complete tree of relays and gateways in virtual time. The product's nodes run in processes
+//! that die, freeze or are slow, on connections that delay frames, end or are cut off. Some of the relays
+//! lie.
 //!
-//! Checked at every step: an honest member builds only on what the writer wrote, in order; what it has committed never goes
-//! back, not over restarts either; what it holds, queues and serves at once is bounded.
+//! Checked at every step: an honest member applies only changes that the writer wrote, in order; its
+//! committed version never decreases, not even across restarts; the data that it holds, queues and sends at
+//! the same time is bounded.
 
 mod fault_cases;
 mod follower;
@@ -20,30 +22,30 @@
 use rand::Rng;
 use umbertray_store_protocol::changes::Role;
 
-/// Everything written is committed at every live gateway within this, with any one relay gone or lying.
+/// Every change is committed at every live gateway within this time, with any one relay down or lying.
 pub const MAX_APPLY_DELAY: Duration = Duration::from_secs(17);
 
-/// Three relays that read the folder, three in the zones that follow them, and gateways in each zone that follow those. The
-/// third zone is in another region.
+/// Builds a tree of three relays that read the folder, one relay in each of three zones that follows them,
+/// and gateways in each zone that follow the zone relays. The third zone is in another region.
 pub fn tree(seed: u64, quorum: usize, gateways: usize) -> Network {
     let mut network = Network::new(seed, quorum, 500);
     let zones = [("a", 0), ("b", 0), ("c", 1)];
-    let tops: Vec<Id> = [0, 1, 0]
+    let folder_relays: Vec<Id> = [0, 1, 0]
         .iter()
         .zip(0..)
         .map(|(zone, nth)| network.add(&format!("top-{nth}"), zones[*zone], Role::Relay, vec![]))
         .collect();
     let zone = |network: &mut Network, nth: usize| {
-        network.add(&format!("zone-{nth}"), zones[nth], Role::Relay, tops.clone())
+        network.add(&format!("zone-{nth}"), zones[nth], Role::Relay, folder_relays.clone())
     };
-    let relays: Vec<Id> = (0..3).map(|nth| zone(&mut network, nth)).collect();
+    let zone_relays: Vec<Id> = (0..3).map(|nth| zone(&mut network, nth)).collect();
     for nth in 0..gateways * 3 {
-        network.add(&format!("gateway-{nth}"), zones[nth % 3], Role::Gateway, relays.clone());
+        network.add(&format!("gateway-{nth}"), zones[nth % 3], Role::Gateway, zone_relays.clone());
     }
     network
 }
 
-/// Injects a random fault, or ends one; its description.
+/// Injects or ends a random fault, and returns its description.
 fn inject_fault(network: &mut Network) -> String {
     let relays = network.relays();
     let all = network.members.len();
@@ -68,12 +70,12 @@
             format!("{} thaws", network.members[relay].name)
         }
         5 => {
-            network.members[relay].slow = Duration::from_millis(network.rng.random_range(0..1500));
-            format!("{} is slow by {:?}", network.members[relay].name, network.members[relay].slow)
+            network.members[relay].send_delay = Duration::from_millis(network.rng.random_range(0..1500));
+            format!("{} is slow by {:?}", network.members[relay].name, network.members[relay].send_delay)
         }
         6 => {
-            network.cut = !network.cut;
-            format!("cut: {}", network.cut)
+            network.is_region_cut_off = !network.is_region_cut_off;
+            format!("region cut off: {}", network.is_region_cut_off)
         }
         7 => {
             relays.iter().for_each(|relay| network.kill(*relay));
@@ -81,9 +83,9 @@
             "all relays are restarted".into()
         }
         8 => {
-            // Most of a run's time is hashing.
-            let most = if network.rng.random_ratio(1, 5) { 400_000 } else { 4000 };
-            let length = network.rng.random_range(0..most);
+            // Long changes are rare, since hashing takes most of a run's time.
+            let max_length = if network.rng.random_ratio(1, 5) { 400_000 } else { 4000 };
+            let length = network.rng.random_range(0..max_length);
             network.write(length);
             format!("a change of {length} bytes")
         }
@@ -95,9 +97,9 @@
 }
 
 fn repair(network: &mut Network) {
-    network.cut = false;
+    network.is_region_cut_off = false;
     for id in 0..network.members.len() {
-        network.members[id].slow = Duration::ZERO;
+        network.members[id].send_delay = Duration::ZERO;
         if network.members[id].node.is_none() {
             network.start(id);
         }
@@ -107,7 +109,11 @@
     }
 }
 
-/// A run of faults, then their repair: how long it took until all was applied, or what was violated and by which events.
+/// Runs random faults, and then repairs them. Returns how long it took from the repair until every change was
+/// applied.
+///
+/// # Errors
+/// The rules that were violated, or the members that lag, with the trace of faults.
 fn run(seed: u64, quorum: usize, lies: &[(Id, Lie)]) -> Result<Duration, String> {
     let mut network = tree(seed, quorum, 4);
     let mut trace = vec![format!("seed {seed}, quorum {quorum}, {lies:?}")];
@@ -169,10 +175,10 @@
 #[test]
 fn random_faults_once_repaired_leave_everything_applied() {
     let longest = (0..SEEDS).map(|seed| run(seed, 2, &[]).unwrap_or_else(|trace| panic!("{trace}"))).max();
-    println!("applied at the latest {longest:?} after all was repaired");
+    println!("applied at the latest {longest:?} after all faults were repaired");
 }
 
-/// One of six relays lies, and random faults are injected beside it.
+/// One of the six relays lies while random faults are injected.
 #[test]
 fn single_lying_relay_delays_and_does_no_more() {
     let mut longest = Duration::ZERO;
@@ -186,7 +192,8 @@
     println!("applied at the latest {longest:?} after all but the lying relay was repaired");
 }
 
-/// Where the quorum is no larger than the number of lying relays, the rules above are violated, and that is found.
+/// Verifies the checker itself: if the quorum is not larger than the number of lying relays, it finds
+/// violations.
 #[test]
 fn checker_with_quorum_too_small_finds_violations() {
     let violations = |quorum: usize, lies: &[(Id, Lie)]| {
@@ -194,11 +201,11 @@
             .find_map(|seed| run(seed, quorum, lies).err().filter(|trace| trace.contains("written\"")))
             .is_some()
     };
-    assert!(violations(1, &[(3, Lie::Forged)]), "a forged change, told by one");
-    assert!(violations(1, &[(3, Lie::FalseState)]), "a false state, told by one");
-    assert!(violations(2, &[(3, Lie::Forged), (4, Lie::Forged)]), "a forged change, told by two that lie");
+    assert!(violations(1, &[(3, Lie::Forged)]), "a forged change from one lying relay");
+    assert!(violations(1, &[(3, Lie::FalseState)]), "a false state from one lying relay");
+    assert!(violations(2, &[(3, Lie::Forged), (4, Lie::Forged)]), "a forged change from two lying relays");
     assert!(
         violations(2, &[(0, Lie::FalseState), (1, Lie::FalseState)]),
-        "a false state, told by two that lie"
+        "a false state from two lying relays"
     );
 }
--- a/crates/control-plane/tests/relay/network/links.rs
+++ b/crates/control-plane/tests/relay/network/links.rs
@@ -1,4 +1,4 @@
-//! Connections between members, which delay frames, end and are cut.
+//! Connections between members, which delay frames, end, and may be cut off.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 
 use super::{Direction, Id, Network, NetworkEvent};
 
-/// A connection of two members.
+/// A connection between two members.
 pub(super) struct Link {
     pub(super) follower: Id,
-    /// The follower's id of it.
+    /// The follower's id of this connection.
     up_connection: ConnectionId,
     pub(super) upstream: Id,
-    /// The upstream's id of it.
+    /// The upstream's id of this connection.
     down_connection: ConnectionId,
-    /// When the last frame of each direction arrives.
+    /// When the last frame in each direction arrives.
     last_arrivals: [Duration; 2],
-    /// Bytes on their way to the follower.
+    /// Bytes in transit to the follower.
     unsent: usize,
 }
 
 impl Link {
-    /// The member that frames of a direction arrive at.
+    /// The member that receives the frames of a direction.
     fn receiver(&self, direction: Direction) -> Id {
         match direction {
             Direction::Up => self.upstream,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The event of the end of the connection, for the member that frames of a direction arrive at.
+    /// The event that reports the end of the connection to the receiver of a direction.
     fn end_event(&self, direction: Direction) -> Event {
         match direction {
             Direction::Up => Event::FollowerDisconnected(self.down_connection),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The event of a frame's bytes, for the member that they arrive at.
+    /// The event that reports a frame's bytes to the receiver of a direction.
     fn frame_event(&self, direction: Direction, bytes: &Bytes) -> Event {
         let mut input = BytesMut::from(&bytes[..]);
         match direction {
@@ -59,26 +59,27 @@
 }
 
 impl Network {
-    /// A random connection ends.
+    /// Ends a random connection, if there is one.
     pub fn lose_random_connection(&mut self) {
         let links: Vec<u64> = self.links.keys().copied().collect();
         if !links.is_empty() {
             let lost = links[self.rng.random_range(0..links.len())];
-            self.end(lost);
+            self.end_link(lost);
         }
     }
 
     pub(super) fn connect(&mut self, id: Id, upstream: usize, up_connection: ConnectionId) {
         let upstream = self.members[id].upstreams[upstream];
-        self.next += 1;
-        let link_id = self.next;
+        self.next_id += 1;
+        let link_id = self.next_id;
         let down_connection = ConnectionId(link_id);
         let last_arrivals = [self.now; 2];
         let link = Link { follower: id, up_connection, upstream, down_connection, last_arrivals, unsent: 0 };
-        self.ends.insert((id, up_connection), (link_id, Direction::Up));
-        self.ends.insert((upstream, down_connection), (link_id, Direction::Down));
+        self.link_ends.insert((id, up_connection), (link_id, Direction::Up));
+        self.link_ends.insert((upstream, down_connection), (link_id, Direction::Down));
         self.links.insert(link_id, link);
-        // Where the network is cut nothing comes back; a process that is gone is noticed at once.
+        // If the region is cut off, the attempt gets no response. A process that is not running rejects it at
+        // once.
         if !self.is_cut(id, upstream) {
             let ok = self.members[upstream].node.is_some();
             self.push(self.now + self.delay(id, upstream), NetworkEvent::Connect { link_id, ok });
@@ -97,9 +98,10 @@
         }
     }
 
-    /// A network that is cut loses frames silently.
+    /// Whether frames between two members are lost silently because their regions are cut off from each
+    /// other.
     fn is_cut(&self, one: Id, other: Id) -> bool {
-        self.cut && self.members[one].place.region != self.members[other].place.region
+        self.is_region_cut_off && self.members[one].site.region != self.members[other].site.region
     }
 
     pub(super) fn on_frame(&mut self, link_id: u64, direction: Direction, bytes: &Bytes) {
@@ -111,47 +113,48 @@
         let receiver = link.receiver(direction);
         let event = link.frame_event(direction, bytes);
         if self.is_cut(follower, upstream) {
-            // The stream is broken from here on; both ends find out by their idle timeouts.
+            // A frame is lost, so that the stream cannot continue; both members detect it by their idle
+            // timeouts.
             self.links.remove(&link_id);
             return;
         }
         self.deliver(receiver, event);
     }
 
-    /// Ends a connection, and tells both members.
-    pub(super) fn end(&mut self, link_id: u64) {
+    /// Ends a connection, and notifies both members.
+    pub(super) fn end_link(&mut self, link_id: u64) {
         let Some(link) = self.links.remove(&link_id) else { return };
         self.deliver(link.follower, link.end_event(Direction::Down));
         self.deliver(link.upstream, link.end_event(Direction::Up));
     }
 
-    /// A member's close arrives at the other.
+    /// Handles the arrival of a member's close at the other member.
     pub(super) fn on_end(&mut self, link_id: u64, direction: Direction) {
         let Some(link) = self.links.remove(&link_id) else { return };
         self.deliver(link.receiver(direction), link.end_event(direction));
     }
 
     fn link_of(&self, id: Id, connection: ConnectionId) -> Option<(u64, Direction)> {
-        let end = self.ends.get(&(id, connection)).copied();
+        let end = self.link_ends.get(&(id, connection)).copied();
         end.filter(|(link_id, _)| self.links.contains_key(link_id))
     }
 
     fn delay(&self, from: Id, to: Id) -> Duration {
-        let is_far = self.members[from].place.region != self.members[to].place.region;
-        Duration::from_millis(if is_far { 70 } else { 1 }) + self.members[from].slow
+        let is_far = self.members[from].site.region != self.members[to].site.region;
+        Duration::from_millis(if is_far { 70 } else { 1 }) + self.members[from].send_delay
     }
 
     pub(super) fn send(&mut self, id: Id, connection: ConnectionId, bytes: Bytes) {
         let Some((link_id, direction)) = self.link_of(id, connection) else { return };
-        let counted = self.counted.entry((id, direction)).or_default();
-        *counted.frames.entry(bytes[4]).or_default() += 1;
-        counted.bytes += bytes.len();
+        let traffic = self.traffic.entry((id, direction)).or_default();
+        *traffic.frames.entry(bytes[4]).or_default() += 1;
+        traffic.bytes += bytes.len();
         let Some(link) = self.links.get_mut(&link_id) else { return };
         let receiver = link.receiver(direction);
         if direction == Direction::Down {
             link.unsent += bytes.len();
             let unsent = link.unsent;
-            self.check_rule(id, unsent <= MAX_UNSENT, "queues little for a follower");
+            self.check_rule(id, unsent <= MAX_UNSENT, "limits the bytes queued for a follower");
         }
         let delay = self.delay(id, receiver);
         let Some(link) = self.links.get_mut(&link_id) else { return };
--- a/crates/control-plane/tests/relay/network/members.rs
+++ b/crates/control-plane/tests/relay/network/members.rs
@@ -1,4 +1,4 @@
-//! Members: relays, gateways and the folder that some relays read; how they start, stop and lie.
+//! Members of the network: how relays and gateways start, stop and lie, and how relays read the folder.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use umbertray_control_plane::relay::{Config, Event, Origin, RelayNode, Upstream};
 use umbertray_store_protocol::changes::Role;
 
-use super::{FolderCursor, Id, Member, Network, NetworkEvent, Place};
+use super::{FolderCursor, Id, Member, Network, NetworkEvent, Site};
 use crate::lies::Lie;
 use crate::reference_log::Log;
 
@@ -15,19 +15,19 @@
         let folder = upstreams.is_empty();
         self.members.push(Member {
             name: name.into(),
-            place: Place { zone: zone.0.into(), region: zone.1 },
+            site: Site { zone: zone.0.into(), region: zone.1 },
             role,
             upstreams,
             lie: None,
             node: None,
-            start: 0,
+            start_count: 0,
             frozen: false,
             never_applies: false,
-            slow: Duration::ZERO,
+            send_delay: Duration::ZERO,
             deferred_events: Vec::new(),
             built: None,
             committed: None,
-            keeps: role == Role::Gateway,
+            keeps_committed: role == Role::Gateway,
             folder_cursor: folder.then_some(FolderCursor { log: None, read_up_to: 0, segment: None }),
             frames_sent: 0,
             logged: Vec::new(),
@@ -37,20 +37,21 @@
     }
 
     pub fn gateways(&self) -> Vec<Id> {
-        let of = |id: &Id| self.members[*id].role == Role::Gateway;
-        (0..self.members.len()).filter(of).collect()
+        let has_role = |id: &Id| self.members[*id].role == Role::Gateway;
+        (0..self.members.len()).filter(has_role).collect()
     }
 
     pub fn relays(&self) -> Vec<Id> {
-        let of = |id: &Id| self.members[*id].role == Role::Relay;
-        (0..self.members.len()).filter(of).collect()
+        let has_role = |id: &Id| self.members[*id].role == Role::Relay;
+        (0..self.members.len()).filter(has_role).collect()
     }
 
-    /// A relay lies from its next start on.
+    /// Makes a relay lie from its next start on.
     pub fn set_lie(&mut self, id: Id, lie: Lie) {
         let log = lie.of_log().then(|| {
-            let mut log = if lie == Lie::OtherLog { Log::new(self.log.state) } else { self.log.clone() };
-            log.says = if lie == Lie::Old { "true" } else { "false" };
+            let mut log =
+                if lie == Lie::OtherLog { Log::new(self.log.checkpoint_bytes) } else { self.log.clone() };
+            log.label = if lie == Lie::Old { "true" } else { "false" };
             match lie {
                 Lie::Forged | Lie::OtherLog => _ = log.write("forged", 9),
                 Lie::Runaway => (0..3000).for_each(|_| _ = log.write("forged", 9)),
@@ -70,29 +71,33 @@
         self.start_with(id, resumes);
     }
 
-    /// Starts a member; `resumes` says whether a gateway has kept its state, besides its committed position.
+    /// Starts a member. `resumes` says whether a gateway has kept its state in addition to its committed
+    /// position.
     pub fn start_with(&mut self, id: Id, resumes: bool) {
         let seed = self.rng.random();
-        let of = |id: &Id| Upstream {
+        let upstream_config = |id: &Id| Upstream {
             name: self.members[*id].name.clone(),
-            zone: self.members[*id].place.zone.clone(),
+            zone: self.members[*id].site.zone.clone(),
         };
         let member = &self.members[id];
         let origin = if member.folder_cursor.is_some() {
             Origin::Folder
         } else {
-            Origin::Upstreams { upstreams: member.upstreams.iter().map(of).collect(), quorum: self.quorum }
+            Origin::Upstreams {
+                upstreams: member.upstreams.iter().map(upstream_config).collect(),
+                quorum: self.quorum,
+            }
         };
         let config = Config {
             name: member.name.clone(),
-            zone: member.place.zone.clone(),
+            zone: member.site.zone.clone(),
             role: member.role,
             origin,
             seed,
             max_followers: 1000,
         };
         let member = &mut self.members[id];
-        if !member.keeps {
+        if !member.keeps_committed {
             member.committed = None;
         }
         let held = member.committed.filter(|_| member.role == Role::Gateway && resumes);
@@ -100,8 +105,8 @@
             Some(at) => RelayNode::resume(config, at),
             None => RelayNode::new(config, member.committed),
         };
-        member.node = Some(node.expect("a sound configuration"));
-        member.start += 1;
+        member.node = Some(node.expect("a valid configuration"));
+        member.start_count += 1;
         member.built = held;
         member.frozen = false;
         member.deferred_events.clear();
@@ -109,7 +114,7 @@
             .folder_cursor
             .iter_mut()
             .for_each(|folder_cursor| (folder_cursor.read_up_to, folder_cursor.segment) = (0, None));
-        let start = member.start;
+        let start = member.start_count;
         self.read_folder(id);
         self.push(self.now, NetworkEvent::Wake(id, start));
     }
@@ -118,12 +123,12 @@
         (0..self.members.len()).for_each(|id| self.start(id));
     }
 
-    /// The process dies, and its connections with it.
+    /// Kills the process of a member, and ends its connections.
     pub fn kill(&mut self, id: Id) {
         self.members[id].node = None;
-        self.members[id].start += 1;
+        self.members[id].start_count += 1;
         let ended: Vec<u64> = self.links_of(id).collect();
-        ended.into_iter().for_each(|link_id| self.end(link_id));
+        ended.into_iter().for_each(|link_id| self.end_link(link_id));
     }
 
     pub fn thaw(&mut self, id: Id) {
@@ -136,7 +141,7 @@
 
     pub fn write(&mut self, length: usize) {
         self.log.write("change", length);
-        self.written.push(self.now);
+        self.written_at.push(self.now);
         let liars: Vec<Id> = (0..self.members.len()).filter(|id| self.members[*id].lie.is_some()).collect();
         for id in liars {
             let lie = self.members[id].lie;
@@ -155,7 +160,7 @@
         (0..self.members.len()).for_each(|id| self.read_folder(id));
     }
 
-    /// Gives a relay that reads the folder what is new there.
+    /// Delivers the new content of the folder to a member that reads it.
     pub(super) fn read_folder(&mut self, id: Id) {
         let member = &mut self.members[id];
         let Some(folder_cursor) = &mut member.folder_cursor else { return };
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -1,5 +1,6 @@
-//! Relays and gateways, the folder that some of the relays read, the connections between them, and what goes wrong. All in virtual
-//! time: each event has its moment, and the same seed gives the same run.
+//! The simulated network: relays and gateways, the folder that some relays read, the connections between
+//! members, and their faults. It runs in virtual time: every event has a scheduled time, and a run is
+//! determined by its seed.
 
 mod links;
 mod members;
@@ -23,34 +24,36 @@
 
 pub(crate) type Id = usize;
 
-/// Where a member runs.
+/// The location that a member runs at.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Site {
     pub zone: String,
     pub region: usize,
 }
 
 pub struct Member {
     pub name: String,
-    pub place: Place,
+    pub site: Site,
     pub role: Role,
     pub upstreams: Vec<Id>,
     pub lie: Option<Lie>,
     pub node: Option<RelayNode>,
-    /// Counts its starts: events for an earlier one are dropped.
-    start: u32,
+    /// Number of its starts and kills. Wake events of an earlier start are dropped.
+    start_count: u32,
     pub frozen: bool,
-    /// It never applies what it is given.
+    /// Whether it never applies the changes that it commits.
     pub never_applies: bool,
-    /// What it sends is delayed by so much.
-    pub slow: Duration,
+    /// Additional delay of every frame that it sends.
+    pub send_delay: Duration,
+    /// Events that are delivered when it is no longer frozen.
     deferred_events: Vec<Event>,
-    /// What it has built, and what it has committed; the last is durable.
+    /// The position of its state, including changes that are not committed.
     built: Option<Position>,
+    /// The position that it committed, which is durable.
     pub committed: Option<Position>,
-    /// Whether what it committed survives its restarts.
-    pub keeps: bool,
-    /// The log that it reads, the true one or a lying one, and how far it has read.
+    /// Whether the committed position survives a restart.
+    pub keeps_committed: bool,
+    /// The log that it reads, if it reads a folder, and how far it has read.
     folder_cursor: Option<FolderCursor>,
     frames_sent: u64,
     pub logged: Vec<RelayEvent>,
@@ -58,6 +61,7 @@
 }
 
 struct FolderCursor {
+    /// A false log; `None` for the true one.
     log: Option<Log>,
     read_up_to: u64,
     segment: Option<u64>,
@@ -76,9 +80,10 @@
     End { link_id: u64, direction: Direction },
 }
 
-/// What crossed the connections, by the kind of frame.
+/// The frames and bytes that a member sent.
 #[derive(Default, Clone, Debug)]
-pub struct Counted {
+pub struct Traffic {
+    /// Number of frames by the kind of frame.
     pub frames: BTreeMap<u8, usize>,
     pub bytes: usize,
 }
@@ -90,48 +95,48 @@
     event_queue: BinaryHeap<Reverse<(Duration, u64)>>,
     queued: HashMap<u64, NetworkEvent>,
     links: BTreeMap<u64, Link>,
-    /// The connection, and the end of it, that a member's id stands for.
-    ends: HashMap<(Id, ConnectionId), (u64, Direction)>,
-    next: u64,
+    /// The link, and the end of it, that a member's connection id identifies.
+    link_ends: HashMap<(Id, ConnectionId), (u64, Direction)>,
+    next_id: u64,
     pub rng: SmallRng,
-    pub cut: bool,
+    pub is_region_cut_off: bool,
     pub quorum: usize,
-    pub counted: HashMap<(Id, Direction), Counted>,
-    pub most_checkpoint_transfers: usize,
-    /// Rules that were broken, by which member and when.
+    pub traffic: HashMap<(Id, Direction), Traffic>,
+    pub max_checkpoint_transfers: usize,
+    /// The rules that were violated, with the member and the time.
     pub violations: Vec<String>,
     /// When each version was written.
-    pub written: Vec<Duration>,
-    /// The longest time from writing a version to its commit at a member.
-    pub longest: Duration,
+    pub written_at: Vec<Duration>,
+    /// The longest time from the write of a version until its commit at a member.
+    pub longest_delay: Duration,
 }
 
 impl Network {
-    pub fn new(seed: u64, quorum: usize, state: usize) -> Network {
+    pub fn new(seed: u64, quorum: usize, checkpoint_bytes: usize) -> Network {
         Network {
             now: Duration::ZERO,
-            log: Log::new(state),
+            log: Log::new(checkpoint_bytes),
             members: Vec::new(),
             event_queue: BinaryHeap::new(),
             queued: HashMap::new(),
             links: BTreeMap::new(),
-            ends: HashMap::new(),
-            next: 0,
+            link_ends: HashMap::new(),
+            next_id: 0,
             rng: SmallRng::seed_from_u64(seed),
-            cut: false,
+            is_region_cut_off: false,
             quorum,
-            counted: HashMap::new(),
-            most_checkpoint_transfers: 0,
+            traffic: HashMap::new(),
+            max_checkpoint_transfers: 0,
             violations: Vec::new(),
-            written: Vec::new(),
-            longest: Duration::ZERO,
+            written_at: Vec::new(),
+            longest_delay: Duration::ZERO,
         }
     }
 
     fn push(&mut self, at: Duration, event: NetworkEvent) {
-        self.next += 1;
-        self.event_queue.push(Reverse((at, self.next)));
-        self.queued.insert(self.next, event);
+        self.next_id += 1;
+        self.event_queue.push(Reverse((at, self.next_id)));
+        self.queued.insert(self.next_id, event);
     }
 
     pub fn run(&mut self, until: Duration) {
@@ -141,7 +146,7 @@
             self.event_queue.pop();
             self.now = at;
             if let Some(event) = self.queued.remove(&id) {
-                self.on_net_event(event);
+                self.on_network_event(event);
             }
         }
         self.now = until;
@@ -151,16 +156,16 @@
         self.run(self.now + time);
     }
 
-    /// Runs for a random time up to so many milliseconds.
-    pub fn run_up_to(&mut self, most: u64) {
-        let time = self.rng.random_range(0..most);
+    /// Runs for a random time below `max_ms` milliseconds.
+    pub fn run_up_to(&mut self, max_ms: u64) {
+        let time = self.rng.random_range(0..max_ms);
         self.run_for(Duration::from_millis(time));
     }
 
-    fn on_net_event(&mut self, event: NetworkEvent) {
+    fn on_network_event(&mut self, event: NetworkEvent) {
         match event {
             NetworkEvent::Wake(id, start) => {
-                if self.members[id].start == start {
+                if self.members[id].start_count == start {
                     if !self.members[id].frozen {
                         self.deliver(id, Event::Tick);
                         self.check_bounds(id);
@@ -203,8 +208,12 @@
             Action::AppendEntry(entry) => {
                 let expected = self.log.entries.get(entry.at.version as usize - 1).cloned();
                 let next = self.members[id].built.map(|built| built.version + 1);
-                self.check_rule(id, next == Some(entry.at.version), "acts in order");
-                self.check_rule(id, expected.as_ref() == Some(&entry), "acts on what was written");
+                self.check_rule(id, next == Some(entry.at.version), "appends entries in order");
+                self.check_rule(
+                    id,
+                    expected.as_ref() == Some(&entry),
+                    "appends only entries that were written",
+                );
                 self.members[id].built = Some(entry.at);
             }
             Action::Commit(at) => self.on_commit(id, at),
--- a/crates/control-plane/tests/relay/network/rules.rs
+++ b/crates/control-plane/tests/relay/network/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that every honest member keeps at every step, and what a failed run prints.
+//! The rules that every honest member has to satisfy at every step, and the description of a failed run.
 
 use bytes::Bytes;
 use umbertray_control_plane::relay::{Event, MAX_CHECKPOINT_TRANSFERS, MAX_SUFFIX_BYTES, WINDOW};
@@ -9,31 +9,35 @@
 impl Network {
     pub(super) fn on_checkpoint(&mut self, id: Id, at: Position, checkpoint: &Bytes) {
         let expected = (at.version <= self.log.head().version).then(|| self.log.checkpoint(at.version));
-        self.check_rule(id, expected == Some((at, checkpoint.clone())), "adopts what was written");
-        let further = self.members[id].built.is_none_or(|built| built.version < at.version);
-        self.check_rule(id, further, "adopts what is newer");
+        self.check_rule(
+            id,
+            expected == Some((at, checkpoint.clone())),
+            "loads only states that were written",
+        );
+        let is_newer = self.members[id].built.is_none_or(|built| built.version < at.version);
+        self.check_rule(id, is_newer, "loads only checkpoints that are newer than its state");
         self.members[id].built = Some(at);
         self.members[id].checkpoints_loaded += 1;
     }
 
     pub(super) fn on_commit(&mut self, id: Id, at: Position) {
         let before = self.members[id].committed;
-        self.check_rule(id, self.members[id].built == Some(at), "has in force what it built");
+        self.check_rule(id, self.members[id].built == Some(at), "commits the position of its state");
         self.check_rule(id, before.is_none_or(|before| before.version <= at.version), "never goes back");
         self.members[id].committed = Some(at);
         let first = before.map_or(at.version, |before| at.version.min(before.version + 1));
-        if let Some(written) = self.written.get(first as usize - 1) {
-            self.longest = self.longest.max(self.now - *written);
+        if let Some(written) = self.written_at.get(first as usize - 1) {
+            self.longest_delay = self.longest_delay.max(self.now - *written);
         }
         if !self.members[id].never_applies {
             self.deliver(id, Event::Applied(at.version));
         }
     }
 
-    /// Records a violation unless an honest member keeps a rule.
-    pub(super) fn check_rule(&mut self, id: Id, kept: bool, rule: &str) {
+    /// Records a violation if an honest member does not satisfy a rule.
+    pub(super) fn check_rule(&mut self, id: Id, is_satisfied: bool, rule: &str) {
         let member = &self.members[id];
-        if !kept && member.lie.is_none() {
+        if !is_satisfied && member.lie.is_none() {
             self.violations.push(format!("{} at {:?}: {rule}", member.name, self.now));
         }
     }
@@ -41,20 +45,25 @@
     pub(super) fn check_bounds(&mut self, id: Id) {
         let Some(node) = &self.members[id].node else { return };
         let status = node.status(self.now);
-        let longest = self.log.longest;
-        let state = self.log.state.max(1 << 10);
-        let waiting = MAX_SUFFIX_BYTES + WINDOW as usize * 2 + longest.max(state);
-        self.most_checkpoint_transfers = self.most_checkpoint_transfers.max(status.checkpoint_transfers);
+        let longest_body = self.log.longest_body;
+        let checkpoint_bytes = self.log.checkpoint_bytes.max(1 << 10);
+        let max_unconfirmed = MAX_SUFFIX_BYTES + WINDOW as usize * 2 + longest_body.max(checkpoint_bytes);
+        let max_held = (9 << 20) + checkpoint_bytes + longest_body;
+        self.max_checkpoint_transfers = self.max_checkpoint_transfers.max(status.checkpoint_transfers);
         self.check_rule(
             id,
             status.checkpoint_transfers <= MAX_CHECKPOINT_TRANSFERS,
-            "sends few checkpoints at once",
+            "limits the number of checkpoints sent at the same time",
+        );
+        self.check_rule(
+            id,
+            status.unconfirmed_bytes <= max_unconfirmed,
+            "limits the bytes held without a quorum",
         );
-        self.check_rule(id, status.unconfirmed_bytes <= waiting, "holds little without a quorum");
-        self.check_rule(id, status.held_bytes <= (9 << 20) + state + longest, "holds a bounded log suffix");
+        self.check_rule(id, status.held_bytes <= max_held, "limits the size of its log suffix");
     }
 
-    /// The status of the relays and some gateways, and what they logged last.
+    /// The status and the last log events of the relays and of up to this number of gateways.
     pub fn describe(&self, gateways: usize) -> Vec<String> {
         let describe = |member: &Member| {
             let status = member.node.as_ref().map(|node| node.status(self.now));
@@ -75,10 +84,10 @@
         self.members.iter().take(7 + gateways).map(describe).collect()
     }
 
-    /// Live gateways that have not committed the newest version.
+    /// The live gateways that have not committed the newest version.
     pub fn lagging(&self) -> Vec<String> {
         let head = self.log.head();
-        let of = |member: &&Member| {
+        let is_lagging = |member: &&Member| {
             member.role == Role::Gateway
                 && member.node.is_some()
                 && !member.frozen
@@ -86,6 +95,6 @@
         };
         let describe =
             |member: &Member| format!("{} has {:?}", member.name, member.committed.map(|at| at.version));
-        self.members.iter().filter(of).map(describe).collect()
+        self.members.iter().filter(is_lagging).map(describe).collect()
     }
 }
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -1,4 +1,4 @@
-//! Progress summaries: which versions members have applied, as operators see it.
+//! Progress summaries, from which operators see the versions that members have applied.
 
 use std::time::Duration;
 
@@ -39,9 +39,9 @@
     network.run_for(20 * SECOND);
     assert_eq!(levels(&network), [(5, 30)]);
     assert_eq!(lagging(&network), []);
-    // One gateway never applies what it receives; another dies.
+    // One gateway never applies the changes that it receives; another one freezes later.
     let never_applies = network.gateways()[4];
-    let dead = network.gateways()[7];
+    let frozen = network.gateways()[7];
     network.members[never_applies].never_applies = true;
     network.write(9);
     network.run_for(5 * SECOND);
@@ -49,9 +49,9 @@
     let named = lagging(&network);
     assert_eq!((named.len(), named[0].name.as_str(), named[0].version), (1, "gateway-4", 5));
     assert!((20..=26).contains(&named[0].lag_seconds), "{} s", named[0].lag_seconds);
-    network.members[dead].frozen = true;
+    network.members[frozen].frozen = true;
     network.run_for(LEASE / 2);
-    assert_eq!(levels(&network), [(6, 29), (5, 1)], "its lease is not over");
+    assert_eq!(levels(&network), [(6, 29), (5, 1)], "the lease of the frozen gateway has not expired");
     network.run_for(LEASE);
     assert_eq!(levels(&network), [(6, 28), (5, 1)]);
 }
@@ -65,7 +65,7 @@
         seed: 1,
         max_followers: 1000,
     };
-    let mut node = RelayNode::new(config, None).expect("sound");
+    let mut node = RelayNode::new(config, None).expect("a valid configuration");
     let mut log = Log::new(9);
     (0..100).for_each(|_| _ = log.write("change", 9));
     let (at, bytes) = log.checkpoint(0);
@@ -122,7 +122,7 @@
             matches!(&logged[..], [RelayEvent::InvalidProgress { follower, .. }] if follower == "member-002"),
             "{summary:?}"
         );
-        assert_eq!(report_progress(&mut node, connection, summary), [], "told once");
+        assert_eq!(report_progress(&mut node, connection, summary), [], "logged once");
         assert_eq!(node.status(Duration::ZERO).progress, ProgressSummary::default());
     }
 }
@@ -142,7 +142,7 @@
     assert_eq!(summary.levels.len(), MAX_VERSION_COUNTS);
     assert_eq!(summary.levels.iter().map(|level| level.members).sum::<u32>(), 50);
     assert_eq!(summary.levels[0], level(59, 1));
-    assert_eq!(summary.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest stand for all below");
+    assert_eq!(summary.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest versions are merged");
     assert_eq!(summary.lagging.len(), MAX_LAGGING);
     assert_eq!((summary.lagging[0].name.as_str(), summary.lagging[0].version), ("member-010", 10));
 }
--- a/crates/control-plane/tests/relay/single_node.rs
+++ b/crates/control-plane/tests/relay/single_node.rs
@@ -1,4 +1,5 @@
-//! One node by itself: invalid configurations, followers that violate the protocol, and a folder that is rolled back.
+//! Tests of a single node: invalid configurations, followers that violate the protocol, and a folder that is
+//! rolled back.
 
 use std::time::Duration;
 
@@ -55,7 +56,7 @@
 fn relay() -> (RelayNode, ConnectionId) {
     let mut log = Log::new(100);
     (0..3).for_each(|_| _ = log.write("change", 9));
-    let mut node = RelayNode::new(config("relay", Origin::Folder), None).expect("sound");
+    let mut node = RelayNode::new(config("relay", Origin::Folder), None).expect("a valid configuration");
     let (at, bytes) = log.checkpoint(0);
     node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes });
     node.handle(Duration::ZERO, Event::FolderEntries(log.entries));
@@ -72,7 +73,7 @@
     let other = Position { version: 2, hash: [1; 32] };
     let ahead = Position { version: 9, hash: [1; 32] };
     let hello = || ToUpstream::Hello { name: "below".into(), zone: "a".into(), role: Role::Relay };
-    for (frame, reason, left) in [
+    for (frame, reason, expected_close) in [
         (ToUpstream::Follow { after: other }, RefusalReason::Fork, DisconnectReason::Fork),
         (ToUpstream::Follow { after: ahead }, RefusalReason::Ahead, DisconnectReason::ProtocolViolation),
         (
@@ -90,7 +91,7 @@
         let (mut node, connection) = relay();
         let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
         assert_eq!(sent_frames(&actions), [&FromUpstream::Refused { reason }]);
-        assert_eq!(close_reason(&actions), Some(left));
+        assert_eq!(close_reason(&actions), Some(expected_close));
         assert_eq!(node.status(Duration::ZERO).followers, 0);
     }
     let (mut node, _) = relay();
@@ -98,7 +99,7 @@
     node.handle(Duration::ZERO, Event::FollowerConnected(connection));
     let frame = ToUpstream::Hello { name: "relay".into(), zone: "a".into(), role: Role::Relay };
     let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
-    assert_eq!(close_reason(&actions), Some(DisconnectReason::Loop), "itself");
+    assert_eq!(close_reason(&actions), Some(DisconnectReason::Loop), "a node that follows itself");
     node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(3)));
     let actions = node.handle(Duration::ZERO, Event::FollowerConnected(ConnectionId(4)));
     assert_eq!(close_reason(&actions), Some(DisconnectReason::TooManyFollowers));
@@ -112,24 +113,24 @@
     let head = node.status(Duration::ZERO).head;
     let mut log = Log::new(100);
     (0..5).for_each(|_| _ = log.write("other", 9));
-    let violations = |actions: Vec<Action>| {
+    let is_rejected = |actions: Vec<Action>| {
         assert!(sent_frames(&actions).is_empty());
         actions.iter().any(|action| matches!(action, Action::Log(RelayEvent::FolderRejected { .. })))
     };
     let entries = |from: usize| Event::FolderEntries(log.entries[from..].to_vec());
-    assert!(violations(node.handle(Duration::ZERO, entries(3))), "another chain");
-    assert!(violations(node.handle(Duration::ZERO, entries(0))), "from the beginning");
+    assert!(is_rejected(node.handle(Duration::ZERO, entries(3))), "another chain");
+    assert!(is_rejected(node.handle(Duration::ZERO, entries(0))), "another chain from the beginning");
     let (at, bytes) = log.checkpoint(2);
     assert!(
-        violations(node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes })),
-        "a fork's checkpoint"
+        is_rejected(node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes })),
+        "a checkpoint of another history"
     );
     let edited = Entry { at: head.after_change(b"one"), body: Bytes::from_static(b"other") };
-    assert!(violations(node.handle(Duration::ZERO, Event::FolderEntries(vec![edited]))), "an edited body");
+    assert!(is_rejected(node.handle(Duration::ZERO, Event::FolderEntries(vec![edited]))), "an edited body");
     assert_eq!(node.status(Duration::ZERO).head, head);
 }
 
-/// A follower that reads nothing after its hello: what it is sent stops at its window.
+/// A follower stops reading after its hello: the entries sent to it are limited by its window.
 #[test]
 fn follower_not_reading_receives_only_its_window() {
     let (mut node, connection) = relay();
@@ -154,7 +155,7 @@
     }
     assert!((200 << 10..330 << 10).contains(&sent), "{sent} bytes");
     assert!(node.status(Duration::ZERO).held_bytes <= MAX_SUFFIX_BYTES + 1000);
-    // It is disconnected when its lease is over.
+    // The follower is disconnected when its lease expires.
     let actions = node.handle(10 * SECOND, Event::Tick);
     assert_eq!(close_reason(&actions), Some(DisconnectReason::IdleTimeout));
 }
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -1,18 +1,20 @@
-//! The sizes that docs/CAPACITY.md states for the coordinator's map are those of what it writes.
+//! Checks that the sizes that docs/CAPACITY.md states for the coordinator's map match the bytes that it
+//! writes.
 
 use umbertray_control_plane::{CoordinatorState, Record};
 use umbertray_store_protocol::volume_id;
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// The figure in the second cell of the page's row of this name.
-fn page(name: &str) -> f64 {
+/// The figure in the second cell of the row of the page with this name.
+fn documented_size(name: &str) -> f64 {
     let row = PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
     cell.replace(',', "").parse().unwrap_or_else(|_| panic!("{name:?} has {cell:?}"))
 }
 
-/// Claims that put each extent at another shard than its neighbours: as many ranges as extents.
+/// Claims that place each extent at another shard than its neighbours, so that the map has as many ranges as
+/// extents.
 fn claims(extents: u64) -> Vec<Record> {
     let claim = |n: u64| {
         let volume = volume_id(&format!("volume-{}", n / 1000));
@@ -22,18 +24,18 @@
     (0..extents).map(claim).collect()
 }
 
-fn bytes_a_range(extents: u64) -> f64 {
+fn bytes_per_range(extents: u64) -> f64 {
     let mut state = CoordinatorState::default();
     claims(extents).iter().for_each(|record| state.apply(record));
     assert_eq!(state.map.ranges() as u64, extents);
     state.encode().len() as f64 / extents as f64
 }
 
-/// Postcard encodes numbers with variable length, so the figures are means over many.
+/// Postcard encodes numbers with variable length, so the figures are means over many records or ranges.
 #[test]
 fn claim_and_checkpoint_sizes_match_documentation() {
     let log = postcard::to_stdvec(&claims(10_000)).expect("numbers").len() as f64 / 10_000.0;
-    assert_eq!(log.round(), page("claim in the coordinator's log, in a group"));
-    let (few, many) = (bytes_a_range(10_000), bytes_a_range(100_000));
-    assert_eq!([few.round(), many.round()], [page("range in the coordinator's checkpoint"); 2]);
+    assert_eq!(log.round(), documented_size("claim in the coordinator's log, in a group"));
+    let (few, many) = (bytes_per_range(10_000), bytes_per_range(100_000));
+    assert_eq!([few.round(), many.round()], [documented_size("range in the coordinator's checkpoint"); 2]);
 }
