--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -30,8 +30,8 @@
 
 /// Interval at which the owner sends [`Event::Tick`]; all times below are rounded up to it.
 pub const TICK: Duration = Duration::from_millis(250);
-/// Maximum interval between two frames of an upstream: it announces its head at each change, and sends a
-/// heartbeat if it has sent no other frame for this long.
+/// Maximum interval between two frames of an upstream: it announces its head at each change, and sends at
+/// least one frame in each such interval.
 pub const HEARTBEAT: Duration = Duration::from_secs(1);
 /// An upstream from which nothing was received for this long, three heartbeats, is disconnected.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -79,7 +79,7 @@
     Empty,
     /// The extents of the range lie at different shards.
     #[error(
-        "extent {extent} lies at shard {shard}, others of the range at {other}: move each part by itself"
+        "extent {extent} lies at shard {shard}, others of the range at {other}: move each part separately"
     )]
     Split {
         /// The first extent that lies at another shard.
--- a/crates/control-plane/tests/explore/store.rs
+++ b/crates/control-plane/tests/explore/store.rs
@@ -43,7 +43,7 @@
                 _ = self.fences.take(term, number, &Order::Activate { span: RANGE, epoch: *epoch });
             }
             Order::Prepare { .. } if check == OrderCheck::Apply => {
-                (self.data, self.content_from) = (Vec::new(), None)
+                (self.data, self.content_from) = (Vec::new(), None);
             }
             Order::TrackChanges { .. } => {
                 let dirty = self.tracked_by.entry(number).or_default();
@@ -64,7 +64,7 @@
                 self.executed.extend(marks.iter().map(|mark| mark.op));
             }
             Order::Clear { .. } if self.fences.closed(&RANGE) => {
-                (self.data, self.content_from) = (Vec::new(), None)
+                (self.data, self.content_from) = (Vec::new(), None);
             }
             Order::StopTracking { .. } => _ = self.tracked_by.remove(&number),
             _ => {}
--- a/crates/control-plane/tests/explore/world/events.rs
+++ b/crates/control-plane/tests/explore/world/events.rs
@@ -59,7 +59,7 @@
                     );
                 }
                 Stage::Queued(location) if !is_early(location) => {
-                    events.push(Event::RunOp { op, duplicated: false })
+                    events.push(Event::RunOp { op, duplicated: false });
                 }
                 Stage::Answered { stale: Some(_) } => {
                     events.push(Event::Coordinator(CoordinatorEvent::Lookup(op), None));
--- a/crates/control-plane/tests/relay/fault_cases.rs
+++ b/crates/control-plane/tests/relay/fault_cases.rs
@@ -216,7 +216,7 @@
     assert_eq!(network.members[gateway].committed.map(|at| at.version), Some(21));
     (0..5).for_each(|_| network.write(77));
     network.run_for(MAX_APPLY_DELAY);
-    assert!(!network.violations.iter().any(|what| what.contains("goes back")));
+    assert!(!network.violations.iter().any(|violation| violation.contains("commits an older version")));
     assert_eq!(network.members[gateway].committed.map(|at| at.version), Some(21));
     network
 }
--- a/crates/control-plane/tests/relay/network/rules.rs
+++ b/crates/control-plane/tests/relay/network/rules.rs
@@ -23,7 +23,11 @@
     pub(super) fn on_commit(&mut self, id: Id, at: Position) {
         let before = self.members[id].committed;
         self.check_rule(id, self.members[id].built == Some(at), "commits the position of its state");
-        self.check_rule(id, before.is_none_or(|before| before.version <= at.version), "never goes back");
+        self.check_rule(
+            id,
+            before.is_none_or(|before| before.version <= at.version),
+            "never commits an older version",
+        );
         self.members[id].committed = Some(at);
         let first = before.map_or(at.version, |before| at.version.min(before.version + 1));
         if let Some(written) = self.written_at.get(first as usize - 1) {
