--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,29 +1,30 @@
-//! The gateway's clock: monotonic time since the Unix epoch.
+//! A gateway's clock: monotonic time since the Unix epoch.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time since the Unix epoch, read once from the system's clock and then advanced monotonically: later steps of the
-/// system's clock do not show.
+/// Time since the Unix epoch, read once from the system clock and then advanced monotonically. Later
+/// adjustments of the system clock have no effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    epoch_offset: Duration,
-    started: Instant,
+    start_since_epoch: Duration,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clock once. A system clock before the epoch counts as the epoch.
+    /// Reads the system clock once. A system clock before the epoch is treated as the epoch.
     pub fn start() -> Clock {
-        let epoch_offset = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { epoch_offset, started: Instant::now() }
+        let start_since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { start_since_epoch, started_at: Instant::now() }
     }
 
-    /// The present.
+    /// The current time.
     pub fn now(&self) -> Duration {
-        self.epoch_offset + self.started.elapsed()
+        self.start_since_epoch + self.started_at.elapsed()
     }
 
-    /// The monotonic instant of a time on this clock; times before its start count as its start.
+    /// Converts a time on this clock to a monotonic instant. Times before the clock's start are converted to
+    /// its start.
     pub fn instant(&self, at: Duration) -> Instant {
-        self.started + at.saturating_sub(self.epoch_offset)
+        self.started_at + at.saturating_sub(self.start_since_epoch)
     }
 }
--- a/crates/nbd-gateway/src/buffer_budget.rs
+++ b/crates/nbd-gateway/src/buffer_budget.rs
@@ -1,5 +1,5 @@
-//! Bytes granted to sessions before their requests are read: a session waits for its own bound, and is rejected where the
-//! gateway has no capacity for its volume. docs/room.md is the design note.
+//! Grants bytes to sessions before their requests are read. A session that has reached its own bound waits; a
+//! request is rejected if the gateway has no capacity for its volume. docs/room.md is the design note.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::{Arc, Mutex};
@@ -11,10 +11,11 @@
 use umbertray_routing::settings::Bounds;
 use umbertray_routing::{BufferGuard, Settings};
 
-/// The least that a request is counted with, for its records, bytes; a session's bound is counted in blocks of this size.
+/// The minimum charged for a request, for its records, in bytes. A session's bound is counted in blocks of
+/// this size.
 const BLOCK: usize = 1024;
 
-/// The bytes of a gateway, shared by all its sessions.
+/// The byte budget of a gateway, shared by all its sessions.
 #[derive(Clone)]
 pub(crate) struct BufferBudget {
     gateway_budget: Arc<Mutex<ByteBudget>>,
@@ -22,28 +23,28 @@
     clock: Clock,
 }
 
-/// One session's view of the budget, with its own bound.
+/// The byte budget of one session: access to the gateway's budget, with the session's own bound.
 #[derive(Clone)]
 pub(crate) struct SessionBudget {
     budget: BufferBudget,
-    own_blocks: Arc<Semaphore>,
+    session_blocks: Arc<Semaphore>,
     session: u64,
 }
 
 /// Result of a request for bytes.
 pub(crate) enum BufferAdmission {
-    /// The bytes are held until the guard is dropped.
+    /// Granted; the bytes are reserved until the guard is dropped.
     Granted(BufferGuard),
-    /// There is no capacity for this volume.
+    /// The gateway has no capacity for this volume.
     Rejected {
-        /// When a retry is worthwhile.
+        /// How long the client should wait before a retry.
         retry_after: Duration,
     },
 }
 
-/// What a request holds; dropping it gives it back.
+/// The bytes reserved for a request; released when dropped.
 struct Reservation {
-    _own_blocks: OwnedSemaphorePermit,
+    _session_blocks: OwnedSemaphorePermit,
     budget: BufferBudget,
     volume: usize,
     bytes: u64,
@@ -59,23 +60,23 @@
 }
 
 impl BufferBudget {
-    /// A budget within the bounds of the settings.
+    /// Creates a budget with the bounds of the settings.
     pub(crate) fn new(bounds: &Bounds, max_retry_after: Duration, clock: Clock) -> BufferBudget {
         let gateway_budget = Arc::new(Mutex::new(ByteBudget::new(bounds.bytes as u64, max_retry_after)));
         BufferBudget { gateway_budget, blocks_per_session: bounds.bytes_per_session / BLOCK, clock }
     }
 
-    /// The view of a new session.
+    /// Creates the budget of a new session.
     pub(crate) fn session_budget(&self, session: u64) -> SessionBudget {
-        let own_blocks = Arc::new(Semaphore::new(self.blocks_per_session));
-        SessionBudget { budget: self.clone(), own_blocks, session }
+        let session_blocks = Arc::new(Semaphore::new(self.blocks_per_session));
+        SessionBudget { budget: self.clone(), session_blocks, session }
     }
 }
 
 impl SessionBudget {
-    /// Waits until the bytes are within the session's own bound, then asks once for capacity for the volume: a session that
-    /// waits for itself takes nothing from others. Cancelling the wait gives back what it had. Nothing where the settings do
-    /// not have the volume.
+    /// Waits until the bytes fit within the session's own bound, then requests capacity for the volume once,
+    /// so that a session waiting for its own bound takes no capacity from others. Cancelling the wait
+    /// releases what was acquired. Returns `None` if the settings do not contain the volume.
     pub(crate) async fn request(
         self,
         volume: usize,
@@ -83,7 +84,7 @@
         bytes: u32,
     ) -> Option<BufferAdmission> {
         let blocks = (bytes as usize).div_ceil(BLOCK).max(1) as u32;
-        let own_blocks = self.own_blocks.acquire_many_owned(blocks).await.ok()?;
+        let session_blocks = self.session_blocks.acquire_many_owned(blocks).await.ok()?;
         let plan = &settings.plans[settings.volumes.get(volume)?.plan];
         let share = VolumeShare { weight: plan.weight, reserve: plan.reserve };
         let now = self.budget.clock.now();
@@ -93,7 +94,7 @@
         Some(match admission {
             Admission::Granted => {
                 let budget = self.budget;
-                let reservation = Reservation { _own_blocks: own_blocks, budget, volume, bytes };
+                let reservation = Reservation { _session_blocks: session_blocks, budget, volume, bytes };
                 BufferAdmission::Granted(Arc::new(reservation))
             }
             Admission::Rejected { retry_after } => BufferAdmission::Rejected { retry_after },
@@ -101,7 +102,7 @@
     }
 }
 
-/// From 0 to 1, by which retries of sessions that are rejected together are spread.
+/// A fraction from 0 to 1 that spreads the retries of sessions that are rejected at the same time.
 fn random_fraction(session: u64, now: Duration) -> f64 {
     let mut hasher = DefaultHasher::new();
     (session, now).hash(&mut hasher);
--- a/crates/nbd-gateway/src/buffer_queue.rs
+++ b/crates/nbd-gateway/src/buffer_queue.rs
@@ -1,19 +1,19 @@
-//! Queues of buffers that are written with vectored writes.
+//! Helpers for queues of buffers that are written with vectored writes.
 
 use std::collections::VecDeque;
 use std::io;
 
 use bytes::Bytes;
 
-/// Buffers handed to the system at once, at most.
+/// Most buffers passed to one system call.
 const MAX_SLICES: usize = 64;
 
-/// The front of a queue, to be written in one call.
+/// Returns the front of a queue, to be written in one call.
 pub(crate) fn slices(queue: &VecDeque<Bytes>) -> Vec<io::IoSlice<'_>> {
     queue.iter().take(MAX_SLICES).map(|bytes| io::IoSlice::new(bytes)).collect()
 }
 
-/// Removes bytes that were written from the front of a queue, and empty buffers after them.
+/// Removes the written bytes from the front of a queue, and empty buffers that follow them.
 pub(crate) fn advance(queue: &mut VecDeque<Bytes>, mut written: usize) {
     while let Some(front) = queue.front_mut() {
         if front.len() > written {
--- a/crates/nbd-gateway/src/changes/folder.rs
+++ b/crates/nbd-gateway/src/changes/folder.rs
@@ -1,4 +1,4 @@
-//! The log of changes in the writer's folder.
+//! Follows the change log in the writer's folder.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 use super::publisher::{ChangePublisher, EventLoopEnded};
 use super::rate_limited::LogRateLimit;
 
-/// Between two reads of the folder.
+/// Interval between reads of the folder.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls a folder. It reads and decodes off the runtime's own threads, which a disk that hangs must not hold.
+/// Polls a folder. Reading and decoding run on blocking threads, because a stalled disk must not block the
+/// runtime's own threads.
 pub(super) struct FolderPoller {
     disk: Disk,
     follower: Box<Follower>,
-    /// The folder of the applied version.
+    /// The folder in which the applied version is recorded.
     applied_folder: Option<PathBuf>,
 }
 
@@ -26,19 +27,19 @@
         FolderPoller { disk, follower, applied_folder }
     }
 
-    /// Follows until the event loop ends.
+    /// Follows the log until the event loop ends.
     pub(super) async fn follow(mut self, publisher: &ChangePublisher) {
         let mut log_limit = LogRateLimit::default();
         let recorder = PositionRecorder::start(self.applied_folder.take());
         recorder.record(&self.follower.replica);
         loop {
             let polling = tokio::task::spawn_blocking(move || {
-                let polled = self.follower.poll(&self.disk);
-                (self, polled)
+                let result = self.follower.poll(&self.disk);
+                (self, result)
             });
-            let Ok((poller, polled)) = polling.await else { return };
+            let Ok((poller, result)) = polling.await else { return };
             self = poller;
-            match polled {
+            match result {
                 Ok(applied) if applied.is_empty() => {}
                 Ok(applied) => {
                     if let Err(EventLoopEnded) = publisher.publish(applied).await {
--- a/crates/nbd-gateway/src/changes/log_copy.rs
+++ b/crates/nbd-gateway/src/changes/log_copy.rs
@@ -1,4 +1,4 @@
-//! A gateway's own copy of the log, to start from when no relay can be reached.
+//! A gateway's own copy of the change log, from which it starts when no relay can be reached.
 
 use std::path::{Path, PathBuf};
 
@@ -9,40 +9,41 @@
 
 use super::position_recorder::write_position;
 
-/// The folder in a gateway's own that holds the copy.
+/// The subfolder of a gateway's state folder that holds the copy.
 const COPY_FOLDER: &str = "changes";
 
-/// What a gateway makes durable of the log, if it has a folder.
+/// The parts of the log that a gateway stores durably, if it has a state folder: a copy of the log and the
+/// applied version.
 pub(super) struct DurableLog {
     copy: Option<LogCopy>,
     folder: Option<PathBuf>,
 }
 
-/// What was opened in a gateway's folder.
+/// The result of opening a gateway's state folder.
 pub(super) struct OpenedLog {
-    /// For what follows.
+    /// Takes the updates that follow.
     pub(super) log: DurableLog,
-    /// The state that the copy ends with.
+    /// The state at the end of the copy, if there is one.
     pub(super) state: Option<Replica>,
 }
 
 impl DurableLog {
-    /// Opens the copy; without one that can be used the relays are asked for all of the log.
+    /// Opens the copy. Without a usable copy, the full log is requested from the relays.
     pub(super) fn open(folder: Option<PathBuf>) -> OpenedLog {
         let (copy, state) = folder.as_deref().and_then(open_copy).unzip();
         OpenedLog { log: DurableLog { copy, folder }, state: state.flatten() }
     }
 
-    /// Appends an update, synced when this returns; `state` is the one that it follows on.
+    /// Appends an update, which is synced when this returns. `state` is the state before the update.
     pub(super) fn append(&mut self, update: &Update, state: Option<&Replica>) {
-        let appended = self.copy.as_mut().map(|copy| copy.append(update, state));
-        if let Some(Err(error)) = appended {
-            // The relays are asked after a restart.
+        let result = self.copy.as_mut().map(|copy| copy.append(update, state));
+        if let Some(Err(error)) = result {
+            // After a restart the missing updates are requested from the relays.
             tracing::error!(%error, version = update.version(), "log copy write failed");
         }
     }
 
-    /// Records the version that is applied, synced when this returns.
+    /// Records the applied version, which is synced when this returns.
     pub(super) fn record_applied(&self, state: &Replica) {
         if let Some(folder) = &self.folder {
             write_position(folder, position(state));
@@ -53,8 +54,6 @@
 fn open_copy(folder: &Path) -> Option<(LogCopy, Option<Replica>)> {
     let folder = folder.join(COPY_FOLDER);
     let disk = Disk::open(&folder).map_err(LogError::from);
-    let opened = disk.and_then(|disk| LogCopy::open(Box::new(disk)));
-    opened
-        .inspect_err(|error| tracing::error!(folder = %folder.display(), %error, "log copy open failed"))
-        .ok()
+    let copy = disk.and_then(|disk| LogCopy::open(Box::new(disk)));
+    copy.inspect_err(|error| tracing::error!(folder = %folder.display(), %error, "log copy open failed")).ok()
 }
--- a/crates/nbd-gateway/src/changes/log_writer.rs
+++ b/crates/nbd-gateway/src/changes/log_writer.rs
@@ -1,48 +1,50 @@
-//! The gateway's own copy of the log, written behind the changes that relays tell.
+//! Writes the gateway's own copy of the change log in the background, after the changes received from relays
+//! were applied.
 
 use tokio::sync::mpsc;
 use umbertray_config_log::{Replica, Update};
 
 use super::log_copy::DurableLog;
 
-/// Batches that may wait for the disk. Beyond that the next one is not applied before there is room: memory stays bounded
-/// where a disk hangs.
+/// Most batches that may wait for the disk. When the queue is full, the next batch is not applied until there
+/// is capacity, so that memory stays bounded if the disk is stalled.
 const MAX_WAITING_BATCHES: usize = 64;
 
-/// An update that was applied, and the state that it follows on.
+/// An applied update, and the state before it.
 pub(super) struct AppliedUpdate {
     pub(super) update: Update,
     pub(super) before: Replica,
 }
 
-/// What was applied together.
+/// Updates that were applied together.
 pub(super) struct AppliedUpdates {
     pub(super) updates: Vec<AppliedUpdate>,
-    /// The state that they lead to.
+    /// The state after the last update.
     pub(super) state: Replica,
 }
 
-/// The event loop of the replication has ended.
+/// The task that writes the log, or the replication's event loop, has ended.
 #[derive(Debug)]
 pub(super) struct WriterEnded;
 
-/// Makes durable what was applied, in order, and then tells the relays of it.
+/// Stores applied updates durably, in order, and then notifies the relays of the applied version.
 ///
-/// Hazard: as in [`PositionRecorder`](super::position_recorder::PositionRecorder), a change must not wait for this disk. What
-/// relays hear of as applied is on the disk: a crash before that leaves the state before, which they bring up to date again.
+/// Hazard: as in [`PositionRecorder`](super::position_recorder::PositionRecorder), a change must not wait for
+/// this disk. A version is reported to relays as applied only after it is on the disk: after a crash before
+/// that, the gateway restarts from the previous state, and the relays bring it up to date again.
 pub(super) struct LogWriter {
     batches: mpsc::Sender<AppliedUpdates>,
 }
 
 impl LogWriter {
-    /// Starts the task that writes; it ends once this is dropped and all is written.
+    /// Starts the writing task, which ends once this is dropped and all queued updates are written.
     pub(super) fn start(log: DurableLog, applied: mpsc::Sender<u64>) -> LogWriter {
         let (batches, receiver) = mpsc::channel(MAX_WAITING_BATCHES);
         tokio::spawn(write_batches(log, receiver, applied));
         LogWriter { batches }
     }
 
-    /// Has updates written that were applied.
+    /// Queues applied updates to be written.
     pub(super) async fn write(&self, applied: AppliedUpdates) -> Result<(), WriterEnded> {
         self.batches.send(applied).await.map_err(|_| WriterEnded)
     }
@@ -55,13 +57,13 @@
 ) {
     let mut waiting = Vec::with_capacity(MAX_WAITING_BATCHES);
     while batches.recv_many(&mut waiting, MAX_WAITING_BATCHES).await > 0 {
-        let written = std::mem::take(&mut waiting);
+        let batches_to_write = std::mem::take(&mut waiting);
         let writing = tokio::task::spawn_blocking(move || {
-            let version = write_all(&mut log, &written);
+            let version = write_all(&mut log, &batches_to_write);
             (log, version)
         });
-        let Ok((log_again, version)) = writing.await else { return };
-        log = log_again;
+        let Ok((returned_log, version)) = writing.await else { return };
+        log = returned_log;
         if let Some(version) = version
             && applied.send(version).await.is_err()
         {
@@ -70,13 +72,13 @@
     }
 }
 
-/// The version that is applied and on the disk now.
+/// Writes batches; returns the version that is now both applied and on the disk.
 fn write_all(log: &mut DurableLog, batches: &[AppliedUpdates]) -> Option<u64> {
     for AppliedUpdate { update, before } in batches.iter().flat_map(|batch| &batch.updates) {
         log.append(update, Some(before));
     }
     let state = &batches.last()?.state;
-    // Several that waited together are recorded once.
+    // The position is recorded only once for all batches that waited together.
     if batches.iter().any(|batch| !batch.updates.is_empty()) {
         log.record_applied(state);
     }
--- a/crates/nbd-gateway/src/changes/mod.rs
+++ b/crates/nbd-gateway/src/changes/mod.rs
@@ -1,4 +1,4 @@
-//! Following the log of changes: what is committed becomes the settings in force.
+//! Follows the change log: committed changes become the settings in force.
 
 mod folder;
 mod log_copy;
@@ -18,15 +18,15 @@
 
 use self::folder::FolderPoller;
 
-/// The log of changes that a gateway follows, read up to the settings that it starts with.
+/// The change log that a gateway follows, read up to the settings that the gateway starts with.
 pub enum ChangeSource {
-    /// The writer's folder.
+    /// The folder of the log's writer.
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// Where in the log it is.
+        /// The follower, at the position up to which the log was read.
         follower: Box<Follower>,
-        /// The folder of the applied version, which outlives a restart.
+        /// The folder in which the applied version is recorded across restarts.
         state_folder: Option<PathBuf>,
     },
     /// Relays.
@@ -34,7 +34,7 @@
 }
 
 impl ChangeSource {
-    /// The state that the gateway starts with.
+    /// The configuration state that the gateway starts with.
     pub fn at(&self) -> &Replica {
         match self {
             ChangeSource::Folder { follower, .. } => &follower.replica,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Follows until the event loop ends.
+    /// Follows the log until the event loop ends.
     pub(crate) async fn follow(self, publisher: ChangePublisher) {
         match self {
             ChangeSource::Folder { folder, follower, state_folder } => {
--- a/crates/nbd-gateway/src/changes/position_recorder.rs
+++ b/crates/nbd-gateway/src/changes/position_recorder.rs
@@ -1,4 +1,4 @@
-//! The applied version on the gateway's own disk, written behind the changes.
+//! Records the applied version on the gateway's own disk, in the background after changes were applied.
 
 use std::path::{Path, PathBuf};
 
@@ -7,18 +7,20 @@
 use umbertray_relay::position;
 use umbertray_store_protocol::changes::Position;
 
-/// Records positions in the background, the newest one where several came during a write.
+/// Records positions in the background. If several positions arrive during a write, only the newest is
+/// written.
 ///
-/// Hazard: a change that waited for this disk would leave a lowered limit open for as long as a sync takes. So it is applied
-/// first. A crash in between lets the next run start from the version before, and only where the log that it finds ends there
-/// too: the log itself was synced before the change was applied.
+/// Hazard: if a change waited for this disk, a lowered limit would not be enforced for as long as a sync
+/// takes. Changes are therefore applied first. After a crash between the two, the next run may start from the
+/// previous version, but only if the log that it finds also ends there, because the log itself was synced
+/// before the change was applied.
 pub(super) struct PositionRecorder {
     newest: watch::Sender<Option<Position>>,
 }
 
 impl PositionRecorder {
-    /// A recorder for a folder, or one that records nothing. Its task ends once this is dropped and the newest position is
-    /// written.
+    /// Starts a recorder for a folder; without a folder it records nothing. Its task ends once the recorder
+    /// is dropped and the newest position is written.
     pub(super) fn start(folder: Option<PathBuf>) -> PositionRecorder {
         let (newest, positions) = watch::channel(None);
         if let Some(folder) = folder {
@@ -27,7 +29,7 @@
         PositionRecorder { newest }
     }
 
-    /// Has the version of a state recorded.
+    /// Queues the position of a state to be recorded.
     pub(super) fn record(&self, state: &Replica) {
         self.newest.send_replace(Some(position(state)));
     }
@@ -45,10 +47,10 @@
     }
 }
 
-/// Writes a position, synced when this returns.
+/// Writes a position, which is synced when this returns.
 pub(super) fn write_position(folder: &Path, position: Position) {
     if let Err(error) = applied_version::write(folder, position.version, position.hash) {
-        // An older log would be accepted after a restart.
+        // Without the record, an older log would be accepted after a restart.
         tracing::error!(%error, version = position.version, "applied version write failed");
     }
 }
--- a/crates/nbd-gateway/src/changes/publisher.rs
+++ b/crates/nbd-gateway/src/changes/publisher.rs
@@ -1,4 +1,4 @@
-//! From the log of changes to the event loop and the sessions.
+//! Publishes changes of the change log to the event loop and the sessions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,41 +8,41 @@
 use umbertray_config_log::follow::AppliedVersion;
 use umbertray_routing::{Input, Settings, SettingsChange};
 
-/// Volumes in one part of a change, at most, so that what flows goes on between parts.
+/// Most volumes in one part of a change, so that the event loop can process requests between parts.
 const MAX_VOLUMES_PER_PART: usize = 256;
 
-/// The event loop has ended: nobody applies changes any more.
+/// The event loop has ended, so changes cannot be applied any more.
 #[derive(Debug)]
 pub(super) struct EventLoopEnded;
 
-/// Publishes settings.
+/// Publishes changed settings to the event loop and the sessions.
 pub(crate) struct ChangePublisher {
-    /// The gateway's own settings, which the log does not have.
+    /// The gateway's own settings, which are not part of the change log.
     pub(crate) own_settings: Arc<Settings>,
     /// The settings in force.
     pub(crate) current_settings: Arc<ArcSwap<Settings>>,
-    /// Counts the volumes that were removed.
+    /// Number of volumes removed so far.
     pub(crate) removed_volumes: watch::Sender<u64>,
-    /// The version that is applied.
+    /// The applied version.
     pub(crate) applied_version: watch::Sender<u64>,
-    /// Parts of changes, for the event loop.
+    /// Sends parts of changes to the event loop.
     pub(crate) changes: mpsc::Sender<Input>,
 }
 
-/// What several versions changed together.
+/// The merged changes of several versions.
 #[derive(Default)]
 struct MergedChanges {
-    has_new_figures: bool,
+    has_new_parameters: bool,
     volumes: BTreeSet<usize>,
     removed_volumes: u64,
 }
 
 impl MergedChanges {
-    fn of(versions: &[AppliedVersion]) -> MergedChanges {
+    fn from_versions(versions: &[AppliedVersion]) -> MergedChanges {
         let mut merged = MergedChanges::default();
         for change in versions.iter().flat_map(|(_, changes)| changes) {
             match change {
-                SettingsChange::Figures | SettingsChange::Plan(_) => merged.has_new_figures = true,
+                SettingsChange::Figures | SettingsChange::Plan(_) => merged.has_new_parameters = true,
                 SettingsChange::Volume(volume) => _ = merged.volumes.insert(*volume),
                 SettingsChange::Removed(_) => merged.removed_volumes += 1,
             }
@@ -50,11 +50,12 @@
         merged
     }
 
-    /// The parts that the event loop applies one by one; one empty part where volumes were only removed.
+    /// Splits the changes into parts that the event loop applies one by one. If volumes were only removed,
+    /// there is one empty part.
     fn parts(&self) -> Vec<Vec<SettingsChange>> {
-        let figures = self.has_new_figures.then_some(SettingsChange::Figures);
+        let parameters = self.has_new_parameters.then_some(SettingsChange::Figures);
         let volumes = self.volumes.iter().map(|volume| SettingsChange::Volume(*volume));
-        let changes: Vec<SettingsChange> = figures.into_iter().chain(volumes).collect();
+        let changes: Vec<SettingsChange> = parameters.into_iter().chain(volumes).collect();
         if changes.is_empty() {
             return vec![Vec::new()];
         }
@@ -63,10 +64,11 @@
 }
 
 impl ChangePublisher {
-    /// Publishes all versions since the last call at once: the newest settings, and what any of the versions changed.
+    /// Publishes all versions since the last call together: the newest settings, and the merged changes of
+    /// all versions.
     pub(super) async fn publish(&self, versions: Vec<AppliedVersion>) -> Result<(), EventLoopEnded> {
         let Some((newest, _)) = versions.last() else { return Ok(()) };
-        let merged = MergedChanges::of(&versions);
+        let merged = MergedChanges::from_versions(&versions);
         let settings = Arc::new(newest.settings(&self.own_settings));
         self.current_settings.store(settings.clone());
         for steps in merged.parts() {
--- a/crates/nbd-gateway/src/changes/relayed.rs
+++ b/crates/nbd-gateway/src/changes/relayed.rs
@@ -1,4 +1,4 @@
-//! The log of changes as relays tell it.
+//! Follows the change log through relays.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -17,71 +17,78 @@
 use super::rate_limited::LogRateLimit;
 use crate::error::GatewayError;
 
-/// How long a gateway without a copy of the log waits for the relays: the longest backoff between two attempts, and the time
-/// for a checkpoint.
+/// How long a gateway without a copy of the log waits for the relays: the longest backoff between two
+/// attempts, plus the time to transfer a checkpoint.
 pub const RELAY_START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The relays that a gateway follows, and its name among them.
+/// The relays that a gateway follows, and how the gateway identifies itself to them.
 pub struct RelaySource {
-    /// A name of its own among all relays and gateways.
+    /// The gateway's name, unique among all relays and gateways.
     pub name: String,
-    /// The zone it runs in.
+    /// The zone that the gateway runs in.
     pub zone: String,
     /// The relays.
     pub upstreams: Vec<Upstream>,
-    /// Number of relays that must agree.
+    /// Number of relays that must agree on a version.
     pub quorum: usize,
-    /// Seed of its jitter.
+    /// Seed of the jitter of reconnects.
     pub seed: u64,
-    /// How long it waits for the relays where it has no copy of the log.
+    /// How long the gateway waits for the relays if it has no copy of the log.
     pub start_timeout: Duration,
-    /// Its own folder, with the applied version and a copy of the log to start from when no relay can be reached.
+    /// The gateway's state folder, with the applied version and a copy of the log to start from when no relay
+    /// can be reached.
     pub state: Option<PathBuf>,
 }
 
-/// A gateway's position in the log that relays tell.
+/// A gateway's position in the change log received from relays.
 pub struct RelayedChanges {
-    /// The state that is applied.
+    /// The applied state.
     pub at: Replica,
     source: ReplicationSource,
     log: DurableLog,
 }
 
-/// What a batch of updates brought.
+/// The result of applying a batch of updates.
 struct AppliedBatch {
     versions: Vec<AppliedVersion>,
-    /// The updates that led to them.
+    /// The updates that led to these versions.
     updates: Vec<AppliedUpdate>,
     /// The last update that could not be applied.
     corruption: Option<Corruption>,
 }
 
 impl RelayedChanges {
-    /// Follows relays; returns once there is a version to start with, that of its own copy or one that they agree on.
+    /// Connects to the relays and returns once there is a version to start with: that of the gateway's own
+    /// copy, or one that the relays agree on.
     ///
     /// # Errors
-    /// The configuration is rejected, the applied version cannot be read, or the relays tell nothing that can be used in time.
+    /// The configuration is rejected, the applied version cannot be read, or no usable version was received
+    /// from the relays in time.
     pub async fn start(relays: RelaySource) -> Result<RelayedChanges, GatewayError> {
         let RelaySource { name, zone, upstreams, quorum, seed, start_timeout, state: folder } = relays;
-        let applied =
+        let applied_position =
             folder.as_deref().map(applied_version::read).transpose().map_err(GatewayError::AppliedVersion)?;
-        let applied = applied.flatten().map(|(version, hash)| Position { version, hash });
+        let applied_position = applied_position.flatten().map(|(version, hash)| Position { version, hash });
         let OpenedLog { mut log, state } = DurableLog::open(folder);
-        // A copy that ends before the applied version is an older one.
+        // A copy that ends before the applied version is outdated and not used.
         let state = state.filter(|state| {
-            applied.is_none_or(|applied| state.version.number > applied.version || position(state) == applied)
+            applied_position
+                .is_none_or(|applied| state.version.number > applied.version || position(state) == applied)
         });
-        let held = state.as_ref().map(position);
+        let held_position = state.as_ref().map(position);
         let relays = upstreams.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
         let no_quorum = GatewayError::NoQuorum { quorum, relays, timeout: start_timeout };
         let seed = volume_id(&name) ^ seed;
-        let mut source = follow((name, zone), (upstreams, quorum), (held, applied), seed)?;
+        let mut source = follow((name, zone), (upstreams, quorum), (held_position, applied_position), seed)?;
         let at = match state {
             Some(state) => state,
             None => {
-                let min_version = applied.map_or(1, |applied| applied.version);
-                let first = first_state(&mut source, &mut log, min_version);
-                tokio::time::timeout(start_timeout, first).await.unwrap_or(Ok(None))?.ok_or(no_quorum)?
+                let min_version = applied_position.map_or(1, |applied| applied.version);
+                let first_state = first_state(&mut source, &mut log, min_version);
+                tokio::time::timeout(start_timeout, first_state)
+                    .await
+                    .unwrap_or(Ok(None))?
+                    .ok_or(no_quorum)?
             }
         };
         log.record_applied(&at);
@@ -89,14 +96,14 @@
         Ok(RelayedChanges { at, source, log })
     }
 
-    /// Applies what the relays tell until the event loop ends. It decodes off the runtime's own threads; what is applied is
-    /// written behind it.
+    /// Applies the updates received from the relays until the event loop ends. Updates are decoded on
+    /// blocking threads, and written to the gateway's own copy in the background after they were applied.
     pub(super) async fn follow(self: Box<Self>, publisher: &ChangePublisher) {
         let mut log_limit = LogRateLimit::default();
         let RelayedChanges { mut at, mut source, log } = *self;
         let writer = LogWriter::start(log, source.applied.clone());
         loop {
-            // A cancelled branch loses nothing: updates stay in their channel.
+            // Cancel safe: updates stay in their channel.
             let batch = tokio::select! {
                 batch = source.updates.recv() => batch,
                 () = publisher.event_loop_ended() => return,
@@ -123,7 +130,7 @@
     }
 }
 
-/// Applies the updates that are right.
+/// Applies the valid updates of a batch.
 fn apply(state: &mut Replica, batch: Vec<Update>) -> AppliedBatch {
     let mut applied = AppliedBatch { versions: Vec::new(), updates: Vec::new(), corruption: None };
     for update in batch {
@@ -134,14 +141,14 @@
                 applied.updates.push(AppliedUpdate { update, before });
             }
             Ok(None) => {}
-            // A state further on may be right.
+            // A later update, such as a checkpoint, may still be valid.
             Err(corruption) => applied.corruption = Some(corruption),
         }
     }
     applied
 }
 
-/// The first state that is not before `min_version`; nothing where the source has ended.
+/// Waits for the first state that is not older than `min_version`; `None` if the source has ended.
 async fn first_state(
     source: &mut ReplicationSource,
     log: &mut DurableLog,
@@ -161,7 +168,7 @@
     Ok(None)
 }
 
-/// The state after an update; entries before the first checkpoint are passed over.
+/// Applies an update to the first state. Entries before the first checkpoint are ignored.
 fn apply_first(state: Option<Replica>, update: &Update) -> Result<Option<Replica>, Corruption> {
     match (state, update) {
         (Some(mut state), update) => {
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that hosts the core: one task, which alone accesses it.
+//! The event loop: one task that owns the core and alone accesses it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,39 +20,40 @@
 use crate::snapshot_writer::{OpenedSnapshots, SnapshotWriter};
 use crate::store_connection::{StoreConnection, StoreMessage};
 
-/// Events taken from the queue at once, at most; the module sees them as one moment.
+/// Most events taken from the queue at once. The scheduler sees them as simultaneous.
 const MAX_EVENTS_PER_STEP: usize = 128;
 
-/// A part of a reply on its way to its session.
+/// A part of a reply, sent to its session.
 pub(crate) struct SessionReply {
     /// The request's cookie.
     pub(crate) cookie: u64,
     /// The part.
     pub(crate) part: ReplyPart,
-    /// To be held until the part is sent.
+    /// To be kept until the part is sent.
     pub(crate) hold: BufferGuard,
 }
 
-/// What the other tasks tell the loop.
+/// Events that other tasks send to the loop.
 pub(crate) enum LoopEvent {
     /// A client has connected; its replies go to this sender.
     SessionOpened { session: SessionId, replies: mpsc::UnboundedSender<SessionReply> },
     /// An input for the core, from a session or from a service.
     CoreInput(Input),
-    /// An input for the core from a store's connection; those of an earlier connection are dropped.
+    /// An input for the core from a store's connection. Inputs of an earlier connection to the store are
+    /// dropped.
     FromStoreConnection { store: StoreId, connection_id: u64, input: Input },
-    /// The writer of snapshots has written, or failed to write, what it was given.
+    /// The snapshot writer has written its snapshot, or failed to.
     SnapshotFinished,
 }
 
-/// What the loop receives.
+/// The channels that the loop receives from.
 pub(crate) struct LoopChannels {
-    /// Events of the other tasks.
+    /// Events from other tasks.
     pub(crate) events: mpsc::UnboundedReceiver<LoopEvent>,
-    /// Changes of the settings, in parts.
+    /// Changes of the settings, split into parts.
     pub(crate) changes: mpsc::Receiver<Input>,
-    /// Turns true once, when the gateway is to drain.
-    pub(crate) is_stopping: watch::Receiver<bool>,
+    /// Becomes true once, when the gateway must drain.
+    pub(crate) stop_signal: watch::Receiver<bool>,
 }
 
 /// The services that the loop connects to.
@@ -60,43 +61,43 @@
 pub(crate) struct ServiceAddresses {
     /// The endpoint list.
     pub(crate) endpoint_list: SocketAddr,
-    /// The coordinator, where it has the map.
+    /// The coordinator, if it serves the extent map.
     pub(crate) coordinator: Option<SocketAddr>,
 }
 
 struct StoreConnectionHandle {
     connection_id: u64,
-    /// Dropping it ends the connection, once what is queued is written.
+    /// Dropping the sender closes the connection after the queued messages are written.
     messages: mpsc::UnboundedSender<StoreMessage>,
 }
 
-/// The core, and what carries its outputs out.
+/// The core, and the channels and tasks that carry out its outputs.
 pub(crate) struct EventLoop {
     core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
-    /// The longest op timeout that was in force since the start: what is open may have it.
+    /// The longest operation timeout in force at any time since the start; open requests may still have it.
     longest_timeout: Duration,
     run_id: u64,
     events: mpsc::UnboundedSender<LoopEvent>,
     endpoint_list: mpsc::UnboundedSender<ToList>,
-    /// Present where the map is another service than the endpoint list.
+    /// Present if the extent map is served by the coordinator instead of the endpoint list's service.
     coordinator: Option<mpsc::UnboundedSender<ToList>>,
     sessions: HashMap<SessionId, mpsc::UnboundedSender<SessionReply>>,
     store_connections: HashMap<StoreId, StoreConnectionHandle>,
     last_connection_id: u64,
-    /// When the core's timer expires.
+    /// When the core's timer expires; set by [`Output::SetTimer`].
     timer_at: Duration,
     snapshot_writer: Option<SnapshotWriter>,
-    /// What an earlier run saved, until the core has it.
+    /// The snapshot of an earlier run, until it is passed to the core.
     loaded_snapshot: Option<LoadResult>,
-    /// The moment of the snapshot that the core was asked for and has not returned.
+    /// The timestamp of the snapshot that was requested from the core and not returned yet.
     snapshot_stamp: Option<Stamp>,
     next_snapshot_at: Duration,
 }
 
 impl EventLoop {
-    /// A loop that hosts `core`; it starts the tasks that connect to the services.
+    /// Creates a loop that hosts `core`, and starts the tasks that connect to the services.
     pub(crate) fn new(
         core: Box<dyn RequestHandler>,
         clock: Clock,
@@ -135,16 +136,17 @@
         }
     }
 
-    /// Saves snapshots with a writer, and restores the one that it loaded.
+    /// Adds a snapshot writer, and restores the snapshot that was loaded with it.
     pub(crate) fn with_snapshots(self, snapshots: Option<OpenedSnapshots>) -> EventLoop {
         let Some(OpenedSnapshots { writer, loaded }) = snapshots else { return self };
         EventLoop { snapshot_writer: Some(writer), loaded_snapshot: loaded, ..self }
     }
 
-    /// Runs until it is told to stop and all is answered, at most the longest op timeout after that.
+    /// Runs until a stop was requested and all sessions have ended, or until the longest operation timeout
+    /// has passed since the stop was requested.
     ///
     /// # Errors
-    /// The core cannot go on.
+    /// The core cannot continue.
     pub(crate) async fn run(mut self, mut channels: LoopChannels) -> Result<(), GatewayError> {
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         let mut drain_deadline = None;
@@ -152,13 +154,14 @@
         self.handle(restored.into_iter().collect())?;
         loop {
             let timer_at = tokio::time::Instant::from_std(self.clock.instant(self.timer_at));
-            // A cancelled branch loses nothing: events and changes stay in their channels.
+            // Cancel safe: events and changes stay in their channels.
             tokio::select! {
                 biased;
-                _ = channels.is_stopping.wait_for(|stop| *stop), if drain_deadline.is_none() => {
+                _ = channels.stop_signal.wait_for(|stop| *stop), if drain_deadline.is_none() => {
                     drain_deadline = Some(self.start_drain());
                 }
-                // One part of a change a step: however long it is, what flows goes on between them.
+                // One part of a change per step, so that requests are processed between the parts of a large
+                // change.
                 Some(change) = channels.changes.recv() => self.on_change(change)?,
                 _ = channels.events.recv_many(&mut events, MAX_EVENTS_PER_STEP) => {
                     let inputs = events.drain(..).filter_map(|event| self.on_loop_event(event)).collect();
@@ -174,7 +177,7 @@
         }
     }
 
-    /// When the drain ends at the latest.
+    /// Starts the drain and returns its deadline.
     fn start_drain(&self) -> Duration {
         let open_requests = self.core.open_requests();
         tracing::info!(open_requests, sessions = self.sessions.len(), "drain started");
@@ -192,21 +195,21 @@
         self.handle(vec![change])
     }
 
-    /// Asks the core for a snapshot when one is due and the writer is idle: a slow disk is not waited for. The core's own
-    /// timer wakes this loop often enough.
+    /// Requests a snapshot from the core when one is due and the writer is idle, so that a slow disk never
+    /// delays the loop. The core's own timers wake the loop often enough for this check.
     fn request_snapshot(&mut self) -> Result<(), GatewayError> {
         let now = self.clock.now();
         let is_due = now >= self.next_snapshot_at && self.snapshot_stamp.is_none();
         if !is_due || !self.snapshot_writer.as_ref().is_some_and(SnapshotWriter::is_idle) {
             return Ok(());
         }
-        // The moment is taken first: a snapshot is then never younger than it says.
+        // The timestamp is taken first, so that a snapshot is never newer than its timestamp.
         self.snapshot_stamp = Some(folder::current_stamp());
         self.next_snapshot_at = now + EVERY;
         self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
     }
 
-    /// The input for the core that an event brings, if any.
+    /// Handles an event and returns the resulting input for the core, if any.
     fn on_loop_event(&mut self, event: LoopEvent) -> Option<Input> {
         match event {
             LoopEvent::SnapshotFinished => {
@@ -237,10 +240,10 @@
 
     fn handle(&mut self, inputs: Vec<Input>) -> Result<(), GatewayError> {
         let outputs = self.core.handle(self.clock.now(), inputs);
-        outputs.into_iter().try_for_each(|output| self.apply(output))
+        outputs.into_iter().try_for_each(|output| self.apply_output(output))
     }
 
-    fn apply(&mut self, output: Output) -> Result<(), GatewayError> {
+    fn apply_output(&mut self, output: Output) -> Result<(), GatewayError> {
         match output {
             Output::Reply { id: RequestId(session, cookie), part, hold } => {
                 if let Some(replies) = self.sessions.get(&session) {
@@ -279,7 +282,8 @@
         tokio::spawn(connection.run(address, messages));
     }
 
-    /// Sends a message to the coordinator, if it concerns the map and there is one, else to the endpoint list.
+    /// Sends a message to the coordinator if it concerns the extent map and there is a coordinator, otherwise
+    /// to the endpoint list.
     fn send_service(&self, message: ToList) {
         let coordinator = self.coordinator.as_ref().filter(|_| message.concerns_map());
         _ = coordinator.unwrap_or(&self.endpoint_list).send(message);
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -1,9 +1,12 @@
-//! The running NBD gateway: sockets, tasks and time around [`umbertray_routing::Core`]. It moves bytes and decides nothing.
+//! The running NBD gateway: sockets, tasks and timers around [`umbertray_routing::Core`]. It only moves
+//! bytes; all decisions are made by the core.
 //!
-//! One task owns the core (`event_loop`), one each session (`session`), one each store connection (`store_connection`), one
-//! each connection to the endpoint list and to the coordinator (`service_connection`), one the log of changes (`changes`); a
-//! thread writes snapshots (`snapshot_writer`). They talk through channels. Invariant: what a channel holds is bounded by the
-//! bytes that sessions were granted before their requests were read. docs/hosting.md is the design note.
+//! Tasks: one owns the core (`event_loop`), one runs each session (`session`), one each store connection
+//! (`store_connection`), one each connection to the endpoint list and to the coordinator
+//! (`service_connection`), and one follows the change log (`changes`). A thread writes snapshots
+//! (`snapshot_writer`). They communicate through channels. Invariant: the contents of the channels are
+//! bounded by the bytes that sessions were granted before their requests were read. docs/hosting.md is the
+//! design note.
 
 mod buffer_budget;
 mod buffer_queue;
--- a/crates/nbd-gateway/src/listener.rs
+++ b/crates/nbd-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting NBD clients.
+//! Accepts connections of NBD clients.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,11 +8,13 @@
 
 use crate::session::{self, SessionContext};
 
-/// After a failed accept, most likely for lack of descriptors or memory; trying again at once would spin.
+/// Wait after a failed accept, most likely due to a lack of descriptors or memory. An immediate retry would
+/// spin.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Accepts connections until it is aborted. At the bound on sessions nothing is accepted; clients wait in the system's
-/// backlog. A session's task outlives the listener: it ends with its client, with the drain, or when the event loop ends.
+/// Accepts connections until the task is aborted. At the session limit no further connection is accepted, and
+/// clients wait in the system's backlog. A session's task outlives the listener: it ends with its client,
+/// with the drain, or when the event loop ends.
 pub(crate) async fn accept_sessions(
     listener: TcpListener,
     context: Arc<SessionContext>,
--- a/crates/nbd-gateway/src/replies.rs
+++ b/crates/nbd-gateway/src/replies.rs
@@ -1,5 +1,5 @@
-//! The core's parts of a reply as NBD reply messages, without I/O. Source: "Simple reply message" and "Structured reply
-//! chunk message" of the protocol text; docs/errors.md for the error numbers.
+//! Converts the core's reply parts to NBD reply messages, without I/O. Source: "Simple reply message" and
+//! "Structured reply chunk message" of the protocol text; docs/errors.md for the error numbers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use umbertray_routing::{FinalResult, ReplyPart};
 use umbertray_store_protocol::store::{DataRange, OperationKind};
 
-/// The operation that a command asks for; none for a disconnect.
+/// The operation that a command requests; `None` for a disconnect.
 pub(crate) fn operation_kind(command: Command) -> Option<OperationKind> {
     Some(match command {
         Command::Read => OperationKind::Read,
@@ -25,31 +25,32 @@
     })
 }
 
-/// Whether a request's effect must be on the medium before it is answered (FUA).
+/// Whether a request's effect must be on stable storage before it is answered (FUA).
 pub(crate) fn is_durable(request: &Request) -> bool {
     request.flags & CMD_FLAG_FUA != 0
 }
 
-/// How a request is answered.
+/// The form of the reply to a request.
 enum ReplyForm {
-    /// Read data is sent in chunks as it comes.
+    /// Read data is sent in chunks as it arrives.
     ReadChunks,
-    /// Read data is sent in one piece: a simple reply, or one chunk that must not be fragmented (DF).
-    WholeRead(GatheredRead),
-    /// The allocation of a range; with REQ_ONE its first extent alone.
+    /// Read data is gathered and sent in one piece: as a simple reply, or as one chunk that must not be
+    /// fragmented (DF).
+    Gathered(GatheredRead),
+    /// The allocation status of a range; with REQ_ONE only its first extent.
     BlockStatus { extent_limit: ExtentLimit },
     /// Success or an error, without data.
     ResultOnly,
 }
 
-/// Extents that a block status may have (REQ_ONE).
+/// How many extents a block status reply may have; one if the client set REQ_ONE.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ExtentLimit {
     One,
     All,
 }
 
-/// The parts of a read that is sent whole, by offset.
+/// The parts of a read that is sent in one piece, by offset.
 struct GatheredRead {
     offset: u64,
     length: u32,
@@ -57,7 +58,7 @@
 }
 
 impl GatheredRead {
-    /// One buffer of the whole range; what no part covers is a hole and reads as zeros.
+    /// Returns one buffer of the full range. Parts that were not added are holes and read as zeros.
     fn into_buffer(self) -> Bytes {
         if let Some(data) = self.parts.get(&self.offset)
             && data.len() == self.length as usize
@@ -73,7 +74,7 @@
     }
 }
 
-/// The open requests of one session, by cookie.
+/// The reply forms of a session's open requests, by cookie.
 #[derive(Default)]
 pub(crate) struct OpenReplies {
     forms: HashMap<u64, ReplyForm>,
@@ -81,10 +82,10 @@
 
 impl OpenReplies {
     /// Registers a request that was read.
-    pub(crate) fn open(&mut self, request: &Request, structured: bool) {
-        let is_whole = !structured || request.flags & CMD_FLAG_DF != 0;
+    pub(crate) fn register(&mut self, request: &Request, has_structured_replies: bool) {
+        let is_gathered = !has_structured_replies || request.flags & CMD_FLAG_DF != 0;
         let form = match request.command {
-            Command::Read if is_whole => ReplyForm::WholeRead(GatheredRead {
+            Command::Read if is_gathered => ReplyForm::Gathered(GatheredRead {
                 offset: request.offset,
                 length: request.length,
                 parts: BTreeMap::new(),
@@ -96,20 +97,26 @@
         self.forms.insert(request.cookie, form);
     }
 
-    /// Writes what a part means to the session's output; bytes that are returned follow it uncopied.
-    pub(crate) fn put_part(&mut self, session: &mut Session, cookie: u64, part: ReplyPart) -> Option<Bytes> {
+    /// Writes a part of a reply to the session's output. Returned bytes must be sent right after the output,
+    /// without copying them.
+    pub(crate) fn write_part(
+        &mut self,
+        session: &mut Session,
+        cookie: u64,
+        part: ReplyPart,
+    ) -> Option<Bytes> {
         let form = self.forms.get_mut(&cookie)?;
         match (part, form) {
-            (ReplyPart::Final(result), _) => self.put_final(session, cookie, result),
-            (ReplyPart::Data { offset, data }, ReplyForm::WholeRead(read)) => {
+            (ReplyPart::Final(result), _) => self.write_final(session, cookie, result),
+            (ReplyPart::Data { offset, data }, ReplyForm::Gathered(read)) => {
                 read.parts.insert(offset, data);
                 None
             }
             (ReplyPart::Data { offset, data }, _) => {
                 session.put_chunk(cookie, Chunk::Data { offset, data }, false)
             }
-            // The buffer of a whole read is zeros at first.
-            (ReplyPart::Hole { .. }, ReplyForm::WholeRead(_)) => None,
+            // The buffer of a gathered read is filled with zeros first.
+            (ReplyPart::Hole { .. }, ReplyForm::Gathered(_)) => None,
             (ReplyPart::Hole { offset, length }, _) => {
                 session.put_chunk(cookie, Chunk::Hole { offset, length }, false)
             }
@@ -122,10 +129,10 @@
         }
     }
 
-    fn put_final(&mut self, session: &mut Session, cookie: u64, result: FinalResult) -> Option<Bytes> {
+    fn write_final(&mut self, session: &mut Session, cookie: u64, result: FinalResult) -> Option<Bytes> {
         let form = self.forms.remove(&cookie)?;
         match result {
-            FinalResult::Succeeded => put_success(session, cookie, form),
+            FinalResult::Succeeded => write_success(session, cookie, form),
             FinalResult::Rejected { retry_after } => {
                 session.put_error(cookie, Errno::NoMem, rejection_text(retry_after));
                 None
@@ -138,9 +145,9 @@
     }
 }
 
-fn put_success(session: &mut Session, cookie: u64, form: ReplyForm) -> Option<Bytes> {
+fn write_success(session: &mut Session, cookie: u64, form: ReplyForm) -> Option<Bytes> {
     let data = match form {
-        ReplyForm::WholeRead(read) => Some((read.offset, read.into_buffer())),
+        ReplyForm::Gathered(read) => Some((read.offset, read.into_buffer())),
         _ => None,
     };
     if !session.has_structured_replies() {
@@ -151,7 +158,7 @@
     session.put_chunk(cookie, chunk, true)
 }
 
-/// The text of a rejection (docs/errors.md).
+/// The error text of a rejection (docs/errors.md).
 fn rejection_text(retry_after: Duration) -> String {
     match retry_after.as_millis() {
         0 => "throttled".to_string(),
@@ -163,7 +170,7 @@
     if request.flags & CMD_FLAG_REQ_ONE != 0 { ExtentLimit::One } else { ExtentLimit::All }
 }
 
-/// The extents of a block status: neighbours of the same state are one.
+/// The extents of a block status reply; adjacent ranges of the same state are merged.
 fn extents(ranges: &[DataRange]) -> Vec<Extent> {
     let mut extents: Vec<Extent> = Vec::new();
     for range in ranges {
--- a/crates/nbd-gateway/src/running.rs
+++ b/crates/nbd-gateway/src/running.rs
@@ -1,4 +1,4 @@
-//! A gateway's start and its end.
+//! Starting and stopping a gateway.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,49 +19,51 @@
 use crate::session::SessionContext;
 use crate::{listener, snapshot_writer};
 
-/// Where a gateway listens, and which services it uses.
+/// The addresses that a gateway listens on, and the services that it uses.
 pub struct GatewayOptions {
-    /// Where NBD clients connect; port 0 lets the system choose.
+    /// Addresses for NBD clients; with port 0 the system chooses the port.
     pub listen: Vec<SocketAddr>,
-    /// The endpoint list of the stores.
+    /// Address of the service that has the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// The coordinator of the map; absent: the endpoint list's service has the directory of extents too.
+    /// Address of the coordinator that serves the extent map. If absent, the endpoint list's service also has
+    /// the directory of extents.
     pub coordinator: Option<SocketAddr>,
-    /// Seed of the module's randomness, and the owner of a state folder; no two gateways may share one.
+    /// Seed of the scheduler's randomness, and identity of the gateway as owner of its state folder. No two
+    /// gateways may have the same seed.
     pub seed: u64,
-    /// Folder of the state that outlives a restart, if any.
+    /// Folder for the state that is kept across restarts, if any.
     pub state: Option<PathBuf>,
-    /// The log of changes that it follows, if any, read up to the settings that it starts with.
+    /// The change log to follow, if any, read up to the settings that the gateway starts with.
     pub changes: Option<ChangeSource>,
 }
 
-/// A running gateway. Dropping it aborts its event loop, its listeners and the follower of changes at once, as a kill would;
-/// sessions and connections end when the event loop's channels close.
+/// A running gateway. Dropping it aborts its event loop, its listeners and the task that follows changes at
+/// once, like killing the process. Sessions and connections end when the event loop's channels close.
 pub struct RunningGateway {
-    /// Where it listens, in the order of [`GatewayOptions::listen`].
+    /// The addresses it listens on, in the order of [`GatewayOptions::listen`].
     pub addresses: Vec<SocketAddr>,
-    stop: watch::Sender<bool>,
+    stop_sender: watch::Sender<bool>,
     event_loop: JoinHandle<Result<(), GatewayError>>,
     current_settings: Arc<ArcSwap<Settings>>,
     applied_version: watch::Receiver<u64>,
     listeners: Vec<JoinHandle<()>>,
-    /// Goes on during a drain: changes are applied while what is open is answered.
+    /// Keeps running during a drain, so that changes are applied while open requests are completed.
     change_follower: Option<JoinHandle<()>>,
 }
 
 impl RunningGateway {
-    /// Drains: stops listening, refuses new requests, and returns when all that is open has its final answer, or when the
-    /// longest op timeout has passed.
+    /// Drains the gateway: stops listening, rejects new requests, and returns when all open requests have a
+    /// final reply, or when the longest operation timeout has passed.
     ///
     /// # Errors
     /// Those of [`RunningGateway::ended`].
     pub async fn stop(mut self) -> Result<(), String> {
-        _ = self.stop.send(true);
+        _ = self.stop_sender.send(true);
         self.listeners.drain(..).for_each(|task| task.abort());
         self.ended().await
     }
 
-    /// The volumes that clients can ask for now.
+    /// Names of the volumes that clients can attach to now.
     pub fn exports(&self) -> Vec<String> {
         let settings = self.current_settings.load();
         settings
@@ -77,18 +79,19 @@
         self.event_loop.is_finished()
     }
 
-    /// The version of the log of changes that is applied, and each later one; 0 where none is followed.
+    /// A channel that holds the applied version of the change log and receives each later one; 0 if no log is
+    /// followed.
     pub fn applied_version(&self) -> watch::Receiver<u64> {
         self.applied_version.clone()
     }
 
-    /// Waits until the gateway cannot go on.
+    /// Waits until the event loop has ended.
     ///
     /// # Errors
-    /// The core cannot go on, or the event loop panicked: the text of a [`GatewayError`].
+    /// The core cannot continue, or the event loop panicked: the text of a [`GatewayError`].
     pub async fn ended(&mut self) -> Result<(), String> {
-        let ended = (&mut self.event_loop).await.unwrap_or_else(|error| Err(error.into()));
-        ended.map_err(|error| error.to_string())
+        let result = (&mut self.event_loop).await.unwrap_or_else(|error| Err(error.into()));
+        result.map_err(|error| error.to_string())
     }
 }
 
@@ -99,7 +102,7 @@
     }
 }
 
-/// Starts a gateway on the present runtime.
+/// Starts a gateway on the current runtime.
 ///
 /// # Errors
 /// An address cannot be listened at.
@@ -109,7 +112,7 @@
     start_hosting(Box::new(core), clock, settings, options).await
 }
 
-/// Starts a gateway whose event loop hosts something else than [`Core`], to measure against.
+/// Starts a gateway whose event loop hosts another handler than [`Core`], used as a baseline in measurements.
 ///
 /// # Errors
 /// An address cannot be listened at.
@@ -120,7 +123,7 @@
     options: GatewayOptions,
 ) -> io::Result<RunningGateway> {
     let (events, event_receiver) = mpsc::unbounded_channel();
-    let (stop, is_stopping) = watch::channel(false);
+    let (stop_sender, stop_signal) = watch::channel(false);
     let run_id = run_id(clock, options.seed);
     let (change_sender, changes) = mpsc::channel(1);
     let snapshots = options
@@ -151,15 +154,15 @@
         settings,
         clock,
         events,
-        is_stopping: is_stopping.clone(),
+        stop_signal: stop_signal.clone(),
     });
     let (addresses, listeners) = listen(&options.listen, &context, max_sessions).await?;
     drop(context);
-    let channels = LoopChannels { events: event_receiver, changes, is_stopping };
+    let channels = LoopChannels { events: event_receiver, changes, stop_signal };
     let event_loop = tokio::spawn(event_loop.run(channels));
     Ok(RunningGateway {
         addresses,
-        stop,
+        stop_sender,
         event_loop,
         current_settings,
         applied_version,
@@ -168,12 +171,13 @@
     })
 }
 
-/// Hazard: a run's number is never used again, or a store would take its attempts for those of the run before.
+/// A number that identifies this run of the gateway. Hazard: it must never repeat, or a store would treat
+/// this run's attempts as those of an earlier run.
 fn run_id(clock: Clock, seed: u64) -> u64 {
     clock.now().as_nanos() as u64 ^ seed.rotate_left(32)
 }
 
-/// Listens at all addresses; they share one bound on sessions.
+/// Listens on all addresses, which share one session limit.
 async fn listen(
     addresses: &[SocketAddr],
     context: &Arc<SessionContext>,
@@ -182,8 +186,8 @@
     let session_slots = Arc::new(Semaphore::new(max_sessions));
     let mut bound = Vec::new();
     let mut listeners = Vec::new();
-    // Hazard: a task that accepts already would go on where a later address cannot be bound, for a gateway that has not
-    // started.
+    // Hazard: all addresses are bound before any task accepts. Otherwise, if binding a later address failed,
+    // a task would go on accepting clients for a gateway that did not start.
     for address in addresses {
         let listener = TcpListener::bind(address).await?;
         bound.push(listener.local_addr()?);
--- a/crates/nbd-gateway/src/service_connection.rs
+++ b/crates/nbd-gateway/src/service_connection.rs
@@ -1,4 +1,5 @@
-//! The connections to the endpoint list and to the coordinator of the map: made when there is something to ask.
+//! Connections to the endpoint list and to the coordinator of the extent map. A connection is established
+//! when there is a message to send.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,26 +15,26 @@
 
 use crate::event_loop::LoopEvent;
 
-/// The service that a connection leads to.
+/// The service at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Service {
-    /// The endpoint list, and with it the directory of extents where there is no coordinator.
+    /// The endpoint list, which also serves the directory of extents if there is no coordinator.
     EndpointList,
-    /// The coordinator of the map.
+    /// The coordinator of the extent map.
     Coordinator,
 }
 
-/// The highest term of a coordinator that was heard of. Hazard: a coordinator that was suspended while another took over
-/// still tells, once it is resumed, what it knew.
+/// The highest coordinator term that was received. Hazard: a coordinator that was suspended while another
+/// took over still sends its outdated state when it is resumed.
 #[derive(Default)]
 struct HighestTerm(u64);
 
 impl HighestTerm {
-    /// Rejects a term that is lower than one heard of before.
+    /// Records a term; rejects one that is lower than an earlier one.
     fn observe(&mut self, term: u64) -> io::Result<()> {
         if term < self.0 {
             return Err(io::Error::other(format!(
-                "a coordinator of term {term} answers, {} was heard of",
+                "coordinator answered with the stale term {term}; term {} was received before",
                 self.0
             )));
         }
@@ -42,7 +43,7 @@
     }
 }
 
-/// What a service's task needs.
+/// Parameters of the task that connects to a service.
 pub(crate) struct ServiceContext {
     /// The service.
     pub(crate) service: Service,
@@ -50,23 +51,23 @@
     pub(crate) address: SocketAddr,
     /// Identifies this run of the gateway, in the hello.
     pub(crate) run_id: u64,
-    /// How long a connection may take to come up.
+    /// Timeout for establishing a connection.
     pub(crate) connect_timeout: Duration,
-    /// Where what it answers goes.
+    /// Receives the service's messages as events.
     pub(crate) events: mpsc::UnboundedSender<LoopEvent>,
 }
 
-/// Sends messages, on a new connection after one that has ended. Ends when the sender of messages, or the event loop, is
-/// dropped.
+/// Sends messages to the service, reconnecting for the next message after a connection has ended. Ends when
+/// the sender of messages, or the event loop, is dropped.
 pub(crate) async fn run(context: ServiceContext, mut messages: mpsc::UnboundedReceiver<ToList>) {
     let mut highest_term = HighestTerm::default();
-    while let Some(first) = messages.recv().await {
-        let ended = context.connect_and_exchange(first, &mut highest_term, &mut messages).await;
+    while let Some(first_message) = messages.recv().await {
+        let result = context.connect_and_exchange(first_message, &mut highest_term, &mut messages).await;
         if messages.is_closed() {
             return;
         }
-        context.log_disconnected(ended);
-        // What was asked meanwhile is asked again by the core, which still waits for it.
+        context.log_disconnected(result);
+        // Queued messages are dropped: the core sends its unanswered queries again.
         while messages.try_recv().is_ok() {}
         if context.events.send(LoopEvent::CoreInput(context.disconnected_input())).is_err() {
             return;
@@ -77,14 +78,14 @@
 impl ServiceContext {
     async fn connect_and_exchange(
         &self,
-        first: ToList,
+        first_message: ToList,
         highest_term: &mut HighestTerm,
         messages: &mut mpsc::UnboundedReceiver<ToList>,
     ) -> io::Result<()> {
         let connected = tokio::time::timeout(self.connect_timeout, self.connect()).await;
         let socket = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
         tracing::info!(service = ?self.service, address = %self.address, "service connected");
-        self.exchange(socket, first, highest_term, messages).await
+        self.exchange(socket, first_message, highest_term, messages).await
     }
 
     async fn connect(&self) -> io::Result<Socket> {
@@ -94,19 +95,20 @@
         Ok(socket)
     }
 
-    /// Moves messages both ways until the connection, or the sender of messages, has ended.
+    /// Transfers messages in both directions until the connection has ended or the sender of messages is
+    /// dropped.
     async fn exchange(
         &self,
         socket: Socket,
-        first: ToList,
+        first_message: ToList,
         highest_term: &mut HighestTerm,
         messages: &mut mpsc::UnboundedReceiver<ToList>,
     ) -> io::Result<()> {
         let (mut reader, mut writer) = socket.into_split();
         let mut input = BytesMut::new();
-        writer.write_all(&first.frame()).await?;
+        writer.write_all(&first_message.frame()).await?;
         loop {
-            // A cancelled branch loses nothing: what was read is in the buffer, and a message stays in its channel.
+            // Cancel safe: received bytes stay in the buffer, and messages stay in their channel.
             tokio::select! {
                 read = reader.read_buf(&mut input) => if read? == 0 {
                     return Ok(());
@@ -125,9 +127,9 @@
         }
     }
 
-    fn log_disconnected(&self, ended: io::Result<()>) {
+    fn log_disconnected(&self, result: io::Result<()>) {
         let address = self.address;
-        let reason = ended.err().map_or("closed".into(), |error| error.to_string());
+        let reason = result.err().map_or("closed".into(), |error| error.to_string());
         match self.service {
             Service::EndpointList => tracing::warn!(%address, reason, "endpoint list stale"),
             Service::Coordinator => tracing::warn!(%address, reason, "coordinator disconnected"),
--- a/crates/nbd-gateway/src/session/close_reason.rs
+++ b/crates/nbd-gateway/src/session/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why a session was closed.
+//! The reasons for closing a session.
 
 use std::io;
 
@@ -7,25 +7,25 @@
 /// Why a session was closed, for the log.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CloseReason {
-    /// The gateway drains, and nothing is open.
+    /// The gateway is draining, and no request is open.
     #[error("the gateway is stopping")]
     GatewayStopping,
-    /// The volume was removed, and nothing is open.
+    /// The volume was removed, and no request is open.
     #[error("its volume was removed")]
     VolumeRemoved,
-    /// The client has sent a disconnect, and all it asked before is answered.
+    /// The client has sent a disconnect, and all its requests are answered.
     #[error("the client disconnected")]
     ClientDisconnected,
-    /// The client has closed the connection without a disconnect.
+    /// The client closed the connection without a disconnect.
     #[error("the client closed the connection")]
     ConnectionClosed,
-    /// The event loop has ended: nobody answers any more.
-    #[error("the gateway ended")]
+    /// The event loop has ended, so no more replies will arrive.
+    #[error("the gateway's event loop ended")]
     EventLoopEnded,
-    /// The rest of a message, or the end of the negotiation, did not come in time.
-    #[error("the client's bytes came too slowly")]
+    /// The rest of a message, or the end of the negotiation, did not arrive in time.
+    #[error("the client did not complete a message in time")]
     MessageTimeout,
-    /// The client breaks the protocol.
+    /// The client violated the protocol.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
     /// The socket failed.
--- a/crates/nbd-gateway/src/session/exports.rs
+++ b/crates/nbd-gateway/src/session/exports.rs
@@ -1,4 +1,4 @@
-//! The volumes, as NBD clients see them.
+//! The volumes as NBD exports.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use umbertray_routing::Settings;
 use umbertray_routing::settings::Volume;
 
-/// The smallest range that a request may name, bytes.
+/// Minimum length of a request's range, bytes.
 const MINIMUM_BLOCK: u32 = 512;
-/// The range that clients do best to use, bytes.
+/// Preferred length of a request's range, bytes.
 const PREFERRED_BLOCK: u32 = 4096;
 
-/// The volumes of some settings.
+/// The exports for the volumes of the given settings.
 pub(super) struct VolumeExports(pub(super) Arc<Settings>);
 
 impl VolumeExports {
     fn export(&self, volume: &Volume) -> Export {
-        // A flush reaches all shards that hold extents of the volume, whichever gateway wrote them, so that several
-        // connections may be used as one.
+        // CAN_MULTI_CONN is allowed because a flush reaches all shards that hold extents of the volume,
+        // whichever gateway wrote them. Several connections are therefore equivalent to one.
         let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
         let maximum = self.0.bounds.request_bytes;
         let preferred = PREFERRED_BLOCK.min(maximum);
--- a/crates/nbd-gateway/src/session/input.rs
+++ b/crates/nbd-gateway/src/session/input.rs
@@ -1,4 +1,4 @@
-//! Reading a client's messages: none is read before there is a buffer for it.
+//! Reads a client's messages. A request's payload is read only after a buffer was granted for it.
 
 use std::future::Future;
 use std::io;
@@ -15,25 +15,26 @@
 use crate::event_loop::LoopEvent;
 use crate::replies;
 
-/// Bytes read at a time, at most, beyond a payload that is known to come.
+/// Most bytes read at a time, apart from a payload of known length.
 const READ_BYTES: usize = 16 * 1024;
 
 type PendingAdmission = Pin<Box<dyn Future<Output = Option<BufferAdmission>> + Send>>;
 
-/// What may be read next.
+/// What may be read from the client next.
 pub(super) enum ReadState {
     /// The next header.
     Ready,
-    /// Nothing: a request's header has come, and its bytes wait for a buffer.
+    /// Nothing: a request's header was read, and the request waits for a buffer.
     AwaitingBuffer(PendingAdmission),
-    /// The rest of a request that has a buffer.
+    /// The rest of a request for which a buffer was granted.
     BufferGranted(BufferGuard),
-    /// Nothing more: the client has sent a disconnect.
+    /// Nothing any more: the client has sent a disconnect, or its volume is unknown.
     Closed,
 }
 
 impl ReadState {
-    /// The admission that is waited for; never, where none is. Cancellation loses nothing: the wait goes on in the state.
+    /// Waits for the pending admission; never returns if there is none. Cancel safe: the wait continues in
+    /// the read state.
     pub(super) async fn buffer_admission(&mut self) -> Option<BufferAdmission> {
         match self {
             ReadState::AwaitingBuffer(admission) => admission.await,
@@ -57,14 +58,14 @@
         self.read_state.accepts_bytes() && self.session.open_requests() < max_requests
     }
 
-    /// Whether the client owes the rest of a message, or of its negotiation.
+    /// Whether the rest of a message, or of the negotiation, is outstanding from the client.
     pub(super) fn is_mid_message(&self) -> bool {
         self.volume.is_none() || !self.input.is_empty() || self.read_state.is_buffer_granted()
     }
 
-    /// Reads what has come; the end of the connection is an error.
+    /// Reads the bytes that have arrived. The end of the connection is returned as an error.
     pub(super) fn read(&mut self) -> Result<(), CloseReason> {
-        // An idle session holds no buffer.
+        // An idle session holds no input buffer, so it is allocated here.
         if self.input.is_empty() {
             self.input = BytesMut::with_capacity(READ_BYTES);
         } else {
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    /// Takes the whole messages off the input, as far as there are buffers.
+    /// Processes the complete messages in the input, as long as buffers are granted.
     pub(super) fn receive(&mut self) -> Result<(), CloseReason> {
         while self.may_read() {
             let exports = VolumeExports(self.context.current_settings.load_full());
@@ -129,7 +130,8 @@
                 if self.session.reject(Errno::NoMem, text) {
                     self.start_next_message();
                 } else {
-                    // A disconnect, or a client that breaks the protocol: it holds nothing but its record.
+                    // The message is a disconnect, or the client violates the protocol. It needs no bytes of
+                    // the budget, only its record.
                     self.read_state = ReadState::BufferGranted(Arc::new(()));
                 }
             }
@@ -137,7 +139,7 @@
         }
     }
 
-    /// What follows a whole request in the input came with the last read.
+    /// The next message starts in the input already read, so its first byte came with the last read.
     fn start_next_message(&mut self) {
         self.message_started_at = self.last_read_at;
         self.read_state = ReadState::Ready;
@@ -150,7 +152,7 @@
         self.start_next_message();
         let Some(volume) = self.volume else { return };
         let Some(kind) = replies::operation_kind(request.command) else { return };
-        self.replies.open(&request, self.session.has_structured_replies());
+        self.replies.register(&request, self.session.has_structured_replies());
         let request = Request {
             id: RequestId(self.id, request.cookie),
             volume,
--- a/crates/nbd-gateway/src/session/mod.rs
+++ b/crates/nbd-gateway/src/session/mod.rs
@@ -1,4 +1,5 @@
-//! One NBD session: one task moves its bytes both ways, so that neither waits for the other.
+//! An NBD session. One task transfers its bytes in both directions, so that neither direction blocks the
+//! other.
 
 mod close_reason;
 mod exports;
@@ -26,31 +27,31 @@
 use crate::event_loop::{LoopEvent, SessionReply};
 use crate::replies::OpenReplies;
 
-/// Parts of replies taken from the queue at once, at most.
+/// Most reply parts taken from the queue at once.
 const MAX_PARTS_PER_STEP: usize = 64;
 
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(0);
 
-/// What all sessions of a gateway share.
+/// State shared by all sessions of a gateway.
 pub(crate) struct SessionContext {
-    /// The settings in force; what a session has begun with is its own.
+    /// The settings in force. A session keeps the export that it attached with.
     pub(crate) current_settings: Arc<ArcSwap<Settings>>,
-    /// Counts the volumes that were removed.
+    /// Number of volumes removed so far; a change wakes the sessions.
     pub(crate) removed_volumes: watch::Receiver<u64>,
-    /// Bytes for requests.
+    /// Byte budget for requests.
     pub(crate) budget: BufferBudget,
     /// The settings that the gateway started with.
     pub(crate) settings: Arc<Settings>,
     /// The gateway's clock.
     pub(crate) clock: Clock,
-    /// Where requests go.
+    /// Sends requests to the event loop.
     pub(crate) events: mpsc::UnboundedSender<LoopEvent>,
-    /// Turns true once, when the gateway is to drain.
-    pub(crate) is_stopping: watch::Receiver<bool>,
+    /// Becomes true once, when the gateway must drain.
+    pub(crate) stop_signal: watch::Receiver<bool>,
 }
 
 impl SessionContext {
-    /// How long a negotiation, or the rest of a request, may take, by the settings in force.
+    /// Timeout for a negotiation, or for the rest of a request, by the settings in force.
     fn message_timeout(&self) -> Duration {
         timeouts::bounded_wait(self.current_settings.load().longest_timeout())
     }
@@ -65,7 +66,7 @@
     reply_receiver: mpsc::UnboundedReceiver<SessionReply>,
     budget: SessionBudget,
     read_state: ReadState,
-    /// The volume that the client has attached to.
+    /// Index of the volume that the client has attached to.
     volume: Option<usize>,
     input: BytesMut,
     /// When the first byte of the message in `input` was read.
@@ -73,12 +74,12 @@
     /// When the last byte was read.
     last_read_at: Duration,
     write_queue: WriteQueue,
-    stop_receiver: watch::Receiver<bool>,
+    stop_signal: watch::Receiver<bool>,
     is_stopping: bool,
     removed_volumes: watch::Receiver<u64>,
 }
 
-/// Serves one client until its session has ended.
+/// Serves one client until its session ends.
 pub(crate) async fn run(context: Arc<SessionContext>, socket: Socket, peer: SocketAddr) {
     let id = SessionId(NEXT_SESSION.fetch_add(1, Ordering::Relaxed));
     let (replies, reply_receiver) = mpsc::unbounded_channel();
@@ -102,8 +103,8 @@
         reply_receiver: mpsc::UnboundedReceiver<SessionReply>,
     ) -> SessionTask {
         let now = context.clock.now();
-        let mut stop_receiver = context.is_stopping.clone();
-        let is_stopping = *stop_receiver.borrow_and_update();
+        let mut stop_signal = context.stop_signal.clone();
+        let is_stopping = *stop_signal.borrow_and_update();
         SessionTask {
             id,
             socket,
@@ -117,7 +118,7 @@
             message_started_at: now,
             last_read_at: now,
             write_queue: WriteQueue::default(),
-            stop_receiver,
+            stop_signal,
             is_stopping,
             removed_volumes: context.removed_volumes.clone(),
             context,
@@ -136,9 +137,9 @@
         }
     }
 
-    /// Handles what there is, then waits for one event; an error ends the session.
+    /// Processes the available input and output, then waits for one event. An error ends the session.
     async fn step(&mut self, parts: &mut Vec<SessionReply>) -> Result<(), CloseReason> {
-        // What is open of a volume that was removed gets its answers; nothing more is accepted.
+        // Open requests to a removed volume still get their replies, but no new ones are accepted.
         let is_ending = self.is_stopping || self.is_volume_removed();
         if is_ending {
             self.session.shut_down();
@@ -153,8 +154,8 @@
         let message_timeout = self.context.message_timeout();
         let deadline = self.context.clock.instant(self.message_started_at + message_timeout);
         let has_deadline = may_read && self.is_mid_message();
-        // A cancelled branch loses nothing: bytes, parts and changes stay where they were, and the wait for a buffer goes on
-        // in the read state.
+        // Cancel safe: bytes, reply parts and changes stay where they are, and the wait for a buffer
+        // continues in the read state.
         tokio::select! {
             ready = self.socket.readable(), if may_read => {
                 ready?;
@@ -175,8 +176,8 @@
                 self.on_buffer_admission(admission);
                 Ok(())
             }
-            changed = self.stop_receiver.changed(), if !self.is_stopping => {
-                self.is_stopping = changed.is_err() || *self.stop_receiver.borrow();
+            changed = self.stop_signal.changed(), if !self.is_stopping => {
+                self.is_stopping = changed.is_err() || *self.stop_signal.borrow();
                 Ok(())
             }
             Ok(()) = self.removed_volumes.changed() => Ok(()),
@@ -201,7 +202,7 @@
     }
 
     fn on_reply(&mut self, SessionReply { cookie, part, hold }: SessionReply) {
-        let data = self.replies.put_part(&mut self.session, cookie, part);
+        let data = self.replies.write_part(&mut self.session, cookie, part);
         self.write_queue.push(self.session.output().split().freeze());
         if let Some(data) = data {
             self.write_queue.push(data);
--- a/crates/nbd-gateway/src/session/write_queue.rs
+++ b/crates/nbd-gateway/src/session/write_queue.rs
@@ -1,4 +1,4 @@
-//! Bytes on their way to a client.
+//! Queue of bytes to send to a client.
 
 use std::collections::VecDeque;
 use std::io;
@@ -9,7 +9,7 @@
 
 use crate::buffer_queue::{advance, slices};
 
-/// Bytes to write, in order.
+/// Bytes to write, in order, and the guards to keep until they are written.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     buffers: VecDeque<Bytes>,
@@ -17,7 +17,7 @@
     holds: VecDeque<Hold>,
 }
 
-/// A guard that is held until so many more bytes are written.
+/// A guard that is kept until `remaining_bytes` more bytes are written.
 struct Hold {
     remaining_bytes: usize,
     _guard: BufferGuard,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Drops a guard once all that is queued now is written.
+    /// Keeps a guard until all bytes queued so far are written.
     pub(super) fn hold_until_written(&mut self, guard: BufferGuard) {
         self.holds.push_back(Hold { remaining_bytes: self.queued_bytes, _guard: guard });
     }
 
-    /// Writes what the socket takes without waiting.
+    /// Writes as much as the socket accepts without blocking.
     ///
     /// # Errors
     /// The socket failed.
--- a/crates/nbd-gateway/src/snapshot_writer/mod.rs
+++ b/crates/nbd-gateway/src/snapshot_writer/mod.rs
@@ -1,4 +1,4 @@
-//! The thread that writes snapshots: whatever its disk does, the event loop goes on.
+//! Writes snapshots in a separate thread, so that a slow or stalled disk does not block the event loop.
 
 #[cfg(test)]
 mod tests;
@@ -15,41 +15,42 @@
 
 use crate::event_loop::LoopEvent;
 
-/// How long the end of the gateway waits for what is being written.
+/// How long the shutdown of the gateway waits for a write in progress.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two looks at whether the thread has ended.
+/// Interval of the checks whether the thread has ended.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A snapshot on its way to the thread.
+/// A snapshot to write, sent to the thread.
 struct SnapshotRequest {
     now: Duration,
     stamp: Stamp,
     snapshot: Snapshot,
 }
 
-/// What was opened in a folder.
+/// The result of opening a snapshot folder.
 pub(crate) struct OpenedSnapshots {
     /// Writes new snapshots.
     pub(crate) writer: SnapshotWriter,
-    /// What an earlier run saved.
+    /// The snapshot saved by an earlier run, if any.
     pub(crate) loaded: Option<LoadResult>,
 }
 
-/// The event loop's end of the thread. Invariant: at most one snapshot is with the thread.
+/// The event loop's handle of the writer thread. Invariant: the thread has at most one snapshot at a time.
 pub(crate) struct SnapshotWriter {
     requests: Option<blocking::SyncSender<SnapshotRequest>>,
     thread: Option<JoinHandle<()>>,
     is_writing: bool,
 }
 
-/// Identifies the settings, for tokens that were reserved under others: FNV-1a of the module's settings and the volumes' names.
+/// Identifies the settings, to detect tokens that were reserved under other settings: FNV-1a of the
+/// scheduler's settings and of the volumes' names and plans.
 fn settings_digest(settings: &Settings) -> u64 {
     let mut text = format!("{:?}", settings.scheduler_settings());
     settings.volumes.iter().for_each(|volume| text.push_str(&format!("\n{} {}", volume.name, volume.plan)));
     umbertray_store_protocol::volume_id(&text)
 }
 
-/// Opens a folder for this gateway; where it cannot be used the gateway runs without one.
+/// Opens a folder for this gateway. If it cannot be used, the gateway runs without snapshots.
 pub(crate) fn open(
     folder: &Path,
     seed: u64,
@@ -104,26 +105,27 @@
         SnapshotWriter { requests: Some(requests), thread: Some(thread), is_writing: false }
     }
 
-    /// Whether the thread has nothing to write.
+    /// Whether the thread has no snapshot to write.
     pub(crate) fn is_idle(&self) -> bool {
         !self.is_writing
     }
 
-    /// Hands a snapshot to the thread; [`LoopEvent::SnapshotFinished`] follows. Dropped where the thread is busy.
+    /// Passes a snapshot to the thread; [`LoopEvent::SnapshotFinished`] follows. If the thread is busy, the
+    /// snapshot is dropped.
     pub(crate) fn save(&mut self, now: Duration, stamp: Stamp, snapshot: Snapshot) {
         let request = SnapshotRequest { now, stamp, snapshot };
         let is_sent = self.requests.as_ref().is_some_and(|requests| requests.try_send(request).is_ok());
         self.is_writing |= is_sent;
     }
 
-    /// The thread has finished a snapshot.
+    /// Records that the thread has finished a snapshot.
     pub(crate) fn on_finished(&mut self) {
         self.is_writing = false;
     }
 }
 
 impl Drop for SnapshotWriter {
-    /// Lets the last snapshot be finished, but does not wait for a disk that hangs.
+    /// Waits until the last snapshot is finished, but not longer than `FINISH_TIMEOUT` for a stalled disk.
     fn drop(&mut self) {
         self.requests = None;
         let deadline = Instant::now() + FINISH_TIMEOUT;
--- a/crates/nbd-gateway/src/store_connection.rs
+++ b/crates/nbd-gateway/src/store_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a store. What is written never waits for what is read, nor the other way round.
+//! A connection to a store. Reading and writing are independent, so neither waits for the other.
 
 use std::collections::VecDeque;
 use std::io;
@@ -17,23 +17,23 @@
 use crate::buffer_queue::{advance, slices};
 use crate::event_loop::LoopEvent;
 
-/// A connection that was idle for so long sends a heartbeat: it finds a half-open connection, and a fresh reading of the
-/// store's clock keeps the fence in time sharp (docs/fences.md).
+/// Idle time after which a heartbeat is sent. It detects half-open connections, and its response brings a
+/// fresh reading of the store's clock, which keeps the time fence precise (docs/fences.md).
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
-/// The token of a heartbeat; health checks of the module have others.
+/// The token of a heartbeat; the scheduler's health checks have other tokens.
 const HEARTBEAT_TOKEN: u64 = 0;
-/// After so many heartbeats without an answer the connection is closed.
+/// Number of heartbeats without a response after which the connection is closed.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
-/// Bytes read at a time, at least.
+/// Minimum buffer space for a read, bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// Messages taken from the queue at once, at most.
+/// Most messages taken from the queue at once.
 const MAX_MESSAGES_PER_STEP: usize = 64;
 
-/// A message on its way to a store.
+/// A message to send to a store.
 pub(crate) struct StoreMessage {
     /// The message.
     pub(crate) message: ToStore,
-    /// To be held until the message is sent.
+    /// To be kept until the message is sent.
     pub(crate) hold: Option<BufferGuard>,
 }
 
@@ -43,34 +43,34 @@
 pub(crate) struct StoreConnection {
     /// The store.
     pub(crate) store: StoreId,
-    /// Counts the connections of this gateway.
+    /// Number of the connection, unique among this gateway's connections to stores.
     pub(crate) connection_id: u64,
     /// Identifies this run of the gateway, in the hello.
     pub(crate) run_id: u64,
-    /// How long the connection may take to come up.
+    /// Timeout for establishing the connection.
     pub(crate) connect_timeout: Duration,
     /// The gateway's clock.
     pub(crate) clock: Clock,
-    /// Where what the store says goes.
+    /// Receives the store's messages as events.
     pub(crate) events: mpsc::UnboundedSender<LoopEvent>,
 }
 
-/// A connection whose store has identified itself.
-struct Welcomed {
+/// An established connection, whose store has identified itself.
+struct EstablishedConnection {
     socket: Socket,
-    /// Bytes that came after the welcome.
+    /// Bytes that were received after the welcome message.
     input: BytesMut,
     connected: Input,
 }
 
 impl StoreConnection {
-    /// Connects, then moves messages until the connection ends, or the sender of messages is dropped.
+    /// Connects, then transfers messages until the connection ends, or the sender of messages is dropped.
     pub(crate) async fn run(self, address: SocketAddr, messages: MessageReceiver) {
         let store = self.store;
         let connected = tokio::time::timeout(self.connect_timeout, self.connect(address)).await;
         let connected = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-        let Welcomed { socket, input, connected } = match connected {
-            Ok(welcomed) => welcomed,
+        let EstablishedConnection { socket, input, connected } = match connected {
+            Ok(established) => established,
             Err(error) => {
                 tracing::info!(store = %address, %error, "store connection failed");
                 return self.send(Input::StoreUnreachable { store });
@@ -79,12 +79,13 @@
         tracing::info!(store = %address, "store connected");
         self.send(connected);
         let (reader, writer) = socket.into_split();
-        // What the other half was about to read or write is lost: the core counts it as perhaps executed.
-        let ended = tokio::select! {
-            ended = self.read(reader, input) => ended,
-            ended = write(writer, messages) => ended,
+        // The other direction's unfinished reads and writes are lost; the core treats attempts without a
+        // result as possibly executed.
+        let result = tokio::select! {
+            result = self.read(reader, input) => result,
+            result = write(writer, messages) => result,
         };
-        let reason = ended.err().map_or("closed".into(), |error| error.to_string());
+        let reason = result.err().map_or("closed".into(), |error| error.to_string());
         tracing::info!(store = %address, reason, "store connection closed");
         self.send(Input::StoreDisconnected { store });
     }
@@ -95,7 +96,7 @@
         _ = self.events.send(event);
     }
 
-    async fn connect(&self, address: SocketAddr) -> io::Result<Welcomed> {
+    async fn connect(&self, address: SocketAddr) -> io::Result<EstablishedConnection> {
         let mut socket = Socket::connect(address).await?;
         socket.set_nodelay(true)?;
         socket.write_all(&ToStore::Hello { run: self.run_id }.frame()).await?;
@@ -104,9 +105,9 @@
             match next_frame(&mut input).map_err(io::Error::other)? {
                 Some(FromStore::Welcome { store: lasting, shard, clock }) => {
                     let connected = Input::StoreConnected { store: self.store, lasting, shard, clock };
-                    return Ok(Welcomed { socket, input, connected });
+                    return Ok(EstablishedConnection { socket, input, connected });
                 }
-                Some(_) => return Err(io::Error::other("the store's first frame is not its welcome")),
+                Some(_) => return Err(io::Error::other("the store's first frame is not a welcome message")),
                 None if socket.read_buf(&mut input).await? == 0 => {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
@@ -132,12 +133,12 @@
     }
 }
 
-/// Writes messages, and heartbeats where there are none, until the sender of messages is dropped.
+/// Writes messages, and heartbeats while idle, until the sender of messages is dropped.
 async fn write(mut writer: WriteHalf, mut messages: MessageReceiver) -> io::Result<()> {
     let mut batch = Vec::new();
     let mut holds = Vec::new();
     loop {
-        // A cancelled branch loses nothing: messages stay in their channel.
+        // Cancel safe: messages stay in their channel.
         tokio::select! {
             count = messages.recv_many(&mut batch, MAX_MESSAGES_PER_STEP) => if count == 0 {
                 return Ok(());
@@ -147,7 +148,7 @@
         let mut queue = VecDeque::new();
         let mut frames = BytesMut::new();
         for StoreMessage { message, hold } in batch.drain(..) {
-            put_message(&message, &mut frames, &mut queue);
+            append_message(&message, &mut frames, &mut queue);
             holds.push(hold);
         }
         queue.push_back(frames.freeze());
@@ -163,8 +164,9 @@
     StoreMessage { message: ToStore::HealthCheck { token: HEARTBEAT_TOKEN }, hold: None }
 }
 
-/// Appends a message to `frames`; a payload goes uncopied to `queue`, after all the frames before it.
-fn put_message(message: &ToStore, frames: &mut BytesMut, queue: &mut VecDeque<Bytes>) {
+/// Appends a message to `frames`. A payload is appended to `queue` without copying, after all frames that
+/// precede it.
+fn append_message(message: &ToStore, frames: &mut BytesMut, queue: &mut VecDeque<Bytes>) {
     message.put(frames);
     if let Some(payload) = message.payload().filter(|payload| !payload.is_empty()) {
         queue.push_back(frames.split().freeze());
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -1,4 +1,5 @@
-//! A writer, relays and gateways in this process, and connections that pose as either end.
+//! Test fixtures: a log writer, relays and gateways in this process, and raw connections that act as a relay
+//! or as a follower.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -39,18 +40,18 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Bounds a wait: the failure names what was waited for, and shows the log.
+/// Waits with a timeout. On failure, the panic message names what was waited for and includes the log.
 pub(crate) async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     let ended = tokio::time::timeout(Duration::from_secs(40), future).await;
     ended.unwrap_or_else(|_| panic!("{what}: not within 40 s; the log:\n{}", log_lines().join("\n")))
 }
 
-/// An empty folder of this run's own.
+/// Creates an empty folder that is used by this run only.
 pub(crate) fn test_folder(name: &str) -> TestFolder {
     TestFolder::create(env!("CARGO_TARGET_TMPDIR"), name).expect("a folder for the test")
 }
 
-/// The one writer of a log.
+/// The only writer of a change log.
 pub(crate) struct Writer {
     pub(crate) folder: PathBuf,
     log: Log,
@@ -60,10 +61,10 @@
     /// Creates a log with one version.
     pub(crate) fn create(folder: &Path) -> Writer {
         let folder = folder.join("log");
-        let disk = Disk::open(&folder).expect("nobody else has it");
+        let disk = Disk::open(&folder).expect("the folder is not locked");
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).expect("a log");
         let mut writer = Writer { folder, log };
-        let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("right");
+        let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
         let wanted = Configuration::of_calls(&document.calls());
         writer.commit(Configuration::default().diff(&wanted));
         writer
@@ -71,19 +72,19 @@
 
     pub(crate) fn commit(&mut self, edits: Vec<Edit>) -> u64 {
         let base = self.log.head().number;
-        self.log.commit(change(base, edits)).expect("right").version
+        self.log.commit(change(base, edits)).expect("a valid change").version
     }
 
     pub(crate) fn add_volume(&mut self, volume: &str) -> u64 {
         self.commit(vec![add_volume_edit(volume)])
     }
 
-    /// Copies the log's folder as it is now.
+    /// Copies the log's folder in its current state.
     pub(crate) fn copy_folder(&self, to: &Path) -> PathBuf {
-        std::fs::create_dir_all(to).expect("room");
-        for file in std::fs::read_dir(&self.folder).expect("there") {
-            let file = file.expect("there");
-            std::fs::copy(file.path(), to.join(file.file_name())).expect("room");
+        std::fs::create_dir_all(to).expect("free disk space");
+        for file in std::fs::read_dir(&self.folder).expect("the log's folder") {
+            let file = file.expect("a file of the log");
+            std::fs::copy(file.path(), to.join(file.file_name())).expect("free disk space");
         }
         to.into()
     }
@@ -127,10 +128,11 @@
 /// Starts a relay that reads the writer's folder.
 pub(crate) async fn start_folder_relay(name: &str, folder: &Path) -> Relay {
     let changes = Source::Folder(folder.display().to_string());
-    umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
+    umbertray_relay::start(relay_options(name, changes)).await.expect("the relay starts")
 }
 
-/// Starts a relay of the writer's folder at the address of one that was dropped, whose task may not have ended yet.
+/// Starts a relay that reads the writer's folder at the address of a relay that was dropped. The dropped
+/// relay's task may not have ended yet, so binding is retried.
 pub(crate) async fn restart_folder_relay(name: &str, listen: SocketAddr, folder: &Path) -> Relay {
     let starting = async {
         loop {
@@ -138,17 +140,17 @@
             let options = umbertray_relay::RelayOptions { listen, ..relay_options(name, changes) };
             match umbertray_relay::start(options).await {
                 Err(RelayError::Listen { .. }) => tokio::time::sleep(Duration::from_millis(5)).await,
-                started => return started.expect("it starts"),
+                started => return started.expect("the relay starts"),
             }
         }
     };
-    within("a relay where another listened", starting).await
+    within("starting a relay at the address of a dropped one", starting).await
 }
 
-/// Starts a relay that follows others.
+/// Starts a relay that follows other relays.
 pub(crate) async fn start_relay(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> Relay {
     let changes = Source::Relays { upstreams, quorum };
-    umbertray_relay::start(relay_options(name, changes)).await.expect("it starts")
+    umbertray_relay::start(relay_options(name, changes)).await.expect("the relay starts")
 }
 
 pub(crate) fn relay_source(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> RelaySource {
@@ -159,7 +161,7 @@
 pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
     let state = relays.state.clone();
     let relayed = RelayedChanges::start(relays).await?;
-    let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("right");
+    let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
     let settings = relayed.at.version.settings(&document.settings);
     let options = GatewayOptions {
         listen: vec![any_port()],
@@ -169,7 +171,7 @@
         state,
         changes: Some(ChangeSource::Relays(Box::new(relayed))),
     };
-    Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("it listens"))
+    Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("the gateway listens"))
 }
 
 pub(crate) async fn start_gateway(relays: RelaySource) -> RunningGateway {
@@ -181,14 +183,14 @@
 pub(crate) async fn wait_until_applied(gateway: &RunningGateway, version: u64) {
     let mut applied = gateway.applied_version();
     let applying = applied.wait_for(|applied| *applied >= version);
-    within(&format!("applying version {version}"), applying).await.expect("it runs");
+    within(&format!("applying version {version}"), applying).await.expect("the gateway is running");
 }
 
 pub(crate) fn exports_volume(gateway: &RunningGateway, volume: &str) -> bool {
-    gateway.exports().iter().any(|known| known == volume)
+    gateway.exports().iter().any(|export| export == volume)
 }
 
-/// What an honest relay of a folder holds.
+/// The contents that a correct relay of a folder serves.
 #[derive(Clone)]
 pub(crate) struct RelayContents {
     pub(crate) checkpoint: Checkpoint,
@@ -198,7 +200,8 @@
     pub(crate) entries: Vec<(Position, Vec<u8>)>,
 }
 
-/// The contents of a folder: the checkpoint of its newest segment, the entries since, and the newest position.
+/// Reads the contents of a folder: the checkpoint of its newest segment, the entries since, and the newest
+/// position.
 pub(crate) fn folder_contents(folder: &Path) -> RelayContents {
     let (_, updates) = FolderReader::open(&Disk::read_only(folder)).expect("a log");
     let at = |update: &Update| Position { version: update.version(), hash: update.hash() };
@@ -213,22 +216,22 @@
     RelayContents {
         checkpoint,
         bytes,
-        head: updates.last().map(at).expect("something"),
+        head: updates.last().map(at).expect("at least a checkpoint"),
         entries: entries.collect(),
     }
 }
 
-/// Waits until a gateway that was dropped has unlocked its folder, as the end of a process would.
+/// Waits until a dropped gateway has unlocked its folder, as the end of a process would.
 pub(crate) async fn wait_until_unlocked(state: &Path) {
-    let free = async {
+    let unlocked = async {
         while [state.to_path_buf(), state.join("changes")].iter().any(|folder| Disk::open(folder).is_err()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    within("a dropped gateway's folder", free).await;
+    within("a dropped gateway to unlock its folder", unlocked).await;
 }
 
-/// All that this process has logged.
+/// Everything that this process has logged.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -244,7 +247,7 @@
 
 static LOG: OnceLock<LogBuffer> = OnceLock::new();
 
-/// Captures the log; all tests of this process share it.
+/// Captures the log, which all tests of this process share.
 pub(crate) fn capture_log() {
     LOG.get_or_init(|| {
         let lines = LogBuffer::default();
@@ -261,7 +264,7 @@
     String::from_utf8_lossy(&bytes).lines().map(str::to_string).collect()
 }
 
-/// Waits for a line of the log with these fields.
+/// Waits for a log line whose fields contain these values.
 pub(crate) async fn wait_for_log(fields: &[(&str, &str)]) {
     let matches = |line: &String| {
         let line: Value = serde_json::from_str(line).unwrap_or_default();
@@ -275,10 +278,10 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    within(&format!("a line with {fields:?}"), waiting).await;
+    within(&format!("a log line with {fields:?}"), waiting).await;
 }
 
-/// A connection that sends and receives frames.
+/// A raw connection that sends and receives frames.
 pub(crate) struct FrameConnection {
     pub(crate) stream: TcpStream,
     input: BytesMut,
@@ -290,7 +293,7 @@
     }
 
     pub(crate) async fn connect(address: SocketAddr) -> FrameConnection {
-        FrameConnection::new(TcpStream::connect(address).await.expect("it listens"))
+        FrameConnection::new(TcpStream::connect(address).await.expect("the address accepts connections"))
     }
 
     pub(crate) async fn send(&mut self, frame: impl Message) {
@@ -298,10 +301,10 @@
         _ = self.stream.write_all(&frame.frame()).await;
     }
 
-    /// The next frame; nothing once the connection has ended.
+    /// Receives the next frame; `None` once the connection has ended.
     pub(crate) async fn next<M: Message>(&mut self) -> Option<M> {
         loop {
-            if let Some(frame) = next_frame(&mut self.input).expect("frames") {
+            if let Some(frame) = next_frame(&mut self.input).expect("valid frames") {
                 return Some(frame);
             }
             match self.stream.read_buf(&mut self.input).await {
@@ -311,27 +314,29 @@
         }
     }
 
-    /// The first frame that is wanted; others are passed over.
+    /// Receives frames until `wanted` accepts one; other frames are ignored.
     pub(crate) async fn receive_until<T>(
         &mut self,
         what: &str,
         wanted: impl Fn(&FromUpstream) -> Option<T>,
     ) -> T {
-        let looking = async {
+        let receiving = async {
             loop {
-                let frame = self.next::<FromUpstream>().await.expect("it is open");
+                let frame = self.next::<FromUpstream>().await.expect("the connection is open");
                 if let Some(found) = wanted(&frame) {
                     return found;
                 }
             }
         };
-        within(what, looking).await
+        within(what, receiving).await
     }
 
-    /// Reads until the other end has closed.
+    /// Reads until the peer has closed the connection.
     pub(crate) async fn wait_until_closed(&mut self) {
-        within("the end of a connection", async { while self.next::<FromUpstream>().await.is_some() {} })
-            .await;
+        within("the peer to close the connection", async {
+            while self.next::<FromUpstream>().await.is_some() {}
+        })
+        .await;
     }
 
     pub(crate) async fn connect_as_follower(address: SocketAddr, name: &str) -> FrameConnection {
--- a/crates/nbd-gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -1,4 +1,4 @@
-//! Faulty peers: they send invalid frames, entries that do not follow, or changes that nobody wrote.
+//! Faulty peers that send invalid frames, entries that do not follow, or forged changes.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 
 use crate::common::*;
 
-/// Starts a fake relay: honest until it is asked for entries, after which it sends `final_frames`.
+/// Starts a fake relay that behaves correctly until it is asked for entries, after which it sends
+/// `final_frames`.
 async fn start_fake_relay(
     name: &'static str,
     contents: RelayContents,
@@ -67,17 +68,18 @@
     (address, serving)
 }
 
-/// The frame of an entry with a whole body.
+/// The frame of an entry with its complete body.
 fn entry(at: Position, body: &[u8]) -> Bytes {
     let part = Bytes::copy_from_slice(body);
     FromUpstream::Entry { at, length: body.len() as u32, offset: 0, part }.frame()
 }
 
-/// Makes the bytes that are sent in place of the entry after a position.
+/// Makes the bytes that are sent in place of the entry that follows a position.
 type FrameAfter = fn(Position) -> Bytes;
 
-/// Cut off, of wrong length, of unknown kind, out of the chain: each closes its connection, the reason and the peer are in the
-/// log, nothing has changed, and what the honest relays tell arrives.
+/// Frames that are cut off, too long or of unknown kind, and entries that do not follow on the chain: each
+/// closes its connection, the log names the reason and the peer, nothing changes in the gateway, and the
+/// changes from the correct relays still arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn upstream_invalid_frame_or_entry_closes_connection_and_changes_nothing() {
     capture_log();
@@ -104,15 +106,15 @@
         let contents = folder_contents(&writer.folder);
         let bytes = bytes(contents.head);
         let (address, serving) = start_fake_relay(name, contents, vec![bytes]).await;
-        // The fake is asked for entries first: it alone is in the gateway's zone.
-        let far = |upstream: umbertray_config::Upstream| umbertray_config::Upstream {
+        // The gateway asks the fake relay for entries first, because only the fake is in its zone.
+        let in_far_zone = |upstream: umbertray_config::Upstream| umbertray_config::Upstream {
             zone: "far".into(),
             ..upstream
         };
         let upstreams = vec![
             upstream(name, address),
-            far(upstream_of("f1", &top_relays[0])),
-            far(upstream_of("f2", &top_relays[1])),
+            in_far_zone(upstream_of("f1", &top_relays[0])),
+            in_far_zone(upstream_of("f2", &top_relays[1])),
         ];
         let gateway = start_gateway(relay_source(&format!("{name}-g"), upstreams, 2)).await;
         wait_for_log(&[("peer", &address.to_string()), ("reason", reason)]).await;
@@ -125,59 +127,75 @@
     }
 }
 
-/// A change that nobody wrote, correctly chained to the newest: a gateway with a quorum of two never applies it. One with a
-/// quorum of one does, which is what the quorum is for.
+/// A forged change, correctly chained to the newest one: a gateway with a quorum of two never applies it. A
+/// gateway with a quorum of one does apply it, which is the reason for larger quorums.
 #[tokio::test(flavor = "multi_thread")]
 async fn gateway_quorum_two_one_lying_relay_changes_nothing() {
     capture_log();
-    let folder = test_folder("lies");
+    let folder = test_folder("faulty-peers");
     let mut writer = Writer::create(&folder);
     let top_relays =
         [start_folder_relay("h1", &writer.folder).await, start_folder_relay("h2", &writer.folder).await];
     let honest = folder_contents(&writer.folder);
     let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
-    let lie = honest.head.after_change(&forged);
-    let (address, _serving) =
-        start_fake_relay("liar", RelayContents { head: lie, ..honest }, vec![entry(lie, &forged)]).await;
-    let far =
+    let forged_head = honest.head.after_change(&forged);
+    let (address, _serving) = start_fake_relay(
+        "liar",
+        RelayContents { head: forged_head, ..honest },
+        vec![entry(forged_head, &forged)],
+    )
+    .await;
+    let in_far_zone =
         |upstream: umbertray_config::Upstream| umbertray_config::Upstream { zone: "far".into(), ..upstream };
     let upstreams = || {
         vec![
             upstream("liar", address),
-            far(upstream_of("h1", &top_relays[0])),
-            far(upstream_of("h2", &top_relays[1])),
+            in_far_zone(upstream_of("h1", &top_relays[0])),
+            in_far_zone(upstream_of("h2", &top_relays[1])),
         ]
     };
-    let sure = start_gateway(relay_source("sure", upstreams(), 2)).await;
+    let quorum_two = start_gateway(relay_source("sure", upstreams(), 2)).await;
     wait_for_log(&[("message", "follows"), ("upstream", "liar")]).await;
     let version = writer.add_volume("honest");
-    assert_eq!(version, lie.version);
-    wait_until_applied(&sure, version).await;
-    assert!(exports_volume(&sure, "honest") && !exports_volume(&sure, "forged"), "{:?}", sure.exports());
+    assert_eq!(version, forged_head.version);
+    wait_until_applied(&quorum_two, version).await;
+    assert!(
+        exports_volume(&quorum_two, "honest") && !exports_volume(&quorum_two, "forged"),
+        "{:?}",
+        quorum_two.exports()
+    );
     wait_for_log(&[("message", "different histories"), ("version", &version.to_string())]).await;
     let version = writer.add_volume("more");
-    wait_until_applied(&sure, version).await;
-    assert!(exports_volume(&sure, "more") && !exports_volume(&sure, "forged"), "{:?}", sure.exports());
-    // A quorum of one: it goes on from its own copy, which the forged change follows.
+    wait_until_applied(&quorum_two, version).await;
+    assert!(
+        exports_volume(&quorum_two, "more") && !exports_volume(&quorum_two, "forged"),
+        "{:?}",
+        quorum_two.exports()
+    );
+    // A gateway with a quorum of one continues from its own copy of the log, to which the forged change is
+    // chained.
     let state = folder.join("trusting");
-    let trusting = |upstreams| umbertray_nbd_gateway::RelaySource {
+    let quorum_one_source = |upstreams| umbertray_nbd_gateway::RelaySource {
         state: Some(state.clone()),
         ..relay_source("trusting", upstreams, 1)
     };
-    drop(start_gateway(trusting(vec![upstream_of("h1", &top_relays[0])])).await);
+    drop(start_gateway(quorum_one_source(vec![upstream_of("h1", &top_relays[0])])).await);
     wait_until_unlocked(&state).await;
     let honest = folder_contents(&writer.folder);
     let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
-    let lie = honest.head.after_change(&forged);
-    let (address, _serving) =
-        start_fake_relay("liar-again", RelayContents { head: lie, ..honest }, vec![entry(lie, &forged)])
-            .await;
-    let trusting = start_gateway(trusting(vec![upstream("liar-again", address)])).await;
-    wait_until_applied(&trusting, lie.version).await;
-    assert!(exports_volume(&trusting, "forged"));
+    let forged_head = honest.head.after_change(&forged);
+    let (address, _serving) = start_fake_relay(
+        "liar-again",
+        RelayContents { head: forged_head, ..honest },
+        vec![entry(forged_head, &forged)],
+    )
+    .await;
+    let quorum_one = start_gateway(quorum_one_source(vec![upstream("liar-again", address)])).await;
+    wait_until_applied(&quorum_one, forged_head.version).await;
+    assert!(exports_volume(&quorum_one, "forged"));
 }
 
-/// An invalid frame of a follower closes its connection and no other.
+/// An invalid frame of a follower closes that follower's connection and no other.
 #[tokio::test(flavor = "multi_thread")]
 async fn follower_invalid_frame_is_disconnected_alone() {
     capture_log();
@@ -194,8 +212,8 @@
     for (bytes, reason) in cases {
         let mut connection = FrameConnection::connect(top.address).await;
         let peer = connection.stream.local_addr().expect("bound").to_string();
-        connection.stream.write_all(bytes).await.expect("it is open");
-        // At once: its lease would be over after ten seconds.
+        connection.stream.write_all(bytes).await.expect("the connection is open");
+        // The connection must be closed at once, and not when the follower's lease expires after ten seconds.
         let ended = tokio::time::timeout(LEASE / 2, connection.wait_until_closed()).await;
         assert!(ended.is_ok(), "{reason}");
         wait_for_log(&[("peer", &peer), ("reason", reason)]).await;
--- a/crates/nbd-gateway/tests/relays/main.rs
+++ b/crates/nbd-gateway/tests/relays/main.rs
@@ -1,6 +1,6 @@
-//! Changes on their way through relays to gateways, over sockets on loopback.
+//! Tests of configuration changes that reach gateways through relays, over loopback sockets.
 
 mod common;
+mod faulty_peers;
 mod hops;
-mod lies;
 mod slow;
--- a/crates/routing/src/core/mod.rs
+++ b/crates/routing/src/core/mod.rs
@@ -151,9 +151,9 @@
     fn on_settings_changed(&mut self, settings: Arc<Settings>, changes: &[SettingsChange]) {
         let new_volumes = settings.volumes.iter().skip(self.volumes.len());
         self.volumes.extend(new_volumes.map(|volume| volume_id(&volume.name)));
-        let has_new_figures =
+        let has_new_parameters =
             |change: &SettingsChange| matches!(change, SettingsChange::Figures | SettingsChange::Plan(_));
-        if changes.iter().any(has_new_figures) {
+        if changes.iter().any(has_new_parameters) {
             self.events.push(Event::SettingsChanged { settings: settings.scheduler_settings() });
         }
         for change in changes {
--- a/crates/socket/src/errors.rs
+++ b/crates/socket/src/errors.rs
@@ -1,17 +1,18 @@
-//! What errors of system calls mean.
+//! Classification of errors of accept(2) and connect(2).
 
 use std::io;
 
 use nix::errno::Errno;
 
-/// What an error of accept(2) calls for.
+/// The remedy for an error of accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// The connection was lost, or the call interrupted: the next one may be accepted at once.
+    /// The connection was lost, or the call was interrupted: the next connection may be accepted at once.
     Transient,
-    /// This process has no descriptor left: one of its own has to be closed.
+    /// This process has no descriptor left: it must close one of its own.
     Descriptors,
-    /// The system has no descriptors, buffers or memory left: closing a descriptor does not help, the caller has to wait.
+    /// The system has no descriptors, buffers or memory left: closing a descriptor does not help, and the
+    /// caller must wait.
     System,
     /// The listener cannot be used any more.
     Fatal,
@@ -38,8 +39,9 @@
     }
 }
 
-/// Whether a failure to connect is this machine's own and may be transient, so that it says nothing of the peer.
-pub fn is_local(error: &io::Error) -> bool {
+/// Whether a failure to connect is local to this machine and possibly transient, so that it says nothing
+/// about the peer.
+pub fn is_local_error(error: &io::Error) -> bool {
     use Errno::{EADDRNOTAVAIL, EAGAIN, EMFILE, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
     matches!(errno(error), Some(EADDRNOTAVAIL | ENETUNREACH | ENOBUFS | ENOMEM | EMFILE | ENFILE | EAGAIN))
 }
--- a/crates/socket/src/halves.rs
+++ b/crates/socket/src/halves.rs
@@ -1,4 +1,4 @@
-//! The two directions of a socket, each for a task of its own.
+//! The two directions of a socket, each for its own task.
 
 use std::io;
 use std::os::fd::AsRawFd;
@@ -12,11 +12,11 @@
 
 use crate::poll_read;
 
-/// The direction from the peer.
+/// The receiving direction.
 #[derive(Debug)]
 pub struct ReadHalf(Arc<TcpStream>);
 
-/// The direction to the peer. Dropping it shuts the direction down.
+/// The sending direction. Dropping it shuts the direction down.
 #[derive(Debug)]
 pub struct WriteHalf(Arc<TcpStream>);
 
@@ -37,7 +37,7 @@
 
 impl Drop for WriteHalf {
     fn drop(&mut self) {
-        // Fails where the peer has gone already, which needs no shutdown.
+        // Fails if the peer has already closed the connection, in which case no shutdown is needed.
         _ = self.shut_down();
     }
 }
@@ -46,8 +46,8 @@
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        poll_read(&self.0, context, to)
+        poll_read(&self.0, context, buffer)
     }
 }
--- a/crates/socket/src/lib.rs
+++ b/crates/socket/src/lib.rs
@@ -1,8 +1,9 @@
-//! TCP sockets under system calls that are interrupted, short, or fail for a moment, as Linux documents them.
+//! TCP sockets that handle interrupted, short and transiently failing system calls, as documented for Linux.
 //!
-//! The runtime's own reads and writes take a call that brought less than was asked for as the end of what there is, and
-//! wait for the next edge of readiness; a call may be short for other reasons (signal(7), recv(2), send(2)), and then that
-//! edge does not come. Here a direction is ready until the system says `WouldBlock`, and EINTR is tried again at once.
+//! The runtime's own reads and writes treat a short call (one that transferred less than requested) as the
+//! end of the available data or buffer space, and then wait for the next readiness edge. A call may be short
+//! for other reasons (signal(7), recv(2), send(2)), and then that edge does not come. Here a direction counts
+//! as ready until the system returns `WouldBlock`, and a call interrupted by EINTR is repeated at once.
 
 mod errors;
 mod halves;
@@ -17,10 +18,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-pub use errors::{AcceptError, accept_error, is_local};
+pub use errors::{AcceptError, accept_error, is_local_error};
 pub use halves::{ReadHalf, WriteHalf};
 
-/// Wait before a connect is retried after a failure of this machine's own.
+/// Wait before a connect is retried after a failure that is local to this machine.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// A connected TCP socket.
@@ -33,7 +34,7 @@
     }
 }
 
-/// Repeats a system call for as long as it is interrupted (EINTR).
+/// Repeats a system call while it is interrupted (EINTR).
 ///
 /// # Errors
 /// Any other error of the call.
@@ -41,14 +42,15 @@
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
 impl Socket {
-    /// Connects. Failures of this machine's own (no address, buffer or descriptor for the moment) say nothing of the peer and
-    /// are retried until the caller's timeout cancels this. Cancellation closes a connection that has come up.
+    /// Connects to a peer. Failures local to this machine (temporarily no address, buffer or descriptor) are
+    /// not the peer's fault and are retried until the caller's timeout cancels this future. Cancellation
+    /// closes a connection that was established meanwhile.
     ///
     /// # Errors
     /// The peer refused the connection or could not be reached.
@@ -56,7 +58,7 @@
         loop {
             match TcpStream::connect(address).await {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_local(&error) => tokio::time::sleep(CONNECT_RETRY_DELAY).await,
+                Err(error) if is_local_error(&error) => tokio::time::sleep(CONNECT_RETRY_DELAY).await,
                 connected => return connected.map(Socket),
             }
         }
@@ -65,36 +67,36 @@
     /// Disables Nagle's algorithm: small writes are sent at once.
     ///
     /// # Errors
-    /// The system refused the option.
+    /// The system rejected the option.
     pub fn set_nodelay(&self, nodelay: bool) -> io::Result<()> {
         self.0.set_nodelay(nodelay)
     }
 
-    /// Reads what has arrived.
+    /// Reads the bytes that have arrived.
     ///
     /// # Errors
     /// `WouldBlock` if nothing has arrived; otherwise the connection is broken.
-    pub fn try_read(&self, to: &mut [u8]) -> io::Result<usize> {
-        retry_interrupted(|| self.0.try_read(to))
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        retry_interrupted(|| self.0.try_read(buffer))
     }
 
-    /// Reads what has arrived and appends it to the buffer.
+    /// Reads the bytes that have arrived and appends them to the buffer.
     ///
     /// # Errors
     /// `WouldBlock` if nothing has arrived; otherwise the connection is broken.
-    pub fn try_read_buf(&self, to: &mut impl BufMut) -> io::Result<usize> {
-        retry_interrupted(|| self.0.try_read_buf(to))
+    pub fn try_read_buf(&self, buffer: &mut impl BufMut) -> io::Result<usize> {
+        retry_interrupted(|| self.0.try_read_buf(buffer))
     }
 
     /// Writes as much of the slices as the system accepts.
     ///
     /// # Errors
     /// `WouldBlock` if it accepts nothing; otherwise the connection is broken.
-    pub fn try_write_vectored(&self, from: &[io::IoSlice<'_>]) -> io::Result<usize> {
-        retry_interrupted(|| self.0.try_write_vectored(from))
+    pub fn try_write_vectored(&self, slices: &[io::IoSlice<'_>]) -> io::Result<usize> {
+        retry_interrupted(|| self.0.try_write_vectored(slices))
     }
 
-    /// Waits until there is something to read. Cancel safe.
+    /// Waits until the socket is readable. Cancel safe.
     ///
     /// # Errors
     /// The runtime is shutting down.
@@ -102,7 +104,7 @@
         self.0.readable().await
     }
 
-    /// Waits until something can be written. Cancel safe.
+    /// Waits until the socket is writable. Cancel safe.
     ///
     /// # Errors
     /// The runtime is shutting down.
@@ -110,7 +112,7 @@
         self.0.writable().await
     }
 
-    /// Waits until the socket is ready for any of the interest. Cancel safe.
+    /// Waits until the socket is ready for at least one of the interests. Cancel safe.
     ///
     /// # Errors
     /// The runtime is shutting down.
@@ -118,21 +120,25 @@
         self.0.ready(interest).await.map(drop)
     }
 
-    /// Splits the socket into its two directions, for two tasks.
+    /// Splits the socket into its two directions, for use by two tasks.
     pub fn into_split(self) -> (ReadHalf, WriteHalf) {
         halves::split(self.0)
     }
 }
 
-fn poll_read(stream: &TcpStream, context: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+fn poll_read(
+    stream: &TcpStream,
+    context: &mut Context<'_>,
+    buffer: &mut ReadBuf<'_>,
+) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(context))?;
-        match retry_interrupted(|| stream.try_read(to.initialize_unfilled())) {
+        match retry_interrupted(|| stream.try_read(buffer.initialize_unfilled())) {
             Ok(read) => {
-                to.advance(read);
+                buffer.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            // The call cleared the readiness that was wrong; wait for the next.
+            // The call has cleared the wrong readiness; wait until the socket is ready again.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => return Poll::Ready(Err(error)),
         }
@@ -157,36 +163,36 @@
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        poll_read(&self.0, context, to)
+        poll_read(&self.0, context, buffer)
     }
 }
 
-/// The parts in which the types that write differ; [`impl_async_write`] has what they share.
+/// The operations in which the writable types differ; [`impl_async_write`] implements what they share.
 trait WriteSide {
     fn stream(&self) -> &TcpStream;
     fn poll_shut_down(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>>;
 }
 
-/// Implements `AsyncWrite` for a [`WriteSide`]. Nothing is buffered here, so that a flush has nothing to do.
+/// Implements `AsyncWrite` for a [`WriteSide`]. Nothing is buffered here, so a flush has nothing to do.
 macro_rules! impl_async_write {
     ($writer:ty) => {
         impl AsyncWrite for $writer {
             fn poll_write(
                 self: Pin<&mut Self>,
                 context: &mut Context<'_>,
-                from: &[u8],
+                bytes: &[u8],
             ) -> Poll<io::Result<usize>> {
-                poll_write(self.stream(), context, |stream| stream.try_write(from))
+                poll_write(self.stream(), context, |stream| stream.try_write(bytes))
             }
 
             fn poll_write_vectored(
                 self: Pin<&mut Self>,
                 context: &mut Context<'_>,
-                from: &[io::IoSlice<'_>],
+                slices: &[io::IoSlice<'_>],
             ) -> Poll<io::Result<usize>> {
-                poll_write(self.stream(), context, |stream| stream.try_write_vectored(from))
+                poll_write(self.stream(), context, |stream| stream.try_write_vectored(slices))
             }
 
             fn is_write_vectored(&self) -> bool {
@@ -227,11 +233,12 @@
 impl_async_write!(Socket);
 impl_async_write!(WriteHalf);
 
-/// Accepts the next connection, past those that their client abandoned meanwhile and calls that failed transiently. Cancel
-/// safe.
+/// Accepts the next connection, skipping connections that the client aborted meanwhile and calls that failed
+/// transiently. Cancel safe.
 ///
 /// # Errors
-/// Descriptors or memory are exhausted, or the listener cannot be used any more: [`accept_error`] tells which.
+/// Descriptors or memory are exhausted, or the listener cannot be used any more; [`accept_error`] tells
+/// which.
 pub async fn accept(listener: &TcpListener) -> io::Result<(Socket, SocketAddr)> {
     loop {
         match listener.accept().await {
--- a/crates/socket/tests/errors.rs
+++ b/crates/socket/tests/errors.rs
@@ -1,9 +1,9 @@
-//! What errors of accept(2) and connect(2) are taken for.
+//! Classification of errors of accept(2) and connect(2).
 
 use std::io;
 
 use nix::errno::Errno;
-use umbertray_socket::{AcceptError, accept_error, is_local, retry_interrupted};
+use umbertray_socket::{AcceptError, accept_error, is_local_error, retry_interrupted};
 
 #[test]
 fn accept_errors_are_classified_by_remedy() {
@@ -25,19 +25,19 @@
 #[test]
 fn connect_failures_are_local_or_of_the_peer() {
     for error in [Errno::EADDRNOTAVAIL, Errno::ENETUNREACH, Errno::ENOBUFS, Errno::EMFILE] {
-        assert!(is_local(&io::Error::from(error)), "{error}");
+        assert!(is_local_error(&io::Error::from(error)), "{error}");
     }
     for error in [Errno::ECONNREFUSED, Errno::ETIMEDOUT, Errno::EHOSTUNREACH, Errno::ECONNRESET] {
-        assert!(!is_local(&io::Error::from(error)), "{error}");
+        assert!(!is_local_error(&io::Error::from(error)), "{error}");
     }
 }
 
 #[test]
 fn interrupted_call_is_retried() {
-    let mut left = 3;
-    let done = retry_interrupted(|| {
-        left -= 1;
-        if left > 0 { Err(io::ErrorKind::Interrupted.into()) } else { Ok(left) }
+    let mut remaining_calls = 3;
+    let result = retry_interrupted(|| {
+        remaining_calls -= 1;
+        if remaining_calls > 0 { Err(io::ErrorKind::Interrupted.into()) } else { Ok(remaining_calls) }
     });
-    assert_eq!(done.expect("in the end"), 0);
+    assert_eq!(result.expect("success after interrupted calls"), 0);
 }
