--- a/crates/nbd-gateway/src/buffer_budget.rs
+++ b/crates/nbd-gateway/src/buffer_budget.rs
@@ -13,7 +13,7 @@
 
 /// The minimum charged for a request, for its records, in bytes. A session's bound is counted in blocks of
 /// this size.
-const BLOCK: usize = 1024;
+const BLOCK_BYTES: usize = 1024;
 
 /// The byte budget of a gateway, shared by all its sessions.
 #[derive(Clone)]
@@ -63,7 +63,7 @@
     /// Creates a budget with the bounds of the settings.
     pub(crate) fn new(bounds: &Bounds, max_retry_after: Duration, clock: Clock) -> BufferBudget {
         let gateway_budget = Arc::new(Mutex::new(ByteBudget::new(bounds.bytes as u64, max_retry_after)));
-        BufferBudget { gateway_budget, blocks_per_session: bounds.bytes_per_session / BLOCK, clock }
+        BufferBudget { gateway_budget, blocks_per_session: bounds.bytes_per_session / BLOCK_BYTES, clock }
     }
 
     /// Creates the budget of a new session.
@@ -83,12 +83,12 @@
         settings: Arc<Settings>,
         bytes: u32,
     ) -> Option<BufferAdmission> {
-        let blocks = (bytes as usize).div_ceil(BLOCK).max(1) as u32;
+        let blocks = (bytes as usize).div_ceil(BLOCK_BYTES).max(1) as u32;
         let session_blocks = self.session_blocks.acquire_many_owned(blocks).await.ok()?;
         let plan = &settings.plans[settings.volumes.get(volume)?.plan];
         let share = VolumeShare { weight: plan.weight, reserve: plan.reserve };
         let now = self.budget.clock.now();
-        let bytes = u64::from(blocks) * BLOCK as u64;
+        let bytes = u64::from(blocks) * BLOCK_BYTES as u64;
         let fraction = random_fraction(self.session, now);
         let admission = self.budget.gateway_budget.lock().ok()?.request(now, volume, share, bytes, fraction);
         Some(match admission {
--- a/crates/nbd-gateway/src/changes/folder.rs
+++ b/crates/nbd-gateway/src/changes/folder.rs
@@ -6,9 +6,9 @@
 use umbertray_config_log::Follower;
 use umbertray_snapshot::Disk;
 
+use super::log_rate_limit::LogRateLimit;
 use super::position_recorder::PositionRecorder;
 use super::publisher::{ChangePublisher, EventLoopEnded};
-use super::rate_limited::LogRateLimit;
 
 /// Interval between reads of the folder.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/nbd-gateway/src/changes/mod.rs
+++ b/crates/nbd-gateway/src/changes/mod.rs
@@ -2,10 +2,10 @@
 
 mod folder;
 mod log_copy;
+mod log_rate_limit;
 mod log_writer;
 mod position_recorder;
 mod publisher;
-mod rate_limited;
 mod relayed;
 
 use std::path::PathBuf;
--- a/crates/nbd-gateway/src/changes/relayed.rs
+++ b/crates/nbd-gateway/src/changes/relayed.rs
@@ -12,9 +12,9 @@
 use umbertray_store_protocol::volume_id;
 
 use super::log_copy::{DurableLog, OpenedLog};
+use super::log_rate_limit::LogRateLimit;
 use super::log_writer::{AppliedUpdate, AppliedUpdates, LogWriter, WriterEnded};
 use super::publisher::{ChangePublisher, EventLoopEnded};
-use super::rate_limited::LogRateLimit;
 use crate::error::GatewayError;
 
 /// How long a gateway without a copy of the log waits for the relays: the longest backoff between two
--- a/crates/nbd-gateway/src/session/exports.rs
+++ b/crates/nbd-gateway/src/session/exports.rs
@@ -8,9 +8,9 @@
 use umbertray_routing::settings::Volume;
 
 /// Minimum length of a request's range, bytes.
-const MINIMUM_BLOCK: u32 = 512;
+const MINIMUM_BLOCK_BYTES: u32 = 512;
 /// Preferred length of a request's range, bytes.
-const PREFERRED_BLOCK: u32 = 4096;
+const PREFERRED_BLOCK_BYTES: u32 = 4096;
 
 /// The exports for the volumes of the given settings.
 pub(super) struct VolumeExports(pub(super) Arc<Settings>);
@@ -21,13 +21,13 @@
         // whichever gateway wrote them. Several connections are therefore equivalent to one.
         let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
         let maximum = self.0.bounds.request_bytes;
-        let preferred = PREFERRED_BLOCK.min(maximum);
+        let preferred = PREFERRED_BLOCK_BYTES.min(maximum);
         Export {
             name: volume.name.clone(),
             description: format!("plan {}", self.0.plans[volume.plan].name),
             size: volume.size,
             flags,
-            blocks: BlockSizes { minimum: MINIMUM_BLOCK, preferred, maximum },
+            blocks: BlockSizes { minimum: MINIMUM_BLOCK_BYTES, preferred, maximum },
         }
     }
 }
--- a/crates/routing/src/locations.rs
+++ b/crates/routing/src/locations.rs
@@ -121,7 +121,8 @@
         Some(query)
     }
 
-    /// Drops the queries for which `is_obsolete` returns true.
+    /// Drops the queries for which `is_obsolete` returns true, because nothing waits for their responses any
+    /// more.
     pub(crate) fn drop_queries(&mut self, mut is_obsolete: impl FnMut(&mut DirectoryQuery) -> bool) {
         let obsolete: Vec<u64> = self
             .queries
--- a/crates/routing/src/restore.rs
+++ b/crates/routing/src/restore.rs
@@ -19,7 +19,7 @@
     stores: HashMap<u64, StoreRecord>,
     endpoint_list: Option<Vec<StoreRecord>>,
     volumes: HashMap<u64, VolumeId>,
-    /// Age of the snapshot when it was loaded, if known.
+    /// Age of the snapshot at `loaded_at`, if known.
     age: Option<Duration>,
     loaded_at: Duration,
 }
--- a/crates/routing/src/timers.rs
+++ b/crates/routing/src/timers.rs
@@ -41,7 +41,7 @@
         self.pending.pop_first().map(|(_, timer)| timer)
     }
 
-    /// The time to set the caller's timer to, if it differs from the last time last_requested.
+    /// The time to set the caller's timer to, if it differs from the time requested last.
     pub(crate) fn next_request(&mut self) -> Option<Duration> {
         let next = self.pending.first().map(|(at, _)| *at);
         if next == self.last_requested {
