--- a/crates/http-api/src/boot_timestamp.rs
+++ b/crates/http-api/src/boot_timestamp.rs
@@ -1,54 +1,60 @@
-//! The age of a store's start, where this machine's wall clock may be wrong.
+//! Age of a store, computed without relying on this machine's wall clock.
 //!
-//! Discovery stamps starts in Unix time. This machine's wall clock may be wrong by seconds or by an hour, so the difference
-//! of the two is not taken on trust. What is certain: the newest stamp that was seen is no later than the present of the
-//! clock that stamps, and from then on real time passes. A store is at least as old as that says. The smaller of that and
-//! the difference to this machine's clock counts: a store that is taken for cold for too long costs some service, one that
-//! is taken for warm is overloaded (rule 4). A stamp from the future then makes no other store warm while the clock here
-//! is right. See docs/clocks.md.
+//! Discovery sends boot timestamps in Unix time. The wall clock of this machine may be wrong by seconds or by
+//! an hour, so the difference between the two is not reliable. Two facts are certain: the newest boot
+//! timestamp received is not later than the current time of the clock that issued it, and real time passes
+//! after that. They give a lower bound for the age of a store. The smaller of this bound and the difference
+//! to the local clock is used: treating a warm store as cold for too long costs some capacity, but treating
+//! a cold store as warm overloads it (rule 4). Taking the smaller value also means that a timestamp from the
+//! future makes no other store warm while the local clock is right. See docs/clocks.md.
 
 use std::time::Duration;
 
-/// A store's start on the wall clock of another machine, since the Unix epoch. Comparable with other stamps only.
+/// Boot time of a store on the wall clock of another machine, since the Unix epoch. Only comparable with
+/// other boot timestamps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootTimestamp(Duration);
 
 impl BootTimestamp {
-    /// From milliseconds since the Unix epoch; 0 means long ago, which is no stamp.
+    /// Converts milliseconds since the Unix epoch. 0 means "long ago" and returns `None`.
     pub fn from_millis(since_1970: u64) -> Option<BootTimestamp> {
         (since_1970 > 0).then(|| BootTimestamp(Duration::from_millis(since_1970)))
     }
 
-    /// How much later this one is; zero where it is earlier.
-    fn since(self, earlier: BootTimestamp) -> Duration {
+    /// Time from `earlier` to this timestamp; zero if this timestamp is the earlier one.
+    fn elapsed_since(self, earlier: BootTimestamp) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// The latest time on the clock of the stamps that is known to be past.
+/// Lower bound of the current time on the clock that issues boot timestamps.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StampClock {
-    /// A stamp, and when it was seen on the monotonic clock here.
+pub struct BootTimestampClock {
+    /// The newest timestamp, and when it was observed on the local monotonic clock.
     newest: Option<(BootTimestamp, Duration)>,
 }
 
-impl StampClock {
-    /// Takes a stamp seen at `now` on the monotonic clock. The present of the stamping clock is no earlier.
-    pub fn see(&mut self, stamp: BootTimestamp, now: Duration) {
-        if self.at_least(now).is_none_or(|present| stamp > present) {
-            self.newest = Some((stamp, now));
+impl BootTimestampClock {
+    /// Records a timestamp observed at `now` on the local monotonic clock. The issuing clock has reached it
+    /// by then.
+    pub fn observe(&mut self, timestamp: BootTimestamp, now: Duration) {
+        if self.lower_bound(now).is_none_or(|present| timestamp > present) {
+            self.newest = Some((timestamp, now));
         }
     }
 
-    /// The least age of a start. `now` counts from the Unix epoch by the wall clock that this process read at its start.
-    pub fn age(&self, start: BootTimestamp, now: Duration) -> Duration {
-        let by_stamps = self.at_least(now).map_or(Duration::ZERO, |present| present.since(start));
-        let by_own_clock = BootTimestamp(now).since(start);
-        by_stamps.min(by_own_clock)
+    /// Minimum age of a store that started at `start`. `now` is the time since the Unix epoch, based on the
+    /// wall clock as read at the start of this process.
+    pub fn min_age(&self, start: BootTimestamp, now: Duration) -> Duration {
+        let by_timestamps =
+            self.lower_bound(now).map_or(Duration::ZERO, |present| present.elapsed_since(start));
+        let by_own_clock = BootTimestamp(now).elapsed_since(start);
+        by_timestamps.min(by_own_clock)
     }
 
-    /// A lower bound of the present on the stamping clock.
-    fn at_least(&self, now: Duration) -> Option<BootTimestamp> {
-        self.newest.map(|(stamp, seen)| BootTimestamp(stamp.0 + now.saturating_sub(seen)))
+    /// Lower bound of the current time on the issuing clock.
+    fn lower_bound(&self, now: Duration) -> Option<BootTimestamp> {
+        self.newest
+            .map(|(timestamp, observed_at)| BootTimestamp(timestamp.0 + now.saturating_sub(observed_at)))
     }
 }
--- a/crates/http-api/src/config.rs
+++ b/crates/http-api/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a gateway is started with: one JSON document.
+//! The configuration file of a gateway: one JSON document.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,64 +10,64 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// A configuration that cannot be read.
+/// The configuration cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No JSON of this form.
-    #[error("line {line}, column {column}: {what}")]
+    /// The document is not valid JSON, or lacks a field.
+    #[error("line {line}, column {column}: {reason}")]
     Json {
-        /// Line of the error, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// Column of the error, from 1.
+        /// Column of the error, counted from 1.
         column: usize,
-        /// What is wrong.
-        what: String,
+        /// Description of the error.
+        reason: String,
     },
-    /// A field that cannot be used.
-    #[error("{field}: {what}")]
+    /// A field has an invalid value.
+    #[error("{field}: {reason}")]
     Field {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong.
-        what: String,
+        /// Description of the error.
+        reason: String,
     },
 }
 
 impl ConfigError {
-    fn field(field: &'static str, what: &dyn Display) -> ConfigError {
-        ConfigError::Field { field, what: what.to_string() }
+    fn field(field: &'static str, reason: &dyn Display) -> ConfigError {
+        ConfigError::Field { field, reason: reason.to_string() }
     }
 }
 
-/// The configuration.
+/// Configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the gateway.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the gateway's random numbers.
+    /// Seed of the gateway's random number generator.
     pub seed: u64,
-    /// What the machine grants this process.
+    /// Resources available to this process.
     pub limits: Limits,
-    /// The endpoint list as this gateway last had it; it may be old.
-    pub known: EndpointList,
-    /// By this project's names, as the scheduler takes them.
+    /// The endpoint list that this gateway had last; it may be out of date.
+    pub cached_endpoints: EndpointList,
+    /// Settings under this project's names, as the scheduler expects them.
     pub settings: Settings,
 }
 
-/// What the machine grants this process.
+/// Resources available to this process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Limits {
-    /// Memory, megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub sockets: usize,
 }
 
-/// The document as its JSON has it.
+/// The document as deserialized from JSON.
 #[derive(Deserialize)]
 struct ConfigJson {
     name: String,
@@ -83,40 +83,41 @@
     /// Parses the document.
     ///
     /// # Errors
-    /// It is no JSON of this form, or a field of it cannot be used.
-    pub fn read(text: &str) -> Result<Config, ConfigError> {
+    /// The text is not a JSON document of this form, or a field has an invalid value.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let config: ConfigJson = serde_json::from_str(text).map_err(|error| ConfigError::Json {
             line: error.line(),
             column: error.column(),
-            what: error.to_string(),
+            reason: error.to_string(),
         })?;
         let limits = config.limits;
         if limits.sockets == 0 || limits.memory_mb.is_nan() || limits.memory_mb <= 0.0 {
-            return Err(ConfigError::field("limits", &"sockets and memory_mb are to be above 0"));
+            return Err(ConfigError::field("limits", &"sockets and memory_mb must be above 0"));
         }
         let address = |name, text: &str| text.parse().map_err(|error| ConfigError::field(name, &error));
         let listen = address("listen", &config.listen)?;
         let discovery = address("discovery", &config.discovery)?;
         let seed =
             u64::from_str_radix(&config.seed, 16).map_err(|error| ConfigError::field("seed", &error))?;
-        let known = EndpointList::read(config.known.to_string().as_bytes())
+        let cached_endpoints = EndpointList::parse(config.known.to_string().as_bytes())
             .map_err(|error| ConfigError::field("known", &error))?;
         let mut pairs = Vec::new();
         flatten(&config.settings, &mut String::new(), &mut pairs);
         let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str()));
         let settings = umbertray_setting_names::from_pairs(pairs);
-        Ok(Config { name: config.name, listen, discovery, seed, limits, known, settings })
+        Ok(Config { name: config.name, listen, discovery, seed, limits, cached_endpoints, settings })
     }
 }
 
-/// A duration among the settings, which have it in seconds; nothing where it is missing or cannot be read.
+/// Reads a duration setting, given in seconds. `None` if it is missing or cannot be parsed.
 pub fn duration_setting(settings: &Settings, name: &str) -> Option<Duration> {
     let seconds = settings.get(name)?.parse::<f64>().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// Flattens nested settings into paths and values, as the simulator's wire has them: a list of plain values is joined with
-/// commas; a list of objects has its length under `count` and its items under their numbers.
+/// Flattens nested settings into pairs of path and value, in the form of the simulator's protocol. A list of
+/// plain values is joined with commas. A list of objects yields its length under `count`, and its items under
+/// their indexes.
 fn flatten(value: &Value, path: &mut String, pairs: &mut Vec<(String, String)>) {
     match value {
         Value::Object(fields) => {
@@ -137,7 +138,7 @@
     }
 }
 
-/// Flattens a value one step below a path.
+/// Flattens a value one level below a path.
 fn flatten_below(step: &str, value: &Value, path: &mut String, pairs: &mut Vec<(String, String)>) {
     let length = path.len();
     if length > 0 {
@@ -148,7 +149,8 @@
     path.truncate(length);
 }
 
-/// A plain value as text; a comma or space in it would be taken for the end of a list's item.
+/// Formats a plain value as text. Commas and spaces are replaced, because they would be parsed as separators
+/// of a list.
 fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), |text| text.replace([' ', ','], "_"))
 }
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -1,4 +1,5 @@
-//! Hosts one scheduler behind the platform's protocol: inputs become its events, and its actions become effects.
+//! Runs one scheduler behind the platform's protocol: converts inputs to scheduler events, and scheduler
+//! actions to effects.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -14,17 +15,17 @@
 use umbertray_lifecycle::attempt::{self, AttemptStart, RequestStatus};
 use umbertray_lifecycle::reason::{DenialReason, RetryReason};
 
-use crate::active_settings::{ActiveSettings, SettingsError, StartError, words};
+use crate::active_settings::{ActiveSettings, SettingsError, StartError, comma_separated};
 use crate::config::Config;
 use crate::endpoint_list::EndpointList;
-use crate::fields;
 use crate::messages::{AttemptId, AttemptOutcome, ClientId, Effect, FinalResponse, Input};
-use crate::outcomes::{load_report, may_have_run, number, retry_reason, scheduler_outcome};
+use crate::outcomes::{header_number, may_have_run, parse_load_report, retry_reason, scheduler_outcome};
 use crate::pending::PendingRequests;
+use crate::protocol;
 use crate::request::{ClientRequest, RequestError};
 use crate::stores::{ListChanges, Stores};
 
-/// The gateway's state: one scheduler, the open operations, the known stores.
+/// State of the gateway: the scheduler, the open operations and the known stores.
 pub struct Core {
     scheduler: Scheduler,
     now: Duration,
@@ -34,14 +35,15 @@
     endpoints_known: bool,
     volume_ids: HashMap<u64, VolumeId>,
     timers: BTreeSet<(Duration, u64)>,
-    /// Events for the scheduler, of the present turn.
+    /// Events that the scheduler receives in the current turn.
     events: Vec<Event>,
-    /// Effects of the present turn.
+    /// Effects produced in the current turn.
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// A core at the gateway's start; `now` counts from the Unix epoch, as starts of stores do in endpoint lists.
+    /// Creates the core at the start of a gateway. `now` is the time since the Unix epoch, like the boot
+    /// timestamps in endpoint lists.
     ///
     /// # Errors
     /// The settings cannot be put in force.
@@ -53,52 +55,57 @@
             now,
             settings,
             pending: PendingRequests::default(),
-            stores: Stores::new(words(&config.settings, "failure_domains")),
-            endpoints_known: config.known.stores.iter().any(|endpoint| endpoint.state == StoreState::Ready),
+            stores: Stores::new(comma_separated(&config.settings, "failure_domains")),
+            endpoints_known: config
+                .cached_endpoints
+                .stores
+                .iter()
+                .any(|endpoint| endpoint.state == StoreState::Ready),
             volume_ids: HashMap::new(),
             timers: BTreeSet::new(),
             events: vec![start],
             effects: Vec::new(),
         };
-        let cached = core.apply_list(&config.known);
+        let cached = core.apply_list(&config.cached_endpoints);
         core.events.push(Event::EndpointList(EndpointListUpdate::Cached(cached.endpoints)));
         Ok(core)
     }
 
-    /// Checks a request and reads it as an operation.
+    /// Validates a request and converts it to an operation.
     ///
     /// # Errors
-    /// It is no valid operation, or its id is that of an open one.
-    pub fn check(&self, request: &server::Request) -> Result<ClientRequest, RequestError> {
-        let request = self.settings.names.parse(request)?;
+    /// The request is not a valid operation, or an open operation has the same request id.
+    pub fn parse_request(&self, request: &server::Request) -> Result<ClientRequest, RequestError> {
+        let request = self.settings.request_parser.parse(request)?;
         if self.pending.has_request_id(&request.id) {
-            let message = format!("{}: an open request has this id", fields::REQUEST_ID);
+            let message = format!("{}: an open request has this id", protocol::REQUEST_ID);
             return Err(RequestError { status: 409, message });
         }
         Ok(request)
     }
 
-    /// Whether there are stores to send attempts to.
+    /// Whether any store is known that attempts can be sent to.
     pub fn endpoints_known(&self) -> bool {
         self.endpoints_known
     }
 
-    /// The id that the client gave an attempt's operation, for as long as the operation is known.
+    /// The request id that the client assigned to the operation of an attempt; `None` once the operation is
+    /// forgotten.
     pub fn request_id(&self, attempt: AttemptId) -> Option<&str> {
         self.pending.get(attempt.op).map(|pending| &*pending.request.id)
     }
 
-    /// Number of operations without their final response.
+    /// Number of operations without a final response.
     pub fn open_requests(&self) -> usize {
         self.pending.open()
     }
 
-    /// When [`Input::TimerExpired`] is due at the latest.
+    /// Latest time at which [`Input::TimerExpired`] is due.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes everything that happened up to `now`, at one moment, and returns what to do about it.
+    /// Processes all inputs up to `now` as simultaneous, and returns the effects for the caller to perform.
     pub fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Effect> {
         self.now = now.max(self.now);
         inputs.into_iter().for_each(|input| self.on_input(input));
@@ -111,13 +118,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The client that waits for the response to an attempt's operation.
-    pub fn client(&self, attempt: AttemptId) -> Option<ClientId> {
+    /// The client that waits for the response to the operation of an attempt.
+    pub fn waiting_client(&self, attempt: AttemptId) -> Option<ClientId> {
         let pending = self.pending.get(attempt.op).filter(|pending| !pending.has_ended)?;
         Some(pending.client)
     }
 
-    /// The bytes of an attempt, once a connection for it is up.
+    /// Encodes the request of an attempt, once a connection for it is established.
     ///
     /// # Errors
     /// The reason why the attempt must not start any more ([`attempt::may_begin`]).
@@ -137,17 +144,18 @@
         Ok(attempt_bytes(&pending.request, &address.to_string(), time_left))
     }
 
-    /// Why an attempt is not the first of its operation; nothing for the first.
+    /// The reason why an attempt is a retry; `None` for the first attempt of an operation.
     pub fn retry_reason(&self, id: AttemptId) -> Option<RetryReason> {
         let pending = self.pending.get(id.op).filter(|_| id.attempt > 0)?;
         let is_hedged = pending.in_flight.iter().any(|attempt| attempt.number != id.attempt);
         if is_hedged { Some(RetryReason::Hedged) } else { pending.last_outcome }
     }
 
-    /// Puts new settings in force from the next turn on. Open operations keep their positions of types and plans.
+    /// Puts new settings in force from the next turn on. Operation types and plans keep their positions,
+    /// which open operations refer to.
     ///
     /// # Errors
-    /// The scheduler cannot run with them; nothing has changed.
+    /// The scheduler does not accept the settings. The old settings stay in force.
     pub fn reconfigure(&mut self, settings: &Settings) -> Result<(), SettingsError> {
         self.settings = self.settings.replaced_by(settings)?;
         self.events.push(Event::SettingsChanged { settings: self.settings.for_scheduler() });
@@ -176,7 +184,7 @@
             }
             Input::SettingsChanged(settings) => {
                 if let Err(error) = self.reconfigure(&settings) {
-                    self.effects.push(Effect::Log(format!("settings not taken: {error}")));
+                    self.effects.push(Effect::Log(format!("settings rejected: {error}")));
                 }
             }
             Input::ShuttingDown(at) => self.events.push(Event::ShuttingDown { at }),
@@ -245,13 +253,15 @@
         }
     }
 
-    /// Reads what a store's response says beside its status, and forwards it to the client if it is the final one.
+    /// Reads the scheduling fields of a store's response, and forwards it to the client if it is the final
+    /// response.
     fn on_response(&mut self, op: OpId, response: client::Response, result: &mut AttemptResult) {
         let headers = &response.head.headers;
-        result.plan_rate_used = number(headers, fields::PLAN_RATE_USED).map(|percent| percent / 100.0);
-        result.units_elsewhere = number(headers, fields::UNITS_ELSEWHERE).unwrap_or_default();
-        let report = headers.one(fields::LOAD_REPORT).ok().flatten().unwrap_or_default();
-        result.report = load_report(report, &self.settings.report_fields);
+        result.plan_rate_used =
+            header_number(headers, protocol::PLAN_RATE_USED).map(|percent| percent / 100.0);
+        result.units_elsewhere = header_number(headers, protocol::UNITS_ELSEWHERE).unwrap_or_default();
+        let report = headers.one(protocol::LOAD_REPORT).ok().flatten().unwrap_or_default();
+        result.report = parse_load_report(report, &self.settings.report_fields);
         if result.outcome == Outcome::Succeeded {
             let content_type = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
             self.respond(op, FinalResponse::Succeeded { content_type, body: response.body });
@@ -262,9 +272,9 @@
     fn on_health_checked(&mut self, store: StoreId, outcome: &AttemptOutcome) {
         let (outcome, report) = match outcome {
             AttemptOutcome::Response(response) if response.head.status == 200 => {
-                let report = response.head.headers.one(fields::LOAD_REPORT).ok().flatten();
+                let report = response.head.headers.one(protocol::LOAD_REPORT).ok().flatten();
                 let report = report.unwrap_or(&response.body);
-                (Outcome::Succeeded, load_report(report, &self.settings.report_fields))
+                (Outcome::Succeeded, parse_load_report(report, &self.settings.report_fields))
             }
             other => (scheduler_outcome(other), Report::new()),
         };
@@ -275,7 +285,7 @@
         let changes = self.apply_list(list);
         self.stores.watch_recovered();
         self.endpoints_known |= !list.stores.is_empty();
-        let update = if list.is_whole {
+        let update = if list.is_complete {
             EndpointListUpdate::Whole(changes.endpoints)
         } else {
             EndpointListUpdate::Changes(changes.endpoints)
@@ -283,7 +293,8 @@
         self.events.push(Event::EndpointList(update));
     }
 
-    /// Takes a list, closes connections to where no store listens any more, and logs what of it is not understood.
+    /// Applies an endpoint list: updates the stores, closes idle connections to addresses without a store,
+    /// and logs unknown values.
     fn apply_list(&mut self, list: &EndpointList) -> ListChanges {
         let changes = self.stores.apply(list, self.now, self.settings.drain_grace);
         self.close_idle_connections(&changes.unlisted_addresses);
@@ -304,7 +315,7 @@
         }
     }
 
-    /// Ends an operation and cancels its attempts that are not written yet.
+    /// Ends an operation and cancels those of its attempts that have not been written completely.
     fn end(&mut self, op: OpId) {
         let in_flight = self.pending.end(op);
         self.effects.extend(in_flight.into_iter().map(|attempt| Effect::CancelUnlessWritten { attempt }));
@@ -325,7 +336,7 @@
                 let address = self.stores.address(store);
                 self.effects.extend(address.map(|address| Effect::CheckHealth { store, address }));
             }
-            // The platform's gateways keep no state over a restart.
+            // Gateways of the platform keep no state across restarts.
             Action::Snapshot { .. } => {}
             Action::Log(text) => self.effects.push(Effect::Log(text)),
             Action::Fatal(text) => self.effects.push(Effect::Fatal(text)),
@@ -341,14 +352,15 @@
     }
 }
 
-/// The request of an attempt, as its store gets it.
+/// Encodes the request of an attempt for its store.
 ///
-/// Hazard: without its idempotency key a retry is a second effect (rule 2), and to the store not what the client sent.
+/// Hazard: without the idempotency key, stores would execute a retry a second time (rule 2), and would not
+/// receive what the client sent.
 fn attempt_bytes(request: &ClientRequest, host: &str, time_left: Duration) -> Bytes {
     let time_left = time_left.as_millis().to_string();
     let mut headers =
-        vec![(fields::REQUEST_ID, request.id.as_bytes()), (fields::TIME_LEFT, time_left.as_bytes())];
+        vec![(protocol::REQUEST_ID, request.id.as_bytes()), (protocol::TIME_LEFT, time_left.as_bytes())];
     let idempotency_key = request.idempotency_key.as_ref();
-    headers.extend(idempotency_key.map(|key| (fields::IDEMPOTENCY_KEY, &key[..])));
+    headers.extend(idempotency_key.map(|key| (protocol::IDEMPOTENCY_KEY, &key[..])));
     client::request(request.method, &request.target, host, &headers, &request.body)
 }
--- a/crates/http-api/src/endpoint_list.rs
+++ b/crates/http-api/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, whole or as changes, and the reader of a watch.
+//! The endpoint list as sent by discovery, complete or as changes, and the parser of a watch stream.
 
 use std::net::SocketAddr;
 
@@ -8,54 +8,54 @@
 
 use crate::boot_timestamp::BootTimestamp;
 
-/// The endpoint list, or changes to it.
+/// A complete endpoint list, or changes to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Version of the list that this leads to.
+    /// Version of the endpoint list after this update.
     pub version: u64,
-    /// Whether it names all stores; otherwise only those that changed.
-    pub is_whole: bool,
+    /// Whether the update names all stores; otherwise it names only those that changed.
+    pub is_complete: bool,
     /// The stores.
     pub stores: Vec<DiscoveredEndpoint>,
-    /// Messages about values that this version does not know, and where they stand.
+    /// Log messages about values unknown to this program version, with their positions.
     pub unknown: Vec<String>,
 }
 
 /// One store of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Lasting name of the store.
+    /// Permanent name of the store.
     pub uid: String,
-    /// Where it listens.
+    /// Address that the store listens on.
     pub address: SocketAddr,
     /// Its failure domain.
     pub zone: String,
     /// The shard whose data it holds.
     pub shard: u32,
-    /// Whether it serves.
+    /// State of the store.
     pub state: StoreState,
-    /// When it started; absent: long ago.
+    /// When the store started; `None` means long ago.
     pub started: Option<BootTimestamp>,
 }
 
-/// An endpoint list that cannot be read.
+/// An endpoint list that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
-#[error("the list, version {version}, entry {entry}: {reason}")]
+#[error("endpoint list version {version}, entry {entry}: {reason}")]
 pub struct EndpointListError {
-    /// 0 where not even the version could be read.
+    /// 0 if even the version could not be parsed.
     version: u64,
     entry: String,
     reason: String,
 }
 
 impl EndpointListError {
-    /// The error of a list of which nothing could be read.
+    /// The error for a list of which nothing could be parsed.
     fn of_list(reason: String) -> EndpointListError {
         EndpointListError { version: 0, entry: "unknown".into(), reason }
     }
 }
 
-/// The list as its JSON has it.
+/// The list as deserialized from JSON.
 #[derive(Deserialize)]
 struct ListJson {
     rev: u64,
@@ -63,7 +63,7 @@
     targets: Vec<EndpointJson>,
 }
 
-/// An entry of the list as its JSON has it.
+/// An entry of the list as deserialized from JSON.
 #[derive(Deserialize)]
 struct EndpointJson {
     uid: String,
@@ -81,14 +81,15 @@
     /// Parses one JSON object.
     ///
     /// # Errors
-    /// It is no JSON of this form, or an address in it cannot be read. A state that is not known is no error.
-    pub fn read(bytes: &[u8]) -> Result<EndpointList, EndpointListError> {
+    /// The bytes are not a JSON object of this form, or an address cannot be parsed. An unknown state is not
+    /// an error.
+    pub fn parse(bytes: &[u8]) -> Result<EndpointList, EndpointListError> {
         let list: ListJson =
             serde_json::from_slice(bytes).map_err(|error| EndpointListError::of_list(error.to_string()))?;
         let mut unknown = Vec::new();
         let endpoint = |json: EndpointJson| DiscoveredEndpoint::from_json(json, list.rev, &mut unknown);
         let stores = list.targets.into_iter().map(endpoint).collect::<Result<_, _>>()?;
-        Ok(EndpointList { version: list.rev, is_whole: list.all, stores, unknown })
+        Ok(EndpointList { version: list.rev, is_complete: list.all, stores, unknown })
     }
 }
 
@@ -104,9 +105,10 @@
             "ready" => StoreState::Ready,
             "draining" => StoreState::Draining,
             "gone" => StoreState::Gone,
-            // Hazard: an error for one unknown word would hide the drains that the rest of the list names.
+            // Hazard: rejecting the list for one unknown state would lose the drains that its other entries
+            // report.
             other => {
-                let message = format!("state {other:?} is not known, it is taken for gone");
+                let message = format!("state {other:?} is unknown, treated as gone");
                 unknown.push(error(message).to_string());
                 StoreState::Gone
             }
@@ -122,17 +124,18 @@
     }
 }
 
-/// Reads a watch: JSON objects on a line each or indented over several, split anywhere, and blank lines as heartbeats.
+/// Parses a watch stream. Each JSON object ends with a line break; it may span several lines and may be split
+/// anywhere across reads. Blank lines are heartbeats.
 pub struct WatchReader {
-    /// Bytes that were received and not read yet.
+    /// Bytes received and not parsed yet.
     pub bytes: BytesMut,
-    /// How many of them the scanner has seen.
+    /// Number of these bytes that have been scanned.
     scanned: usize,
     scanner: ObjectScanner,
     max_object_bytes: usize,
 }
 
-/// Position of the scan for an object's end.
+/// State of the scan for the end of an object.
 #[derive(Clone, Copy, Default)]
 struct ObjectScanner {
     open_brackets: usize,
@@ -144,12 +147,12 @@
     #[default]
     Outside,
     Inside,
-    /// Behind a backslash: the next byte stands for itself.
+    /// After a backslash: the next byte is taken literally.
     Escaped,
 }
 
 impl ObjectScanner {
-    /// Takes one byte; true if it ends a line that belongs to no open object.
+    /// Processes one byte. Returns true if the byte ends a line outside of any object.
     fn ends_event(&mut self, byte: u8) -> bool {
         self.string = match (self.string, byte) {
             (StringState::Inside, b'\\') => StringState::Escaped,
@@ -162,7 +165,7 @@
         match byte {
             b'{' | b'[' if is_outside => self.open_brackets += 1,
             b'}' | b']' if is_outside => self.open_brackets = self.open_brackets.saturating_sub(1),
-            // No JSON string holds a line end: one that is not closed by then never is.
+            // JSON strings contain no line breaks, so a string that is still open here is never closed.
             b'\n' => {
                 self.string = StringState::Outside;
                 return self.open_brackets == 0 || !is_outside;
@@ -176,14 +179,14 @@
 /// One event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// Nothing has changed.
+    /// No changes.
     Heartbeat,
-    /// The list, or changes to it.
+    /// A complete list, or changes to it.
     List(EndpointList),
 }
 
 impl WatchReader {
-    /// A reader of objects up to a length.
+    /// Creates a reader for objects of up to `max_object_bytes` bytes.
     pub fn new(max_object_bytes: usize) -> WatchReader {
         WatchReader {
             bytes: BytesMut::new(),
@@ -193,17 +196,17 @@
         }
     }
 
-    /// The next whole event; nothing until more bytes have come.
+    /// The next complete event, or `None` until more bytes have been received.
     ///
     /// # Errors
-    /// An object is too long or no list. The list has to be fetched anew.
+    /// An object is too long or is not an endpoint list. The complete list has to be fetched again.
     pub fn next_event(&mut self) -> Result<Option<WatchEvent>, EndpointListError> {
         let scanner = &mut self.scanner;
         let end = self.bytes[self.scanned..].iter().position(|byte| scanner.ends_event(*byte));
         let Some(end) = end else {
             self.scanned = self.bytes.len();
             if self.scanned > self.max_object_bytes {
-                let reason = format!("longer than {} bytes", self.max_object_bytes);
+                let reason = format!("object longer than {} bytes", self.max_object_bytes);
                 return Err(EndpointListError::of_list(reason));
             }
             return Ok(None);
@@ -216,6 +219,6 @@
         if event.is_empty() {
             return Ok(Some(WatchEvent::Heartbeat));
         }
-        EndpointList::read(event).map(|list| Some(WatchEvent::List(list)))
+        EndpointList::parse(event).map(|list| Some(WatchEvent::List(list)))
     }
 }
--- a/crates/http-api/src/lib.rs
+++ b/crates/http-api/src/lib.rs
@@ -1,17 +1,19 @@
-//! The platform's HTTP interface without I/O: configuration, endpoint list, client requests, attempts at stores.
+//! The platform's HTTP interface without I/O: configuration, endpoint list, client requests and attempts at
+//! stores.
 //!
-//! [`Core`] hosts one scheduler: [`Input`]s become its events, and its actions become [`Effect`]s. No sockets, no clock, no
-//! randomness: all that comes in is data with its time, and so is all that goes out.
+//! [`Core`] runs one scheduler: it converts [`Input`]s to scheduler events, and scheduler actions to
+//! [`Effect`]s. It has no sockets, no clock and no source of randomness: inputs and effects are plain data
+//! with timestamps.
 
 mod active_settings;
 pub mod boot_timestamp;
 pub mod config;
 mod core;
 pub mod endpoint_list;
-pub mod fields;
 mod messages;
 mod outcomes;
 mod pending;
+pub mod protocol;
 pub mod request;
 mod stable_positions;
 mod stores;
--- a/crates/http-api/src/messages.rs
+++ b/crates/http-api/src/messages.rs
@@ -11,35 +11,36 @@
 use crate::endpoint_list::EndpointList;
 use crate::request::ClientRequest;
 
-/// One request of one client connection. An id is never used twice.
+/// Identifies one request of one client connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// One attempt of an operation.
+/// Identifies one attempt of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The operation.
     pub op: OpId,
-    /// Number of the operation's attempts before this one.
+    /// Number of earlier attempts of the operation.
     pub attempt: u32,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// A whole response was read.
+    /// A complete response was received.
     Response(client::Response),
-    /// The request was not written whole: it was not executed.
+    /// The request was not written completely, so it was not executed.
     NeverWritten,
-    /// The request was written whole, then the connection broke, ended, or carried bytes that cannot be read: it may have
-    /// been executed.
+    /// The request was written completely, then the connection broke, was closed, or carried malformed bytes:
+    /// the request may have been executed.
     Broken,
-    /// The request was written whole and no response came in time: it may have been executed, or may yet be.
+    /// The request was written completely and no response arrived in time: it may have been executed, or may
+    /// still be.
     TimedOut,
-    /// Cancelled after the request was written whole: it may have been executed.
+    /// The attempt was cancelled after the request was written completely: it may have been executed.
     Cancelled,
-    /// Cancelled by this gateway before the request was written whole: it was not executed, which says nothing of the
-    /// store.
+    /// This gateway cancelled or denied the attempt before the request was written completely: it was not
+    /// executed, and the outcome says nothing about the store.
     Withheld,
 }
 
@@ -47,7 +48,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AttemptOutcome::Response(client::Response { head, body }) => {
-                write!(formatter, "answered {} with {} bytes", head.status, body.len())
+                write!(formatter, "response {} with {} bytes", head.status, body.len())
             }
             AttemptOutcome::NeverWritten => write!(formatter, "never written"),
             AttemptOutcome::Broken => write!(formatter, "broken"),
@@ -58,19 +59,19 @@
     }
 }
 
-/// Something that happened. Times count from the Unix epoch on the gateway's clock.
+/// Something that happened. Times are since the Unix epoch, on the gateway's clock.
 #[derive(Debug)]
 pub enum Input {
-    /// A client's request was read whole and checked.
+    /// A client's request was read completely and validated.
     Request {
-        /// Who waits for the response.
+        /// The client that waits for the response.
         client: ClientId,
         /// The operation.
         request: ClientRequest,
-        /// When the first byte of the request was read: the client's time counts from here.
+        /// When the first byte of the request was read. The client's waiting time counts from here.
         started_at: Duration,
     },
-    /// The client has closed its connection: nobody waits for the response.
+    /// The client closed its connection, so the response is not needed any more.
     ClientDisconnected(ClientId),
     /// An attempt ended.
     AttemptFinished {
@@ -88,34 +89,34 @@
         /// How the check ended.
         outcome: AttemptOutcome,
     },
-    /// Discovery sent the whole endpoint list or changes to it.
+    /// Discovery sent the complete endpoint list, or changes to it.
     EndpointList(EndpointList),
-    /// A call for the endpoint list failed, or the watch broke.
+    /// Fetching the endpoint list failed, or the watch broke.
     EndpointListFailed,
-    /// New settings, from now on.
+    /// New settings, which apply from now on.
     SettingsChanged(Settings),
-    /// The gateway shuts down: each operation must have its final response by this time.
+    /// The gateway is shutting down: each operation must have its final response by this time.
     ShuttingDown(Duration),
-    /// The time returned by [`Core::next_deadline`](crate::Core::next_deadline) has come.
+    /// The time returned by [`Core::next_deadline`](crate::Core::next_deadline) has been reached.
     TimerExpired,
 }
 
 /// The final response to an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The store executed it; its body is forwarded.
+    /// The store executed the operation; its response body is forwarded.
     Succeeded {
-        /// Content type of the body, if the store named one.
+        /// Content type of the body, if the store sent one.
         content_type: Option<Bytes>,
-        /// The store's body.
+        /// Body of the store's response.
         body: Bytes,
     },
-    /// Not executed, or harmless to repeat: the client may retry.
+    /// The operation was not executed, or may safely be repeated: the client may retry.
     Rejected {
-        /// When a retry is worthwhile.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// It may or may not have been executed.
+    /// The operation may or may not have been executed.
     Failed,
 }
 
@@ -123,13 +124,15 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FinalResponse::Succeeded { body, .. } => write!(formatter, "succeeded with {} bytes", body.len()),
-            FinalResponse::Rejected { retry_after } => write!(formatter, "rejected for {retry_after:?}"),
+            FinalResponse::Rejected { retry_after } => {
+                write!(formatter, "rejected, retry after {retry_after:?}")
+            }
             FinalResponse::Failed => write!(formatter, "failed"),
         }
     }
 }
 
-/// Something that the caller must do.
+/// An action for the caller to perform.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send the final response to a client.
@@ -139,35 +142,36 @@
         /// Its response.
         response: FinalResponse,
     },
-    /// Start an attempt now; [`Core::start_attempt`](crate::Core::start_attempt) returns its bytes once a connection is up.
+    /// Start an attempt now. [`Core::start_attempt`](crate::Core::start_attempt) returns its bytes once a
+    /// connection is established.
     StartAttempt {
         /// Which attempt.
         attempt: AttemptId,
         /// The store to send it to.
         store: StoreId,
-        /// Where the store listens.
+        /// Address that the store listens on.
         address: SocketAddr,
         /// When the attempt times out.
         deadline: Duration,
     },
-    /// Cancel an attempt, written whole or not.
+    /// Cancel an attempt, whether or not its request has been written completely.
     Cancel {
         /// Which attempt.
         attempt: AttemptId,
     },
-    /// Cancel an attempt unless it has been written whole.
+    /// Cancel an attempt unless its request has been written completely.
     CancelUnlessWritten {
         /// Which attempt.
         attempt: AttemptId,
     },
-    /// Call the store for its load report.
+    /// Request the load report of a store.
     CheckHealth {
         /// The store.
         store: StoreId,
-        /// Where it listens.
+        /// Address that the store listens on.
         address: SocketAddr,
     },
-    /// Close idle connections to an address: no store in use listens there any more.
+    /// Close the idle connections to an address, because no store in use listens there any more.
     CloseIdleConnections {
         /// The address.
         address: SocketAddr,
@@ -176,8 +180,8 @@
     WatchEndpoints,
     /// Fetch the whole endpoint list.
     FetchEndpoints,
-    /// Log a line.
+    /// Log a message.
     Log(String),
-    /// The scheduler cannot run, and why.
+    /// The scheduler cannot continue, for this reason.
     Fatal(String),
 }
--- a/crates/http-api/src/outcomes.rs
+++ b/crates/http-api/src/outcomes.rs
@@ -1,13 +1,13 @@
-//! Conversion of what came back from a store: outcomes for the scheduler, retry reasons, load reports.
+//! Converts what an attempt returned: to outcomes for the scheduler, retry reasons and load reports.
 
 use umbertray::interface::{Outcome, Report};
 use umbertray_http::{Headers, client};
 use umbertray_lifecycle::reason::RetryReason;
 
-use crate::fields;
 use crate::messages::AttemptOutcome;
+use crate::protocol;
 
-/// The outcome of an attempt, as the scheduler distinguishes them.
+/// The scheduler's outcome of an attempt.
 pub(crate) fn scheduler_outcome(outcome: &AttemptOutcome) -> Outcome {
     match outcome {
         AttemptOutcome::Response(response) => response_outcome(response),
@@ -20,7 +20,7 @@
 }
 
 fn response_outcome(response: &client::Response) -> Outcome {
-    let not_executed = response.head.headers.one(fields::NOT_EXECUTED);
+    let not_executed = response.head.headers.one(protocol::NOT_EXECUTED);
     let not_executed = not_executed.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
     match response.head.status {
         200 => Outcome::Succeeded,
@@ -29,12 +29,12 @@
     }
 }
 
-/// Whether an attempt that ended so may have been executed.
+/// Whether an attempt with this outcome may have been executed.
 pub(crate) fn may_have_run(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected | Outcome::NotSent)
 }
 
-/// Why the next attempt of the operation would be a retry; nothing where this one succeeded.
+/// The reason that a retry after this attempt would have; `None` if the attempt succeeded.
 pub(crate) fn retry_reason(outcome: &AttemptOutcome) -> Option<RetryReason> {
     match outcome {
         AttemptOutcome::Response(response) => match response_outcome(response) {
@@ -50,15 +50,15 @@
     }
 }
 
-/// A non-negative number in a header field; nothing where it is missing or cannot be read.
-pub(crate) fn number(headers: &Headers, name: &str) -> Option<f64> {
+/// A non-negative number in a header field; `None` if it is missing or cannot be parsed.
+pub(crate) fn header_number(headers: &Headers, name: &str) -> Option<f64> {
     let text = std::str::from_utf8(headers.one(name).ok().flatten()?).ok()?;
     parse_number(text.trim())
 }
 
-/// Parses a load report: `name=value` pairs separated by commas. Pairs whose name is not among `known_fields` or whose
-/// value cannot be read are skipped.
-pub(crate) fn load_report(text: &[u8], known_fields: &[String]) -> Report {
+/// Parses a load report: `name=value` pairs separated by commas. Pairs with a name outside of `known_fields`
+/// or an invalid value are skipped.
+pub(crate) fn parse_load_report(text: &[u8], known_fields: &[String]) -> Report {
     let parts = std::str::from_utf8(text).unwrap_or_default().split(',');
     let pairs = parts.filter_map(|part| part.trim().split_once('='));
     let known = pairs.filter(|(name, _)| known_fields.iter().any(|known| known == name));
--- a/crates/http-api/src/pending.rs
+++ b/crates/http-api/src/pending.rs
@@ -1,4 +1,4 @@
-//! Open operations: who waits for each, and its attempts in flight.
+//! Open operations, each with the client that waits for it and its attempts in flight.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -13,31 +13,31 @@
 pub(crate) struct InFlightAttempt {
     /// Number of the operation's attempts before this one.
     pub(crate) number: u32,
-    /// The store that it goes to.
+    /// The store that the attempt is sent to.
     pub(crate) store: StoreId,
-    /// When the scheduler decided on it.
+    /// When the scheduler decided on the attempt.
     pub(crate) decided_at: Duration,
-    /// When it times out.
+    /// When the attempt times out.
     pub(crate) deadline: Duration,
-    /// When its bytes were handed out to be written.
+    /// When its bytes were returned to be written; `None` before that.
     pub(crate) started_at: Option<Duration>,
 }
 
-/// An operation, from its arrival until its final response is sent and no attempt of it is in flight.
+/// An operation, kept from its arrival until its final response is sent and no attempt is in flight.
 pub(crate) struct PendingRequest {
-    /// Who waits for the final response.
+    /// The client that waits for the final response.
     pub(crate) client: ClientId,
     /// The operation.
     pub(crate) request: ClientRequest,
     /// Attempts that have not ended.
     pub(crate) in_flight: Vec<InFlightAttempt>,
-    /// Attempts decided on so far.
+    /// Number of attempts decided on so far.
     pub(crate) attempts: u32,
-    /// Start of the first attempt that may have been executed.
+    /// When the first attempt that may have been executed was started.
     pub(crate) may_have_run_since: Option<Duration>,
-    /// How the attempt that ended last did.
+    /// Reason that the next attempt would have as a retry, from the attempt that ended last.
     pub(crate) last_outcome: Option<RetryReason>,
-    /// It has its final response, or its client has disconnected.
+    /// Whether the operation has its final response, or its client has disconnected.
     pub(crate) has_ended: bool,
 }
 
@@ -59,7 +59,7 @@
         self.in_flight.iter_mut().find(|attempt| attempt.number == number)
     }
 
-    /// Takes an attempt that has ended off the record.
+    /// Removes an attempt that has ended.
     pub(crate) fn finish_attempt(&mut self, number: u32) -> Option<InFlightAttempt> {
         let position = self.in_flight.iter().position(|attempt| attempt.number == number)?;
         Some(self.in_flight.swap_remove(position))
@@ -77,7 +77,8 @@
 
 /// All open operations.
 ///
-/// Invariant: `clients` and `request_ids` have an entry for each operation that has not ended, and for no other.
+/// Invariant: `clients` and `request_ids` have an entry for each operation that has not ended, and for no
+/// other.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     requests: HashMap<OpId, PendingRequest>,
@@ -92,7 +93,7 @@
         self.request_ids.contains(id)
     }
 
-    /// Number of operations without their final response.
+    /// Number of operations without a final response.
     pub(crate) fn open(&self) -> usize {
         self.clients.len()
     }
@@ -110,7 +111,7 @@
         self.requests.get_mut(&op)
     }
 
-    /// A new id for an operation.
+    /// Allocates an id for a new operation.
     pub(crate) fn allocate_id(&mut self) -> OpId {
         let id = OpId(self.next_op);
         self.next_op = self.next_op.wrapping_add(1);
@@ -124,8 +125,8 @@
         self.requests.insert(id, PendingRequest::new(client, request));
     }
 
-    /// Ends an operation: it has its final response, or nobody waits for one. Returns its attempts in flight. The record goes
-    /// once there are none.
+    /// Ends an operation because it has its final response or its client has disconnected. Returns its
+    /// attempts in flight; the record is removed once there are none.
     pub(crate) fn end(&mut self, op: OpId) -> Vec<AttemptId> {
         let Some(pending) = self.requests.get_mut(&op) else { return Vec::new() };
         if !pending.has_ended {
--- a/crates/http-api/src/request.rs
+++ b/crates/http-api/src/request.rs
@@ -1,4 +1,5 @@
-//! Client requests: read and checked, they are operations; otherwise the client gets an error.
+//! Parsing of client requests: a valid request becomes an operation, otherwise the client gets an error
+//! response.
 
 use std::time::Duration;
 
@@ -8,15 +9,15 @@
 
 use crate::active_settings::SettingsError;
 use crate::config::duration_setting;
-use crate::fields;
+use crate::protocol;
 use crate::stable_positions;
 
-/// An operation as its client asked for it. What is sent to a store is written anew from these parts.
+/// A validated operation of a client. Requests to stores are encoded from these parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The request id, hexadecimal.
+    /// The request id, in hexadecimal.
     pub id: Box<str>,
-    /// As the client wrote it; absent: the client sent none.
+    /// The idempotency key as sent by the client; `None` if the client sent none.
     pub idempotency_key: Option<Bytes>,
     /// HTTP method.
     pub method: &'static str,
@@ -30,25 +31,25 @@
     pub plan: usize,
     /// The volume.
     pub volume: u64,
-    /// The piece of data, by which operations are ordered; 0: none.
+    /// The piece of data, which determines the order of operations; 0 means none.
     pub key: u64,
-    /// How long the client waits, from the request's first byte.
+    /// How long the client waits, counted from the first byte of the request.
     pub time_left: Duration,
     /// Cost of the operation.
     pub units: f64,
-    /// The shard that holds the data; absent: a new object.
+    /// The shard that holds the data; `None` for a new object.
     pub shard: Option<u32>,
-    /// Number of gateways that the volume's operations come through.
+    /// Number of gateways that the volume's operations are sent through.
     pub gateways: f64,
 }
 
-/// A request that is no operation, and the response that its client gets.
+/// A request that is not a valid operation, with the error response for its client.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{message}")]
 pub struct RequestError {
     /// HTTP status.
     pub status: u16,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -56,17 +57,17 @@
     Err(RequestError { status, message: message.into() })
 }
 
-/// An operation type that requests may name.
-struct OpTypeName {
-    /// Absent for a type that was removed and keeps its position.
+/// An operation type of the settings.
+struct OpTypeEntry {
+    /// `None` for a type that was removed and keeps its position.
     name: Option<String>,
     deadline: Duration,
 }
 
-/// What requests may name, by the settings. Positions in the lists are those of the settings.
-pub(crate) struct RequestNames {
-    op_types: Vec<OpTypeName>,
-    /// Absent for a plan that was removed and keeps its position.
+/// Parses requests by the names and limits of the settings. List positions are those of the settings.
+pub(crate) struct RequestParser {
+    op_types: Vec<OpTypeEntry>,
+    /// `None` for a plan that was removed and keeps its position.
     plans: Vec<Option<String>>,
     shards: Option<u32>,
     max_units: Option<f64>,
@@ -79,20 +80,22 @@
     key: u64,
 }
 
-/// Where a request's data lies and what it costs, as its client says.
+/// Location of a request's data and cost of the operation, as stated by the client.
 struct Placement {
     units: f64,
     shard: Option<u32>,
     gateways: f64,
 }
 
-impl RequestNames {
-    pub(crate) fn from_settings(settings: &Settings) -> Result<RequestNames, SettingsError> {
+impl RequestParser {
+    pub(crate) fn from_settings(settings: &Settings) -> Result<RequestParser, SettingsError> {
         let number = |name: &str| settings.get(name).and_then(|text| text.parse::<f64>().ok());
-        let op_types = (0..count(settings, "op_types")?).map(|position| op_type_name(settings, position));
+        let op_types =
+            (0..list_count(settings, "op_types")?).map(|position| op_type_entry(settings, position));
         let op_types = op_types.collect::<Result<_, _>>()?;
-        let plans = (0..count(settings, "plans")?).map(|position| listed_name(settings, "plans", position));
-        Ok(RequestNames {
+        let plans =
+            (0..list_count(settings, "plans")?).map(|position| listed_name(settings, "plans", position));
+        Ok(RequestParser {
             op_types,
             plans: plans.collect::<Result<_, _>>()?,
             shards: number("stores.slots_total").map(|shards| shards as u32).filter(|shards| *shards > 0),
@@ -100,21 +103,22 @@
         })
     }
 
-    /// Reads a request as an operation.
+    /// Parses a request as an operation.
     pub(crate) fn parse(&self, request: &Request) -> Result<ClientRequest, RequestError> {
-        let method = method(request)?;
-        let RequestPath { op_type, volume, key } = self.path(&request.target)?;
-        let plan = self.plan(header(request, fields::PLAN)?)?;
-        let id = header(request, fields::REQUEST_ID)?;
-        if hex(id).is_none() {
-            let message = format!("{}: not {} hex digits", fields::REQUEST_ID, fields::HEX_DIGITS);
+        let method = parse_method(request)?;
+        let RequestPath { op_type, volume, key } = self.parse_path(&request.target)?;
+        let plan = self.plan_position(required_header(request, protocol::PLAN)?)?;
+        let id = required_header(request, protocol::REQUEST_ID)?;
+        if parse_hex(id).is_none() {
+            let message = format!("{}: not {} hex digits", protocol::REQUEST_ID, protocol::HEX_DIGITS);
             return error(400, message);
         }
-        let Ok(idempotency_key) = request.headers.one(fields::IDEMPOTENCY_KEY) else {
-            return error(400, format!("{} stands more than once", fields::IDEMPOTENCY_KEY));
+        let Ok(idempotency_key) = request.headers.one(protocol::IDEMPOTENCY_KEY) else {
+            return error(400, format!("{} stands more than once", protocol::IDEMPOTENCY_KEY));
         };
-        let time_left = time_left(header(request, fields::TIME_LEFT)?)?;
-        let Placement { units, shard, gateways } = self.placement(header(request, fields::PLACEMENT)?)?;
+        let time_left = parse_time_left(required_header(request, protocol::TIME_LEFT)?)?;
+        let Placement { units, shard, gateways } =
+            self.parse_placement(required_header(request, protocol::PLACEMENT)?)?;
         Ok(ClientRequest {
             id: id.into(),
             idempotency_key: idempotency_key.map(Bytes::copy_from_slice),
@@ -132,15 +136,15 @@
         })
     }
 
-    fn plan(&self, name: &str) -> Result<usize, RequestError> {
+    fn plan_position(&self, name: &str) -> Result<usize, RequestError> {
         match self.plans.iter().position(|plan| plan.as_deref() == Some(name)) {
             Some(plan) => Ok(plan),
-            None => error(400, format!("{}: no plan of this name", fields::PLAN)),
+            None => error(400, format!("{}: no plan of this name", protocol::PLAN)),
         }
     }
 
-    /// Strictly `/op-type/volume/key`, with a query or without.
-    fn path(&self, target: &str) -> Result<RequestPath, RequestError> {
+    /// Parses the path, strictly `/op-type/volume/key`, optionally followed by a query.
+    fn parse_path(&self, target: &str) -> Result<RequestPath, RequestError> {
         let path = target.split_once('?').map_or(target, |(path, _)| path);
         let mut steps = path.split('/');
         let steps = [steps.next(), steps.next(), steps.next(), steps.next(), steps.next()];
@@ -151,42 +155,42 @@
         let Some(op_type) = known else {
             return error(404, "the path names no op type");
         };
-        let Some((volume, key)) = hex(volume).zip(hex(key)) else {
-            return error(404, format!("volume and key are not {} hex digits each", fields::HEX_DIGITS));
+        let Some((volume, key)) = parse_hex(volume).zip(parse_hex(key)) else {
+            return error(404, format!("volume and key are not {} hex digits each", protocol::HEX_DIGITS));
         };
         Ok(RequestPath { op_type, volume, key })
     }
 
-    fn placement(&self, text: &str) -> Result<Placement, RequestError> {
-        let units = placement_number(text, fields::UNITS).filter(|units| *units > 0.0);
+    fn parse_placement(&self, text: &str) -> Result<Placement, RequestError> {
+        let units = placement_number(text, protocol::UNITS).filter(|units| *units > 0.0);
         let Some(units) = units.filter(|units| self.max_units.is_none_or(|max| *units <= max)) else {
-            return placement_error(fields::UNITS);
+            return placement_error(protocol::UNITS);
         };
-        let gateways = placement_number(text, fields::GATEWAYS).filter(|gateways| *gateways >= 1.0);
-        let Some(gateways) = gateways else { return placement_error(fields::GATEWAYS) };
-        let shard = match placement_part(text, fields::SHARD) {
-            Some(fields::NEW_OBJECT) => None,
-            Some(shard) => Some(self.shard(shard)?),
-            None => return placement_error(fields::SHARD),
+        let gateways = placement_number(text, protocol::GATEWAYS).filter(|gateways| *gateways >= 1.0);
+        let Some(gateways) = gateways else { return placement_error(protocol::GATEWAYS) };
+        let shard = match placement_part(text, protocol::SHARD) {
+            Some(protocol::NEW_OBJECT) => None,
+            Some(shard) => Some(self.parse_shard(shard)?),
+            None => return placement_error(protocol::SHARD),
         };
         Ok(Placement { units, shard, gateways })
     }
 
-    fn shard(&self, text: &str) -> Result<u32, RequestError> {
+    fn parse_shard(&self, text: &str) -> Result<u32, RequestError> {
         let shard = text.parse().ok();
         match shard.filter(|shard| self.shards.is_none_or(|shards| *shard < shards)) {
             Some(shard) => Ok(shard),
-            None => placement_error(fields::SHARD),
+            None => placement_error(protocol::SHARD),
         }
     }
 }
 
-fn count(settings: &Settings, list: &str) -> Result<usize, SettingsError> {
-    let count = stable_positions::count(settings, list);
+fn list_count(settings: &Settings, list: &str) -> Result<usize, SettingsError> {
+    let count = stable_positions::entry_count(settings, list);
     count.ok_or_else(|| SettingsError::Setting(format!("{list}.count")))
 }
 
-/// The name at a position of a list; absent if it was removed.
+/// The name at a position of a list; `None` if it was removed.
 fn listed_name(settings: &Settings, list: &str, position: usize) -> Result<Option<String>, SettingsError> {
     let is_removed = settings.get(&format!("{list}.{position}.gone")).is_some_and(|gone| gone == "true");
     let setting = format!("{list}.{position}.name");
@@ -196,14 +200,14 @@
     }
 }
 
-fn op_type_name(settings: &Settings, position: usize) -> Result<OpTypeName, SettingsError> {
+fn op_type_entry(settings: &Settings, position: usize) -> Result<OpTypeEntry, SettingsError> {
     let setting = format!("op_types.{position}.op_timeout");
     let deadline = duration_setting(settings, &setting);
     let name = listed_name(settings, "op_types", position)?;
-    Ok(OpTypeName { name, deadline: deadline.ok_or(SettingsError::Setting(setting))? })
+    Ok(OpTypeEntry { name, deadline: deadline.ok_or(SettingsError::Setting(setting))? })
 }
 
-fn method(request: &Request) -> Result<&'static str, RequestError> {
+fn parse_method(request: &Request) -> Result<&'static str, RequestError> {
     match &*request.method {
         "PUT" => Ok("PUT"),
         "GET" if request.body.is_empty() => Ok("GET"),
@@ -212,16 +216,16 @@
     }
 }
 
-/// Milliseconds, as decimal digits alone.
-fn time_left(text: &str) -> Result<Duration, RequestError> {
+/// Parses a number of milliseconds, which must consist of decimal digits.
+fn parse_time_left(text: &str) -> Result<Duration, RequestError> {
     let is_decimal = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     match text.parse().ok().filter(|millis| is_decimal && *millis > 0) {
         Some(millis) => Ok(Duration::from_millis(millis)),
-        None => error(400, format!("{}: not a whole number of milliseconds", fields::TIME_LEFT)),
+        None => error(400, format!("{}: not a whole number of milliseconds", protocol::TIME_LEFT)),
     }
 }
 
-/// The value of a part `name=value` of a placement.
+/// The value of a `name=value` pair in a placement.
 fn placement_part<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let mut parts = text.split(',').filter_map(|part| part.trim().split_once('='));
     parts.find(|(part, _)| *part == name).map(|(_, value)| value)
@@ -233,11 +237,11 @@
 }
 
 fn placement_error<T>(part: &str) -> Result<T, RequestError> {
-    error(400, format!("{}: {part} is missing or not to be had", fields::PLACEMENT))
+    error(400, format!("{}: {part} is missing or not to be had", protocol::PLACEMENT))
 }
 
-/// The value of a field that must stand once.
-fn header<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
+/// The value of a header field that must occur exactly once.
+fn required_header<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
     match request.headers.one(name) {
         Ok(Some(value)) => match std::str::from_utf8(value) {
             Ok(value) => Ok(value.trim()),
@@ -248,7 +252,7 @@
     }
 }
 
-fn hex(text: &str) -> Option<u64> {
-    let is_hex = text.len() == fields::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+fn parse_hex(text: &str) -> Option<u64> {
+    let is_hex = text.len() == protocol::HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
--- a/crates/http-api/src/stores.rs
+++ b/crates/http-api/src/stores.rs
@@ -1,4 +1,4 @@
-//! What is known of the stores: their ids, addresses, states and starts, by the endpoint lists that were received.
+//! The known stores: ids, addresses, states and start times, from the endpoint lists received.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 use umbertray::interface::{Endpoint, StoreId, StoreState};
 use umbertray_lifecycle::attempt::{self, StoreStatus};
 
-use crate::boot_timestamp::{BootTimestamp, StampClock};
+use crate::boot_timestamp::{BootTimestamp, BootTimestampClock};
 use crate::endpoint_list::{DiscoveredEndpoint, EndpointList};
 
 /// When a store started.
 #[derive(Clone, Copy)]
 struct StoreStart {
-    /// As discovery stamps it.
-    stamp: BootTimestamp,
-    /// As the scheduler knows it: the same for as long as the stamp is.
+    /// The timestamp sent by discovery.
+    timestamp: BootTimestamp,
+    /// The start time passed to the scheduler. It does not change while the timestamp stays the same.
     at: Duration,
 }
 
@@ -24,18 +24,19 @@
     start: Option<StoreStart>,
     address: SocketAddr,
     state: StoreState,
-    /// When this gateway counts as notified that the store is draining or gone.
+    /// When this gateway counts as notified that the store is draining or gone; `None` for a store that is
+    /// ready.
     unavailable_since: Option<Duration>,
 }
 
-/// What a list changed.
+/// Changes made by an endpoint list.
 #[derive(Default)]
 pub(crate) struct ListChanges {
     /// The list's endpoints, for the scheduler.
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Addresses of stores that a whole list does not name any more.
+    /// Addresses of stores that a complete list no longer contains.
     pub(crate) unlisted_addresses: Vec<SocketAddr>,
-    /// Addresses at which stores of the list no longer listen.
+    /// Addresses on which stores of the list no longer listen.
     pub(crate) abandoned_addresses: Vec<SocketAddr>,
 }
 
@@ -43,31 +44,33 @@
 pub(crate) struct Stores {
     stores: HashMap<StoreId, Store>,
     ids: HashMap<String, StoreId>,
-    /// Zones by the numbers that the scheduler knows them by. A zone keeps its number, whatever the settings name later.
+    /// Zone names; the index is the scheduler's number of the zone. A zone keeps its number when the settings
+    /// later name other zones.
     zones: Vec<String>,
-    stamps: StampClock,
-    /// The watch broke, or has not brought anything yet: when its next change was notified is not known.
+    boot_clock: BootTimestampClock,
+    /// Whether the watch broke, or has not delivered anything yet. While it is stale, it is unknown when the
+    /// next change was notified.
     watch_stale: bool,
 }
 
 impl Stores {
-    /// No stores, in these zones so far.
+    /// Creates an empty set of stores, with the zones that the settings name.
     pub(crate) fn new(zones: Vec<String>) -> Stores {
         Stores {
             stores: HashMap::new(),
             ids: HashMap::new(),
             zones,
-            stamps: StampClock::default(),
+            boot_clock: BootTimestampClock::default(),
             watch_stale: true,
         }
     }
 
-    /// Where a store listens.
+    /// Address that a store listens on.
     pub(crate) fn address(&self, store: StoreId) -> Option<SocketAddr> {
         self.stores.get(&store).map(|store| store.address)
     }
 
-    /// The state of a store, for the lifecycle rules.
+    /// The state of a store for the lifecycle rules.
     pub(crate) fn status(&self, store: StoreId, drain_grace: Duration) -> Option<StoreStatus> {
         let store = self.stores.get(&store)?;
         Some(StoreStatus {
@@ -77,24 +80,24 @@
         })
     }
 
-    /// The watch broke, or a call for the list failed.
+    /// Records that the watch broke, or that fetching the list failed.
     pub(crate) fn watch_failed(&mut self) {
         self.watch_stale = true;
     }
 
-    /// The watch has brought something that is up to date.
+    /// Records that the watch delivered an up-to-date event.
     pub(crate) fn watch_recovered(&mut self) {
         self.watch_stale = false;
     }
 
-    /// Takes a list received at `now`.
+    /// Applies a list received at `now`.
     pub(crate) fn apply(&mut self, list: &EndpointList, now: Duration, drain_grace: Duration) -> ListChanges {
         let newest = list.stores.iter().filter_map(|endpoint| endpoint.started).max();
-        if let Some(stamp) = newest {
-            self.stamps.see(stamp, now);
+        if let Some(timestamp) = newest {
+            self.boot_clock.observe(timestamp, now);
         }
         let mut changes = ListChanges::default();
-        if list.is_whole {
+        if list.is_complete {
             self.remove_unlisted(list, now, drain_grace, &mut changes);
         }
         for endpoint in &list.stores {
@@ -104,7 +107,7 @@
         changes
     }
 
-    /// Marks the stores that a whole list does not name as gone.
+    /// Marks stores that are missing from a complete list as gone.
     fn remove_unlisted(
         &mut self,
         list: &EndpointList,
@@ -131,7 +134,9 @@
         changes: &mut ListChanges,
     ) -> Endpoint {
         let id = self.id(&endpoint.uid);
-        let start = endpoint.started.map(|stamp| StoreStart { stamp, at: self.started_at(id, stamp, now) });
+        let start = endpoint
+            .started
+            .map(|timestamp| StoreStart { timestamp, at: self.started_at(id, timestamp, now) });
         let unavailable_since = self.unavailable_since(id, endpoint.state, now, drain_grace);
         let store = Store {
             uid: endpoint.uid.clone(),
@@ -145,7 +150,8 @@
             previous.map(|previous| previous.address).filter(|address| *address != endpoint.address);
         let gone_from = (endpoint.state == StoreState::Gone).then_some(endpoint.address);
         changes.abandoned_addresses.extend(moved_from.or(gone_from));
-        // The scheduler counts a drain grace from when it hears of the drain: where none is left, the store is gone to it.
+        // The scheduler counts the drain grace from its own notification. A store without any grace left is
+        // reported to it as gone.
         let is_grace_over =
             unavailable_since.is_some_and(|since| since + attempt::usable_drain_grace(drain_grace) <= now);
         Endpoint {
@@ -157,7 +163,7 @@
         }
     }
 
-    /// The id of a store, by its lasting name.
+    /// The id of a store, by its unique name.
     fn id(&mut self, uid: &str) -> StoreId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
@@ -167,14 +173,14 @@
         id
     }
 
-    /// When a store started, on the scheduler's clock, as far as it is certain.
-    fn started_at(&self, store: StoreId, stamp: BootTimestamp, now: Duration) -> Duration {
+    /// When a store started, on the scheduler's clock. Only the certain part of its age is counted.
+    fn started_at(&self, store: StoreId, timestamp: BootTimestamp, now: Duration) -> Duration {
         let known = self.stores.get(&store).and_then(|store| store.start);
-        let same = known.filter(|start| start.stamp == stamp);
-        same.map_or_else(|| now.saturating_sub(self.stamps.age(stamp, now)), |start| start.at)
+        let same = known.filter(|start| start.timestamp == timestamp);
+        same.map_or_else(|| now.saturating_sub(self.boot_clock.min_age(timestamp, now)), |start| start.at)
     }
 
-    /// Since when a store counts as draining or gone; nothing for one that is ready.
+    /// When the store counts as draining or gone; `None` if it is ready.
     fn unavailable_since(
         &self,
         store: StoreId,
@@ -191,17 +197,17 @@
 
     /// When a change that is received now counts as notified (rule 3).
     ///
-    /// Hazard: what a silent watch missed counts as notified although it did not come, also what an earlier process
-    /// missed. A drain that is heard of only after a silence may have had its grace already; a second one would send past
-    /// it.
+    /// Hazard: a change that was missed while the watch was silent counts as notified although it was not
+    /// received, and so does one that an earlier process missed. The grace of a drain received after such a
+    /// silence may already have expired; a second grace would permit attempts after its end.
     fn notified_at(&self, now: Duration, drain_grace: Duration) -> Duration {
         if self.watch_stale { now.saturating_sub(drain_grace) } else { now }
     }
 
     /// The number of a zone.
     ///
-    /// Hazard: two zones that the settings do not name must not share a number, or an operation that is deduplicated within
-    /// a zone would be sent to both.
+    /// Hazard: two zones that the settings do not name must not share a number; otherwise an operation that
+    /// is deduplicated per zone would be sent to both.
     fn zone(&mut self, name: &str) -> u32 {
         let known = self.zones.iter().position(|zone| zone == name);
         let number = known.unwrap_or_else(|| {
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -48,63 +48,63 @@
     )
 }
 
-struct World {
+struct TestCore {
     core: Core,
     now: Duration,
     clients: u64,
 }
 
-impl World {
-    fn new() -> World {
-        World::with(SETTINGS, &[entry("s0", 0, "ready", 0), entry("s1", 1, "ready", 0)])
+impl TestCore {
+    fn new() -> TestCore {
+        TestCore::with(SETTINGS, &[entry("s0", 0, "ready", 0), entry("s1", 1, "ready", 0)])
     }
 
     /// A process that has heard that its earlier list holds.
-    fn with(settings: &str, entries: &[String]) -> World {
-        let mut world = World::unheard(settings, entries);
-        world.tell(vec![Input::EndpointList(
-            EndpointList::read(list(1, false, &[]).as_bytes()).expect("a list"),
+    fn with(settings: &str, entries: &[String]) -> TestCore {
+        let mut world = TestCore::with_stale_list(settings, entries);
+        world.handle(vec![Input::EndpointList(
+            EndpointList::parse(list(1, false, &[]).as_bytes()).expect("a list"),
         )]);
         world
     }
 
     /// A new process that knows its earlier list alone.
-    fn unheard(settings: &str, entries: &[String]) -> World {
+    fn with_stale_list(settings: &str, entries: &[String]) -> TestCore {
         let known = list(1, true, entries);
-        let config = Config::read(&config(settings, &known)).expect("a whole configuration");
+        let config = Config::parse(&config(settings, &known)).expect("a whole configuration");
         let mut world =
-            World { core: Core::start(&config, START).expect("it starts"), now: START, clients: 0 };
-        world.tell(vec![]);
+            TestCore { core: Core::start(&config, START).expect("it starts"), now: START, clients: 0 };
+        world.handle(vec![]);
         world
     }
 
-    fn tell(&mut self, inputs: Vec<Input>) -> Vec<Effect> {
-        let deeds = self.core.handle(self.now, inputs);
-        assert!(!deeds.iter().any(|deed| matches!(deed, Effect::Fatal(_))), "{deeds:?}");
-        deeds
+    fn handle(&mut self, inputs: Vec<Input>) -> Vec<Effect> {
+        let effects = self.core.handle(self.now, inputs);
+        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Fatal(_))), "{effects:?}");
+        effects
     }
 
     /// Time passes as on a clock that wakes the core when it asked for it.
-    fn pass(&mut self, span: Duration) -> Vec<Effect> {
-        let (end, mut deeds) = (self.now + span, Vec::new());
+    fn advance(&mut self, duration: Duration) -> Vec<Effect> {
+        let (end, mut effects) = (self.now + duration, Vec::new());
         while let Some(at) = self.core.next_deadline().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            deeds.extend(self.tell(vec![Input::TimerExpired]));
+            effects.extend(self.handle(vec![Input::TimerExpired]));
         }
         self.now = end;
-        deeds
+        effects
     }
 
-    fn ask(&mut self, request: &Request) -> (ClientId, Vec<Effect>) {
-        let ask = self.core.check(request).expect("a request that is an op");
+    fn submit(&mut self, request: &Request) -> (ClientId, Vec<Effect>) {
+        let operation = self.core.parse_request(request).expect("a request that is an op");
         self.clients += 1;
         let client = ClientId(self.clients);
-        let deeds = self.tell(vec![Input::Request { client, request: ask, started_at: self.now }]);
-        (client, deeds)
+        let effects = self.handle(vec![Input::Request { client, request: operation, started_at: self.now }]);
+        (client, effects)
     }
 
-    fn returned(&mut self, call: AttemptId, returned: AttemptOutcome) -> Vec<Effect> {
-        self.tell(vec![Input::AttemptFinished { attempt: call, outcome: returned, finished_at: self.now }])
+    fn finish_attempt(&mut self, attempt: AttemptId, returned: AttemptOutcome) -> Vec<Effect> {
+        self.handle(vec![Input::AttemptFinished { attempt, outcome: returned, finished_at: self.now }])
     }
 }
 
@@ -138,40 +138,40 @@
     request("PUT", target, &fields(&format!("{n:016x}"), "units=2,shard=0,hosts=2"), "data")
 }
 
-fn answer(text: &str) -> AttemptOutcome {
+fn response_outcome(text: &str) -> AttemptOutcome {
     let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(text.as_bytes());
     AttemptOutcome::Response(reader.response().expect("well formed").expect("whole"))
 }
 
 fn ok() -> AttemptOutcome {
-    answer(
+    response_outcome(
         "HTTP/1.1 200 OK\r\nContent-Type: own/kind\r\nX-Rho: noise\r\nX-Backend-Load: queue=x,util=0.5,\r\nContent-Length: 4\r\n\r\nbody",
     )
 }
 
 fn failed() -> AttemptOutcome {
-    answer("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+    response_outcome("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
 }
 
-fn sent(deeds: &[Effect]) -> Vec<(AttemptId, SocketAddr)> {
-    let send = |deed: &Effect| match deed {
-        Effect::StartAttempt { attempt: call, address, .. } => Some((*call, *address)),
+fn started_attempts(effects: &[Effect]) -> Vec<(AttemptId, SocketAddr)> {
+    let send = |effect: &Effect| match effect {
+        Effect::StartAttempt { attempt, address, .. } => Some((*attempt, *address)),
         _ => None,
     };
-    deeds.iter().filter_map(send).collect()
+    effects.iter().filter_map(send).collect()
 }
 
-fn answers(deeds: &[Effect]) -> Vec<(ClientId, FinalResponse)> {
-    let answer = |deed: &Effect| match deed {
+fn responses(effects: &[Effect]) -> Vec<(ClientId, FinalResponse)> {
+    let answer = |effect: &Effect| match effect {
         Effect::Respond { client, response: reply } => Some((*client, reply.clone())),
         _ => None,
     };
-    deeds.iter().filter_map(answer).collect()
+    effects.iter().filter_map(answer).collect()
 }
 
-fn refusal(request: &Request) -> RequestError {
-    World::new().core.check(request).expect_err("no op")
+fn request_error(request: &Request) -> RequestError {
+    TestCore::new().core.parse_request(request).expect_err("no op")
 }
 
 #[test]
@@ -182,7 +182,7 @@
     let lines = "discovery=subscribe\nfailureDomains=hall_a,b_c\ngroupSize=3\nprofiles.count=1\nprofiles.0.name=x_y\n\
         profiles.0.promiseS=0.25\nprofiles.0.effect=guarded\nprofiles.0.stream=false\nfamilyInfo.writes=false,true\n\
         familyInfo.meanUnits=2.0\nrules.askWithinS=10.0";
-    let config = Config::read(&config(nested, &list(0, true, &[]))).expect("a whole configuration");
+    let config = Config::parse(&config(nested, &list(0, true, &[]))).expect("a whole configuration");
     assert_eq!(config.settings, umbertray_setting_names::from_lines(lines));
     assert_eq!(config.settings["op_types.0.repeats"], "deduplicated");
 }
@@ -190,28 +190,28 @@
 #[test]
 fn missing_or_unreadable_configuration_is_named_in_error() {
     let whole = config(SETTINGS, &list(1, true, &[]));
-    let said = |from: &str, to: &str| match Config::read(&whole.replace(from, to)) {
+    let error_of = |from: &str, to: &str| match Config::parse(&whole.replace(from, to)) {
         Ok(config) => Core::start(&config, START).err().expect("it must not start").to_string(),
         Err(error) => error.to_string(),
     };
-    assert!(said(r#""seed":"#, r#""sead":"#).contains("`seed`"));
-    assert!(said("00000000000000ff", "xyz").starts_with("seed: "));
-    assert!(said("127.0.0.1:1", "nowhere").starts_with("listen: "));
-    assert!(said("127.0.0.1:2", "").starts_with("discovery: "));
-    assert!(said(r#""sockets":256"#, r#""sockets":0"#).starts_with("limits: "));
-    assert!(said(r#""rev":1"#, r#""rev":-1"#).starts_with("known: "));
-    assert!(said(r#""deadlineS":1.0"#, r#""deadlineS":"x""#).contains("op_types.0.op_timeout"));
-    assert!(said(r#""name":"basic","#, "").contains("plans.0.name"));
-    assert!(said("automatic", "told").starts_with("settings: discovery "));
-    assert!(said(r#""rate":5.0"#, r#""rate":"x""#).starts_with("settings: plans.0.rate "));
-    assert!(said("{\"name\"", "{name").contains("line 1, column 2"));
+    assert!(error_of(r#""seed":"#, r#""sead":"#).contains("`seed`"));
+    assert!(error_of("00000000000000ff", "xyz").starts_with("seed: "));
+    assert!(error_of("127.0.0.1:1", "nowhere").starts_with("listen: "));
+    assert!(error_of("127.0.0.1:2", "").starts_with("discovery: "));
+    assert!(error_of(r#""sockets":256"#, r#""sockets":0"#).starts_with("limits: "));
+    assert!(error_of(r#""rev":1"#, r#""rev":-1"#).starts_with("known: "));
+    assert!(error_of(r#""deadlineS":1.0"#, r#""deadlineS":"x""#).contains("op_types.0.op_timeout"));
+    assert!(error_of(r#""name":"basic","#, "").contains("plans.0.name"));
+    assert!(error_of("automatic", "told").starts_with("settings: discovery "));
+    assert!(error_of(r#""rate":5.0"#, r#""rate":"x""#).starts_with("settings: plans.0.rate "));
+    assert!(error_of("{\"name\"", "{name").contains("line 1, column 2"));
 }
 
 #[test]
 fn malformed_request_is_rejected_with_status() {
     let good = fields("00000000000000ab", "units=2,shard=0,hosts=2");
     let status = |method, target, fields: &[(&str, &str)], body| {
-        refusal(&request(method, target, fields, body)).status
+        request_error(&request(method, target, fields, body)).status
     };
     for target in [
         "/look",
@@ -265,23 +265,23 @@
 
 #[test]
 fn duplicate_id_of_open_request_is_rejected() {
-    let mut world = World::new();
-    let (_, deeds) = world.ask(&look(7));
-    assert_eq!(world.core.check(&look(7)).expect_err("an open one has it").status, 409);
-    world.returned(sent(&deeds)[0].0, ok());
-    assert!(world.core.check(&look(7)).is_ok());
+    let mut world = TestCore::new();
+    let (_, effects) = world.submit(&look(7));
+    assert_eq!(world.core.parse_request(&look(7)).expect_err("an open one has it").status, 409);
+    world.finish_attempt(started_attempts(&effects)[0].0, ok());
+    assert!(world.core.parse_request(&look(7)).is_ok());
 }
 
 #[test]
 fn attempt_carries_checked_request_and_response_carries_store_body() {
-    let mut world = World::new();
+    let mut world = TestCore::new();
     let target = "/order/00000000000000aa/00000000000000bb?x=1&y";
     let mut told = fields("00000000000000AB", "units=2,shard=1,hosts=2").to_vec();
     told.push(("X-Repeat", "1"));
-    let (client, deeds) = world.ask(&request("PUT", target, &told, "data"));
-    let [(call, address)] = sent(&deeds)[..] else { panic!("{deeds:?}") };
+    let (client, effects) = world.submit(&request("PUT", target, &told, "data"));
+    let [(attempt, address)] = started_attempts(&effects)[..] else { panic!("{effects:?}") };
     assert_eq!(address.port(), 7000 + u16::from(b's') + u16::from(b'1'));
-    let bytes = world.core.start_attempt(call, world.now + ms(100)).expect("still wanted");
+    let bytes = world.core.start_attempt(attempt, world.now + ms(100)).expect("still wanted");
     let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(&bytes);
     let Ok(RequestEvent::Request(seen)) = reader.next_event() else { panic!("our own request is read") };
@@ -291,22 +291,22 @@
         std::str::from_utf8(seen.headers.one("X-Time-Left-Ms").expect("once").expect("told")).expect("text");
     assert!((500..=700).contains(&left.parse::<u64>().expect("a number")), "what is left: {left}");
     assert!(seen.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
-    let deeds = world.returned(call, ok());
+    let effects = world.finish_attempt(attempt, ok());
     let acked = FinalResponse::Succeeded {
         content_type: Some(Bytes::from_static(b"own/kind")),
         body: Bytes::from_static(b"body"),
     };
-    assert_eq!(answers(&deeds), [(client, acked)]);
+    assert_eq!(responses(&effects), [(client, acked)]);
     assert_eq!(world.core.open_requests(), 0);
 }
 
 /// For each way a dispatch can come back: whether an op that may run again is sent again, and what a once-only gets.
 #[test]
 fn outcomes_distinguish_not_executed_from_maybe_executed() {
-    let full = || answer("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    let over = || answer("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    let busy = || answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    let failed = || answer("HTTP/1.1 500 Oh\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    let full = || response_outcome("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    let over = || response_outcome("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    let busy = || response_outcome("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    let failed = || response_outcome("HTTP/1.1 500 Oh\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     type Make<'a> = &'a dyn Fn() -> AttemptOutcome;
     let cases: [(&str, Make, bool); 8] = [
         ("full", &full, false),
@@ -319,28 +319,32 @@
         ("cancelled", &|| AttemptOutcome::Cancelled, true),
     ];
     for (name, returned, may_have_run) in cases {
-        let mut world = World::new();
-        let (client, deeds) = world.ask(&order(1));
-        let (mut all, mut calls) = (Vec::new(), sent(&deeds));
+        let mut world = TestCore::new();
+        let (client, effects) = world.submit(&order(1));
+        let (mut all, mut attempts) = (Vec::new(), started_attempts(&effects));
         let mut again = 0;
-        while let Some((call, _)) = calls.pop() {
-            let mut back = world.returned(call, returned());
-            back.extend(world.pass(ms(100)));
-            calls.extend(sent(&back));
-            again += sent(&back).len();
+        while let Some((attempt, _)) = attempts.pop() {
+            let mut back = world.finish_attempt(attempt, returned());
+            back.extend(world.advance(ms(100)));
+            attempts.extend(started_attempts(&back));
+            again += started_attempts(&back).len();
             all.extend(back);
         }
-        all.extend(world.pass(ms(900)));
-        let ends: Vec<_> = answers(&all).into_iter().filter(|(own, _)| *own == client).collect();
-        assert_eq!(ends.len(), 1, "{name}: one final answer, {ends:?}");
+        all.extend(world.advance(ms(900)));
+        let final_responses: Vec<_> = responses(&all).into_iter().filter(|(own, _)| *own == client).collect();
+        assert_eq!(final_responses.len(), 1, "{name}: one final answer, {final_responses:?}");
         if may_have_run {
             assert_eq!(
-                (again, &ends[0].1),
+                (again, &final_responses[0].1),
                 (0, &FinalResponse::Failed),
                 "{name}: not again, and no word that it is harmless"
             );
         } else {
-            assert!(matches!(ends[0].1, FinalResponse::Rejected { .. }), "{name}: {:?}", ends[0].1);
+            assert!(
+                matches!(final_responses[0].1, FinalResponse::Rejected { .. }),
+                "{name}: {:?}",
+                final_responses[0].1
+            );
         }
         assert_eq!(world.core.open_requests(), 0, "{name}");
     }
@@ -348,27 +352,30 @@
 
 #[test]
 fn operation_without_outcome_is_answered_by_its_deadline() {
-    let mut world = World::new();
-    let (client, _) = world.ask(&look(1));
-    let early = world.pass(ms(700));
-    assert!(answers(&early).is_empty());
-    let ends = answers(&world.pass(ms(100)));
-    assert!(matches!(&ends[..], [(own, FinalResponse::Rejected { .. })] if *own == client), "{ends:?}");
+    let mut world = TestCore::new();
+    let (client, _) = world.submit(&look(1));
+    let early = world.advance(ms(700));
+    assert!(responses(&early).is_empty());
+    let final_responses = responses(&world.advance(ms(100)));
+    assert!(
+        matches!(&final_responses[..], [(own, FinalResponse::Rejected { .. })] if *own == client),
+        "{final_responses:?}"
+    );
 }
 
 #[test]
 fn shutdown_answers_every_open_operation_in_time() {
-    let mut world = World::new();
-    let (first, _) = world.ask(&order(1));
+    let mut world = TestCore::new();
+    let (first, _) = world.submit(&order(1));
     let end = world.now + ms(300);
-    let mut deeds = world.tell(vec![Input::ShuttingDown(end)]);
-    deeds.extend(world.pass(ms(100)));
-    assert_eq!(answers(&deeds), []);
-    let (second, sent_on) = world.ask(&look(2));
-    deeds.extend(sent_on);
+    let mut effects = world.handle(vec![Input::ShuttingDown(end)]);
+    effects.extend(world.advance(ms(100)));
+    assert_eq!(responses(&effects), []);
+    let (second, sent_on) = world.submit(&look(2));
+    effects.extend(sent_on);
     // Looks are a sixteenth of the target latency apart.
-    deeds.extend(world.pass(ms(213)));
-    let mut answered: Vec<ClientId> = answers(&deeds).into_iter().map(|(client, _)| client).collect();
+    effects.extend(world.advance(ms(213)));
+    let mut answered: Vec<ClientId> = responses(&effects).into_iter().map(|(client, _)| client).collect();
     answered.sort();
     assert_eq!(answered, [first, second]);
     assert_eq!(world.core.open_requests(), 0);
@@ -376,38 +383,38 @@
 
 #[test]
 fn late_outcome_after_final_response_has_no_effect() {
-    let mut world = World::new();
-    let (_, deeds) = world.ask(&look(1));
-    world.pass(ms(900));
-    let call = sent(&deeds)[0].0;
+    let mut world = TestCore::new();
+    let (_, effects) = world.submit(&look(1));
+    world.advance(ms(900));
+    let attempt = started_attempts(&effects)[0].0;
     assert_eq!(
-        world.core.start_attempt(call, world.now),
+        world.core.start_attempt(attempt, world.now),
         Err(DenialReason::RequestEnded),
         "rule 1: nothing after the final answer"
     );
-    let deeds = world.returned(call, ok());
-    assert!(answers(&deeds).is_empty() && sent(&deeds).is_empty());
-    assert!(world.returned(call, ok()).is_empty(), "forgotten");
+    let effects = world.finish_attempt(attempt, ok());
+    assert!(responses(&effects).is_empty() && started_attempts(&effects).is_empty());
+    assert!(world.finish_attempt(attempt, ok()).is_empty(), "forgotten");
 }
 
 #[test]
 fn disconnected_client_gets_no_response_and_its_attempt_does_not_start() {
-    let mut world = World::new();
-    let (client, deeds) = world.ask(&look(1));
-    world.tell(vec![Input::ClientDisconnected(client)]);
-    let call = sent(&deeds)[0].0;
-    assert_eq!(world.core.start_attempt(call, world.now), Err(DenialReason::RequestEnded));
-    assert!(answers(&world.returned(call, AttemptOutcome::NeverWritten)).is_empty());
-    assert!(world.core.check(&look(1)).is_ok(), "its id is free");
+    let mut world = TestCore::new();
+    let (client, effects) = world.submit(&look(1));
+    world.handle(vec![Input::ClientDisconnected(client)]);
+    let attempt = started_attempts(&effects)[0].0;
+    assert_eq!(world.core.start_attempt(attempt, world.now), Err(DenialReason::RequestEnded));
+    assert!(responses(&world.finish_attempt(attempt, AttemptOutcome::NeverWritten)).is_empty());
+    assert!(world.core.parse_request(&look(1)).is_ok(), "its id is free");
 }
 
 #[test]
 fn attempt_to_store_past_drain_grace_does_not_start() {
-    let mut world = World::new();
-    let read = |text: String| EndpointList::read(text.as_bytes()).expect("a list");
-    let (_, first) = world.ask(&look(1));
-    let first = sent(&first)[0].0;
-    world.tell(vec![Input::EndpointList(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
+    let mut world = TestCore::new();
+    let read = |text: String| EndpointList::parse(text.as_bytes()).expect("a list");
+    let (_, first) = world.submit(&look(1));
+    let first = started_attempts(&first)[0].0;
+    world.handle(vec![Input::EndpointList(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
     assert!(world.core.start_attempt(first, world.now + ms(500)).is_ok(), "rule 3: within the grace");
     assert_eq!(
         world.core.start_attempt(first, world.now + ms(1000)),
@@ -415,9 +422,10 @@
         "rule 3: beyond the grace"
     );
     for dropped in [1, 0] {
-        let deeds = world.tell(vec![Input::EndpointList(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
+        let effects =
+            world.handle(vec![Input::EndpointList(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
         assert_eq!(
-            deeds.iter().filter(|deed| matches!(deed, Effect::CloseIdleConnections { .. })).count(),
+            effects.iter().filter(|effect| matches!(effect, Effect::CloseIdleConnections { .. })).count(),
             dropped
         );
     }
@@ -430,45 +438,49 @@
 
 #[test]
 fn boot_timestamp_is_converted_to_scheduler_clock() {
-    let mut world = World::new();
-    world.pass(ms(2000));
+    let mut world = TestCore::new();
+    world.advance(ms(2000));
     let started = (world.now - ms(500)).as_millis() as u64;
     let entries = [entry("s0", 0, "gone", 0), entry("s2", 0, "ready", started)];
-    world.tell(vec![Input::EndpointList(
-        EndpointList::read(list(2, false, &entries).as_bytes()).expect("a list"),
+    world.handle(vec![Input::EndpointList(
+        EndpointList::parse(list(2, false, &entries).as_bytes()).expect("a list"),
     )]);
     // Cold: it takes an even part of what it always bears, not all at once.
-    let mut deeds = Vec::new();
+    let mut effects = Vec::new();
     for n in 0..12 {
-        deeds.extend(world.ask(&look(n)).1);
+        effects.extend(world.submit(&look(n)).1);
     }
-    deeds.extend(world.pass(ms(150)));
-    let told = sent(&deeds).len();
+    effects.extend(world.advance(ms(150)));
+    let told = started_attempts(&effects).len();
     assert!((1..=2).contains(&told), "a store that has just started is spared: {told}");
 }
 
 #[test]
 fn valid_new_settings_apply_and_invalid_ones_change_nothing() {
-    let mut world = World::new();
+    let mut world = TestCore::new();
     let read =
-        |text: &str| Config::read(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
-    world
-        .tell(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""name":"more""#, r#""name":"other""#)))]);
-    assert_eq!(world.core.check(&look(1)).expect_err("the plan has another name").status, 400);
-    let deeds = world.tell(vec![Input::SettingsChanged(read(&SETTINGS.replace("profiles", "nothing")))]);
-    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("op_types.count")), "{deeds:?}");
-    assert_eq!(world.core.check(&look(1)).expect_err("the former hold").status, 400);
+        |text: &str| Config::parse(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
+    world.handle(vec![Input::SettingsChanged(read(
+        &SETTINGS.replace(r#""name":"more""#, r#""name":"other""#),
+    ))]);
+    assert_eq!(world.core.parse_request(&look(1)).expect_err("the plan has another name").status, 400);
+    let effects = world.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace("profiles", "nothing")))]);
+    assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("op_types.count")), "{effects:?}");
+    assert_eq!(world.core.parse_request(&look(1)).expect_err("the former hold").status, 400);
     let endless = SETTINGS.replace(r#""contracts":["#, r#""contracts":{"count":900000000000},"others":["#);
-    let deeds = world.tell(vec![Input::SettingsChanged(read(&endless))]);
-    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("plans.0.name")), "{deeds:?}");
+    let effects = world.handle(vec![Input::SettingsChanged(read(&endless))]);
+    assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("plans.0.name")), "{effects:?}");
     // What the module cannot act on must not be asked for either.
     let unreadable = r#""contracts":[{"name":"new","rate":5.0,"weight":"heavy"},"#;
-    let deeds =
-        world.tell(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
-    assert!(matches!(&deeds[..], [Effect::Log(text)] if text.contains("weight")), "{deeds:?}");
+    let effects =
+        world.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
+    assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("weight")), "{effects:?}");
     let new = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "new" } else { value }));
-    assert_eq!(world.core.check(&request("GET", TARGET, &new, "")).expect_err("as it was").status, 400);
+    assert_eq!(
+        world.core.parse_request(&request("GET", TARGET, &new, "")).expect_err("as it was").status,
+        400
+    );
 }
 
 /// The module knows op types and plans by their places: whatever order a new file has them in, what is open must stay
@@ -476,37 +488,41 @@
 #[test]
 fn changed_settings_keep_positions_of_op_types_and_plans() {
     let read =
-        |text: &str| Config::read(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
+        |text: &str| Config::parse(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
     let look_type = r#"{"name":"look","promiseS":0.2,"deadlineS":1.0,"effect":"free","gain":3.0}"#;
     let order_type = r#"{"name":"order","promiseS":0.2,"deadlineS":1.0,"effect":"single_shot","gain":2.0}"#;
     let both = format!("{look_type},\n      {order_type}");
     assert!(SETTINGS.contains(&both));
     let swapped = SETTINGS.replace(&both, &format!("{order_type},{look_type}"));
     for told in [swapped, SETTINGS.replace(&both, look_type)] {
-        let mut world = World::new();
-        let (client, deeds) = world.ask(&order(1));
-        world.tell(vec![Input::SettingsChanged(read(&told))]);
-        let call = sent(&deeds)[0].0;
-        let mut back = world.returned(call, failed());
-        back.extend(world.pass(ms(100)));
-        assert_eq!(answers(&back), [(client, FinalResponse::Failed)], "rule 2: it may have run");
-        assert!(sent(&back).is_empty(), "rule 2: it may have run");
-        assert_eq!(world.core.check(&order(2)).is_ok(), told.contains(order_type));
-        assert!(world.core.check(&look(3)).is_ok());
+        let mut world = TestCore::new();
+        let (client, effects) = world.submit(&order(1));
+        world.handle(vec![Input::SettingsChanged(read(&told))]);
+        let attempt = started_attempts(&effects)[0].0;
+        let mut back = world.finish_attempt(attempt, failed());
+        back.extend(world.advance(ms(100)));
+        assert_eq!(responses(&back), [(client, FinalResponse::Failed)], "rule 2: it may have run");
+        assert!(started_attempts(&back).is_empty(), "rule 2: it may have run");
+        assert_eq!(world.core.parse_request(&order(2)).is_ok(), told.contains(order_type));
+        assert!(world.core.parse_request(&look(3)).is_ok());
         // And back again.
-        world.tell(vec![Input::SettingsChanged(read(SETTINGS))]);
-        let (client, deeds) = world.ask(&order(4));
-        let mut back = world.returned(sent(&deeds)[0].0, failed());
-        back.extend(world.pass(ms(100)));
-        assert_eq!((answers(&back), sent(&back)), (vec![(client, FinalResponse::Failed)], vec![]));
+        world.handle(vec![Input::SettingsChanged(read(SETTINGS))]);
+        let (client, effects) = world.submit(&order(4));
+        let mut back = world.finish_attempt(started_attempts(&effects)[0].0, failed());
+        back.extend(world.advance(ms(100)));
+        assert_eq!(
+            (responses(&back), started_attempts(&back)),
+            (vec![(client, FinalResponse::Failed)], vec![])
+        );
     }
-    let mut world = World::new();
+    let mut world = TestCore::new();
     let without = SETTINGS.replace(r#"{"name":"basic","rate":5.0,"weight":1.0},"#, "");
-    world.tell(vec![Input::SettingsChanged(read(&without))]);
-    assert!(world.core.check(&look(1)).is_ok(), "of the plan that stays");
+    world.handle(vec![Input::SettingsChanged(read(&without))]);
+    assert!(world.core.parse_request(&look(1)).is_ok(), "of the plan that stays");
     let basic = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "basic" } else { value }));
-    let refused = world.core.check(&request("GET", TARGET, &basic, "")).expect_err("the plan is no more");
+    let refused =
+        world.core.parse_request(&request("GET", TARGET, &basic, "")).expect_err("the plan is no more");
     assert_eq!(refused.status, 400);
 }
 
@@ -515,90 +531,95 @@
 fn idempotency_key_goes_with_every_attempt_unchanged() {
     let marked = SETTINGS
         .replace(r#""effect":"single_shot""#, r#""effect":"guarded","dedupScope":"all","windowS":5.0"#);
-    let mut world = World::with(&marked, &[entry("s0", 0, "ready", 0)]);
-    let bytes = |world: &mut World, call| {
-        let bytes = world.core.start_attempt(call, world.now).expect("it may begin");
+    let mut world = TestCore::with(&marked, &[entry("s0", 0, "ready", 0)]);
+    let bytes = |world: &mut TestCore, attempt| {
+        let bytes = world.core.start_attempt(attempt, world.now).expect("it may begin");
         String::from_utf8(bytes.to_vec()).expect("text")
     };
     let mut asked = fields("00000000000000ab", "units=2,shard=0,hosts=2").to_vec();
     asked.push(("Idempotency-Key", "\"Mark 7\""));
-    let (_, deeds) = world.ask(&request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data"));
-    let (first, _) = sent(&deeds)[0];
+    let (_, effects) =
+        world.submit(&request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data"));
+    let (first, _) = started_attempts(&effects)[0];
     assert!(bytes(&mut world, first).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
-    let mut again = world.returned(first, AttemptOutcome::Broken);
-    again.extend(world.pass(ms(150)));
-    let (second, _) = sent(&again)[0];
+    let mut again = world.finish_attempt(first, AttemptOutcome::Broken);
+    again.extend(world.advance(ms(150)));
+    let (second, _) = started_attempts(&again)[0];
     assert!(bytes(&mut world, second).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
     asked.push(("Idempotency-Key", "another"));
     let doubled = request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data");
-    assert_eq!(refusal(&doubled).status, 400, "stores would see two marks");
-    let (_, deeds) = world.ask(&look(1));
-    assert!(sent(&deeds).iter().all(|(call, _)| !bytes(&mut world, *call).contains("Idempotency-Key")));
+    assert_eq!(request_error(&doubled).status, 400, "stores would see two marks");
+    let (_, effects) = world.submit(&look(1));
+    assert!(
+        started_attempts(&effects)
+            .iter()
+            .all(|(attempt, _)| !bytes(&mut world, *attempt).contains("Idempotency-Key"))
+    );
 }
 
 /// A deduplicated op whose first dispatch may have run, and a further one that is decided on within the span in which
 /// stores remember its mark, here 600 ms. Its connection comes up late.
-fn decided_again(repeats: &str) -> (World, AttemptId) {
+fn with_decided_retry(repeats: &str) -> (TestCore, AttemptId) {
     let marked = SETTINGS.replace(r#""effect":"single_shot""#, repeats);
-    let mut world = World::with(&marked, &[entry("s0", 0, "ready", 0)]);
-    let (_, deeds) = world.ask(&order(1));
-    let (first, _) = sent(&deeds)[0];
+    let mut world = TestCore::with(&marked, &[entry("s0", 0, "ready", 0)]);
+    let (_, effects) = world.submit(&order(1));
+    let (first, _) = started_attempts(&effects)[0];
     assert!(world.core.start_attempt(first, world.now).is_ok());
-    world.pass(ms(20));
-    let mut again = world.returned(first, AttemptOutcome::Broken);
-    again.extend(world.pass(ms(130)));
-    let (second, _) = sent(&again)[0];
+    world.advance(ms(20));
+    let mut again = world.finish_attempt(first, AttemptOutcome::Broken);
+    again.extend(world.advance(ms(130)));
+    let (second, _) = started_attempts(&again)[0];
     (world, second)
 }
 
-const MARKED: &str = r#""effect":"guarded","dedupScope":"all","windowS":0.6"#;
+const DEDUPLICATED: &str = r#""effect":"guarded","dedupScope":"all","windowS":0.6"#;
 
 /// Rule 2: it began when stores had forgotten the mark.
 #[test]
 fn retry_past_deduplication_window_does_not_start() {
     for (wait, expected) in [(400, Ok(())), (500, Err(DenialReason::MayHaveRun))] {
-        let (mut world, second) = decided_again(MARKED);
+        let (mut world, second) = with_decided_retry(DEDUPLICATED);
         world.now += ms(wait);
         assert_eq!(
             world.core.start_attempt(second, world.now).map(drop),
             expected,
             "{wait} ms after it was decided on"
         );
-        world.returned(second, AttemptOutcome::Withheld);
+        world.finish_attempt(second, AttemptOutcome::Withheld);
     }
 }
 
 /// Rule 2: the settings of the moment decide, not those that it was decided by.
 #[test]
 fn retry_of_type_that_became_not_idempotent_does_not_start() {
-    let (mut world, second) = decided_again(MARKED);
+    let (mut world, second) = with_decided_retry(DEDUPLICATED);
     assert!(world.core.start_attempt(second, world.now).is_ok());
-    let (mut world, second) = decided_again(MARKED);
-    let once_only = Config::read(&config(SETTINGS, &list(1, true, &[]))).expect("a configuration").settings;
-    world.tell(vec![Input::SettingsChanged(once_only)]);
+    let (mut world, second) = with_decided_retry(DEDUPLICATED);
+    let once_only = Config::parse(&config(SETTINGS, &list(1, true, &[]))).expect("a configuration").settings;
+    world.handle(vec![Input::SettingsChanged(once_only)]);
     assert_eq!(world.core.start_attempt(second, world.now), Err(DenialReason::MayHaveRun));
 }
 
 /// What a client that has left asked for is called off, wherever it is; what was written whole stays out.
 #[test]
 fn disconnected_client_cancels_unwritten_attempts() {
-    let mut world = World::new();
-    let (client, deeds) = world.ask(&order(1));
-    let (call, _) = sent(&deeds)[0];
-    assert_eq!(world.core.client(call), Some(client));
-    let deeds = world.tell(vec![Input::ClientDisconnected(client)]);
-    assert!(deeds.contains(&Effect::CancelUnlessWritten { attempt: call }), "{deeds:?}");
-    assert_eq!(world.core.client(call), None);
-    assert_eq!(world.core.start_attempt(call, world.now), Err(DenialReason::RequestEnded));
+    let mut world = TestCore::new();
+    let (client, effects) = world.submit(&order(1));
+    let (attempt, _) = started_attempts(&effects)[0];
+    assert_eq!(world.core.waiting_client(attempt), Some(client));
+    let effects = world.handle(vec![Input::ClientDisconnected(client)]);
+    assert!(effects.contains(&Effect::CancelUnlessWritten { attempt }), "{effects:?}");
+    assert_eq!(world.core.waiting_client(attempt), None);
+    assert_eq!(world.core.start_attempt(attempt, world.now), Err(DenialReason::RequestEnded));
     // That this gateway called it off tells nothing of its store: the next goes there at once.
-    world.returned(call, AttemptOutcome::Withheld);
-    let (_, deeds) = world.ask(&look(2));
-    assert_eq!(sent(&deeds).len(), 1);
+    world.finish_attempt(attempt, AttemptOutcome::Withheld);
+    let (_, effects) = world.submit(&look(2));
+    assert_eq!(started_attempts(&effects).len(), 1);
 }
 
 /// How often an op is sent on from one store of its shard to another, in a zone each, when its first dispatch may have
 /// run and repeats are discarded in a zone; the settings may name other zones by then.
-fn sent_on(zones: [&str; 2], settings_name: &str) -> usize {
+fn retries_after_broken_attempt(zones: [&str; 2], settings_name: &str) -> usize {
     let in_zone = SETTINGS.replace(
         r#""deadlineS":1.0,"effect":"single_shot""#,
         r#""deadlineS":1.0,"effect":"guarded","dedupScope":"zone","windowS":5.0"#,
@@ -607,39 +628,50 @@
         let zone = format!(r#""az":"{}""#, zones[store]);
         entry(&format!("s{store}"), 0, state, 0).replace(r#""az":"b""#, &zone)
     };
-    let mut world = World::with(&in_zone, &[zoned(0, "ready"), zoned(1, "ready")]);
-    let (_, deeds) = world.ask(&order(1));
-    let (call, address) = sent(&deeds)[0];
+    let mut world = TestCore::with(&in_zone, &[zoned(0, "ready"), zoned(1, "ready")]);
+    let (_, effects) = world.submit(&order(1));
+    let (attempt, address) = started_attempts(&effects)[0];
     let first = usize::from(address.port() - 7000 - u16::from(b's') - u16::from(b'0'));
     let named = in_zone.replace(r#"["a","b"]"#, settings_name);
-    let settings = Config::read(&config(&named, &list(1, true, &[]))).expect("a configuration").settings;
-    world.tell(vec![Input::SettingsChanged(settings)]);
+    let settings = Config::parse(&config(&named, &list(1, true, &[]))).expect("a configuration").settings;
+    world.handle(vec![Input::SettingsChanged(settings)]);
     let gone = list(2, false, &[zoned(first, "gone")]);
-    world.tell(vec![Input::EndpointList(EndpointList::read(gone.as_bytes()).expect("a list"))]);
-    let mut back = world.returned(call, AttemptOutcome::Broken);
-    back.extend(world.pass(ms(300)));
-    sent(&back).len()
+    world.handle(vec![Input::EndpointList(EndpointList::parse(gone.as_bytes()).expect("a list"))]);
+    let mut back = world.finish_attempt(attempt, AttemptOutcome::Broken);
+    back.extend(world.advance(ms(300)));
+    started_attempts(&back).len()
 }
 
 #[test]
 fn unnamed_zones_get_distinct_numbers() {
-    assert_eq!(sent_on(["near", "near"], r#"["a","b"]"#), 1);
-    assert_eq!(sent_on(["near", "far"], r#"["a","b"]"#), 0, "rule 2: two zones that have no name");
-    assert_eq!(sent_on(["a", "b"], r#"["b","a"]"#), 0, "rule 2: stores listed before zones were told anew");
+    assert_eq!(retries_after_broken_attempt(["near", "near"], r#"["a","b"]"#), 1);
+    assert_eq!(
+        retries_after_broken_attempt(["near", "far"], r#"["a","b"]"#),
+        0,
+        "rule 2: two zones that have no name"
+    );
+    assert_eq!(
+        retries_after_broken_attempt(["a", "b"], r#"["b","a"]"#),
+        0,
+        "rule 2: stores listed before zones were told anew"
+    );
 }
 
 /// One word that this version does not know must not hide from it what else the list tells.
 #[test]
 fn unknown_store_state_is_logged_and_treated_as_gone() {
-    let mut world = World::new();
+    let mut world = TestCore::new();
     let entries = [entry("s0", 0, "asleep", 0), entry("s1", 1, "ready", 0), entry("s2", 0, "ready", 0)];
-    let told = EndpointList::read(list(2, true, &entries).as_bytes()).expect("the rest is a list");
-    let deeds = world.tell(vec![Input::EndpointList(told)]);
-    let said = |deed: &Effect| matches!(deed, Effect::Log(text) if text.contains("version 2, entry s0: state \"asleep\""));
-    assert!(deeds.iter().any(said), "{deeds:?}");
-    let (_, deeds) = world.ask(&look(1));
+    let told = EndpointList::parse(list(2, true, &entries).as_bytes()).expect("the rest is a list");
+    let effects = world.handle(vec![Input::EndpointList(told)]);
+    let said = |effect: &Effect| matches!(effect, Effect::Log(text) if text.contains("version 2, entry s0: state \"asleep\""));
+    assert!(effects.iter().any(said), "{effects:?}");
+    let (_, effects) = world.submit(&look(1));
     let port = 7000 + u16::from(b's') + u16::from(b'2');
-    assert!(sent(&deeds).iter().all(|(_, address)| address.port() == port) && !sent(&deeds).is_empty());
+    assert!(
+        started_attempts(&effects).iter().all(|(_, address)| address.port() == port)
+            && !started_attempts(&effects).is_empty()
+    );
 }
 
 #[test]
@@ -663,7 +695,7 @@
         });
         assert_eq!(versions.collect::<Vec<_>>(), [4, 0, 5]);
     }
-    let wrong = |text: &str| EndpointList::read(text.as_bytes()).expect_err("not a list").to_string();
+    let wrong = |text: &str| EndpointList::parse(text.as_bytes()).expect_err("not a list").to_string();
     assert!(
         wrong(&list(9, true, &[entry("s7", 0, "ready", 0).replace("127.0.0.1", "x")]))
             .contains("entry s7: endpoint")
@@ -702,25 +734,25 @@
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
     let told = |version, state| {
         Input::EndpointList(
-            EndpointList::read(list(version, true, &stores(state)).as_bytes()).expect("a list"),
+            EndpointList::parse(list(version, true, &stores(state)).as_bytes()).expect("a list"),
         )
     };
     for known in ["ready", "draining"] {
-        let mut world = World::unheard(SETTINGS, &stores(known));
-        let (_, early) = world.ask(&look(1));
-        assert_eq!(sent(&early).is_empty(), known == "draining", "{early:?}");
-        world.tell(vec![told(2, "draining")]);
-        if let Some((call, _)) = sent(&early).first() {
+        let mut world = TestCore::with_stale_list(SETTINGS, &stores(known));
+        let (_, early) = world.submit(&look(1));
+        assert_eq!(started_attempts(&early).is_empty(), known == "draining", "{early:?}");
+        world.handle(vec![told(2, "draining")]);
+        if let Some((attempt, _)) = started_attempts(&early).first() {
             assert_eq!(
-                world.core.start_attempt(*call, world.now),
+                world.core.start_attempt(*attempt, world.now),
                 Err(DenialReason::DrainGraceOver),
                 "rule 3: decided on the earlier list"
             );
         }
-        assert!(sent(&world.ask(&look(2)).1).is_empty(), "known as {known}");
+        assert!(started_attempts(&world.submit(&look(2)).1).is_empty(), "known as {known}");
         // What comes from then on is as new as it seems.
-        world.tell(vec![told(3, "ready"), told(4, "draining")]);
-        assert!(!sent(&world.ask(&look(3)).1).is_empty(), "known as {known}");
+        world.handle(vec![told(3, "ready"), told(4, "draining")]);
+        assert!(!started_attempts(&world.submit(&look(3)).1).is_empty(), "known as {known}");
     }
 }
 
@@ -728,19 +760,21 @@
 #[test]
 fn drain_heard_after_watch_silence_has_no_grace() {
     for silent in [false, true] {
-        let mut world = World::new();
-        world.tell(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
+        let mut world = TestCore::new();
+        world.handle(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
         let told = |version, state| {
             let entries = [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
-            Input::EndpointList(EndpointList::read(list(version, true, &entries).as_bytes()).expect("a list"))
+            Input::EndpointList(
+                EndpointList::parse(list(version, true, &entries).as_bytes()).expect("a list"),
+            )
         };
-        world.tell(vec![told(2, "draining")]);
-        let (_, deeds) = world.ask(&look(1));
-        assert_eq!(sent(&deeds).is_empty(), silent, "{deeds:?}");
+        world.handle(vec![told(2, "draining")]);
+        let (_, effects) = world.submit(&look(1));
+        assert_eq!(started_attempts(&effects).is_empty(), silent, "{effects:?}");
         // What comes on a watch that stands is as new as it seems.
-        world.tell(vec![told(3, "ready")]);
-        world.tell(vec![told(4, "draining")]);
-        let (_, deeds) = world.ask(&look(2));
-        assert!(!sent(&deeds).is_empty(), "{deeds:?}");
+        world.handle(vec![told(3, "ready")]);
+        world.handle(vec![told(4, "draining")]);
+        let (_, effects) = world.submit(&look(2));
+        assert!(!started_attempts(&effects).is_empty(), "{effects:?}");
     }
 }
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -9,7 +9,7 @@
 use umbertray_http::client;
 use umbertray_http::server::{Request, RequestEvent, RequestReader};
 use umbertray_http_api::endpoint_list::{EndpointList, WatchEvent, WatchReader};
-use umbertray_http_api::{ClientId, Config, Core, Effect, Input, fields};
+use umbertray_http_api::{ClientId, Config, Core, Effect, Input, protocol};
 
 const RECORDED: &str = include_str!("golden/http.txt");
 const CONFIGURATION: &str = include_str!("golden/configuration.json");
@@ -24,7 +24,7 @@
 const KEY: (&str, &str) = ("Idempotency-Key", "own key");
 
 fn core() -> Core {
-    let configuration = Config::read(CONFIGURATION).expect("a whole configuration");
+    let configuration = Config::parse(CONFIGURATION).expect("a whole configuration");
     let mut core = Core::start(&configuration, START).expect("it starts");
     core.handle(START, vec![]);
     core
@@ -49,10 +49,11 @@
     let mut core = core();
     let now = START + Duration::from_secs(2);
     core.handle(now, vec![]);
-    let ask = core.check(request).expect("an operation");
-    let deeds = core.handle(now, vec![Input::Request { client: ClientId(1), request: ask, started_at: now }]);
-    let sent = deeds.iter().find_map(|deed| match deed {
-        Effect::StartAttempt { attempt: call, .. } => Some(*call),
+    let operation = core.parse_request(request).expect("an operation");
+    let effects =
+        core.handle(now, vec![Input::Request { client: ClientId(1), request: operation, started_at: now }]);
+    let sent = effects.iter().find_map(|effect| match effect {
+        Effect::StartAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     });
     core.start_attempt(sent.expect("an attempt"), now).expect("it may begin")
@@ -89,23 +90,23 @@
         request("GET", READ, &placed("units=2,hosts=2"), ""),
     ];
     for example in examples {
-        let refused = core().check(&example).expect_err("no operation");
+        let refused = core().parse_request(&example).expect_err("no operation");
         transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
     }
     let (mut core, example) = (core(), request("GET", READ, &fields, ""));
-    let ask = core.check(&example).expect("an operation");
-    core.handle(START, vec![Input::Request { client: ClientId(1), request: ask, started_at: START }]);
-    let refused = core.check(&example).expect_err("its id is taken");
+    let operation = core.parse_request(&example).expect("an operation");
+    core.handle(START, vec![Input::Request { client: ClientId(1), request: operation, started_at: START }]);
+    let refused = core.parse_request(&example).expect_err("its id is taken");
     transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
 }
 
 fn discovery(transcript: &mut String) {
     for (name, target) in [
-        ("discovery, list", fields::ENDPOINT_LIST.to_string()),
-        ("discovery, watch", fields::watch(7)),
-        ("store, load report", fields::LOAD_REPORT_PATH.to_string()),
-        ("own, readiness", fields::READY.to_string()),
-        ("own, liveness", fields::LIVE.to_string()),
+        ("discovery, list", protocol::ENDPOINT_LIST.to_string()),
+        ("discovery, watch", protocol::watch(7)),
+        ("store, load report", protocol::LOAD_REPORT_PATH.to_string()),
+        ("own, readiness", protocol::READY.to_string()),
+        ("own, liveness", protocol::LIVE.to_string()),
     ] {
         line(transcript, name, &client::request("GET", &target, "127.0.0.1:9", &[], b""));
     }
@@ -123,7 +124,7 @@
         format!("[{uid} {address} {zone} {shard} {state} started {started}]")
     });
     let entries: Vec<String> = entries.collect();
-    format!("{} whole {} {} unknown {:?}", list.version, list.is_whole, entries.join(" "), list.unknown)
+    format!("{} whole {} {} unknown {:?}", list.version, list.is_complete, entries.join(" "), list.unknown)
 }
 
 fn lists(transcript: &mut String) {
@@ -165,7 +166,7 @@
 
 #[test]
 fn configuration_becomes_recorded_settings() {
-    let configuration = Config::read(CONFIGURATION).expect("a whole configuration");
+    let configuration = Config::parse(CONFIGURATION).expect("a whole configuration");
     let settings = &configuration.settings;
     let text: String = settings.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
     let recorded = include_str!("golden/settings.txt");
--- a/crates/http-api/tests/sizes.rs
+++ b/crates/http-api/tests/sizes.rs
@@ -31,5 +31,5 @@
     assert_eq!(list(2).len() - list(1).len(), entry);
     let whole = list(4000);
     assert_eq!(whole.len(), page("head of a list, platform") + 4000 * entry - 1);
-    assert_eq!(EndpointList::read(whole.as_bytes()).expect("a list").stores.len(), 4000);
+    assert_eq!(EndpointList::parse(whole.as_bytes()).expect("a list").stores.len(), 4000);
 }
--- a/crates/http-gateway/src/attempt.rs
+++ b/crates/http-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: one request to a store, from its connection to its response.
+//! Attempts and health checks: sends one request to a store and receives its response.
 
 use std::cell::Cell;
 use std::fmt::Display;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout, timeout_at};
 use umbertray_http::client::{self, Response, ResponseReader};
-use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, fields};
+use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, protocol};
 use umbertray_lifecycle::attempt::propagated_deadline_holds;
 use umbertray_lifecycle::check::observe;
 use umbertray_lifecycle::reason::StoreCloseReason;
@@ -19,15 +19,15 @@
 use crate::response_memory::ResponseMemory;
 use crate::store_pool::PooledConnection;
 
-/// An attempt's outcome, and when it was known.
+/// The outcome of an attempt, and when it became known.
 pub(crate) struct Finished {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) at: Duration,
 }
 
-/// Sends an attempt and waits for its response. `written` is set once the last byte is written.
+/// Sends an attempt and waits for its response. `written` is set once the last byte has been written.
 ///
-/// Cancellation closes the connection; whether the attempt may have been executed is said by `written`.
+/// Cancellation closes the connection. `written` then shows whether the attempt may have been executed.
 pub(crate) async fn run_attempt(
     event_loop: &Rc<EventLoop>,
     attempt: AttemptId,
@@ -50,7 +50,10 @@
     let finished = send_and_receive(event_loop, attempt, address, timer_deadline, written).await;
     let elapsed = finished.at.saturating_sub(started_at);
     let outcome = &finished.outcome;
-    tracing::debug!(request_id = id, op, attempt = number, store = store.0, ?elapsed, %outcome, "attempt finished");
+    tracing::debug!(
+        request_id = id, op, attempt = number, store = store.0, ?elapsed, %outcome,
+        "attempt finished"
+    );
     finished
 }
 
@@ -72,7 +75,10 @@
         Err(_) => {
             let reason = StoreCloseReason::AttemptEnded;
             event_loop.counters.count(reason);
-            tracing::debug!(op = attempt.op.0, attempt = attempt.attempt, store = %address, %reason, "store connection closed");
+            tracing::debug!(
+                op = attempt.op.0, attempt = attempt.attempt, store = %address, %reason,
+                "store connection closed"
+            );
             finished_now(AttemptOutcome::TimedOut)
         }
     }
@@ -91,7 +97,7 @@
         Err(reason) => {
             event_loop.counters.count(reason);
             tracing::debug!(op = attempt.op.0, attempt = attempt.attempt, %reason, "attempt denied");
-            // Nothing was written: the connection serves the next attempt.
+            // Nothing was written, so the connection can carry the next attempt.
             event_loop.pools.release(connection);
             return Err(AttemptOutcome::Withheld);
         }
@@ -103,22 +109,27 @@
     Ok(connection)
 }
 
-/// A process that was held up, or a store that reads slowly, may make the propagated deadline untrue.
+/// Counts and logs a propagated deadline that no longer held when the request was written, because this
+/// process was held up or the store reads slowly.
 fn check_propagated_deadline(event_loop: &EventLoop, attempt: AttemptId, write_duration: Duration) {
     observe(&event_loop.counters, propagated_deadline_holds(write_duration), |violation| {
         let id = event_loop.request_id(attempt).unwrap_or_default();
-        tracing::warn!(request_id = id, op = attempt.op.0, elapsed = ?write_duration, %violation, "lifecycle rule violated");
+        tracing::warn!(
+            request_id = id, op = attempt.op.0, elapsed = ?write_duration, %violation,
+            "lifecycle rule violated"
+        );
     });
 }
 
-/// Writes a request; nothing if not all of it was written. A store executes a request only once it has the last byte.
+/// Writes a request; `None` if it was not written completely. A store executes a request only after it
+/// received the last byte.
 async fn write(connection: &mut PooledConnection<'_>, bytes: &Bytes, written: &Cell<bool>) -> Option<()> {
     connection.stream.as_mut()?.write_all(bytes).await.ok()?;
     written.set(true);
     Some(())
 }
 
-/// Reads a response whole and releases or closes its connection.
+/// Reads a complete response, and releases or closes its connection.
 async fn receive_response(event_loop: &Rc<EventLoop>, mut connection: PooledConnection<'_>) -> Finished {
     let mut reader = ResponseReader::new(event_loop.limits().response);
     let mut memory = ResponseMemory::new(event_loop);
@@ -143,11 +154,12 @@
         }
         match response {
             Ok(None) if is_end => {
-                return broken(StoreCloseReason::AnswerBroken, &"ended before the answer was whole");
+                return broken(StoreCloseReason::AnswerBroken, &"closed before the response was complete");
             }
             Ok(None) => {}
             Ok(Some(response)) => {
-                // Hazard: bytes behind the response belong to no request; the next would be answered with them.
+                // Hazard: bytes after the response belong to no request. On a reused connection they would be
+                // taken for the response to the next one.
                 let is_reusable = !is_end && response.head.persists && reader.bytes.is_empty();
                 let outcome = finish_response(event_loop, connection, response, memory, is_reusable);
                 return Finished { outcome, at };
@@ -157,7 +169,8 @@
     }
 }
 
-/// Releases or closes the connection of a whole response, whose body keeps its memory.
+/// Releases or closes the connection of a complete response, and ties the reserved memory to the response
+/// body.
 fn finish_response(
     event_loop: &EventLoop,
     connection: PooledConnection<'_>,
@@ -169,7 +182,7 @@
     if is_reusable {
         event_loop.pools.release(connection);
     } else {
-        record_close(event_loop, &connection, StoreCloseReason::LastAnswer, &"not to be used again");
+        record_close(event_loop, &connection, StoreCloseReason::LastAnswer, &"connection not reusable");
     }
     AttemptOutcome::Response(response)
 }
@@ -182,11 +195,11 @@
 ) -> Finished {
     let reason = StoreCloseReason::AnswerTooLarge;
     event_loop.counters.count(reason);
-    tracing::warn!(store = %connection.address, size, %reason, "no memory for a response");
+    tracing::warn!(store = %connection.address, size, %reason, "store response exceeds the memory limit");
     Finished { outcome: AttemptOutcome::Broken, at }
 }
 
-/// Counts and logs why a connection that was in use is closed.
+/// Counts and logs the reason for closing a connection that was in use.
 fn record_close(
     event_loop: &EventLoop,
     connection: &PooledConnection<'_>,
@@ -197,12 +210,12 @@
     tracing::debug!(store = %connection.address, %reason, %detail, "store connection closed");
 }
 
-/// Requests a store's load report.
+/// Requests the load report of a store.
 pub(crate) async fn check_health(event_loop: &Rc<EventLoop>, address: SocketAddr) -> AttemptOutcome {
     let written = Cell::new(false);
     let check = timeout(event_loop.limits().timeouts.connect, async {
         let mut connection = event_loop.pools.acquire(address).await?;
-        let bytes = client::request("GET", fields::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
+        let bytes = client::request("GET", protocol::LOAD_REPORT_PATH, &address.to_string(), &[], b"");
         write(&mut connection, &bytes, &written).await?;
         Some(receive_response(event_loop, connection).await.outcome)
     });
--- a/crates/http-gateway/src/backoff/tests.rs
+++ b/crates/http-gateway/src/backoff/tests.rs
@@ -7,21 +7,21 @@
 
 #[test]
 fn two_failures_after_silence_leave_third_attempt_in_time() {
-    let told = last_attempt_begins_within(3) + Failures(2).response_timeout();
+    let told = last_attempt_begins_within(3) + ConsecutiveFailures(2).response_timeout();
     assert!(told < TOLD, "{told:?}");
 }
 
 #[test]
 fn two_lost_attempts_after_outage_leave_third_in_time() {
-    let lost =
-        Failures(MAX_COUNTED).response_timeout() + Failures(MAX_COUNTED).max_backoff(FailureKind::TimedOut);
+    let lost = ConsecutiveFailures(MAX_COUNTED).response_timeout()
+        + ConsecutiveFailures(MAX_COUNTED).max_backoff(FailureKind::TimedOut);
     assert!(2 * lost < TOLD, "{lost:?}");
     for (tenths, how) in
         (0..=10).flat_map(|tenths| [(tenths, FailureKind::ClosedLocally), (tenths, FailureKind::Immediate)])
     {
-        let taken = Failures(MAX_COUNTED).response_timeout() * tenths / 10;
+        let taken = ConsecutiveFailures(MAX_COUNTED).response_timeout() * tenths / 10;
         assert!(
-            taken + Failures(MAX_COUNTED).max_backoff_after(taken, how) <= lost,
+            taken + ConsecutiveFailures(MAX_COUNTED).max_backoff_after(taken, how) <= lost,
             "{how:?} after {taken:?}"
         );
     }
@@ -30,7 +30,8 @@
 /// After SIGHUP has moved discovery.
 #[test]
 fn two_failures_at_new_address_leave_third_attempt_in_time() {
-    let told = last_attempt_begins_within(3) - watch_idle_timeout() + Failures(2).response_timeout();
+    let told =
+        last_attempt_begins_within(3) - watch_idle_timeout() + ConsecutiveFailures(2).response_timeout();
     assert!(told < Duration::from_secs(4), "{told:?}");
 }
 
@@ -40,8 +41,8 @@
 }
 
 /// Calls in a minute of which each hangs, with the shortest waits that chance gives.
-fn calls(response_timeout: impl Fn(Failures) -> Duration) -> usize {
-    let (mut at, mut failures, mut calls) = (Duration::ZERO, Failures::default(), 0);
+fn calls(response_timeout: impl Fn(ConsecutiveFailures) -> Duration) -> usize {
+    let (mut at, mut failures, mut calls) = (Duration::ZERO, ConsecutiveFailures::default(), 0);
     while at < MINUTE {
         calls += 1;
         at += response_timeout(failures);
@@ -53,13 +54,14 @@
 
 #[test]
 fn outage_is_queried_hardly_more_often_than_with_fixed_timeout() {
-    let (now, before) = (calls(Failures::response_timeout), calls(|_| heartbeats(MAX_RESPONSE)));
+    let (now, before) = (calls(ConsecutiveFailures::response_timeout), calls(|_| heartbeats(MAX_RESPONSE)));
     assert!(now <= before + 2, "{now} calls in the first minute, {before} with a fixed timeout");
 }
 
 #[test]
 fn timeouts_grow_to_their_bounds() {
-    let row = std::iter::successors(Some(Failures::default()), |failures| Some(failures.plus_one()));
+    let row =
+        std::iter::successors(Some(ConsecutiveFailures::default()), |failures| Some(failures.plus_one()));
     let row: Vec<_> = row.take(12).collect();
     assert!(row.is_sorted_by_key(|failures| (
         failures.response_timeout(),
--- a/crates/http-gateway/src/client/mod.rs
+++ b/crates/http-gateway/src/client/mod.rs
@@ -1,5 +1,6 @@
-//! Connections of clients, one task each: a request at a time, in order. [`ConnectionState`] says what is done next and when a
-//! connection may end; here its bytes are moved.
+//! Client connections, each with its own task, which serves one request at a time, in order.
+//! [`ConnectionState`] decides on the next step and on when a connection may close; this module performs the
+//! I/O.
 
 mod reading;
 mod responding;
@@ -23,7 +24,7 @@
 
 use crate::event_loop::EventLoop;
 
-/// The result of a future that is ready already.
+/// The result of a future if it is ready immediately, otherwise `None`.
 pub(crate) async fn if_ready<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
@@ -32,16 +33,18 @@
     }
 }
 
-/// An operation that waits for its final response. Dropping it before that reports its client as disconnected.
+/// An operation that waits for its final response. Dropping it before the response reports the client as
+/// disconnected.
 ///
-/// Hazard: an attempt for a client that has disconnected must not start any more, whatever ends the wait.
+/// Hazard: however the wait ends, an attempt for a disconnected client must not start any more.
 struct PendingOp {
     event_loop: Rc<EventLoop>,
-    /// The request id, as the client wrote it.
+    /// The request id as sent by the client.
     id: Box<str>,
-    /// When it was submitted, whole. Slow clients write for longer than they wait.
+    /// When the complete request was submitted. A slow client may spend more time writing the request than
+    /// waiting for the response.
     submitted_at: Instant,
-    /// How long its client waits.
+    /// How long the client waits.
     time_left: Duration,
     client: ClientId,
     response: oneshot::Receiver<FinalResponse>,
@@ -55,19 +58,19 @@
     }
 }
 
-/// What the response to the request that was read will be.
-enum OwnResponse {
-    /// Not known: the operation may have been executed.
-    Nothing,
-    /// That of a health check, by its status.
+/// The response prepared for the request that was read.
+enum PreparedResponse {
+    /// The response is unknown: the operation may have been executed.
+    Unknown,
+    /// The response to a health check, with this status.
     Health(u16),
-    /// An operation's final response.
+    /// The final response of an operation.
     Final(FinalResponse),
-    /// An error.
+    /// An error response.
     Error(RequestError, RefusalReason),
 }
 
-/// One client's connection.
+/// The connection of one client.
 pub(crate) struct ClientConnection {
     event_loop: Rc<EventLoop>,
     id: u64,
@@ -75,24 +78,24 @@
     demand_raised: Rc<Notify>,
     state: ConnectionState,
     requests: RequestReader,
-    /// What was found behind a request before its response was written.
+    /// Result of parsing ahead, found before the response to the current request was written.
     read_ahead: Option<Result<RequestEvent, Malformed>>,
-    /// The request that was read whole, until it is submitted.
+    /// The complete request that was read, until it is submitted.
     request: Option<Request>,
     op: Option<PendingOp>,
-    own_response: OwnResponse,
-    /// When the first byte of the request was read that is next, or open.
+    prepared_response: PreparedResponse,
+    /// When the first byte of the current or next request was read.
     request_started_at: Duration,
     state_since: Instant,
-    /// When the last part of a request began to be waited for.
+    /// When the wait for the rest of a partial request began.
     reading_since: Instant,
-    /// When the time for the state is over.
+    /// When the time limit of the current state expires.
     state_deadline: Instant,
-    /// What was owed before the last step.
-    owed_before: Obligation,
-    /// What the client did at the last step.
+    /// The pending obligation before the last step.
+    previous_obligation: Obligation,
+    /// What the client was observed to do in the last step.
     peer: Peer,
-    /// Why the connection ends, once it does.
+    /// Why the connection closes, once that is known.
     close_reason: Option<CloseReason>,
 }
 
@@ -103,7 +106,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that was accepted, to be served or, with `reject`, to be rejected.
+    /// Creates an accepted connection. If `reject` is set, its operations are rejected.
     pub(crate) fn new(event_loop: Rc<EventLoop>, id: u64, stream: Socket, reject: bool) -> ClientConnection {
         let demand_raised = Rc::new(Notify::new());
         event_loop.clients.insert(id, demand_raised.clone());
@@ -121,18 +124,18 @@
             read_ahead: None,
             request: None,
             op: None,
-            own_response: OwnResponse::Nothing,
+            prepared_response: PreparedResponse::Unknown,
             request_started_at: Duration::ZERO,
             state_since: now,
             reading_since: now,
             state_deadline: now + first_request,
-            owed_before: Obligation::None,
+            previous_obligation: Obligation::None,
             peer: Peer::Open,
             close_reason: None,
         }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until it closes.
     pub(crate) async fn serve(mut self) {
         let mut step = NextStep::Read;
         loop {
@@ -140,7 +143,7 @@
                 NextStep::Read => self.read().await,
                 NextStep::ReadAvailable => self.read_available().await,
                 NextStep::AwaitResponse => self.await_response().await,
-                NextStep::Write { response, last } => self.respond(response, last).await,
+                NextStep::Write { response, is_last } => self.respond(response, is_last).await,
                 NextStep::LingeringClose => self.linger().await,
                 NextStep::CancelRequest => {
                     drop(self.op.take());
@@ -156,7 +159,7 @@
         self.state.raise_demand(self.demand());
         let before = self.state.state();
         let step = self.state.on_event(event);
-        self.owed_before = before.obligation();
+        self.previous_obligation = before.obligation();
         self.peer = match event {
             Event::PeerClosed => Peer::Closed,
             Event::WriteFailed => Peer::NotReading,
@@ -166,7 +169,10 @@
         let has_changed = state != before;
         if has_changed {
             self.on_state_entered(state);
-            tracing::debug!(connection_id = self.id, from = ?before, to = ?state, on = ?event, "connection state changed");
+            tracing::debug!(
+                connection_id = self.id, from = ?before, to = ?state, on = ?event,
+                "connection state changed"
+            );
         }
         self.close_reason = self.close_reason.or_else(|| self.state.close_reason(before, event, step));
         self.event_loop.clients.update(self.id, &self.state, has_changed);
@@ -184,7 +190,7 @@
             State::Idle => now + timeouts.client_idle,
             State::ReadingRequest { served_before: true } => self.request_read_deadline(now),
             State::LingeringClose => now + timeouts.linger,
-            // The first request has the time that runs already, where that is shorter.
+            // The first request keeps the current deadline if that is earlier.
             State::ReadingRequest { served_before: false } => {
                 self.state_deadline.min(self.request_read_deadline(now))
             }
@@ -195,17 +201,17 @@
         };
     }
 
-    /// When the request whose first byte was read has to be whole.
+    /// When a request whose first byte has been read must be complete.
     ///
-    /// Hazard: that byte may have been read long ago, behind a request that was open; what the client has sent since may
-    /// still be on its way through a window that was shut.
+    /// Hazard: that byte may have been read long ago, while an earlier request was open. What the client has
+    /// sent since may still be in transit, held back by a receive window that was closed.
     fn request_read_deadline(&self, now: Instant) -> Instant {
         let started_at = self.event_loop.clock.instant(self.request_started_at);
         (started_at + self.event_loop.limits().timeouts.request_read).max(now + HOLD_UP)
     }
 
-    /// An idle connection goes by the limits in force, one without a request by the stricter ones. A request that has begun
-    /// keeps its time.
+    /// Applies changed limits. An idle connection uses the new limits, a connection without a request uses
+    /// the stricter of the old and the new ones, and a request that has begun keeps its deadline.
     fn on_limits_changed(&mut self, state: State) {
         let Timeouts { client_idle, first_request, .. } = self.event_loop.limits().timeouts;
         match state {
@@ -217,21 +223,21 @@
         }
     }
 
-    /// Counts and logs why the connection closes, and checks that it may.
+    /// Counts and logs why the connection closes, and checks that it is allowed to.
     fn on_closed(&self) {
         let reason = self.close_reason.unwrap_or(CloseReason::PeerClosed);
-        self.check(connection::may_close(self.owed_before, self.peer));
+        self.check_rule(connection::may_close(self.previous_obligation, self.peer));
         self.event_loop.counters.count(reason);
         tracing::debug!(connection_id = self.id, %reason, "connection closed");
     }
 
-    fn check(&self, decision: Decision<Violation>) {
+    fn check_rule(&self, decision: Decision<Violation>) {
         check(&self.event_loop.counters, decision, |violation| {
             tracing::error!(connection_id = self.id, %violation, "lifecycle rule violated");
         });
     }
 
-    fn observe(&self, request_id: &str, decision: Decision<Violation>) {
+    fn observe_rule(&self, request_id: &str, decision: Decision<Violation>) {
         observe(&self.event_loop.counters, decision, |violation| {
             tracing::warn!(connection_id = self.id, request_id, %violation, "lifecycle rule violated");
         });
@@ -241,14 +247,14 @@
         demand(&self.event_loop, self.id)
     }
 
-    /// Returns once a greater demand is made of this connection than its state knows of.
+    /// Completes once the close demand is greater than the one that the state machine knows.
     fn greater_demand(&self) -> impl Future<Output = ()> + use<> {
         let event_loop = self.event_loop.clone();
         let demand_raised = self.demand_raised.clone();
         let id = self.id;
         let known = self.state.demand();
         async move {
-            let mut phases = event_loop.phases();
+            let mut phases = event_loop.phase_changes();
             while demand(&event_loop, id) <= known {
                 tokio::select! {
                     _ = phases.changed() => {}
@@ -260,6 +266,6 @@
 }
 
 fn demand(event_loop: &EventLoop, id: u64) -> CloseDemand {
-    let of_all = if event_loop.is_closing() { CloseDemand::Graceful } else { CloseDemand::None };
-    event_loop.clients.demand(id).max(of_all)
+    let common_demand = if event_loop.is_closing() { CloseDemand::Graceful } else { CloseDemand::None };
+    event_loop.clients.demand(id).max(common_demand)
 }
--- a/crates/http-gateway/src/client/reading.rs
+++ b/crates/http-gateway/src/client/reading.rs
@@ -1,4 +1,4 @@
-//! Reading: requests off a client's connection.
+//! Reading requests from a client connection.
 
 use bytes::Bytes;
 use tokio::io::AsyncReadExt;
@@ -8,11 +8,12 @@
 use umbertray_http::server::{self, RequestEvent};
 use umbertray_lifecycle::reason::RefusalReason;
 
-use super::{ClientConnection, OwnResponse, if_ready};
+use super::{ClientConnection, PreparedResponse, if_ready};
 use crate::response::malformed_request;
 
 impl ClientConnection {
-    /// Waits for a request. It is cancelled nowhere; bytes that `read_some` has read are in `requests` by then.
+    /// Waits for a request. This future is never cancelled; the bytes read by `read_some` are kept in
+    /// `requests`.
     pub(super) async fn read(&mut self) -> Event {
         if let Some(event) = self.next_request().await {
             return event;
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Reads what has come by now.
+    /// Reads the bytes that are already available.
     pub(super) async fn read_available(&mut self) -> Event {
         yield_now().await;
         match if_ready(self.read_some()).await {
@@ -51,28 +52,28 @@
         }
     }
 
-    /// The next whole request, or what is wrong with what was read; nothing until more bytes have come.
+    /// The next complete request, or the error in the bytes read; `None` until more bytes have been received.
     async fn next_request(&mut self) -> Option<Event> {
         loop {
             match self.read_ahead.take().unwrap_or_else(|| self.requests.next_event()) {
                 Ok(RequestEvent::More) => return None,
                 Ok(RequestEvent::Continue) => _ = self.write(Bytes::from_static(server::CONTINUE)).await,
                 Ok(RequestEvent::Request(request)) => {
-                    let op = self.health_status(&request).is_none();
+                    let is_op = self.health_status(&request).is_none();
                     let persists = request.persists;
                     self.request = Some(request);
-                    return Some(Event::RequestRead { op, persists });
+                    return Some(Event::RequestRead { is_op, persists });
                 }
                 Err(error) => {
                     let error = malformed_request(&error);
-                    self.own_response = OwnResponse::Error(error, RefusalReason::Malformed);
-                    return Some(Event::RequestRefused);
+                    self.prepared_response = PreparedResponse::Error(error, RefusalReason::Malformed);
+                    return Some(Event::RequestInvalid);
                 }
             }
         }
     }
 
-    /// Waits for bytes and reads them; false once the client has closed. Cancel safe.
+    /// Waits for bytes and reads them. Returns false once the client has closed the connection. Cancel safe.
     pub(super) async fn read_some(&mut self) -> bool {
         let is_first = !self.requests.has_begun();
         self.requests.bytes.reserve(self.event_loop.limits().http.head / 2);
--- a/crates/http-gateway/src/client/responding.rs
+++ b/crates/http-gateway/src/client/responding.rs
@@ -1,4 +1,4 @@
-//! Responding: requests submitted, their responses written, and the lingering close.
+//! Submitting requests, writing their responses, and the lingering close.
 
 use std::future::ready;
 use std::time::Instant;
@@ -6,20 +6,20 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::time::{timeout, timeout_at};
-use umbertray_http::connection::{CloseDemand, Event, Response};
+use umbertray_http::connection::{CloseDemand, Event, ResponseKind};
 use umbertray_http::server::{self, Request, RequestEvent};
-use umbertray_http_api::{FinalResponse, RequestError, fields};
+use umbertray_http_api::{FinalResponse, RequestError, protocol};
 use umbertray_lifecycle::reason::{CloseReason, RefusalReason};
 use umbertray_lifecycle::{connection, request};
 
-use super::{ClientConnection, OwnResponse, PendingOp, if_ready};
+use super::{ClientConnection, PendingOp, PreparedResponse, if_ready};
 use crate::response;
 
-/// The status of a request that has the id of an open one.
+/// HTTP status of a request whose id is already in use by an open request.
 const DUPLICATE_ID: u16 = 409;
 
 impl ClientConnection {
-    /// Submits the request that was read and waits for its response, or for the client's disconnect.
+    /// Submits the request that was read, then waits for its response or for the client to disconnect.
     pub(super) async fn await_response(&mut self) -> Event {
         if let Some(request) = self.request.take()
             && let Some(event) = self.submit(&request)
@@ -29,7 +29,7 @@
         let Some(mut op) = self.op.take() else { return self.response_ready() };
         let response = tokio::select! {
             biased;
-            // The operation is put back: it is the state machine that cancels it.
+            // Puts the operation back; the state machine decides to cancel it.
             () = self.client_disconnected() => None,
             response = &mut op.response => Some(response),
         };
@@ -38,36 +38,42 @@
             return Event::PeerClosed;
         };
         let elapsed = self.event_loop.clock.now().saturating_sub(self.request_started_at);
-        // Hazard: without a response of the core it may have been executed.
+        // Hazard: without a response from the core, the operation may have been executed.
         let response = response.unwrap_or(FinalResponse::Failed);
-        tracing::debug!(connection_id = self.id, request_id = %op.id, client = ?op.client, ?elapsed, %response, "request answered");
-        self.observe(&op.id, request::answered_in_time(op.submitted_at.elapsed(), op.time_left));
-        self.own_response = OwnResponse::Final(response);
+        tracing::debug!(
+            connection_id = self.id, request_id = %op.id, client = ?op.client, ?elapsed, %response,
+            "request answered"
+        );
+        self.observe_rule(&op.id, request::answered_in_time(op.submitted_at.elapsed(), op.time_left));
+        self.prepared_response = PreparedResponse::Final(response);
         self.response_ready()
     }
 
-    /// Hazard: bytes behind an error cannot be told to be a request; what was found is kept as it was found.
+    /// Looks for a further request behind this one, and reports that the response is ready.
+    ///
+    /// Hazard: bytes after a parse error cannot be interpreted as a request, so the result of parsing is kept
+    /// as it is.
     fn response_ready(&mut self) -> Event {
         let read_ahead = self.read_ahead.take().unwrap_or_else(|| self.requests.next_event());
-        let more = matches!(read_ahead, Ok(RequestEvent::Request(_)));
+        let has_next_request = matches!(read_ahead, Ok(RequestEvent::Request(_)));
         self.read_ahead = (read_ahead != Ok(RequestEvent::More)).then_some(read_ahead);
-        Event::ResponseReady { more }
+        Event::ResponseReady { has_next_request }
     }
 
-    /// Submits an operation; returns the event of a request that has its response at once.
+    /// Submits an operation. Returns an event if the response to the request is already known.
     fn submit(&mut self, request: &Request) -> Option<Event> {
         if let Some(status) = self.health_status(request) {
-            self.own_response = OwnResponse::Health(status);
+            self.prepared_response = PreparedResponse::Health(status);
             return Some(self.response_ready());
         }
-        let operation = match self.event_loop.check(request) {
+        let operation = match self.event_loop.parse_request(request) {
             Ok(operation) => operation,
             Err(error) => {
                 let is_duplicate = error.status == DUPLICATE_ID;
                 let reason =
                     if is_duplicate { RefusalReason::DuplicateId } else { RefusalReason::NotAnOperation };
-                self.own_response = OwnResponse::Error(error, reason);
-                return Some(Event::RequestRefused);
+                self.prepared_response = PreparedResponse::Error(error, reason);
+                return Some(Event::RequestInvalid);
             }
         };
         let id = operation.id.clone();
@@ -75,25 +81,28 @@
         let time_left = operation.time_left;
         let (client, response) = self.event_loop.submit(operation, self.request_started_at);
         let phase = self.event_loop.phase();
-        tracing::debug!(connection_id = self.id, request_id = id, ?client, target = %request.target, shard, ?time_left, ?phase, "request admitted");
+        tracing::debug!(
+            connection_id = self.id, request_id = id, ?client, target = %request.target, shard,
+            ?time_left, ?phase, "request admitted"
+        );
         let event_loop = self.event_loop.clone();
         let submitted_at = Instant::now();
         self.op = Some(PendingOp { event_loop, id, submitted_at, time_left, client, response });
         None
     }
 
-    /// The status of the response to a health check; nothing for another request.
+    /// The response status if the request is a health check; `None` for any other request.
     pub(super) fn health_status(&self, request: &Request) -> Option<u16> {
         match (&*request.method, &*request.target) {
-            ("GET", fields::READY) => Some(if self.event_loop.is_ready() { 200 } else { 503 }),
-            ("GET", fields::LIVE) => Some(200),
+            ("GET", protocol::READY) => Some(if self.event_loop.is_ready() { 200 } else { 503 }),
+            ("GET", protocol::LIVE) => Some(200),
             _ => None,
         }
     }
 
-    /// Returns when the client has disconnected. What it sends meanwhile is read ahead up to a limit; beyond that only the end
-    /// of the connection is waited for, which shows although there is more to read: tokio's interest in urgent data is woken
-    /// by it, and not by bytes.
+    /// Returns when the client has disconnected. Bytes that the client sends meanwhile are read ahead, up to
+    /// a limit. Beyond the limit, only the end of the connection is awaited. tokio's interest in urgent data
+    /// reports this end even if there are unread bytes, and is not woken by ordinary bytes.
     async fn client_disconnected(&mut self) {
         while self.requests.bytes.len() < self.event_loop.limits().read_ahead {
             if !self.read_some().await {
@@ -107,23 +116,23 @@
         let response_write = self.event_loop.limits().timeouts.response_write;
         let write = timeout(response_write, self.stream.write_all(&bytes));
         let written = match self.state.demand() {
-            // Another connection waits for the descriptor; so few bytes are written at once, unless the client has not read
-            // the response before.
+            // Another connection waits for the file descriptor. A response this short is written at once,
+            // unless the client has not read the response before it.
             CloseDemand::ForCapacity => if_ready(write).await,
             _ => Some(write.await),
         };
         if matches!(written, Some(Ok(Ok(())))) { Event::Written } else { Event::WriteFailed }
     }
 
-    pub(super) async fn respond(&mut self, kind: Response, last: bool) -> Event {
-        let own_response = std::mem::replace(&mut self.own_response, OwnResponse::Nothing);
-        let bytes = match (kind, own_response) {
-            (Response::Rejection, _) => self.rejection(last),
-            (Response::RequestTimeout, _) => self.request_timeout(),
-            (_, OwnResponse::Error(error, reason)) => self.error_response(&error, reason),
-            (_, OwnResponse::Health(status)) => server::response(status, &[], b"", last),
-            (_, OwnResponse::Final(response)) => response::encode(&response, last),
-            (_, OwnResponse::Nothing) => response::encode(&FinalResponse::Failed, last),
+    pub(super) async fn respond(&mut self, kind: ResponseKind, is_last: bool) -> Event {
+        let prepared_response = std::mem::replace(&mut self.prepared_response, PreparedResponse::Unknown);
+        let bytes = match (kind, prepared_response) {
+            (ResponseKind::Rejection, _) => self.rejection(is_last),
+            (ResponseKind::RequestTimeout, _) => self.request_timeout(),
+            (_, PreparedResponse::Error(error, reason)) => self.error_response(&error, reason),
+            (_, PreparedResponse::Health(status)) => server::response(status, &[], b"", is_last),
+            (_, PreparedResponse::Final(response)) => response::encode(&response, is_last),
+            (_, PreparedResponse::Unknown) => response::encode(&FinalResponse::Failed, is_last),
         };
         let event = self.write(bytes).await;
         if self.requests.bytes.is_empty() {
@@ -132,7 +141,7 @@
         event
     }
 
-    fn rejection(&self, last: bool) -> Bytes {
+    fn rejection(&self, is_last: bool) -> Bytes {
         let is_draining = self.close_reason == Some(CloseReason::Draining);
         let reason = if is_draining { RefusalReason::Draining } else { RefusalReason::NoCapacity };
         self.event_loop.counters.count(reason);
@@ -140,11 +149,11 @@
         let demand = self.state.demand();
         tracing::debug!(connection_id = self.id, open, ?demand, %reason, "request rejected");
         let retry_after = self.event_loop.limits().retry_after;
-        response::encode(&FinalResponse::Rejected { retry_after }, last)
+        response::encode(&FinalResponse::Rejected { retry_after }, is_last)
     }
 
     fn request_timeout(&self) -> Bytes {
-        self.observe("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
+        self.observe_rule("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
         let message = "the request did not come whole in its time".into();
         let error = RequestError { status: 408, message };
         self.error_response(&error, RefusalReason::RequestReadTimeout)
@@ -152,14 +161,18 @@
 
     fn error_response(&self, error: &RequestError, reason: RefusalReason) -> Bytes {
         self.event_loop.counters.count(reason);
-        tracing::debug!(connection_id = self.id, status = error.status, error = error.message, %reason, "request rejected");
+        tracing::debug!(
+            connection_id = self.id, status = error.status, error = error.message, %reason,
+            "request rejected"
+        );
         response::encode_error(error)
     }
 
-    /// Shuts down sending and discards what still comes, so that the client can read what was written. What is there is read
-    /// first, also where capacity is demanded. A cancelled read loses bytes that are discarded anyway.
+    /// Shuts down sending and discards further input, so that the client can read what was written. Input
+    /// that is already available is read first, even if capacity is demanded. Cancelling the read only loses
+    /// bytes that would be discarded anyway.
     pub(super) async fn linger(&mut self) -> Event {
-        // Fails where the client has gone, which the read tells.
+        // Fails if the client has closed the connection, which the read below reports.
         _ = self.stream.shutdown().await;
         let demand = self.state.demand();
         let greater_demand = self.greater_demand();
--- a/crates/http-gateway/src/client_connections.rs
+++ b/crates/http-gateway/src/client_connections.rs
@@ -1,4 +1,5 @@
-//! The clients' open connections: what is owed on each, which may be evicted, and who waits for them to close.
+//! The open client connections: the obligation of each, the order of eviction, and notifications when they
+//! close.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,33 +12,33 @@
 
 use crate::resource_limits::ResourceLimits;
 
-/// An open connection, as other tasks see it.
-struct Registered {
+/// The shared state of an open connection.
+struct ConnectionEntry {
     obligation: Obligation,
-    /// Whether a whole request has come.
+    /// Whether a complete request has been received.
     served_before: bool,
-    /// When it became idle or was shut down; until then, when it was accepted.
+    /// When the connection became idle or its sending was shut down; before that, when it was accepted.
     since: Instant,
     demand: CloseDemand,
     /// Notified when `demand` has changed.
     demand_raised: Rc<Notify>,
 }
 
-impl Registered {
-    /// The order of eviction, least first: connections without a request yet, then the least recently used, whether
-    /// idle or shut down. Nothing for one that may not be evicted.
+impl ConnectionEntry {
+    /// Key for the eviction order, lowest first: connections without a request, then the least recently used,
+    /// whether idle or shut down. `None` if the connection must not be evicted.
     fn eviction_order(&self) -> Option<(bool, Instant)> {
         connection::may_evict(self.obligation, self.demand == CloseDemand::ForCapacity)
             .then_some((self.served_before || self.obligation == Obligation::LingeringClose, self.since))
     }
 }
 
-/// The open connections.
+/// All open client connections.
 pub(crate) struct ClientConnections {
-    open: RefCell<BTreeMap<u64, Registered>>,
-    /// What is demanded of every connection.
-    demand_of_all: Cell<CloseDemand>,
-    /// Notified when one has closed or its state has changed.
+    open: RefCell<BTreeMap<u64, ConnectionEntry>>,
+    /// Minimum close demand of every connection.
+    common_demand: Cell<CloseDemand>,
+    /// Notified when a connection has closed or its state has changed.
     changed: Notify,
 }
 
@@ -45,7 +46,7 @@
     fn default() -> ClientConnections {
         ClientConnections {
             open: RefCell::default(),
-            demand_of_all: Cell::new(CloseDemand::None),
+            common_demand: Cell::new(CloseDemand::None),
             changed: Notify::new(),
         }
     }
@@ -57,14 +58,14 @@
     }
 
     pub(crate) fn insert(&self, id: u64, demand_raised: Rc<Notify>) {
-        let registered = Registered {
+        let entry = ConnectionEntry {
             obligation: Obligation::None,
             served_before: false,
             since: Instant::now(),
             demand: CloseDemand::None,
             demand_raised,
         };
-        self.open.borrow_mut().insert(id, registered);
+        self.open.borrow_mut().insert(id, entry);
     }
 
     pub(crate) fn remove(&self, id: u64) {
@@ -72,40 +73,41 @@
         self.changed.notify_waiters();
     }
 
-    /// Records the state of a connection after a step; `changed` says whether it differs from the one before.
-    pub(crate) fn update(&self, id: u64, connection: &ConnectionState, changed: bool) {
-        if let Some(registered) = self.open.borrow_mut().get_mut(&id) {
+    /// Records the state of a connection after a step; `state_changed` says whether the step changed it.
+    pub(crate) fn update(&self, id: u64, connection: &ConnectionState, state_changed: bool) {
+        if let Some(entry) = self.open.borrow_mut().get_mut(&id) {
             let state = connection.state();
-            if changed && matches!(state, State::Idle | State::LingeringClose) {
-                registered.since = Instant::now();
+            if state_changed && matches!(state, State::Idle | State::LingeringClose) {
+                entry.since = Instant::now();
             }
-            registered.served_before |= matches!(state, State::AwaitingResponse { .. } | State::Idle);
-            registered.obligation = connection.obligation();
-            registered.demand = connection.demand();
+            entry.served_before |= matches!(state, State::AwaitingResponse { .. } | State::Idle);
+            entry.obligation = connection.obligation();
+            entry.demand = connection.demand();
         }
         self.changed.notify_waiters();
     }
 
-    /// What is owed on each connection.
+    /// The pending obligation of each connection.
     pub(crate) fn obligations(&self) -> Vec<Obligation> {
         self.open.borrow().values().map(|connection| connection.obligation).collect()
     }
 
-    pub(crate) async fn empty(&self) {
-        self.until(|open| open.is_empty()).await;
+    pub(crate) async fn wait_until_empty(&self) {
+        self.wait_until(|open| open.is_empty()).await;
     }
 
-    /// Closes all that have sent no whole request, and returns once no other waits for its response.
-    pub(crate) async fn all_answered(&self) {
-        self.demand_of_all.set(CloseDemand::Immediate);
+    /// Demands that connections without a complete request close, and returns once no connection waits for
+    /// its response.
+    pub(crate) async fn wait_until_answered(&self) {
+        self.common_demand.set(CloseDemand::Immediate);
         self.open.borrow().values().for_each(|connection| connection.demand_raised.notify_one());
-        self.until(|open| {
+        self.wait_until(|open| {
             open.values().all(|connection| connection.obligation == Obligation::LingeringClose)
         })
         .await;
     }
 
-    async fn until(&self, condition: impl Fn(&BTreeMap<u64, Registered>) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&BTreeMap<u64, ConnectionEntry>) -> bool) {
         loop {
             let changed = self.changed.notified();
             if condition(&self.open.borrow()) {
@@ -120,15 +122,15 @@
             .borrow()
             .get(&id)
             .map_or(CloseDemand::None, |connection| connection.demand)
-            .max(self.demand_of_all.get())
+            .max(self.common_demand.get())
     }
 
-    /// Demands that the first connection in the order of eviction closes, and waits until it has or has declined; false
-    /// where there is none.
+    /// Demands that the first connection in eviction order closes, and waits until it has closed or declined.
+    /// Returns false if no connection can be evicted.
     ///
-    /// Hazard: a request may lie unread in it, which only its own task can tell.
-    pub(crate) async fn make_room(&self) -> bool {
-        let least = {
+    /// Hazard: the connection may have an unread request, which only its own task can detect.
+    pub(crate) async fn evict_one(&self) -> bool {
+        let evicted = {
             let mut open = self.open.borrow_mut();
             let evictable = open
                 .iter_mut()
@@ -139,22 +141,23 @@
                 id
             })
         };
-        let Some(id) = least else { return false };
-        self.until(|open| {
+        let Some(id) = evicted else { return false };
+        self.wait_until(|open| {
             open.get(&id).is_none_or(|connection| connection.demand < CloseDemand::ForCapacity)
         })
         .await;
         true
     }
 
-    /// Waits until one more connection can be held; false if its requests have to be rejected.
-    pub(crate) async fn room(&self, limits: &ResourceLimits) -> bool {
+    /// Waits until there is capacity for one more connection. Returns false if its requests have to be
+    /// rejected.
+    pub(crate) async fn wait_for_capacity(&self, limits: &ResourceLimits) -> bool {
         loop {
             let changed = self.changed.notified();
             if self.len() < limits.clients {
                 return true;
             }
-            if self.make_room().await {
+            if self.evict_one().await {
                 continue;
             }
             if self.len() < limits.clients + limits.rejected_clients {
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: it owns the core, hands over everything that happened up to a moment in one turn, and applies what comes
-//! back.
+//! The event loop: owns the core, passes all inputs up to a moment to it in one turn, and applies the
+//! resulting effects.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,29 +29,29 @@
 use crate::resource_limits::{LimitsError, ResourceLimits};
 use crate::store_pool::StorePools;
 
-/// How far the gateway is on its way to its end.
+/// Shutdown phase of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Serving.
+    /// Serving normally.
     Serving,
-    /// SIGTERM has come: requests are still accepted, and answered before the end.
+    /// After SIGTERM: requests are still accepted, and answered before the exit.
     Draining,
-    /// No new connections; those without an open request are closed.
+    /// No new connections are accepted, and connections without an open request are closed.
     Closing,
 }
 
-/// The scheduler cannot run, with the reason that it gave.
+/// The scheduler cannot continue, with the reason that it reported.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct FatalError(String);
 
-/// A configuration that cannot be put in force.
+/// A configuration cannot be put in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ReconfigureError {
-    /// Its limits cannot be derived.
+    /// Limits cannot be derived from the configuration.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// The core cannot run with its settings.
+    /// The core cannot run with the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -59,14 +59,14 @@
 /// The task of an attempt.
 struct RunningAttempt {
     task: AbortHandle,
-    /// Whether its last byte was written: from then on it may be executed.
+    /// Whether the last byte of the request was written. From then on, the attempt may be executed.
     written: Rc<Cell<bool>>,
 }
 
-/// What all tasks of the gateway share.
+/// State shared by all tasks of the gateway.
 pub(crate) struct EventLoop {
     core: RefCell<Core>,
-    /// What the next turn takes.
+    /// Inputs for the next turn.
     inputs: RefCell<Vec<Input>>,
     wake: Notify,
     waiting_clients: RefCell<HashMap<ClientId, oneshot::Sender<FinalResponse>>>,
@@ -76,19 +76,19 @@
     /// The gateway's clock.
     pub(crate) clock: Clock,
     limits: Rc<watch::Sender<ResourceLimits>>,
-    /// Waits that a drain must not exceed, whatever is in force when it begins.
+    /// Limits on the timeouts of a drain, regardless of the settings in force when it begins.
     drain_bound: Cell<Option<Timeouts>>,
     /// Connections to stores.
     pub(crate) pools: StorePools,
     /// Connections of clients.
     pub(crate) clients: ClientConnections,
-    /// Counts by reason of closes, refusals, retries and denials.
+    /// Counts of connection closes, rejected requests, retries and denied attempts, by reason.
     pub(crate) counters: Rc<Counters>,
-    /// Bytes that large responses hold.
+    /// Bytes reserved for large responses.
     pub(crate) response_bytes: Arc<AtomicUsize>,
-    /// The scheduler requests a watch on the endpoint list.
+    /// Notified when the scheduler requests a watch on the endpoint list.
     pub(crate) watch_requested: Notify,
-    /// The scheduler requests the whole endpoint list.
+    /// Notified when the scheduler requests the complete endpoint list.
     pub(crate) fetch_requested: Notify,
 }
 
@@ -116,31 +116,31 @@
         }
     }
 
-    /// The limits in force.
+    /// The limits currently in force.
     pub(crate) fn limits(&self) -> ResourceLimits {
         *self.limits.borrow()
     }
 
-    /// The waits of a drain that begins now.
+    /// The timeouts of a drain that begins now.
     pub(crate) fn drain_timeouts(&self) -> Timeouts {
         let timeouts = self.limits().timeouts;
         self.drain_bound.get().map_or(timeouts, |bound| timeouts.with_earlier_drain(&bound))
     }
 
-    /// A drain ends by the limits that are in force now, or by later ones if those are earlier.
+    /// Limits a later drain: it ends by the limits in force now, or by later limits if those end it earlier.
     pub(crate) fn bound_drain(&self) {
         self.drain_bound.set(Some(self.drain_timeouts()));
     }
 
-    /// Notifies of each change of the limits from now on.
+    /// Subscribes to changes of the limits from now on.
     pub(crate) fn limits_changes(&self) -> watch::Receiver<ResourceLimits> {
         self.limits.subscribe()
     }
 
-    /// Puts a new configuration in force: limits and scheduler, or neither.
+    /// Puts a new configuration in force: both limits and scheduler settings, or neither.
     ///
-    /// Invariant: whatever is derived from the settings changes here alone; what a request, an attempt or a drain was
-    /// promised when it began keeps its time.
+    /// Invariant: everything derived from the settings changes only here. A request, an attempt or a drain
+    /// that has begun keeps the deadlines that it was given.
     pub(crate) fn reconfigure(&self, config: &Config) -> Result<(), ReconfigureError> {
         let limits = ResourceLimits::from_config(config)?;
         self.core.borrow_mut().reconfigure(&config.settings)?;
@@ -149,18 +149,18 @@
         Ok(())
     }
 
-    /// Hands an input to the core's next turn, together with everything else of this moment.
+    /// Queues an input for the next turn of the core, together with all other inputs of this moment.
     pub(crate) fn post(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.wake.notify_one();
     }
 
-    /// Checks a request and reads it as an operation.
-    pub(crate) fn check(&self, request: &Request) -> Result<ClientRequest, RequestError> {
-        self.core.borrow().check(request)
+    /// Validates a request and converts it to an operation.
+    pub(crate) fn parse_request(&self, request: &Request) -> Result<ClientRequest, RequestError> {
+        self.core.borrow().parse_request(request)
     }
 
-    /// Submits an operation; its final response comes through the channel.
+    /// Submits an operation. Its final response is sent through the returned channel.
     pub(crate) fn submit(
         &self,
         request: ClientRequest,
@@ -173,25 +173,27 @@
         (client, response)
     }
 
-    /// A client that waits for its response has disconnected.
+    /// Reports that a client disconnected while waiting for its response.
     pub(crate) fn client_disconnected(&self, client: ClientId) {
         self.waiting_clients.borrow_mut().remove(&client);
         self.post(Input::ClientDisconnected(client));
     }
 
-    /// The bytes of an attempt whose connection is up, or why it must not start.
+    /// The encoded request of an attempt whose connection is established, or the reason why it must not
+    /// start.
     ///
-    /// Hazard: the core hears only at its next turn that a client has disconnected.
+    /// Hazard: the core is notified of a client's disconnect only at its next turn, so this is checked here
+    /// as well.
     pub(crate) fn start_attempt(&self, attempt: AttemptId) -> Result<Bytes, DenialReason> {
         let mut core = self.core.borrow_mut();
-        let client = core.client(attempt).ok_or(DenialReason::RequestEnded)?;
+        let client = core.waiting_client(attempt).ok_or(DenialReason::RequestEnded)?;
         if !self.waiting_clients.borrow().contains_key(&client) {
             return Err(DenialReason::ClientGone);
         }
         core.start_attempt(attempt, self.clock.now())
     }
 
-    /// Why an attempt is a retry; nothing for the first.
+    /// The reason why an attempt is a retry; `None` for the first attempt.
     pub(crate) fn retry_reason(&self, attempt: AttemptId) -> Option<RetryReason> {
         self.core.borrow().retry_reason(attempt)
     }
@@ -201,12 +203,12 @@
         self.core.borrow().request_id(attempt).map(Box::from)
     }
 
-    /// Number of operations without their final response.
+    /// Number of operations without a final response.
     pub(crate) fn open_requests(&self) -> usize {
         self.core.borrow().open_requests()
     }
 
-    /// Whether the gateway serves: it knows stores and is not on its way to its end.
+    /// Whether the gateway is serving: it knows stores and is not shutting down.
     pub(crate) fn is_ready(&self) -> bool {
         self.core.borrow().endpoints_known() && self.phase() == Phase::Serving
     }
@@ -219,8 +221,8 @@
         self.phase() == Phase::Closing
     }
 
-    /// Notifies of each change of the phase from now on.
-    pub(crate) fn phases(&self) -> watch::Receiver<Phase> {
+    /// Subscribes to changes of the phase from now on.
+    pub(crate) fn phase_changes(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
@@ -228,7 +230,7 @@
         self.phase.send_replace(phase);
     }
 
-    /// Waits for an input that no turn has taken.
+    /// Waits for an input that no turn has processed yet.
     #[cfg(test)]
     pub(crate) async fn posted(&self, is_wanted: impl Fn(&Input) -> bool) {
         while !self.inputs.borrow().iter().any(&is_wanted) {
@@ -262,7 +264,7 @@
 
     fn respond(&self, client: ClientId, response: FinalResponse) {
         if let Some(sender) = self.waiting_clients.borrow_mut().remove(&client) {
-            // Fails for a client that has disconnected, which has been posted.
+            // Fails if the client has disconnected, which has already been posted as an input.
             _ = sender.send(response);
         }
     }
@@ -325,7 +327,7 @@
     }
 }
 
-/// Turns the core until it cannot go on.
+/// Runs turns of the core until the scheduler cannot continue.
 pub(crate) async fn run(event_loop: Rc<EventLoop>) -> Result<(), FatalError> {
     loop {
         event_loop.turn()?;
@@ -340,7 +342,7 @@
             () = event_loop.wake.notified() => {}
             () = timer => {}
         }
-        // What else can be read by now belongs to the same moment.
+        // Events of other tasks that are ready now belong to the same turn.
         yield_now().await;
     }
 }
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -1,8 +1,10 @@
-//! The HTTP gateway on sockets: clients, stores, discovery and signals around [`umbertray_http_api::Core`]. It moves bytes and
-//! decides nothing. All of it runs on one thread, in one `LocalSet`.
+//! The HTTP gateway on sockets: connects clients, stores, discovery and signals to
+//! [`umbertray_http_api::Core`]. It transfers bytes and makes no decisions. Everything runs on one thread, in
+//! one `LocalSet`.
 //!
-//! One task owns the core's turns (`event_loop`), one each client's connection (`client`), one each attempt (`attempt`), one
-//! the watch on the endpoint list (`watch`), which waits as `backoff` says. What each may hold is in `resource_limits`.
+//! One task runs the turns of the core (`event_loop`), one serves each client connection (`client`), one runs
+//! each attempt (`attempt`), and one watches the endpoint list (`watch`), with the timeouts of `backoff`.
+//! `resource_limits` defines the limits of each.
 
 mod attempt;
 mod backoff;
@@ -26,7 +28,7 @@
 
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::sync::{Notify, watch as watched};
+use tokio::sync::{Notify, watch as watch_channel};
 use tokio::task::JoinError;
 use tokio::time::sleep;
 use umbertray_clock::Clock;
@@ -41,23 +43,23 @@
 use crate::resource_limits::ResourceLimits;
 use crate::watch::DiscoverySource;
 
-/// Why a gateway cannot start, or cannot go on.
+/// A gateway cannot start, or cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// The configuration file cannot be read.
     #[error("{}: {error}", file.display())]
-    Unread {
-        /// The file.
+    ConfigUnreadable {
+        /// The configuration file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The configuration cannot be parsed.
     #[error("{}: {error}", file.display())]
-    Config {
-        /// The file.
+    ConfigInvalid {
+        /// The configuration file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: ConfigError,
     },
     /// The core cannot start with the settings.
@@ -66,36 +68,36 @@
     /// Limits cannot be derived from the configuration.
     #[error(transparent)]
     Limits(#[from] LimitsError),
-    /// A configuration that was read again cannot be put in force.
+    /// A changed configuration cannot be put in force.
     #[error(transparent)]
     Reconfigure(#[from] ReconfigureError),
     /// The gateway cannot listen.
-    #[error("listening at {address}: {error}")]
+    #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// Where it should.
+        /// The configured address.
         address: SocketAddr,
-        /// Why it cannot.
+        /// The cause.
         error: io::Error,
     },
-    /// Signals cannot be handled.
-    #[error("signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
-    /// The scheduler cannot go on.
-    #[error("the scheduler cannot go on: {0}")]
+    /// The scheduler cannot continue.
+    #[error("the scheduler cannot continue: {0}")]
     Fatal(#[from] FatalError),
     /// The task that owns the core has panicked.
-    #[error("the scheduler cannot go on: {0}")]
+    #[error("the event loop task failed: {0}")]
     TaskFailed(#[from] JoinError),
 }
 
 /// Reads a configuration file.
 ///
 /// # Errors
-/// The file cannot be read, or is no configuration.
-pub fn read(file: &Path) -> Result<Config, GatewayError> {
-    let text =
-        std::fs::read_to_string(file).map_err(|error| GatewayError::Unread { file: file.into(), error })?;
-    Config::read(&text).map_err(|error| GatewayError::Config { file: file.into(), error })
+/// The file cannot be read, or is not a valid configuration.
+pub fn read_config(file: &Path) -> Result<Config, GatewayError> {
+    let text = std::fs::read_to_string(file)
+        .map_err(|error| GatewayError::ConfigUnreadable { file: file.into(), error })?;
+    Config::parse(&text).map_err(|error| GatewayError::ConfigInvalid { file: file.into(), error })
 }
 
 /// The signals that the gateway handles.
@@ -115,7 +117,7 @@
         })
     }
 
-    /// Whether a signal to end has come that was not taken yet; it is taken.
+    /// Consumes pending termination signals. Returns whether there were any.
     fn is_terminating(&mut self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         let terminate = self.terminate.poll_recv(&mut context).is_ready();
@@ -123,15 +125,15 @@
     }
 }
 
-/// Runs one gateway until SIGTERM or SIGINT; to be awaited inside a `LocalSet`. `listening` gets the address once the gateway
-/// listens.
+/// Runs a gateway until SIGTERM or SIGINT. Must be awaited inside a `LocalSet`. `listening` is called with
+/// the address once the gateway listens.
 ///
 /// # Errors
-/// The gateway cannot start, or its scheduler cannot go on.
+/// The gateway cannot start, or its scheduler cannot continue.
 pub async fn run(file: PathBuf, listening: impl FnOnce(SocketAddr)) -> Result<(), GatewayError> {
-    // Hazard: a signal that comes before this ends the process at once.
+    // Hazard: a signal that arrives before the handlers are installed terminates the process immediately.
     let mut signals = Signals::install()?;
-    let mut config = read(&file)?;
+    let mut config = read_config(&file)?;
     let clock = Clock::start();
     let core = Core::start(&config, clock.now())?;
     let limits = ResourceLimits::from_config(&config)?;
@@ -139,33 +141,36 @@
     let listener = TcpListener::bind(config.listen).await.map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
     let event_loop = Rc::new(EventLoop::new(core, clock, limits));
-    let (to_watch, source) = watched::channel(DiscoverySource::from_config(&config));
+    let (source_sender, source) = watch_channel::channel(DiscoverySource::from_config(&config));
     let connect = Socket::connect;
-    let watch = watch::follow(connect, event_loop.clone(), source, config.known.version, config.seed);
+    let watch =
+        watch::follow(connect, event_loop.clone(), source, config.cached_endpoints.version, config.seed);
     tokio::task::spawn_local(watch);
     tokio::task::spawn_local(store_pool::sweep_pools(event_loop.clone()));
     tokio::task::spawn_local(report_counters(event_loop.clone()));
     tokio::task::spawn_local(listener::accept(event_loop.clone(), listener));
     tracing::info!(name = config.name, listen = %address, discovery = %config.discovery, "gateway started");
     listening(address);
-    let mut turns = tokio::task::spawn_local(event_loop::run(event_loop.clone()));
+    let mut event_loop_task = tokio::task::spawn_local(event_loop::run(event_loop.clone()));
     let terminate = Notify::new();
     let mut shutdown = std::pin::pin!(shutdown::run(&event_loop, &terminate));
     loop {
         tokio::select! {
-            // What has come together is taken in this order; a drain then ends by the earlier of both configurations.
+            // Events that are ready together are handled in this order. If SIGHUP and SIGTERM arrive
+            // together, the drain ends by the earlier deadline of both configurations.
             biased;
-            ended = &mut turns => return Ok(ended??),
+            ended = &mut event_loop_task => return Ok(ended??),
             () = &mut shutdown => return Ok(()),
             _ = signals.hangup.recv() => {
-                // Hazard: signals that come together do not tell their order. SIGKILL may go by the configuration before.
+                // Hazard: the order of signals that arrive together is unknown. SIGKILL may be timed by the
+                // former configuration.
                 let is_terminating = signals.is_terminating();
                 if is_terminating {
                     event_loop.bound_drain();
                 }
-                if let Err(error) = reconfigure(&file, &mut config, &event_loop, &to_watch) {
-                    // Hazard: a half-written or wrong file must not end a gateway that serves.
-                    tracing::error!(%error, "configuration rejected, the former holds");
+                if let Err(error) = reconfigure(&file, &mut config, &event_loop, &source_sender) {
+                    // Hazard: a half-written or invalid file must not stop a gateway that is serving.
+                    tracing::error!(%error, "configuration rejected; the previous one stays in force");
                 }
                 if is_terminating {
                     terminate.notify_one();
@@ -177,32 +182,32 @@
     }
 }
 
-/// Reads the configuration again and puts it in force as a whole, or not at all.
+/// Reads the configuration again and puts it in force completely, or not at all.
 fn reconfigure(
     file: &Path,
     config: &mut Config,
     event_loop: &EventLoop,
-    to_watch: &watched::Sender<DiscoverySource>,
+    source_sender: &watch_channel::Sender<DiscoverySource>,
 ) -> Result<(), GatewayError> {
-    let new = read(file)?;
+    let new = read_config(file)?;
     if (new.listen, &new.name, new.seed) != (config.listen, &config.name, config.seed) {
-        tracing::warn!(listen = %new.listen, name = new.name, "listen, name and seed need a restart");
+        tracing::warn!(listen = %new.listen, name = new.name, "new listen, name or seed needs a restart");
     }
     if (&new.settings, new.limits) != (&config.settings, config.limits) {
         event_loop.reconfigure(&new)?;
     }
     let source = DiscoverySource::from_config(&new);
-    to_watch.send_if_modified(|current| std::mem::replace(current, source) != source);
+    source_sender.send_if_modified(|current| std::mem::replace(current, source) != source);
     let counters = &event_loop.counters;
     tracing::info!(discovery = %new.discovery, %counters, "configuration applied");
     *config = new;
     Ok(())
 }
 
-/// How often the counters are logged, where they have changed.
+/// Interval at which the counters are logged, if they have changed.
 const COUNTERS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Logs the counters at an interval, for as long as the gateway runs.
+/// Logs changed counters at an interval, for as long as the gateway runs.
 async fn report_counters(event_loop: Rc<EventLoop>) {
     let mut last = String::new();
     loop {
--- a/crates/http-gateway/src/listener.rs
+++ b/crates/http-gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts clients' connections and starts a task for each.
+//! The listener: accepts client connections and starts a task for each.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::client::{ClientConnection, if_ready};
 use crate::event_loop::{EventLoop, Phase};
 
-/// The delay before the next accept after one that the system could not serve.
+/// Delay before the next accept after a failure of the system.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections until the gateway closes.
+/// Accepts connections until the gateway is closing.
 ///
-/// Hazard: those that the system has accepted by then are reset with
-/// the listener, their requests lost.
+/// Hazard: connections that the system has already accepted are reset when the listener closes, and their
+/// requests are lost. So they are accepted first.
 pub(crate) async fn accept(event_loop: Rc<EventLoop>, listener: TcpListener) {
-    let mut phases = event_loop.phases();
+    let mut phases = event_loop.phase_changes();
     for id in 0.. {
         let accepted = tokio::select! {
             biased;
@@ -33,27 +33,27 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "no client accepted");
-                recover(&event_loop, accept_error(&error)).await;
+                tracing::warn!(%error, "accepting a client connection failed");
+                wait_before_retry(&event_loop, accept_error(&error)).await;
                 continue;
             }
         };
-        let reject = !event_loop.clients.room(&event_loop.limits()).await;
+        let has_capacity = event_loop.clients.wait_for_capacity(&event_loop.limits()).await;
         _ = stream.set_nodelay(true);
-        let client = ClientConnection::new(event_loop.clone(), id, stream, reject);
+        let client = ClientConnection::new(event_loop.clone(), id, stream, !has_capacity);
         tokio::task::spawn_local(client.serve());
     }
 }
 
 /// Waits until another accept may succeed.
 ///
-/// Hazard: trying again at once would spin.
-async fn recover(event_loop: &EventLoop, error: AcceptError) {
-    let closed_one = error == AcceptError::Descriptors && event_loop.clients.make_room().await;
+/// Hazard: retrying immediately would be a busy loop.
+async fn wait_before_retry(event_loop: &EventLoop, error: AcceptError) {
+    let evicted = error == AcceptError::Descriptors && event_loop.clients.evict_one().await;
     match error {
         AcceptError::Transient => {}
         AcceptError::System => sleep(ACCEPT_RETRY_DELAY).await,
-        AcceptError::Descriptors | AcceptError::Fatal if closed_one => {}
+        AcceptError::Descriptors | AcceptError::Fatal if evicted => {}
         AcceptError::Descriptors | AcceptError::Fatal => sleep(event_loop.limits().timeouts.connect).await,
     }
 }
--- a/crates/http-gateway/src/resource_limits.rs
+++ b/crates/http-gateway/src/resource_limits.rs
@@ -1,76 +1,79 @@
-//! What the process may hold, as ratios to the configuration, and its waits ([`Timeouts`]).
+//! Resource limits of the process as fractions of the configured resources, and its timeouts ([`Timeouts`]).
 
 use std::time::Duration;
 
 use umbertray_http::Limits;
 use umbertray_http_api::Settings;
 use umbertray_http_api::config::duration_setting;
-use umbertray_http_api::{Config, fields};
+use umbertray_http_api::{Config, protocol};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
 
-/// Fraction of the descriptors for connections of clients. The rest, beyond those below, is for the listener, discovery and
-/// the system.
+/// Fraction of the file descriptors for client connections. The fractions below leave the rest to the
+/// listener, discovery and the system.
 const CLIENT_SOCKETS: f64 = 0.55;
-/// Fraction of the descriptors for clients that are rejected, until they have their response.
+/// Fraction of the file descriptors for clients that are rejected, until they have received their response.
 const REJECTED_CLIENT_SOCKETS: f64 = 0.05;
-/// Fraction of the descriptors for connections to stores.
+/// Fraction of the file descriptors for connections to stores.
 const STORE_SOCKETS: f64 = 0.3;
-/// Fraction of the connections to stores that one store may have.
+/// Fraction of the store connections that a single store may have.
 const SINGLE_STORE: f64 = 0.5;
-/// Longest head of a message, against the longest body.
+/// Maximum length of a message head, relative to the maximum body length.
 const HEAD_PER_BODY: f64 = 0.125;
-/// Bytes that are read behind a request that waits for its response, against the longest body.
+/// Maximum number of bytes read ahead while a request waits for its response, relative to the maximum body
+/// length.
 const READ_AHEAD_PER_BODY: f64 = 0.25;
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 /// Fraction of the memory for one response of a store.
 ///
-/// Hazard: stores do send more than the longest body of the platform, and may announce more than any memory holds.
+/// Hazard: stores do send more than the platform's maximum body length, and may announce more than fits into
+/// any memory.
 const RESPONSE_MEMORY: f64 = 1.0 / 32.0;
-/// Fraction of the memory for what all responses hold beyond the longest body of the platform.
+/// Fraction of the memory for the part of all responses beyond the platform's maximum body length.
 const ALL_RESPONSES_MEMORY: f64 = 0.25;
-/// Fraction of the memory for an endpoint list as it is received. What is built from it takes a few times as much.
+/// Fraction of the memory for an endpoint list as received. The data structures built from it take several
+/// times as much.
 const LIST_MEMORY: f64 = 1.0 / 16.0;
 
-/// Why limits cannot be derived from a configuration.
+/// Limits cannot be derived from the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum LimitsError {
-    /// A duration among the settings.
+    /// A duration setting is missing or cannot be parsed.
     #[error("settings: {0} is missing or unreadable")]
     Setting(String),
-    /// There is no operation type.
+    /// The settings contain no operation type.
     #[error("settings: op_types.count is missing")]
     NoOpTypes,
 }
 
-/// Limits and waits under a configuration.
+/// Resource limits and timeouts derived from a configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResourceLimits {
-    /// Of requests, and of responses of discovery but for their body.
+    /// Limits of requests, and of discovery's responses except for their body.
     pub(crate) http: Limits,
-    /// Of a store's response.
+    /// Limits of a store's response.
     pub(crate) response: Limits,
-    /// Bytes of all responses, beyond the longest body of the platform.
+    /// Maximum bytes of all store responses together, beyond the platform's maximum body length of each.
     pub(crate) all_responses: usize,
-    /// Bytes that are read behind a request that waits for its response.
+    /// Maximum bytes read ahead while a request waits for its response.
     pub(crate) read_ahead: usize,
-    /// Bytes of the whole endpoint list, or of one object of its watch.
+    /// Maximum bytes of the complete endpoint list, or of one object of its watch.
     pub(crate) endpoint_list: usize,
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub(crate) clients: usize,
-    /// Connections of clients beyond those, which are rejected.
+    /// Maximum number of further client connections, which are rejected.
     pub(crate) rejected_clients: usize,
-    /// When a rejected client is told to retry.
+    /// The `Retry-After` time sent to a rejected client.
     pub(crate) retry_after: Duration,
-    /// Connections to stores.
+    /// Maximum number of connections to stores.
     pub(crate) store_connections: usize,
-    /// Connections to one store.
+    /// Maximum number of connections to a single store.
     pub(crate) single_store_connections: usize,
-    /// The waits.
+    /// Timeouts.
     pub(crate) timeouts: Timeouts,
 }
 
 impl ResourceLimits {
-    /// The limits under a configuration.
+    /// Derives the limits from a configuration.
     pub(crate) fn from_config(config: &Config) -> Result<ResourceLimits, LimitsError> {
         let settings = &config.settings;
         let deadlines = durations(settings, ".op_timeout")?;
@@ -86,13 +89,13 @@
         let max_retry_after = duration(settings, "limits.max_retry_after").unwrap_or(shortest_objective);
         let memory = (config.limits.memory_mb * MEGABYTE) as usize;
         let sockets = config.limits.sockets;
-        let head = fraction(fields::MAX_BODY, HEAD_PER_BODY);
+        let head = fraction(protocol::MAX_BODY, HEAD_PER_BODY);
         let store_connections = fraction(sockets, STORE_SOCKETS);
         Ok(ResourceLimits {
-            http: Limits { head, body: fields::MAX_BODY },
-            response: Limits { head, body: fraction(memory, RESPONSE_MEMORY).max(fields::MAX_BODY) },
+            http: Limits { head, body: protocol::MAX_BODY },
+            response: Limits { head, body: fraction(memory, RESPONSE_MEMORY).max(protocol::MAX_BODY) },
             all_responses: fraction(memory, ALL_RESPONSES_MEMORY),
-            read_ahead: fraction(fields::MAX_BODY, READ_AHEAD_PER_BODY),
+            read_ahead: fraction(protocol::MAX_BODY, READ_AHEAD_PER_BODY),
             endpoint_list: fraction(memory, LIST_MEMORY),
             clients: fraction(sockets, CLIENT_SOCKETS),
             rejected_clients: fraction(sockets, REJECTED_CLIENT_SOCKETS),
@@ -108,13 +111,13 @@
     duration_setting(settings, name).ok_or_else(|| LimitsError::Setting(name.into()))
 }
 
-/// All durations whose setting ends so.
+/// All duration settings whose name ends with `suffix`.
 fn durations(settings: &Settings, suffix: &str) -> Result<Vec<Duration>, LimitsError> {
     let names = settings.keys().filter(|name| name.ends_with(suffix));
     names.map(|name| duration(settings, name)).collect()
 }
 
-/// At least one.
+/// A fraction of `whole`, rounded down, but at least 1.
 fn fraction(whole: usize, fraction: f64) -> usize {
     ((whole as f64 * fraction) as usize).max(1)
 }
