--- a/crates/http-gateway/src/response_memory.rs
+++ b/crates/http-gateway/src/response_memory.rs
@@ -1,14 +1,14 @@
-//! The memory that responses of stores hold beyond what any response may have.
+//! Memory accounting for the part of store responses that exceeds the platform's maximum body length.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 use bytes::Bytes;
-use umbertray_http_api::fields;
+use umbertray_http_api::protocol;
 
 use crate::event_loop::EventLoop;
 
-/// The memory of one response. Dropping it frees what it has reserved.
+/// The memory reserved for one response. Dropping it frees the reservation.
 ///
 /// Invariant: `total` is the sum over all responses.
 pub(crate) struct ResponseMemory {
@@ -26,9 +26,10 @@
         }
     }
 
-    /// Reserves memory for a response of a size; false where there is none left. What any response may have needs none.
+    /// Reserves memory for a response of `size` bytes. Returns false if the limit is reached. The part up to
+    /// the platform's maximum body length is always available.
     pub(crate) fn reserve(&mut self, size: usize) -> bool {
-        let more = size.saturating_sub(fields::MAX_BODY).saturating_sub(self.reserved);
+        let more = size.saturating_sub(protocol::MAX_BODY).saturating_sub(self.reserved);
         let total = self.total.load(Relaxed).saturating_add(more);
         let fits = more == 0 || total <= self.max_total;
         if fits {
@@ -38,7 +39,7 @@
         fits
     }
 
-    /// Ties the memory to a body: it is freed when the last of the body's bytes is dropped.
+    /// Ties the reservation to a body, so that it is freed when the last reference to the body is dropped.
     pub(crate) fn attach_to(self, body: Bytes) -> Bytes {
         if self.reserved == 0 { body } else { Bytes::from_owner(AccountedBody { body, _memory: self }) }
     }
@@ -50,7 +51,7 @@
     }
 }
 
-/// A body with the memory that it holds.
+/// A body with its memory reservation.
 struct AccountedBody {
     body: Bytes,
     _memory: ResponseMemory,
--- a/crates/http-gateway/src/shutdown.rs
+++ b/crates/http-gateway/src/shutdown.rs
@@ -9,9 +9,9 @@
 
 use crate::event_loop::{EventLoop, Phase};
 
-/// Waits for the signal to terminate, then goes on serving for as long as what comes can still be answered before SIGKILL:
-/// nobody else serves these clients until the gateway's next run. Then closes idle connections, and returns when all that
-/// was accepted is answered.
+/// Waits for the termination signal, then continues to serve as long as new requests can still be answered
+/// before SIGKILL, because no other gateway serves these clients until this one is restarted. Then closes
+/// idle connections, and returns once all accepted requests are answered.
 pub(crate) async fn run(event_loop: &EventLoop, terminate: &Notify) {
     terminate.notified().await;
     let timeouts = event_loop.drain_timeouts();
@@ -26,21 +26,23 @@
     event_loop.enter(Phase::Draining);
     sleep_until(accept_until).await;
     event_loop.enter(Phase::Closing);
-    if timeout_at(drain_deadline, event_loop.clients.empty()).await.is_ok() {
+    if timeout_at(drain_deadline, event_loop.clients.wait_until_empty()).await.is_ok() {
         tracing::info!(%counters, "lifecycle counters");
         return;
     }
     close_remaining(event_loop, timeouts.response_write, timeouts.drain_close).await;
 }
 
-/// Past the drain deadline: rejects those that have sent no whole request, waits for the responses that are owed and for the
-/// clients to read them, and logs what is left.
+/// Handles connections that remain after the drain deadline: rejects those without a complete request, waits
+/// for the pending responses and for the clients to read them, and logs what is left.
 ///
-/// Hazard: a request that was accepted is lost without its whole response, and this process may have come to it late.
-/// Hazard: bytes that lie unread when the process ends reset their connections, and responses are lost with them.
+/// Hazard: an accepted request without its complete response is lost, and this process may have read the
+/// request late.
+///
+/// Hazard: unread bytes on a connection reset it when the process exits, and the reset can destroy responses.
 async fn close_remaining(event_loop: &EventLoop, response_write: Duration, drain_close: Duration) {
-    let is_answered = timeout(response_write, event_loop.clients.all_answered()).await.is_ok();
-    let is_closed = timeout(drain_close, event_loop.clients.empty()).await.is_ok();
+    let is_answered = timeout(response_write, event_loop.clients.wait_until_answered()).await.is_ok();
+    let is_closed = timeout(drain_close, event_loop.clients.wait_until_empty()).await.is_ok();
     let clients = event_loop.clients.len();
     let counters = &event_loop.counters;
     if let Err(violation) = connection::may_exit(event_loop.clients.obligations()) {
--- a/crates/http-gateway/src/store_pool.rs
+++ b/crates/http-gateway/src/store_pool.rs
@@ -1,4 +1,5 @@
-//! Pooled connections to stores: one request at a time on each, the most recently used first.
+//! Connection pools for stores. Each connection carries one request at a time; the most recently used one is
+//! reused first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,16 +27,16 @@
 /// The connections to one address.
 #[derive(Default)]
 struct Pool {
-    /// In the order in which they were released.
+    /// Idle connections, ordered by the time of their release.
     idle: Vec<IdleConnection>,
     open: usize,
 }
 
 impl Pool {
-    /// The connection released last of those that have been silent for the reuse delay.
+    /// Removes the most recently released connection that has been silent for the reuse delay.
     ///
-    /// Hazard: a second response to the request before may come some milliseconds late; on a connection in use again it would
-    /// be taken for that of the next.
+    /// Hazard: a store may send a second response to the previous request some milliseconds late. On a reused
+    /// connection it would be taken for the response to the next request.
     fn take_settled(&mut self, reuse_delay: Duration) -> Option<IdleConnection> {
         let is_settled = |connection: &IdleConnection| {
             store_connection::is_settled(connection.idle_since.elapsed(), reuse_delay)
@@ -45,25 +46,26 @@
     }
 }
 
-/// All connections to stores, in use and idle.
+/// All connections to stores, both in use and idle.
 ///
-/// Invariant: `open` is the sum over the pools, within the limits; a pool without open connections is removed.
+/// Invariant: `open` is the sum over all pools and within the limits; pools without open connections are
+/// removed.
 pub(crate) struct StorePools {
     limits: Rc<watch::Sender<ResourceLimits>>,
     counters: Rc<Counters>,
-    /// By address: a store may move, and its connections do not.
+    /// Pools by address: a store may move to another address, but its connections do not.
     pools: RefCell<HashMap<SocketAddr, Pool>>,
     open: Cell<usize>,
-    /// A connection was released, or one was closed.
+    /// Notified when a connection was released or closed.
     capacity_freed: Notify,
 }
 
-/// A connection that is in use. Dropping it closes it and frees its capacity.
+/// A connection that is in use. Dropping it closes the connection and frees its capacity.
 pub(crate) struct PooledConnection<'a> {
     pools: &'a StorePools,
-    /// Where it leads.
+    /// The store's address.
     pub(crate) address: SocketAddr,
-    /// Absent until it is up.
+    /// `None` until the connection is established.
     pub(crate) stream: Option<Socket>,
 }
 
@@ -88,7 +90,7 @@
         *self.limits.borrow()
     }
 
-    /// Counts connections to an address as closed.
+    /// Updates the counts after connections to an address were closed.
     fn on_closed(&self, address: SocketAddr, connections: usize) {
         if connections == 0 {
             return;
@@ -104,7 +106,8 @@
         self.capacity_freed.notify_waiters();
     }
 
-    /// A settled idle connection that may be reused, the most recently used first; others are closed on the way.
+    /// Removes the most recently used idle connection that is settled and reusable; closes unusable ones that
+    /// it finds.
     fn take_idle(&self, address: SocketAddr) -> Option<PooledConnection<'_>> {
         let mut closed = 0;
         let stream = loop {
@@ -120,7 +123,7 @@
         stream.map(|stream| PooledConnection { pools: self, address, stream: Some(stream) })
     }
 
-    /// Waits until an idle connection to an address has settled; for ever where there is none.
+    /// Waits until an idle connection to an address is settled; never returns if there is none.
     async fn until_settled(&self, address: SocketAddr) {
         let oldest = self.pools.borrow().get(&address).and_then(|pool| Some(pool.idle.first()?.idle_since));
         match oldest {
@@ -129,7 +132,8 @@
         }
     }
 
-    /// Reserves capacity for a new connection, by closing an idle one to another store if need be.
+    /// Reserves capacity for a new connection, closing an idle one to another store if necessary. `None` if
+    /// the limits leave no capacity.
     fn reserve(&self, address: SocketAddr) -> Option<PooledConnection<'_>> {
         if self.open.get() >= self.limits().store_connections {
             self.evict_oldest()?;
@@ -144,7 +148,7 @@
         Some(PooledConnection { pools: self, address, stream: None })
     }
 
-    /// Closes the connection that has been idle for longest; nothing where none is idle.
+    /// Closes the connection that has been idle for the longest time; `None` if no connection is idle.
     fn evict_oldest(&self) -> Option<()> {
         let address = {
             let pools = self.pools.borrow();
@@ -160,12 +164,12 @@
         Some(())
     }
 
-    /// Puts a connection back, to be used again.
+    /// Returns a connection to its pool for reuse.
     pub(crate) fn release(&self, mut connection: PooledConnection) {
         let Some(stream) = connection.stream.take() else { return };
         if let Some(pool) = self.pools.borrow_mut().get_mut(&connection.address) {
             pool.idle.push(IdleConnection { stream, idle_since: Instant::now() });
-            // It stays open: its drop would count it as closed.
+            // The connection stays open; dropping it would count it as closed.
             std::mem::forget(connection);
         }
         self.capacity_freed.notify_waiters();
@@ -177,13 +181,13 @@
         store_connection::may_reuse(connection.idle_since.elapsed(), idle_timeout, is_readable)
     }
 
-    /// Counts and logs why an idle connection is closed.
+    /// Counts and logs the reason for closing an idle connection.
     fn record_idle_close(&self, store: SocketAddr, reason: StoreCloseReason, idle_for: Duration) {
         self.counters.count(reason);
         tracing::debug!(%store, %reason, ?idle_for, "store connection closed");
     }
 
-    /// Closes the idle connections to an address; returns how many there were.
+    /// Closes the idle connections to an address and returns their number.
     pub(crate) fn close_idle(&self, address: SocketAddr) -> usize {
         let idle = self.pools.borrow_mut().get_mut(&address).map(|pool| std::mem::take(&mut pool.idle));
         let closed = idle.map_or(0, |idle| idle.len());
@@ -191,7 +195,7 @@
         closed
     }
 
-    /// Closes the connections that have been idle for too long, or that have ended.
+    /// Closes connections that have been idle for too long or that the store has closed.
     fn sweep(&self) {
         let addresses: Vec<SocketAddr> = self.pools.borrow().keys().copied().collect();
         for address in addresses {
@@ -210,12 +214,12 @@
         false
     }
 
-    /// A connection to an address: an idle one, or a new one; nothing where none could be made. Waits for capacity.
+    /// Returns an idle or new connection to an address, or `None` if connecting failed. Waits for capacity.
     ///
-    /// Hazard: this gateway may have been held up while it waited; what came meanwhile, the disconnect of a client among it,
-    /// is seen by its own task first.
+    /// Hazard: this process may have been held up during the wait. Other tasks run before this returns, so
+    /// that they process events that arrived meanwhile, such as the disconnect of a client.
     ///
-    /// Cancel safe: a connection that is being made is closed.
+    /// Cancel safe: a connection that is being established is closed.
     pub(crate) async fn acquire(&self, address: SocketAddr) -> Option<PooledConnection<'_>> {
         loop {
             let capacity_freed = self.capacity_freed.notified();
@@ -229,7 +233,7 @@
             if let Some(mut connection) = self.reserve(address) {
                 let connect = timeout(self.limits().timeouts.connect, Socket::connect(address));
                 let stream = connect.await.ok()?.ok()?;
-                // Without it small writes may be delayed, which is no reason to fail.
+                // Without this option small writes may be delayed, which is no reason to fail.
                 _ = stream.set_nodelay(true);
                 connection.stream = Some(stream);
                 yield_now().await;
@@ -243,14 +247,14 @@
     }
 }
 
-/// Whether nothing can be read. What can be read while nothing was requested is the end of the connection or a response to
-/// something else; either way it cannot be used any more.
+/// Whether nothing can be read from an idle connection. Readable data without a request is the end of the
+/// connection or a response to something else; in both cases the connection is unusable.
 fn is_silent(stream: &Socket) -> bool {
     let read = stream.try_read(&mut [0]);
     read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Sweeps the idle connections at an interval, and when the limits change, for as long as the gateway runs.
+/// Sweeps idle connections at an interval and whenever the limits change, for as long as the gateway runs.
 pub(crate) async fn sweep_pools(event_loop: Rc<EventLoop>) {
     let mut changes = event_loop.limits_changes();
     loop {
--- a/crates/http-gateway/src/watch/attempt.rs
+++ b/crates/http-gateway/src/watch/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts to fetch and watch the endpoint list, of which a slow one may go on beside the next.
+//! Attempts to fetch and watch the endpoint list. A slow attempt may continue alongside the next one.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -13,31 +13,31 @@
 
 use super::error::WatchError;
 use super::transfer::WatchState;
-use crate::backoff::Failures;
+use crate::backoff::ConsecutiveFailures;
 
-/// One connection to discovery, from the connect on.
+/// One connection to discovery, including the connect.
 pub(super) struct Attempt<'a> {
     progress: Rc<AttemptProgress>,
     run: Pin<Box<dyn Future<Output = WatchError> + 'a>>,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 pub(super) struct AttemptProgress {
-    /// When its next response has to be whole; absent once its watch is open, which has timeouts of its own.
+    /// When the next response has to be complete. `None` once the watch is open, which has its own timeouts.
     deadline: Cell<Option<Instant>>,
-    /// Whether some of that response has come.
+    /// Whether part of that response has been received.
     is_receiving: Cell<bool>,
-    /// Notified when something has come whole.
+    /// Notified when a list or a watch event has been received completely.
     completed: Notify,
 }
 
-/// What an attempt has come to.
+/// An event in the course of an attempt.
 pub(super) enum AttemptEvent {
-    /// Something has come whole.
+    /// A list or a watch event was received completely.
     Received,
-    /// The response is not whole at its deadline.
+    /// The response was not complete by its deadline.
     TimedOut,
-    /// The attempt has ended.
+    /// The attempt ended.
     Failed(WatchError),
 }
 
@@ -46,7 +46,7 @@
         state: &'a WatchState,
         connect: &'a impl AsyncFn(SocketAddr) -> io::Result<S>,
         address: SocketAddr,
-        failures: Failures,
+        failures: ConsecutiveFailures,
     ) -> Attempt<'a> {
         let progress = Rc::new(AttemptProgress::new(failures));
         let own_progress = progress.clone();
@@ -57,7 +57,7 @@
         Attempt { progress, run: Box::pin(run) }
     }
 
-    /// What the attempt comes to next. Cancel safe.
+    /// The next event of the attempt. Cancel safe.
     async fn next_event(&mut self) -> AttemptEvent {
         let progress = self.progress.clone();
         tokio::select! {
@@ -77,7 +77,7 @@
 }
 
 impl AttemptProgress {
-    fn new(failures: Failures) -> AttemptProgress {
+    fn new(failures: ConsecutiveFailures) -> AttemptProgress {
         let progress = AttemptProgress {
             deadline: Cell::default(),
             is_receiving: Cell::default(),
@@ -87,24 +87,24 @@
         progress
     }
 
-    /// The next response is requested.
-    fn restart(&self, failures: Failures) {
+    /// Restarts the progress because the next response has been requested.
+    fn restart(&self, failures: ConsecutiveFailures) {
         self.deadline.set(Some(Instant::now() + failures.response_timeout()));
         self.is_receiving.set(false);
     }
 
-    /// Some bytes have come.
+    /// Records that bytes were received.
     pub(super) fn on_bytes(&self) {
         self.is_receiving.set(true);
     }
 
-    /// The whole list has come; the watch is requested next.
+    /// Records that the complete list was received; the watch is requested next.
     pub(super) fn on_list(&self) {
-        self.restart(Failures::default());
+        self.restart(ConsecutiveFailures::default());
         self.completed.notify_waiters();
     }
 
-    /// An event of the watch has come: it is open.
+    /// Records that a watch event was received: the watch is open.
     pub(super) fn on_watch_event(&self) {
         self.deadline.set(None);
         self.completed.notify_waiters();
@@ -121,21 +121,24 @@
     }
 }
 
-/// Waits for a future while a slow attempt goes on, which becomes the next if it receives something first. Cancel safe but
-/// for the future itself.
-pub(super) async fn wait_beside<'a, T>(
+/// Waits for a future while a slow attempt continues. If the slow attempt receives something first, it
+/// becomes the next attempt. Cancel safe, except for the future itself.
+pub(super) async fn wait_or_promote_slow<'a, T>(
     slow: &mut Option<Attempt<'a>>,
     next: &mut Option<Attempt<'a>>,
     future: impl Future<Output = T>,
 ) {
-    if while_continuing(slow, future).await.is_none() {
+    if wait_alongside_slow(slow, future).await.is_none() {
         *next = slow.take();
     }
 }
 
-/// Waits for a future while a slow attempt goes on; returns nothing if that attempt receives something first. Cancel safe but
-/// for the future itself.
-async fn while_continuing<T>(slow: &mut Option<Attempt<'_>>, future: impl Future<Output = T>) -> Option<T> {
+/// Waits for a future while a slow attempt continues. Returns `None` if the slow attempt receives something
+/// first. Cancel safe, except for the future itself.
+async fn wait_alongside_slow<T>(
+    slow: &mut Option<Attempt<'_>>,
+    future: impl Future<Output = T>,
+) -> Option<T> {
     let mut future = pin!(future);
     while let Some(attempt) = slow {
         tokio::select! {
@@ -152,11 +155,12 @@
 
 /// Runs an attempt until it fails.
 ///
-/// Hazard: what comes by way of a list that trickles may come late by all the list's time. An attempt that is late while
-/// bytes come goes on beside the next ones; the first of them to receive something whole is the one that stays.
+/// Hazard: while a list arrives slowly, the changes after it are delayed by its full transfer time. An
+/// attempt that times out while it is receiving bytes therefore continues alongside the next attempts, and
+/// the first of them that receives something complete is kept.
 pub(super) async fn until_failed<'a>(mut attempt: Attempt<'a>, slow: &mut Option<Attempt<'a>>) -> WatchError {
     loop {
-        match while_continuing(slow, attempt.next_event()).await {
+        match wait_alongside_slow(slow, attempt.next_event()).await {
             None => attempt = slow.take().unwrap_or(attempt),
             Some(AttemptEvent::Received) => *slow = None,
             Some(AttemptEvent::Failed(error)) => return error,
--- a/crates/http-gateway/src/watch/error.rs
+++ b/crates/http-gateway/src/watch/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection to discovery failed.
+//! Errors of a connection to discovery.
 
 use std::io;
 
@@ -10,34 +10,34 @@
 /// Why an attempt to fetch or watch the endpoint list failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// No connection came up.
-    #[error("not reached: {0}")]
+    /// The connection could not be established.
+    #[error("connect failed: {0}")]
     Connect(io::Error),
     /// The connection broke.
-    #[error("lost: {0}")]
+    #[error("connection lost: {0}")]
     ConnectionLost(io::Error),
     /// The connection was closed, or the response ended.
-    #[error("ended")]
+    #[error("connection closed")]
     Ended,
-    /// Nothing came in time.
+    /// Nothing was received in time.
     #[error("silent")]
     Silent,
-    /// A response of another status than 200.
-    #[error("answered {0}")]
+    /// The response has a status other than 200.
+    #[error("response status {0}")]
     Status(u16),
-    /// Bytes that are no HTTP.
+    /// The bytes are not valid HTTP.
     #[error(transparent)]
     Http(#[from] Malformed),
-    /// A body that is no endpoint list.
+    /// The body is not an endpoint list.
     #[error(transparent)]
     Malformed(#[from] EndpointListError),
-    /// A list older than the one that is known.
-    #[error("version {received} came after {known}")]
+    /// The list received is older than the known one.
+    #[error("received version {received}, older than the known version {known}")]
     OlderVersion { known: u64, received: u64 },
 }
 
 impl WatchError {
-    /// The kind of the failure, by which the next attempt waits.
+    /// The kind of the failure, which determines the backoff before the next attempt.
     pub(super) fn failure_kind(&self, is_polled: bool) -> FailureKind {
         match self {
             WatchError::Silent => FailureKind::TimedOut,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether the whole list has to be fetched anew: what was received cannot be relied on.
+    /// Whether the complete list has to be fetched again because the data received is not reliable.
     pub(super) fn invalidates_list(&self) -> bool {
         matches!(self, WatchError::Malformed(_) | WatchError::OlderVersion { .. } | WatchError::Status(_))
     }
--- a/crates/http-gateway/src/watch/mod.rs
+++ b/crates/http-gateway/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: the whole endpoint list, then a watch of its changes, for as long as the gateway runs.
+//! Discovery: fetches the complete endpoint list, then watches its changes, for as long as the gateway runs.
 
 mod attempt;
 mod error;
@@ -16,27 +16,28 @@
 use tokio::time::{Instant, sleep};
 use umbertray_http_api::{Config, Input};
 
-use self::attempt::{Attempt, until_failed, wait_beside};
+use self::attempt::{Attempt, until_failed, wait_or_promote_slow};
 use self::transfer::WatchState;
-use crate::backoff::Failures;
+use crate::backoff::ConsecutiveFailures;
 use crate::event_loop::EventLoop;
 
-/// Failures in a row.
+/// Consecutive failures.
 #[derive(Clone, Copy, Default)]
 struct FailureCounts {
-    /// Of attempts by which nothing came.
-    connection: Failures,
-    /// Of attempts by whose watch nothing came.
+    /// Of attempts that received nothing.
+    connection: ConsecutiveFailures,
+    /// Of attempts whose watch received nothing.
     ///
-    /// Hazard: where the list can be fetched and the watch cannot be opened, the list would be fetched without end.
-    watch: Failures,
+    /// Hazard: without a separate count, the list would be fetched in an endless loop if it can be fetched
+    /// but the watch cannot be opened.
+    watch: ConsecutiveFailures,
 }
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DiscoverySource {
     address: SocketAddr,
-    /// Whether each watch is requested by the scheduler; otherwise changes are pushed.
+    /// Whether the scheduler requests each watch; otherwise changes are pushed.
     is_polled: bool,
 }
 
@@ -47,11 +48,11 @@
     }
 }
 
-/// Follows the endpoint list at the source of the time. Where it is polled, the first watch begins when the scheduler requests
-/// it, and so does the next after one that failed.
+/// Follows the endpoint list at the current source. If the source is polled, the first watch starts when the
+/// scheduler requests it, and so does the next watch after a failure.
 ///
-/// What a cancelled `select!` branch loses: an attempt whose source has changed or that has to fetch the whole list, on
-/// purpose; a requested watch stays requested.
+/// Cancelled `select!` branches drop an attempt on purpose if its source has changed or the complete list has
+/// to be fetched. A requested watch stays requested.
 pub(crate) async fn follow<S: AsyncRead + AsyncWrite + Unpin>(
     connect: impl AsyncFn(SocketAddr) -> io::Result<S>,
     event_loop: Rc<EventLoop>,
@@ -64,16 +65,17 @@
     let mut counts = FailureCounts::default();
     let mut draws = 0;
     let mut is_requested = !source.borrow().is_polled;
-    // A slow attempt that goes on beside the present one, and one that has received something and is the next.
+    // `slow` continues alongside the current attempt; `next` has received something and replaces it.
     let mut slow = None;
     let mut next = None;
     loop {
-        // Hazard: the scheduler, once it has requested a watch, does not request it again where the source only changes, or the
-        // watch begins with the whole list.
+        // Hazard: after the scheduler has requested a watch, it does not request another one if only the
+        // source changes or if the watch starts with the complete list.
         if !std::mem::replace(&mut is_requested, true) && next.is_none() {
             tokio::select! {
-                () = wait_beside(&mut slow, &mut next, event_loop.watch_requested.notified()) => {}
-                // Hazard: a change notified at the new address counts soon, however long the scheduler waits for the old one.
+                () = wait_or_promote_slow(&mut slow, &mut next, event_loop.watch_requested.notified()) => {}
+                // Hazard: a change announced at the new address counts soon, however long the scheduler waits
+                // before it polls the old one.
                 _ = source.changed() => (counts, slow) = (FailureCounts::default(), None),
             }
         }
@@ -87,7 +89,8 @@
                 if changed.is_err() {
                     return;
                 }
-                // Hazard: the last changes of the old address are received from the new one, as if they were new.
+                // Hazard: the new address may send the latest changes of the old address again, as if they
+                // were new.
                 event_loop.post(Input::EndpointListFailed);
                 state.reset_on_success(counts);
                 (counts, slow) = (FailureCounts::default(), None);
@@ -110,7 +113,7 @@
         let max_backoff = counts.watch.max_backoff_after(started_at.elapsed(), error.failure_kind(is_polled));
         let backoff = max_backoff.mul_f64(0.5 + random_fraction(seed, draws) / 2.0);
         tokio::select! {
-            () = wait_beside(&mut slow, &mut next, sleep(backoff)) => {}
+            () = wait_or_promote_slow(&mut slow, &mut next, sleep(backoff)) => {}
             _ = source.changed() => {
                 is_requested = true;
                 (counts, slow) = (FailureCounts::default(), None);
@@ -119,7 +122,7 @@
     }
 }
 
-/// A number from 0 to 1 for the jitter of a backoff.
+/// A pseudo-random number from 0 to 1 for the jitter of a backoff.
 fn random_fraction(seed: u64, draws: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, "watch", draws).hash(&mut hasher);
--- a/crates/http-gateway/src/watch/tests/scripted_discovery.rs
+++ b/crates/http-gateway/src/watch/tests/scripted_discovery.rs
@@ -13,7 +13,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 use umbertray_clock::Clock;
-use umbertray_http_api::{Config, Core, Input, fields};
+use umbertray_http_api::{Config, Core, Input, protocol};
 
 use super::super::{DiscoverySource, follow};
 use crate::event_loop::EventLoop;
@@ -98,7 +98,7 @@
 impl TestWatch {
     /// The last behavior goes on for all later connections. A scheduler that polls does so again at once.
     pub(super) fn new(delivery: Delivery, behaviors: &[Behavior]) -> TestWatch {
-        let config = Config::read(CONFIG).expect("a whole configuration");
+        let config = Config::parse(CONFIG).expect("a whole configuration");
         let clock = Clock::start();
         let core = Core::start(&config, clock.now()).expect("it starts");
         let event_loop =
@@ -217,7 +217,7 @@
             write_slowly(stream, b"1\r\n{\r\n", 6, TRICKLE_INTERVAL).await?;
         },
         Behavior::Alive(_) | Behavior::Unchanged | Behavior::Slow(_) => loop {
-            sleep(fields::WATCH_HEARTBEAT_INTERVAL).await;
+            sleep(protocol::WATCH_HEARTBEAT_INTERVAL).await;
             stream.write_all(chunk("").as_bytes()).await?;
         },
         _ => pending().await,
--- a/crates/http-gateway/src/watch/transfer.rs
+++ b/crates/http-gateway/src/watch/transfer.rs
@@ -1,4 +1,4 @@
-//! One connection to discovery: the whole list, then its watch.
+//! One connection to discovery: fetches the complete list, then follows the watch.
 
 use std::cell::Cell;
 use std::io;
@@ -11,29 +11,29 @@
 use umbertray_http::Limits;
 use umbertray_http::client::{self, ResponseReader};
 use umbertray_http_api::endpoint_list::{EndpointList, WatchEvent, WatchReader};
-use umbertray_http_api::{Input, fields};
+use umbertray_http_api::{Input, protocol};
 
 use super::FailureCounts;
 use super::attempt::AttemptProgress;
 use super::error::WatchError;
-use crate::backoff::{self, Failures};
+use crate::backoff::{self, ConsecutiveFailures};
 use crate::event_loop::EventLoop;
 
-/// Bytes that are read at once, at least.
+/// Minimum buffer capacity for each read, in bytes.
 const READ_SIZE: usize = 4096;
 
-/// What all attempts share.
+/// State shared by all attempts.
 pub(super) struct WatchState {
     event_loop: Rc<EventLoop>,
-    /// The version of the known list, if that is known to be whole.
+    /// The version of the known list; `None` if the complete list has to be fetched.
     known_version: Cell<Option<u64>>,
-    /// Whether something came since the last failure.
+    /// Whether anything was received since the last failure.
     has_received: Cell<bool>,
-    /// Whether a watch brought it.
+    /// Whether a watch received it.
     watch_has_received: Cell<bool>,
 }
 
-/// When something, and when all of it, has to come.
+/// Deadlines for the next bytes and for the complete transfer.
 #[derive(Clone, Copy)]
 struct ReadDeadline {
     idle_timeout: Duration,
@@ -41,13 +41,13 @@
 }
 
 impl ReadDeadline {
-    /// Of an attempt's response.
+    /// Deadlines for the response of an attempt.
     fn for_attempt() -> ReadDeadline {
         let transfer_deadline = Instant::now() + backoff::transfer_timeout();
         ReadDeadline { idle_timeout: backoff::longest_response_timeout(), transfer_deadline }
     }
 
-    /// Of a line of an open watch: only a whole line counts, however many bytes of it come.
+    /// Deadlines for a line of an open watch. Only a complete line counts, regardless of the bytes received.
     fn for_line() -> ReadDeadline {
         let idle_timeout = backoff::watch_idle_timeout();
         ReadDeadline { idle_timeout, transfer_deadline: Instant::now() + idle_timeout }
@@ -69,34 +69,38 @@
         }
     }
 
-    /// Has the whole list fetched by the next attempt.
+    /// Makes the next attempt fetch the complete list.
     pub(super) fn forget_version(&self) {
         self.known_version.set(None);
     }
 
-    /// The counts, reset where something came.
+    /// Returns the failure counts, reset if something was received.
     pub(super) fn reset_on_success(&self, counts: FailureCounts) -> FailureCounts {
-        let reset = |received: bool, failures| if received { Failures::default() } else { failures };
+        let reset =
+            |received: bool, failures| if received { ConsecutiveFailures::default() } else { failures };
         FailureCounts {
             connection: reset(self.has_received.take(), counts.connection),
             watch: reset(self.watch_has_received.take(), counts.watch),
         }
     }
 
-    /// The counts after one more failure: where something came before it, it is not counted.
+    /// Returns the counts after one more failure. The failure is not counted if something was received before
+    /// it.
     pub(super) fn count_failure(&self, counts: FailureCounts) -> FailureCounts {
         let has_received = self.has_received.get();
         let watch_has_received = self.watch_has_received.get();
         let counts = self.reset_on_success(counts);
-        let count =
-            |received: bool, failures: Failures| if received { failures } else { failures.plus_one() };
+        let count = |received: bool, failures: ConsecutiveFailures| {
+            if received { failures } else { failures.plus_one() }
+        };
         FailureCounts {
             connection: count(has_received, counts.connection),
             watch: count(watch_has_received, counts.watch),
         }
     }
 
-    /// Connects, fetches the whole list unless it is known, and follows its changes until the connection ends.
+    /// Connects, fetches the complete list unless it is known, and follows its changes until the connection
+    /// ends.
     pub(super) async fn run<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         connect: &impl AsyncFn(SocketAddr) -> io::Result<S>,
@@ -121,7 +125,7 @@
         deadline: ReadDeadline,
         progress: &AttemptProgress,
     ) -> Result<(), WatchError> {
-        send_request(stream, fields::ENDPOINT_LIST, host, deadline).await?;
+        send_request(stream, protocol::ENDPOINT_LIST, host, deadline).await?;
         let limits = self.event_loop.limits();
         let mut reader = ResponseReader::new(Limits { body: limits.endpoint_list, ..limits.http });
         let response = loop {
@@ -133,7 +137,7 @@
         if response.head.status != 200 {
             return Err(WatchError::Status(response.head.status));
         }
-        self.apply(EndpointList::read(&response.body)?)
+        self.apply(EndpointList::parse(&response.body)?)
     }
 
     async fn follow_changes<S: AsyncRead + AsyncWrite + Unpin>(
@@ -143,7 +147,7 @@
         mut deadline: ReadDeadline,
         progress: &AttemptProgress,
     ) -> Result<(), WatchError> {
-        let target = fields::watch(self.known_version.get().unwrap_or_default());
+        let target = protocol::watch(self.known_version.get().unwrap_or_default());
         send_request(stream, &target, host, deadline).await?;
         let limits = self.event_loop.limits();
         let mut reader = ResponseReader::new(Limits { body: usize::MAX, ..limits.http });
@@ -156,7 +160,7 @@
                 return Err(WatchError::Status(head.status));
             }
             let had_partial_event = !events.bytes.is_empty();
-            let has_ended = reader.stream(&mut events.bytes)?;
+            let has_ended = reader.read_body(&mut events.bytes)?;
             let has_event = self.take_events(&mut events)?;
             if has_ended {
                 return Ok(());
@@ -173,7 +177,7 @@
         }
     }
 
-    /// Takes the events that are whole; true if there were any.
+    /// Processes the complete events. Returns whether there were any.
     fn take_events(&self, events: &mut WatchReader) -> Result<bool, WatchError> {
         let mut has_event = false;
         while let Some(event) = events.next_event()? {
@@ -187,9 +191,9 @@
         Ok(has_event)
     }
 
-    /// Hands a list to the core.
+    /// Passes a list to the core.
     ///
-    /// Hazard: an older version must not bring back stores that are gone.
+    /// Hazard: an older version must not restore stores that are gone.
     fn apply(&self, list: EndpointList) -> Result<(), WatchError> {
         if let Some(known) = self.known_version.get().filter(|known| list.version < *known) {
             return Err(WatchError::OlderVersion { known, received: list.version });
@@ -200,7 +204,9 @@
             let uid = &store.uid;
             let shard = store.shard;
             let state = store.state;
-            tracing::debug!(version = list.version, uid, shard, ?state, started = ?store.started, "store listed");
+            tracing::debug!(
+                version = list.version, uid, shard, ?state, started = ?store.started, "store listed"
+            );
         }
         self.event_loop.post(Input::EndpointList(list));
         Ok(())
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,22 +1,22 @@
-//! Bodies of messages: their framing (section 6) and the chunked coding (section 7.1).
+//! Message bodies: framing (section 6) and the chunked transfer coding (section 7.1).
 
 use bytes::{Buf, BytesMut};
 
 use crate::Malformed;
 
-/// Longest line of a chunk's size with its extensions, bytes.
+/// Maximum length of a chunk size line with its extensions, in bytes.
 const MAX_CHUNK_LINE: usize = 256;
-/// Longest trailer section, bytes.
+/// Maximum length of the trailer section, in bytes.
 const MAX_TRAILER: usize = 4096;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// By the chunked transfer coding.
+    /// The chunked transfer coding marks the end.
     Chunked,
-    /// At the end of the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
@@ -31,12 +31,12 @@
     Done,
 }
 
-/// Decodes one body as its bytes come.
+/// Incremental decoder for one body.
 #[derive(Debug)]
 pub struct Decoder(State);
 
 impl Decoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder positioned at the start of a body.
     pub fn new(framing: Framing) -> Decoder {
         Decoder(match framing {
             Framing::Length(length) => State::Length(length),
@@ -45,14 +45,15 @@
         })
     }
 
-    /// The connection was closed without a reset; true if that ends the body.
+    /// Handles a connection close that was not a reset. Returns whether the close ends the body.
     pub(crate) fn on_close(&mut self) -> bool {
         let ends = self.0 == State::UntilClose;
         self.0 = if ends { State::Done } else { self.0 };
         ends
     }
 
-    /// How many bytes must still come, as far as is known.
+    /// Number of bytes that are still missing, as far as known: the rest of the body, or of the current
+    /// chunk.
     pub(crate) fn known_remaining(&self) -> usize {
         match self.0 {
             State::Length(remaining) | State::ChunkData(remaining) => {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Moves what has come of the body from `bytes` to `body`; true once it is whole.
+    /// Moves the body bytes received so far from `bytes` to `body`. Returns true once the body is complete.
     ///
     /// # Errors
     /// A malformed chunk or trailer.
@@ -97,7 +98,7 @@
                     State::ChunkSize
                 }
                 State::ChunkEnd => return Err(Malformed::Chunk),
-                State::Trailer(seen) => match take_trailer_line(bytes, seen)? {
+                State::Trailer(trailer_bytes) => match consume_trailer_line(bytes, trailer_bytes)? {
                     Some(state) => state,
                     None => return Ok(false),
                 },
@@ -106,8 +107,9 @@
     }
 }
 
-/// Takes a line of the trailer section off the bytes, `seen` bytes of which went before; nothing until the line is whole.
-fn take_trailer_line(bytes: &mut BytesMut, seen: usize) -> Result<Option<State>, Malformed> {
+/// Removes one line of the trailer section from `bytes`; `trailer_bytes` is the length of the earlier lines.
+/// Returns `None` until the line is complete.
+fn consume_trailer_line(bytes: &mut BytesMut, trailer_bytes: usize) -> Result<Option<State>, Malformed> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() > MAX_TRAILER { Err(Malformed::Chunk) } else { Ok(None) };
     };
@@ -116,13 +118,13 @@
     if is_blank {
         return Ok(Some(State::Done));
     }
-    if seen + end > MAX_TRAILER {
+    if trailer_bytes + end > MAX_TRAILER {
         return Err(Malformed::Chunk);
     }
-    Ok(Some(State::Trailer(seen + end)))
+    Ok(Some(State::Trailer(trailer_bytes + end)))
 }
 
-/// Moves up to `remaining` bytes and returns how many.
+/// Moves up to `remaining` bytes and returns how many were moved.
 fn move_bytes(bytes: &mut BytesMut, body: &mut BytesMut, remaining: u64) -> u64 {
     let count = bytes.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
     body.extend_from_slice(&bytes[..count]);
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,11 +1,11 @@
-//! The client's side: encodes requests, reads responses.
+//! Client side: encodes requests and reads responses.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::body::{Decoder, Framing};
 use crate::{Headers, Limits, Malformed, head};
 
-/// Interim responses (RFC 9110, 15.2) that may precede one response.
+/// Maximum number of interim responses (RFC 9110, 15.2) before one final response.
 const MAX_INTERIM: usize = 8;
 
 /// The head of a response.
@@ -13,38 +13,38 @@
 pub struct Head {
     /// Status code.
     pub status: u16,
-    /// The fields.
+    /// Header fields.
     pub headers: Headers,
-    /// The server accepts another request on this connection.
+    /// Whether the server accepts another request on this connection.
     pub persists: bool,
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Status and fields.
+    /// Status and header fields.
     pub head: Head,
-    /// The body, decoded.
+    /// The decoded body.
     pub body: Bytes,
 }
 
-/// Reads one response; what is behind it stays in `bytes`.
+/// Reads one response. Bytes that follow it stay in `bytes`.
 pub struct ResponseReader {
     limits: Limits,
-    skipped: usize,
+    interim_count: usize,
     decoder: Option<Decoder>,
     head: Option<Head>,
     body: BytesMut,
-    /// Bytes that were received and not read yet.
+    /// Bytes received and not parsed yet.
     pub bytes: BytesMut,
 }
 
 impl ResponseReader {
-    /// A reader at the start of a response.
+    /// Creates a reader positioned at the start of a response.
     pub fn new(limits: Limits) -> ResponseReader {
         ResponseReader {
             limits,
-            skipped: 0,
+            interim_count: 0,
             decoder: None,
             head: None,
             body: BytesMut::new(),
@@ -52,16 +52,17 @@
         }
     }
 
-    /// The head of the response, once it has come. Interim responses before it are skipped.
+    /// The head of the response, or `None` until it has been received. Interim responses before it are
+    /// skipped.
     ///
     /// # Errors
-    /// The bytes are no response, or one that exceeds the limits.
+    /// The bytes are not a valid response, or the response exceeds the limits.
     pub fn head(&mut self) -> Result<Option<&Head>, Malformed> {
         while self.head.is_none() {
-            let Some((head, minor)) = self.take_head()? else { return Ok(None) };
+            let Some((head, minor)) = self.parse_head()? else { return Ok(None) };
             match head.status {
                 101 => return Err(Malformed::Interim),
-                100..200 if self.skipped < MAX_INTERIM => self.skipped += 1,
+                100..200 if self.interim_count < MAX_INTERIM => self.interim_count += 1,
                 100..200 => return Err(Malformed::Interim),
                 204 | 304 => self.begin_body(head, Framing::Length(0)),
                 _ => {
@@ -84,8 +85,8 @@
         self.decoder = Some(Decoder::new(framing));
     }
 
-    fn take_head(&mut self) -> Result<Option<(Head, u8)>, Malformed> {
-        head::take(&mut self.bytes, self.limits, |bytes| {
+    fn parse_head(&mut self) -> Result<Option<(Head, u8)>, Malformed> {
+        head::consume(&mut self.bytes, self.limits, |bytes| {
             let mut fields = [httparse::EMPTY_HEADER; head::MAX_FIELDS];
             let mut head = httparse::Response::new(&mut fields);
             let httparse::Status::Complete(length) = head.parse(bytes)? else { return Ok(None) };
@@ -97,47 +98,50 @@
         })
     }
 
-    /// The connection was closed without a reset: returns the response if its body ends there (section 6.3).
+    /// Handles a connection close that was not a reset. Returns the response if the close ends its body
+    /// (section 6.3).
     ///
-    /// Hazard: a reset is no end; what has come of such a response before a reset may have been cut.
+    /// Hazard: a reset does not end a body. The part of such a response received before a reset may be
+    /// truncated.
     ///
     /// # Errors
-    /// The bytes are no response, or one that exceeds the limits.
+    /// The bytes are not a valid response, or the response exceeds the limits.
     pub fn on_close(&mut self) -> Result<Option<Response>, Malformed> {
         let is_end = self.decoder.as_mut().is_some_and(Decoder::on_close);
         if is_end { self.response() } else { Ok(None) }
     }
 
-    /// Reads a body as it comes: moves what has come of it to `into`; true once it has ended.
+    /// Streams a body: moves the body bytes received so far to `destination`. Returns true once the body has
+    /// ended.
     ///
     /// # Errors
-    /// The bytes are no response, or one that exceeds the limits.
-    pub fn stream(&mut self, into: &mut BytesMut) -> Result<bool, Malformed> {
+    /// The bytes are not a valid response, or the response exceeds the limits.
+    pub fn read_body(&mut self, destination: &mut BytesMut) -> Result<bool, Malformed> {
         if self.head()?.is_none() {
             return Ok(false);
         }
-        self.decoder.as_mut().map_or(Ok(false), |decoder| decoder.decode(&mut self.bytes, into))
+        self.decoder.as_mut().map_or(Ok(false), |decoder| decoder.decode(&mut self.bytes, destination))
     }
 
-    /// Bytes of the body that have come or, as far as is known, must still come.
+    /// Size of the body as far as known: bytes received plus bytes known to be missing.
     pub fn known_body_size(&self) -> usize {
         self.decoder.as_ref().map_or(0, |decoder| self.body.len().saturating_add(decoder.known_remaining()))
     }
 
-    /// The whole response, once it has come.
+    /// The complete response, or `None` until it has been received.
     ///
     /// # Errors
-    /// The bytes are no response, or one that exceeds the limits.
+    /// The bytes are not a valid response, or the response exceeds the limits.
     pub fn response(&mut self) -> Result<Option<Response>, Malformed> {
         if self.head()?.is_none() {
             return Ok(None);
         }
         let Some(decoder) = &mut self.decoder else { return Ok(None) };
-        let is_whole = decoder.decode(&mut self.bytes, &mut self.body)?;
+        let is_complete = decoder.decode(&mut self.bytes, &mut self.body)?;
         if self.body.len() > self.limits.body {
             return Err(Malformed::BodyTooLong(self.limits.body));
         }
-        if !is_whole {
+        if !is_complete {
             return Ok(None);
         }
         self.decoder = None;
@@ -146,7 +150,7 @@
     }
 }
 
-/// Encodes a request. The caller has checked that the target and the fields hold no line end.
+/// Encodes a request. The caller has checked that the target and the header fields contain no line break.
 pub fn request(method: &str, target: &str, host: &str, headers: &[(&str, &[u8])], body: &[u8]) -> Bytes {
     let mut bytes = BytesMut::with_capacity(256 + body.len());
     bytes.extend_from_slice(format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n").as_bytes());
@@ -156,7 +160,7 @@
     bytes.freeze()
 }
 
-/// Encodes fields, and the length of the body behind them.
+/// Encodes header fields, followed by the `Content-Length` of the body.
 pub(crate) fn encode_fields(bytes: &mut BytesMut, fields: &[(&str, &[u8])], body_length: usize) {
     for (name, value) in fields {
         for part in [name.as_bytes(), b": ", value, b"\r\n"] {
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,56 +1,61 @@
-//! A client's connection at a server as a state machine: what is owed in each state, and the next step. No sockets and no
-//! clock; the caller does one [`NextStep`] at a time and reports the [`Event`] that it ended with.
+//! State machine of one client connection on the server side: the pending obligation in each state, and the
+//! next step. It has no sockets and no clock; the caller performs one [`NextStep`] at a time and reports the
+//! [`Event`] that ended it.
 //!
-//! Every connection ends the same way: sending is shut down, what still comes is discarded for a bounded time, then it is
-//! closed. Hazard: a close over unread bytes resets the connection and can take a response with it.
+//! Every connection ends in the same way: sending is shut down, further input is discarded for a limited
+//! time, then the connection is closed.
+//!
+//! Hazard: closing a connection with unread bytes resets it, and the reset can destroy a response in flight.
 
 pub use umbertray_lifecycle::connection::Obligation;
 use umbertray_lifecycle::reason::CloseReason;
 
-/// How urgently a connection has to close; a greater demand overrides a smaller one.
+/// How urgently a connection has to close. A higher demand overrides a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CloseDemand {
-    /// Not at all.
+    /// The connection need not close.
     None,
-    /// The listener closes: a connection that is idle after a response has to end.
+    /// The listener is closing: a connection that is idle after a response has to close.
     Graceful,
-    /// The process ends: so has one that has sent no whole request by now.
+    /// The process is exiting: connections without a complete request have to close as well.
     Immediate,
-    /// The same, and another connection waits for the descriptor.
+    /// As `Immediate`, and another connection is waiting for the file descriptor.
     ForCapacity,
 }
 
 /// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// No whole request has come yet. Hazard: the client is about to send one, and may find no listener any more.
+    /// No complete request has been received.
+    ///
+    /// Hazard: the client may be about to send one, and may then find no listener to reconnect to.
     AwaitingFirstRequest,
-    /// Between requests.
+    /// Idle between two requests.
     Idle,
-    /// Part of a request was read.
+    /// Part of a request has been read.
     ReadingRequest {
-        /// Whether a request was served on this connection before.
+        /// Whether an earlier request was served on this connection.
         served_before: bool,
     },
-    /// A whole request was read: its response is owed.
+    /// A complete request has been read and its response is pending.
     AwaitingResponse {
         /// Whether the client accepts another response on this connection.
         persists: bool,
     },
     /// A response is being written.
     WritingResponse {
-        /// Whether it is the last on this connection.
-        last: bool,
+        /// Whether this is the last response on this connection.
+        is_last: bool,
     },
-    /// Sending is shut down. What was written is owed until the client has closed or its time is over; what still
-    /// comes is discarded.
+    /// Sending is shut down. The client is owed time to read what was written, until it closes the connection
+    /// or the time limit expires. Further input is discarded.
     LingeringClose,
-    /// At its end.
+    /// The connection is closed, or about to be closed.
     Closed,
 }
 
 impl State {
-    /// What is owed on a connection in this state.
+    /// The pending obligation of a connection in this state.
     pub fn obligation(self) -> Obligation {
         match self {
             State::AwaitingResponse { .. } | State::WritingResponse { .. } => Obligation::Response,
@@ -65,70 +70,71 @@
 /// How a step ended, or what interrupted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A whole request was read.
+    /// A complete request was read.
     RequestRead {
-        /// Whether it is an operation, which needs a store.
-        op: bool,
+        /// Whether the request is an operation, which needs a store.
+        is_op: bool,
         /// Whether the client accepts another response on this connection.
         persists: bool,
     },
-    /// Bytes were read that are no whole request yet.
+    /// Bytes were read that do not form a complete request yet.
     PartialRead,
-    /// Bytes were read that are no request, or the request cannot be served.
-    RequestRefused,
-    /// There were no bytes to read.
+    /// The bytes read are not a valid request, or the request cannot be served.
+    RequestInvalid,
+    /// No bytes were available to read.
     NothingRead,
-    /// The client has closed or reset its connection.
+    /// The client closed or reset the connection.
     PeerClosed,
-    /// The response is there.
+    /// The response is available.
     ResponseReady {
-        /// Whether a whole request was read behind this one.
-        more: bool,
+        /// Whether another complete request has already been read.
+        has_next_request: bool,
     },
     /// The response was written.
     Written,
-    /// The client does not read what is written.
+    /// The response could not be written, for example because the client does not read.
     WriteFailed,
-    /// The [`CloseDemand`] has changed.
+    /// The [`CloseDemand`] changed.
     DemandChanged,
     /// The step timed out.
     TimedOut,
 }
 
-/// Which response is written.
+/// Kind of a response to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Response {
-    /// That of the request that was read.
-    Own,
-    /// An error that says what is wrong with what was read.
-    Refusal,
-    /// The request did not come whole in its time.
+pub enum ResponseKind {
+    /// The response to the request that was read: the final response of an operation, or that of a health
+    /// check.
+    Final,
+    /// An error response that describes what is wrong with the bytes read.
+    Error,
+    /// The request was not complete within its time limit.
     RequestTimeout,
-    /// A rejection: the client may retry elsewhere or later.
+    /// A rejection: the client may retry later or at another gateway.
     Rejection,
 }
 
-/// What the caller does next.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NextStep {
-    /// Read, for a time, until a close is demanded.
+    /// Read until the time limit, or until a close is demanded.
     Read,
-    /// Read only what has come already.
+    /// Read only bytes that are already available.
     ReadAvailable,
-    /// Forward the request, and wait for its response or for the client's close.
+    /// Forward the request, then wait for its response or for the client to close.
     AwaitResponse,
     /// Write a response.
     Write {
-        /// Which one.
-        response: Response,
-        /// Whether it is the last on this connection.
-        last: bool,
+        /// Kind of the response.
+        response: ResponseKind,
+        /// Whether this is the last response on this connection.
+        is_last: bool,
     },
-    /// Shut down sending, and discard what comes, for a time.
+    /// Shut down sending, and discard further input until the time limit.
     LingeringClose,
-    /// The client of the request that was forwarded has closed: cancel it, and close.
+    /// The client closed the connection while its request was in progress: cancel the request and close.
     CancelRequest,
-    /// Close.
+    /// Close the connection.
     Close,
 }
 
@@ -137,13 +143,13 @@
 pub struct ConnectionState {
     state: State,
     demand: CloseDemand,
-    /// There was no capacity for it when it was accepted.
+    /// Whether the connection was accepted without capacity for it, so that its operations are rejected.
     rejecting: bool,
 }
 
 impl ConnectionState {
-    /// Why a connection ends by the step that was taken from the state `before` on this event. Nothing where it does not
-    /// end, and for the steps that follow the first one towards the end.
+    /// The reason why the connection ends, if `step`, taken on `event` in the state `before`, is the first
+    /// step of closing it. `None` if the connection stays open, and for the later steps of closing.
     pub fn close_reason(&self, before: State, event: Event, step: NextStep) -> Option<CloseReason> {
         let demanded = || match self.demand {
             _ if self.rejecting => Some(CloseReason::NoCapacity),
@@ -155,14 +161,14 @@
             (NextStep::CancelRequest, _) => Some(CloseReason::RequestCancelled),
             (_, Event::PeerClosed) => Some(CloseReason::PeerClosed),
             (_, Event::WriteFailed) => Some(CloseReason::PeerNotReading),
-            (NextStep::Write { response: Response::RequestTimeout, .. }, _) => {
+            (NextStep::Write { response: ResponseKind::RequestTimeout, .. }, _) => {
                 Some(CloseReason::RequestReadTimeout)
             }
-            (NextStep::Write { response: Response::Refusal, .. }, _) => Some(CloseReason::RequestRefused),
-            (NextStep::Write { response: Response::Rejection, .. }, _) => {
+            (NextStep::Write { response: ResponseKind::Error, .. }, _) => Some(CloseReason::RequestRefused),
+            (NextStep::Write { response: ResponseKind::Rejection, .. }, _) => {
                 demanded().or(Some(CloseReason::NoCapacity))
             }
-            (NextStep::Write { last: true, .. }, _) => demanded().or(Some(CloseReason::LastResponse)),
+            (NextStep::Write { is_last: true, .. }, _) => demanded().or(Some(CloseReason::LastResponse)),
             (NextStep::LingeringClose, _) if before == State::Idle => {
                 demanded().or(Some(CloseReason::IdleTimeout))
             }
@@ -173,32 +179,33 @@
         }
     }
 
-    /// A new connection, to be rejected or not; [`NextStep::Read`] is first.
+    /// Creates the state of a new connection, which starts with [`NextStep::Read`]. If `rejecting` is set,
+    /// its operations are rejected.
     pub fn new(rejecting: bool) -> ConnectionState {
         ConnectionState { state: State::AwaitingFirstRequest, demand: CloseDemand::None, rejecting }
     }
 
-    /// The present state.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The greatest demand so far.
+    /// The highest demand so far.
     pub fn demand(&self) -> CloseDemand {
         self.demand
     }
 
-    /// What is owed on the connection.
+    /// The pending obligation of the connection.
     pub fn obligation(&self) -> Obligation {
         self.state.obligation()
     }
 
-    /// Raises the demand; [`Event::DemandChanged`] follows where a step waits for it.
+    /// Raises the demand. A step that waits for this ends with [`Event::DemandChanged`].
     pub fn raise_demand(&mut self, demand: CloseDemand) {
         self.demand = self.demand.max(demand);
     }
 
-    /// Takes an event and returns the next step.
+    /// Processes an event and returns the next step.
     pub fn on_event(&mut self, event: Event) -> NextStep {
         match (self.state, event) {
             (State::AwaitingResponse { .. }, Event::PeerClosed) => self.finish(NextStep::CancelRequest),
@@ -206,14 +213,15 @@
             (State::AwaitingFirstRequest | State::Idle | State::ReadingRequest { .. }, event) => {
                 self.on_event_without_request(event)
             }
-            (State::AwaitingResponse { persists }, Event::ResponseReady { more }) => {
-                let last = !persists || !more && (self.rejecting || self.demand > CloseDemand::None);
-                self.write(Response::Own, last)
+            (State::AwaitingResponse { persists }, Event::ResponseReady { has_next_request }) => {
+                let is_last =
+                    !persists || !has_next_request && (self.rejecting || self.demand > CloseDemand::None);
+                self.write(ResponseKind::Final, is_last)
             }
-            (State::AwaitingResponse { .. }, Event::RequestRefused) => self.write(Response::Refusal, true),
+            (State::AwaitingResponse { .. }, Event::RequestInvalid) => self.write(ResponseKind::Error, true),
             (State::AwaitingResponse { .. }, _) => NextStep::AwaitResponse,
-            (State::WritingResponse { last: true }, _) => self.shut_down(),
-            (State::WritingResponse { last: false }, _) => {
+            (State::WritingResponse { is_last: true }, _) => self.shut_down(),
+            (State::WritingResponse { is_last: false }, _) => {
                 self.state = State::Idle;
                 NextStep::Read
             }
@@ -226,11 +234,11 @@
         }
     }
 
-    /// An event while no whole request is open.
+    /// Handles an event while no complete request is pending.
     fn on_event_without_request(&mut self, event: Event) -> NextStep {
         match (self.state, event) {
-            (_, Event::RequestRead { op, persists }) => self.await_response(op, persists),
-            (_, Event::RequestRefused) => self.write(Response::Refusal, true),
+            (_, Event::RequestRead { is_op, persists }) => self.await_response(is_op, persists),
+            (_, Event::RequestInvalid) => self.write(ResponseKind::Error, true),
             (state, Event::PartialRead) => {
                 self.state = State::ReadingRequest {
                     served_before: !matches!(
@@ -240,13 +248,14 @@
                 };
                 self.next_read()
             }
-            // Hazard: another request may have come by now.
+            // Hazard: another request may have arrived in the meantime.
             (State::Idle, Event::TimedOut) => NextStep::ReadAvailable,
             (State::Idle, Event::NothingRead) => self.shut_down(),
             (State::AwaitingFirstRequest, Event::TimedOut) if !self.rejecting => self.shut_down(),
-            (State::ReadingRequest { .. }, Event::TimedOut) => self.write(Response::RequestTimeout, true),
-            // Hazard: the rest may be on its way; a client that gets a response does not send it in vain.
-            (_, Event::TimedOut | Event::NothingRead) => self.write(Response::Rejection, true),
+            (State::ReadingRequest { .. }, Event::TimedOut) => self.write(ResponseKind::RequestTimeout, true),
+            // Hazard: the rest of the request may be in flight; with a response, the client does not send it
+            // for nothing.
+            (_, Event::TimedOut | Event::NothingRead) => self.write(ResponseKind::Rejection, true),
             _ => self.next_read(),
         }
     }
@@ -256,19 +265,19 @@
         if self.demand >= minimum { NextStep::ReadAvailable } else { NextStep::Read }
     }
 
-    fn await_response(&mut self, op: bool, persists: bool) -> NextStep {
-        // A client that sent its request in time has time to read the response, like any other.
+    fn await_response(&mut self, is_op: bool, persists: bool) -> NextStep {
+        // A client that sent its request in time gets the usual time to read the response.
         self.demand = self.demand.min(CloseDemand::Immediate);
-        if op && self.rejecting {
-            return self.write(Response::Rejection, true);
+        if is_op && self.rejecting {
+            return self.write(ResponseKind::Rejection, true);
         }
         self.state = State::AwaitingResponse { persists };
         NextStep::AwaitResponse
     }
 
-    fn write(&mut self, response: Response, last: bool) -> NextStep {
-        self.state = State::WritingResponse { last };
-        NextStep::Write { response, last }
+    fn write(&mut self, response: ResponseKind, is_last: bool) -> NextStep {
+        self.state = State::WritingResponse { is_last };
+        NextStep::Write { response, is_last }
     }
 
     fn shut_down(&mut self) -> NextStep {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,18 +1,18 @@
-//! Heads of requests and responses, parsed by `httparse`.
+//! Heads of requests and responses, parsed with `httparse`.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::body::Framing;
 use crate::{Limits, Malformed};
 
-/// Most fields that a head may have.
+/// Maximum number of header fields in a head.
 pub(crate) const MAX_FIELDS: usize = 64;
 
-/// The fields of a head, in order.
+/// The header fields of a head, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Headers(Vec<(Box<str>, Bytes)>);
 
-/// A field that may occur once occurs more than once.
+/// A field that may occur only once occurs more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateField;
 
@@ -23,56 +23,59 @@
 
     /// All values of a field, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.0.iter().filter(move |(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
+        self.0.iter().filter(move |(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
-    /// The value of a field that may occur once.
+    /// The value of a field that may occur only once.
     ///
     /// # Errors
-    /// It occurs more than once.
+    /// The field occurs more than once.
     pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, DuplicateField> {
         let mut all = self.all(name);
         let first = all.next();
         if all.next().is_some() { Err(DuplicateField) } else { Ok(first) }
     }
 
-    /// Whether a field that is a list (RFC 9110, 5.6.1) contains the word.
+    /// Whether a field whose value is a list (RFC 9110, 5.6.1) contains the item `word`, ignoring case.
     pub(crate) fn list_contains(&self, name: &str, word: &str) -> bool {
         let words = self.all(name).flat_map(|value| value.split(|byte| *byte == b','));
-        words.into_iter().any(|own| own.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+        words.into_iter().any(|item| item.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 
-    /// The framing of the body (section 6.3); absent: the head does not say.
+    /// The framing of the body (section 6.3); `None` if the head does not specify one.
     pub(crate) fn framing(&self) -> Result<Option<Framing>, Malformed> {
-        let coded = self.all("Transfer-Encoding").next().is_some();
+        let has_coding = self.all("Transfer-Encoding").next().is_some();
         let mut lengths = self.all("Content-Length");
         let Some(length) = lengths.next() else {
-            let chunked = self.one("Transfer-Encoding").is_ok_and(|coding| {
+            let is_chunked = self.one("Transfer-Encoding").is_ok_and(|coding| {
                 coding.is_some_and(|coding| coding.trim_ascii().eq_ignore_ascii_case(b"chunked"))
             });
-            return match (coded, chunked) {
+            return match (has_coding, is_chunked) {
                 (false, _) => Ok(None),
                 (true, true) => Ok(Some(Framing::Chunked)),
                 (true, false) => Err(Malformed::Coding),
             };
         };
-        // Hazard: a reader that goes by the other of the two sees another request behind this one (section 11.2).
-        if coded {
+        // Hazard: a reader that prefers the other one of the two fields would see a different next request
+        // (section 11.2).
+        if has_coding {
             return Err(Malformed::LengthAndCoding);
         }
-        let digits = length.iter().all(u8::is_ascii_digit) && lengths.next().is_none();
-        let length = std::str::from_utf8(length).ok().filter(|_| digits).and_then(|text| text.parse().ok());
+        let is_decimal = length.iter().all(u8::is_ascii_digit) && lengths.next().is_none();
+        let length =
+            std::str::from_utf8(length).ok().filter(|_| is_decimal).and_then(|text| text.parse().ok());
         length.map(|length| Some(Framing::Length(length))).ok_or(Malformed::Length)
     }
 
-    /// Whether the connection can be used after this message (section 9.3).
+    /// Whether the connection stays usable after this message (section 9.3).
     pub(crate) fn persists(&self, minor: u8) -> bool {
         minor >= 1 && !self.list_contains("Connection", "close")
     }
 }
 
-/// Takes a head off the bytes once it is whole; `parse` returns its length.
-pub(crate) fn take<T>(
+/// Removes a head from `bytes` once it is complete. `parse` returns the length of the head and the parsed
+/// value.
+pub(crate) fn consume<T>(
     bytes: &mut BytesMut,
     limits: Limits,
     parse: impl FnOnce(&[u8]) -> Result<Option<(usize, T)>, httparse::Error>,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,37 +1,37 @@
-//! The server's side: reads requests, encodes responses.
+//! Server side: reads requests and encodes responses.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::body::{Decoder, Framing};
 use crate::{Headers, Limits, Malformed, head};
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// The method.
     pub method: Box<str>,
     /// The request target: path and query.
     pub target: Box<str>,
-    /// The fields.
+    /// Header fields.
     pub headers: Headers,
-    /// The body, decoded.
+    /// The decoded body.
     pub body: Bytes,
-    /// The client will send more on this connection.
+    /// Whether the client may send further requests on this connection.
     pub persists: bool,
 }
 
-/// What the bytes so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestEvent {
     /// More bytes are needed.
     More,
     /// The client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
     Continue,
-    /// A whole request.
+    /// A complete request.
     Request(Request),
 }
 
-/// A request whose head has come.
+/// A request whose head has been parsed.
 struct PartialRequest {
     request: Request,
     decoder: Decoder,
@@ -39,40 +39,40 @@
     expects_continue: bool,
 }
 
-/// Reads the requests of one connection, one after another.
+/// Reads the requests of one connection in sequence.
 pub struct RequestReader {
     limits: Limits,
     partial: Option<PartialRequest>,
-    /// Bytes that were received and not read yet.
+    /// Bytes received and not parsed yet.
     pub bytes: BytesMut,
 }
 
 impl RequestReader {
-    /// A reader at the start of a connection.
+    /// Creates a reader for a new connection.
     pub fn new(limits: Limits) -> RequestReader {
         RequestReader { limits, partial: None, bytes: BytesMut::new() }
     }
 
-    /// Whether part of a request has come.
+    /// Whether part of a request has been received.
     pub fn has_begun(&self) -> bool {
         self.partial.is_some() || !self.bytes.is_empty()
     }
 
-    /// Reads on.
+    /// Parses the bytes received so far.
     ///
     /// # Errors
-    /// The bytes are no request, or one that exceeds the limits. Nothing behind them can be read: the connection has to be
-    /// closed.
+    /// The bytes are not a valid request, or the request exceeds the limits. The bytes after it cannot be
+    /// interpreted, so the connection has to be closed.
     pub fn next_event(&mut self) -> Result<RequestEvent, Malformed> {
         if self.partial.is_none() {
-            self.partial = self.take_head()?;
+            self.partial = self.parse_head()?;
         }
         let Some(partial) = &mut self.partial else { return Ok(RequestEvent::More) };
-        let is_whole = partial.decoder.decode(&mut self.bytes, &mut partial.body)?;
+        let is_complete = partial.decoder.decode(&mut self.bytes, &mut partial.body)?;
         if partial.body.len() > self.limits.body {
             return Err(Malformed::BodyTooLong(self.limits.body));
         }
-        if !is_whole {
+        if !is_complete {
             let send_continue = std::mem::take(&mut partial.expects_continue) && partial.body.is_empty();
             return Ok(if send_continue { RequestEvent::Continue } else { RequestEvent::More });
         }
@@ -83,8 +83,8 @@
         Ok(RequestEvent::Request(request))
     }
 
-    fn take_head(&mut self) -> Result<Option<PartialRequest>, Malformed> {
-        let head = head::take(&mut self.bytes, self.limits, |bytes| {
+    fn parse_head(&mut self) -> Result<Option<PartialRequest>, Malformed> {
+        let head = head::consume(&mut self.bytes, self.limits, |bytes| {
             let mut fields = [httparse::EMPTY_HEADER; head::MAX_FIELDS];
             let mut head = httparse::Request::new(&mut fields);
             let httparse::Status::Complete(length) = head.parse(bytes)? else { return Ok(None) };
@@ -100,7 +100,7 @@
         })?;
         let Some((request, minor_version)) = head else { return Ok(None) };
         let headers = &request.headers;
-        // Section 3.2; a request of HTTP/1.0 need not have one.
+        // `Host` must occur exactly once (section 3.2); HTTP/1.0 requests may omit it.
         let hosts = headers.all("Host").count();
         if hosts > 1 || hosts == 0 && minor_version >= 1 {
             return Err(Malformed::Host);
@@ -121,7 +121,7 @@
 /// The interim response for [`RequestEvent::Continue`].
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Reason phrases (RFC 9110, 15) of the statuses that this project responds with.
+/// Reason phrases (RFC 9110, 15) of the status codes that this project sends.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -142,7 +142,7 @@
 }
 
 impl Malformed {
-    /// The status of the response to such a request.
+    /// The status code of the error response to a request with this error.
     pub fn status(&self) -> u16 {
         match self {
             Malformed::HeadTooLong(_) => 431,
@@ -154,8 +154,8 @@
     }
 }
 
-/// Encodes a response. Names and values of the fields are the caller's own or were read by [`RequestReader`] or
-/// [`crate::client::ResponseReader`], so that they hold no line end.
+/// Encodes a response. Field names and values are the caller's own or were parsed by [`RequestReader`] or
+/// [`crate::client::ResponseReader`], so they contain no line break.
 pub fn response(status: u16, fields: &[(&str, &[u8])], body: &[u8], close: bool) -> Bytes {
     let mut bytes = BytesMut::with_capacity(192 + body.len());
     bytes.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
--- a/crates/http/tests/connection.rs
+++ b/crates/http/tests/connection.rs
@@ -7,46 +7,46 @@
 use std::collections::{HashSet, VecDeque};
 
 use umbertray_http::connection::{
-    CloseDemand, ConnectionState, Event, NextStep, Obligation, Response, State,
+    CloseDemand, ConnectionState, Event, NextStep, Obligation, ResponseKind, State,
 };
 
 /// Bugs of the test's own making, each of which the search has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Plant {
+enum InjectedBug {
     None,
-    ClosedWhileBusy,
-    HandedOnAfterTheShutdown,
-    EndedOverParting,
-    LeftNotTold,
-    ClosedWithoutParting,
-    HalfClosedWithoutAWord,
-    ReadAheadForgotten,
-    RoomKeptThoughAsked,
+    ClosesWhileAwaitingResponse,
+    ForwardsAfterShutdown,
+    ExitsDuringLingeringClose,
+    DisconnectNotReported,
+    ClosesWithoutLingering,
+    ClosesPartialRequestUnanswered,
+    DropsReadAheadRequest,
+    KeepsCapacityDemandAfterRequest,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Property {
     /// A whole request that was read before the shutdown has a whole answer, unless its client has gone.
-    NoneLost,
+    RequestAnswered,
     /// Nothing read after the shutdown is handed on.
-    NothingAfterTheShutdown,
+    NothingForwardedAfterShutdown,
     /// Of an op whose client has gone the hub is told, once and at once.
-    LeftIsTold,
+    DisconnectReported,
     /// No answer is taken away by a close over unread bytes, unless its time is over or room is wanted.
-    NoAnswerReset,
+    ResponseNotReset,
     /// Who sent half a request is answered before the connection ends.
-    HalfIsAnswered,
+    PartialRequestAnswered,
     /// The process ends before its deadline only when nothing is owed.
-    EndsOwingNothing,
+    ExitsWithoutPendingResponses,
     /// Once the process ends, a silent client does not keep a connection.
-    ComesToAnEnd,
+    Terminates,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Sent {
-    Whole,
-    Half,
-    Rest,
+    Complete,
+    Partial,
+    Remainder,
     Fin,
 }
 
@@ -57,89 +57,89 @@
     /// The client resets; unread bytes are gone.
     Reset,
     /// The client reads what was written.
-    Taken,
+    ResponseRead,
     Phase(CloseDemand),
-    RoomWanted,
+    CapacityDemanded,
     /// The gateway reads what is first.
     Read,
     /// What is done now ends so.
-    Tell(Event),
+    Report(Event),
     Close,
     /// Nothing is owed, as far as the gateway knows.
-    ProcessEnds,
+    ProcessExits,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    plant: Plant,
+struct Model {
+    bug: InjectedBug,
     /// The client's requests persist, and are ops.
     persists: bool,
-    op: bool,
-    serving: ConnectionState,
-    todo: NextStep,
-    requests: u8,
-    half_out: bool,
+    is_op: bool,
+    connection: ConnectionState,
+    next_step: NextStep,
+    requests_left: u8,
+    partial_sent: bool,
     /// Sent, and not read by the gateway.
     unread: VecDeque<Sent>,
-    gone: bool,
+    client_closed: bool,
     reset: bool,
     /// Read by the gateway, and not taken: whole requests, and a half.
-    ahead: u8,
-    half: bool,
+    read_ahead: u8,
+    partial_read: bool,
     /// Of the half that was read, an error or a word that the connection ends was written.
-    told: bool,
+    close_announced: bool,
     /// Whole requests read before the shutdown and not answered.
-    obligation: u8,
-    handed_on: bool,
+    pending_responses: u8,
+    forwarded: bool,
     op_open: bool,
     /// An answer was written that the client has not read.
-    untaken: bool,
+    response_unread: bool,
     /// It took no answer in its time.
-    takes_nothing: bool,
+    client_not_reading: bool,
     /// Its time to read its last answer is over, or was cut for room.
-    had_time: bool,
-    shut: bool,
+    linger_expired: bool,
+    sending_shut_down: bool,
     closed: bool,
     phase: CloseDemand,
-    room: bool,
+    capacity_demanded: bool,
     /// Since the last request.
-    room_asked: bool,
+    demanded_since_request: bool,
 }
 
-type Kept = Result<(), Property>;
+type PropertyResult = Result<(), Property>;
 
-impl World {
-    fn new(plant: Plant, rejecting: bool, persists: bool, op: bool) -> World {
-        World {
-            plant,
+impl Model {
+    fn new(bug: InjectedBug, rejecting: bool, persists: bool, is_op: bool) -> Model {
+        Model {
+            bug,
             persists,
-            op,
-            serving: ConnectionState::new(rejecting),
-            todo: NextStep::Read,
-            requests: 2,
-            half_out: false,
+            is_op,
+            connection: ConnectionState::new(rejecting),
+            next_step: NextStep::Read,
+            requests_left: 2,
+            partial_sent: false,
             unread: VecDeque::new(),
-            gone: false,
+            client_closed: false,
             reset: false,
-            ahead: 0,
-            half: false,
-            told: false,
-            obligation: 0,
-            handed_on: false,
+            read_ahead: 0,
+            partial_read: false,
+            close_announced: false,
+            pending_responses: 0,
+            forwarded: false,
             op_open: false,
-            untaken: false,
-            takes_nothing: false,
-            had_time: false,
-            shut: false,
+            response_unread: false,
+            client_not_reading: false,
+            linger_expired: false,
+            sending_shut_down: false,
             closed: false,
             phase: CloseDemand::None,
-            room: false,
-            room_asked: false,
+            capacity_demanded: false,
+            demanded_since_request: false,
         }
     }
 
     fn demand(&self) -> CloseDemand {
-        if self.room { CloseDemand::ForCapacity } else { self.phase }
+        if self.capacity_demanded { CloseDemand::ForCapacity } else { self.phase }
     }
 
     fn steps(&self) -> Vec<Step> {
@@ -148,8 +148,8 @@
             return steps;
         }
         self.client_steps(&mut steps);
-        if !self.room && self.serving.obligation() != Obligation::Response {
-            steps.push(Step::RoomWanted);
+        if !self.capacity_demanded && self.connection.obligation() != Obligation::Response {
+            steps.push(Step::CapacityDemanded);
         }
         steps.extend(match self.phase {
             CloseDemand::None => Some(Step::Phase(CloseDemand::Graceful)),
@@ -157,27 +157,27 @@
             _ => None,
         });
         // The process waits for connections to end; planted, only for answers.
-        if self.plant == Plant::EndedOverParting
+        if self.bug == InjectedBug::ExitsDuringLingeringClose
             && self.phase == CloseDemand::Immediate
-            && self.serving.obligation() == Obligation::LingeringClose
+            && self.connection.obligation() == Obligation::LingeringClose
         {
-            steps.push(Step::ProcessEnds);
+            steps.push(Step::ProcessExits);
         }
         self.gateway_steps(&mut steps);
         steps
     }
 
     fn client_steps(&self, steps: &mut Vec<Step>) {
-        if self.gone {
+        if self.client_closed {
             return;
         }
-        if self.half_out {
-            steps.push(Step::Send(Sent::Rest));
-        } else if self.requests > 0 {
-            steps.extend([Sent::Whole, Sent::Half].map(Step::Send));
+        if self.partial_sent {
+            steps.push(Step::Send(Sent::Remainder));
+        } else if self.requests_left > 0 {
+            steps.extend([Sent::Complete, Sent::Partial].map(Step::Send));
         }
         steps.extend([Step::Send(Sent::Fin), Step::Reset]);
-        steps.extend(self.untaken.then_some(Step::Taken));
+        steps.extend(self.response_unread.then_some(Step::ResponseRead));
     }
 
     fn can_read(&self) -> bool {
@@ -185,242 +185,262 @@
     }
 
     fn gateway_steps(&self, steps: &mut Vec<Step>) {
-        let told = (self.demand() > self.serving.demand()).then_some(Step::Tell(Event::DemandChanged));
-        let found = match (self.ahead, self.half, self.serving.state()) {
-            (1.., _, _) => Some(Event::RequestRead { op: self.op, persists: self.persists }),
+        let demand_event =
+            (self.demand() > self.connection.demand()).then_some(Step::Report(Event::DemandChanged));
+        let request_event = match (self.read_ahead, self.partial_read, self.connection.state()) {
+            (1.., _, _) => Some(Event::RequestRead { is_op: self.is_op, persists: self.persists }),
             (0, true, State::AwaitingFirstRequest | State::Idle) => Some(Event::PartialRead),
             _ => None,
         };
-        match self.todo {
+        match self.next_step {
             // What was read ahead is looked at first.
-            NextStep::Read if found.is_some() => steps.extend(found.map(Step::Tell)),
+            NextStep::Read if request_event.is_some() => steps.extend(request_event.map(Step::Report)),
             NextStep::Read if self.can_read() => {
                 steps.push(Step::Read);
-                steps.extend(told);
+                steps.extend(demand_event);
             }
             NextStep::Read => {
-                steps.push(Step::Tell(Event::TimedOut));
-                steps.extend(told);
+                steps.push(Step::Report(Event::TimedOut));
+                steps.extend(demand_event);
             }
             NextStep::ReadAvailable if self.can_read() => steps.push(Step::Read),
-            NextStep::ReadAvailable => steps.push(Step::Tell(Event::NothingRead)),
+            NextStep::ReadAvailable => steps.push(Step::Report(Event::NothingRead)),
             NextStep::AwaitResponse => {
-                let more = self.ahead > 0;
-                steps.extend([Event::ResponseReady { more }, Event::RequestRefused].map(Step::Tell));
+                let has_next_request = self.read_ahead > 0;
+                steps.extend(
+                    [Event::ResponseReady { has_next_request }, Event::RequestInvalid].map(Step::Report),
+                );
                 steps.extend(self.can_read().then_some(Step::Read));
-                if self.plant == Plant::ClosedWhileBusy {
-                    steps.extend(told);
+                if self.bug == InjectedBug::ClosesWhileAwaitingResponse {
+                    steps.extend(demand_event);
                 }
             }
             NextStep::Write { .. } => {
-                steps.extend((!self.reset).then_some(Step::Tell(Event::Written)));
-                steps.push(Step::Tell(Event::WriteFailed));
+                steps.extend((!self.reset).then_some(Step::Report(Event::Written)));
+                steps.push(Step::Report(Event::WriteFailed));
             }
             NextStep::LingeringClose if self.can_read() => {
-                steps.extend([Step::Read, Step::Tell(Event::TimedOut)]);
+                steps.extend([Step::Read, Step::Report(Event::TimedOut)]);
             }
             NextStep::LingeringClose => {
-                steps.push(Step::Tell(Event::TimedOut));
+                steps.push(Step::Report(Event::TimedOut));
                 steps.extend(
-                    (self.demand() == CloseDemand::ForCapacity).then_some(Step::Tell(Event::DemandChanged)),
+                    (self.demand() == CloseDemand::ForCapacity).then_some(Step::Report(Event::DemandChanged)),
                 );
-                steps.extend(told);
+                steps.extend(demand_event);
             }
             NextStep::CancelRequest | NextStep::Close => steps.push(Step::Close),
         }
     }
 
-    fn step(&mut self, step: Step) -> Kept {
+    fn step(&mut self, step: Step) -> PropertyResult {
         match step {
             Step::Send(sent) => {
-                self.requests -= u8::from(matches!(sent, Sent::Whole | Sent::Half));
-                self.half_out = sent == Sent::Half;
-                self.gone |= sent == Sent::Fin;
+                self.requests_left -= u8::from(matches!(sent, Sent::Complete | Sent::Partial));
+                self.partial_sent = sent == Sent::Partial;
+                self.client_closed |= sent == Sent::Fin;
                 self.unread.push_back(sent);
             }
             Step::Reset => {
-                (self.gone, self.reset) = (true, true);
+                (self.client_closed, self.reset) = (true, true);
                 self.unread.clear();
             }
-            Step::Taken => self.untaken = false,
-            Step::Phase(wanted) => self.phase = wanted,
-            Step::RoomWanted => (self.room, self.room_asked) = (true, true),
+            Step::ResponseRead => self.response_unread = false,
+            Step::Phase(demand) => self.phase = demand,
+            Step::CapacityDemanded => (self.capacity_demanded, self.demanded_since_request) = (true, true),
             Step::Read => return self.read(),
-            Step::Tell(event) => return self.tell(event),
+            Step::Report(event) => return self.report(event),
             Step::Close => return self.close(),
-            Step::ProcessEnds => {
-                let owes = !self.gone && (self.untaken || self.obligation > 0);
+            Step::ProcessExits => {
+                let has_pending = !self.client_closed && (self.response_unread || self.pending_responses > 0);
                 self.closed = true;
-                return if owes { Err(Property::EndsOwingNothing) } else { Ok(()) };
+                return if has_pending { Err(Property::ExitsWithoutPendingResponses) } else { Ok(()) };
             }
         }
         Ok(())
     }
 
-    fn read(&mut self) -> Kept {
+    fn read(&mut self) -> PropertyResult {
         let sent = if self.reset { Sent::Fin } else { self.unread.pop_front().expect("it can read") };
-        if self.shut && sent != Sent::Fin {
-            if self.plant == Plant::HandedOnAfterTheShutdown && sent != Sent::Half {
-                self.todo = NextStep::AwaitResponse;
-                return self.hand_on();
+        if self.sending_shut_down && sent != Sent::Fin {
+            if self.bug == InjectedBug::ForwardsAfterShutdown && sent != Sent::Partial {
+                self.next_step = NextStep::AwaitResponse;
+                return self.forward();
             }
             return Ok(());
         }
         match sent {
-            Sent::Fin => return self.tell(Event::PeerClosed),
-            Sent::Half => (self.half, self.told) = (true, false),
-            Sent::Whole | Sent::Rest => {
-                self.half &= sent != Sent::Rest;
-                self.ahead += 1;
-                self.obligation += 1;
+            Sent::Fin => return self.report(Event::PeerClosed),
+            Sent::Partial => (self.partial_read, self.close_announced) = (true, false),
+            Sent::Complete | Sent::Remainder => {
+                self.partial_read &= sent != Sent::Remainder;
+                self.read_ahead += 1;
+                self.pending_responses += 1;
             }
         }
-        match (self.todo, self.ahead) {
+        match (self.next_step, self.read_ahead) {
             (NextStep::AwaitResponse, _) => Ok(()),
-            (_, 0) => self.tell(Event::PartialRead),
-            _ => self.tell(Event::RequestRead { op: self.op, persists: self.persists }),
+            (_, 0) => self.report(Event::PartialRead),
+            _ => self.report(Event::RequestRead { is_op: self.is_op, persists: self.persists }),
         }
     }
 
-    fn hand_on(&mut self) -> Kept {
-        if self.shut {
-            return Err(Property::NothingAfterTheShutdown);
+    fn forward(&mut self) -> PropertyResult {
+        if self.sending_shut_down {
+            return Err(Property::NothingForwardedAfterShutdown);
         }
-        (self.handed_on, self.op_open) = (true, self.op);
+        (self.forwarded, self.op_open) = (true, self.is_op);
         Ok(())
     }
 
-    fn tell(&mut self, event: Event) -> Kept {
-        let (was, state) = (self.todo, self.serving.state());
-        self.serving.raise_demand(self.demand());
+    fn report(&mut self, event: Event) -> PropertyResult {
+        let (previous_step, state) = (self.next_step, self.connection.state());
+        self.connection.raise_demand(self.demand());
         if matches!(event, Event::RequestRead { .. }) {
-            self.ahead -= 1;
+            self.read_ahead -= 1;
         }
-        if let (NextStep::Write { response, last }, Event::Written) = (was, event) {
-            self.written(response, last);
+        if let (NextStep::Write { response, is_last }, Event::Written) = (previous_step, event) {
+            self.written(response, is_last);
         }
-        self.takes_nothing |= event == Event::WriteFailed;
-        self.had_time |= state == State::LingeringClose && (event == Event::TimedOut || self.room_asked);
-        if matches!(event, Event::ResponseReady { .. } | Event::RequestRefused) {
+        self.client_not_reading |= event == Event::WriteFailed;
+        self.linger_expired |=
+            state == State::LingeringClose && (event == Event::TimedOut || self.demanded_since_request);
+        if matches!(event, Event::ResponseReady { .. } | Event::RequestInvalid) {
             self.op_open = false;
         }
-        self.room_asked &= !matches!(event, Event::RequestRead { .. });
+        self.demanded_since_request &= !matches!(event, Event::RequestRead { .. });
         let was_open = self.op_open;
-        self.todo = self.planted(state, event);
-        self.room = self.serving.demand() == CloseDemand::ForCapacity;
-        if event == Event::PeerClosed && was_open && self.todo != NextStep::CancelRequest {
-            return Err(Property::LeftIsTold);
+        self.next_step = self.next_step_with_bug(state, event);
+        self.capacity_demanded = self.connection.demand() == CloseDemand::ForCapacity;
+        if event == Event::PeerClosed && was_open && self.next_step != NextStep::CancelRequest {
+            return Err(Property::DisconnectReported);
         }
-        match self.todo {
-            NextStep::LingeringClose => self.shut = true,
-            NextStep::AwaitResponse if was != NextStep::AwaitResponse => return self.hand_on(),
+        match self.next_step {
+            NextStep::LingeringClose => self.sending_shut_down = true,
+            NextStep::AwaitResponse if previous_step != NextStep::AwaitResponse => return self.forward(),
             _ => {}
         }
         Ok(())
     }
 
-    fn written(&mut self, response: Response, last: bool) {
-        self.untaken = !self.gone;
-        self.told |= last;
+    fn written(&mut self, response: ResponseKind, is_last: bool) {
+        self.response_unread = !self.client_closed;
+        self.close_announced |= is_last;
         match response {
-            Response::RequestTimeout => {}
-            _ => self.obligation = self.obligation.saturating_sub(1),
+            ResponseKind::RequestTimeout => {}
+            _ => self.pending_responses = self.pending_responses.saturating_sub(1),
         }
-        if last && (!self.persists || response != Response::Own) {
+        if is_last && (!self.persists || response != ResponseKind::Final) {
             // The client has said that it sends no more, or what is behind an error is no request.
-            self.obligation = 0;
+            self.pending_responses = 0;
         }
     }
 
-    fn planted(&mut self, state: State, event: Event) -> NextStep {
-        let before = self.serving.clone();
-        let todo = self.serving.on_event(event);
-        match (self.plant, state, todo) {
-            (Plant::ClosedWhileBusy, State::AwaitingResponse { .. }, _) if event == Event::DemandChanged => {
+    fn next_step_with_bug(&mut self, state: State, event: Event) -> NextStep {
+        let before = self.connection.clone();
+        let next_step = self.connection.on_event(event);
+        match (self.bug, state, next_step) {
+            (InjectedBug::ClosesWhileAwaitingResponse, State::AwaitingResponse { .. }, _)
+                if event == Event::DemandChanged =>
+            {
                 NextStep::Close
             }
-            (Plant::LeftNotTold, _, NextStep::CancelRequest) => NextStep::Close,
-            (Plant::ClosedWithoutParting, _, NextStep::LingeringClose) => NextStep::Close,
+            (InjectedBug::DisconnectNotReported, _, NextStep::CancelRequest) => NextStep::Close,
+            (InjectedBug::ClosesWithoutLingering, _, NextStep::LingeringClose) => NextStep::Close,
             (
-                Plant::HalfClosedWithoutAWord,
+                InjectedBug::ClosesPartialRequestUnanswered,
                 State::ReadingRequest { .. },
-                NextStep::Write { response: Response::Rejection, .. },
+                NextStep::Write { response: ResponseKind::Rejection, .. },
             ) => NextStep::Close,
-            (Plant::ReadAheadForgotten, State::AwaitingResponse { .. }, _)
-                if event == (Event::ResponseReady { more: true }) =>
+            (InjectedBug::DropsReadAheadRequest, State::AwaitingResponse { .. }, _)
+                if event == (Event::ResponseReady { has_next_request: true }) =>
             {
-                self.serving = before;
-                self.serving.on_event(Event::ResponseReady { more: false })
+                self.connection = before;
+                self.connection.on_event(Event::ResponseReady { has_next_request: false })
             }
-            (Plant::RoomKeptThoughAsked, _, _) if before.demand() == CloseDemand::ForCapacity => {
-                self.serving.raise_demand(CloseDemand::ForCapacity);
-                todo
+            (InjectedBug::KeepsCapacityDemandAfterRequest, _, _)
+                if before.demand() == CloseDemand::ForCapacity =>
+            {
+                self.connection.raise_demand(CloseDemand::ForCapacity);
+                next_step
             }
-            _ => todo,
+            _ => next_step,
         }
     }
 
-    fn close(&mut self) -> Kept {
+    fn close(&mut self) -> PropertyResult {
         self.closed = true;
-        if self.todo == NextStep::CancelRequest {
-            let told = std::mem::take(&mut self.op_open);
-            return if told || !self.op || !self.handed_on { Ok(()) } else { Err(Property::LeftIsTold) };
+        if self.next_step == NextStep::CancelRequest {
+            let was_open = std::mem::take(&mut self.op_open);
+            return if was_open || !self.is_op || !self.forwarded {
+                Ok(())
+            } else {
+                Err(Property::DisconnectReported)
+            };
         }
         if self.op_open {
-            return Err(if self.gone { Property::LeftIsTold } else { Property::NoneLost });
+            return Err(if self.client_closed {
+                Property::DisconnectReported
+            } else {
+                Property::RequestAnswered
+            });
         }
-        if self.gone || self.takes_nothing {
+        if self.client_closed || self.client_not_reading {
             return Ok(());
         }
-        if self.obligation > 0 {
-            return Err(Property::NoneLost);
+        if self.pending_responses > 0 {
+            return Err(Property::RequestAnswered);
+        }
+        if self.response_unread && !self.linger_expired {
+            return Err(Property::ResponseNotReset);
         }
-        if self.untaken && !self.had_time {
-            return Err(Property::NoAnswerReset);
+        if self.partial_read && !self.close_announced {
+            Err(Property::PartialRequestAnswered)
+        } else {
+            Ok(())
         }
-        if self.half && !self.told { Err(Property::HalfIsAnswered) } else { Ok(()) }
     }
 
     /// The process ends, the client is silent: all that is left is the gateway's own.
-    fn comes_to_an_end(&self) -> Kept {
-        let mut world = self.clone();
-        (world.phase, world.plant) = (CloseDemand::Immediate, Plant::None);
+    fn check_termination(&self) -> PropertyResult {
+        let mut model = self.clone();
+        (model.phase, model.bug) = (CloseDemand::Immediate, InjectedBug::None);
         for _ in 0..40 {
-            if world.closed {
+            if model.closed {
                 return Ok(());
             }
             let mut steps = Vec::new();
-            world.gateway_steps(&mut steps);
-            let Some(step) = steps.first() else { return Err(Property::ComesToAnEnd) };
-            world.step(*step)?;
+            model.gateway_steps(&mut steps);
+            let Some(step) = steps.first() else { return Err(Property::Terminates) };
+            model.step(*step)?;
         }
-        Err(Property::ComesToAnEnd)
+        Err(Property::Terminates)
     }
 }
 
-struct Found {
+struct Exploration {
     states: usize,
-    broken: Option<(Property, Vec<Step>)>,
+    violation: Option<(Property, Vec<Step>)>,
 }
 
 /// Breadth first, so that what is found is found by a shortest way.
-fn explore(start: World) -> Found {
+fn explore(start: Model) -> Exploration {
     let mut seen = HashSet::from([start.clone()]);
     let mut queue = VecDeque::from([(start, Vec::new())]);
-    while let Some((world, trace)) = queue.pop_front() {
-        for step in world.steps() {
-            let mut next = world.clone();
-            let kept = next.step(step).and_then(|()| next.comes_to_an_end());
+    while let Some((model, trace)) = queue.pop_front() {
+        for step in model.steps() {
+            let mut next = model.clone();
+            let result = next.step(step).and_then(|()| next.check_termination());
             let after = || trace.iter().copied().chain([step]).collect::<Vec<_>>();
-            if let Err(property) = kept {
-                return Found { states: seen.len(), broken: Some((property, after())) };
+            if let Err(property) = result {
+                return Exploration { states: seen.len(), violation: Some((property, after())) };
             }
             if seen.insert(next.clone()) {
                 queue.push_back((next, after()));
             }
         }
     }
-    Found { states: seen.len(), broken: None }
+    Exploration { states: seen.len(), violation: None }
 }
 
 #[test]
@@ -428,9 +448,12 @@
     let mut states = 0;
     for rejecting in [false, true] {
         for persists in [true, false] {
-            for op in [true, false] {
-                let found = explore(World::new(Plant::None, rejecting, persists, op));
-                assert_eq!(found.broken, None, "turned away: {rejecting}, persists: {persists}, op: {op}");
+            for is_op in [true, false] {
+                let found = explore(Model::new(InjectedBug::None, rejecting, persists, is_op));
+                assert_eq!(
+                    found.violation, None,
+                    "turned away: {rejecting}, persists: {persists}, is_op: {is_op}"
+                );
                 states += found.states;
             }
         }
@@ -441,19 +464,19 @@
 
 #[test]
 fn planted_faults_are_detected() {
-    for (plant, property) in [
-        (Plant::ClosedWhileBusy, Property::NoneLost),
-        (Plant::HandedOnAfterTheShutdown, Property::NothingAfterTheShutdown),
-        (Plant::EndedOverParting, Property::EndsOwingNothing),
-        (Plant::LeftNotTold, Property::LeftIsTold),
-        (Plant::ClosedWithoutParting, Property::NoAnswerReset),
-        (Plant::HalfClosedWithoutAWord, Property::HalfIsAnswered),
-        (Plant::ReadAheadForgotten, Property::NoneLost),
-        (Plant::RoomKeptThoughAsked, Property::NoAnswerReset),
+    for (bug, property) in [
+        (InjectedBug::ClosesWhileAwaitingResponse, Property::RequestAnswered),
+        (InjectedBug::ForwardsAfterShutdown, Property::NothingForwardedAfterShutdown),
+        (InjectedBug::ExitsDuringLingeringClose, Property::ExitsWithoutPendingResponses),
+        (InjectedBug::DisconnectNotReported, Property::DisconnectReported),
+        (InjectedBug::ClosesWithoutLingering, Property::ResponseNotReset),
+        (InjectedBug::ClosesPartialRequestUnanswered, Property::PartialRequestAnswered),
+        (InjectedBug::DropsReadAheadRequest, Property::RequestAnswered),
+        (InjectedBug::KeepsCapacityDemandAfterRequest, Property::ResponseNotReset),
     ] {
-        let found = explore(World::new(plant, false, true, true));
-        let (broken, trace) = found.broken.unwrap_or_else(|| panic!("{plant:?} is not found"));
-        println!("{plant:?} breaks {broken:?}: {trace:?}");
-        assert_eq!(broken, property, "{plant:?}: {trace:?}");
+        let found = explore(Model::new(bug, false, true, true));
+        let (violation, trace) = found.violation.unwrap_or_else(|| panic!("{bug:?} is not found"));
+        println!("{bug:?} breaks {violation:?}: {trace:?}");
+        assert_eq!(violation, property, "{bug:?}: {trace:?}");
     }
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -13,56 +13,56 @@
     \r\nPUT /f HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;kind=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTail: 1\r\n\r\n\
     GET /g HTTP/1.0\r\n\r\n";
 
-const ANSWERS: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
+const RESPONSES: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
     HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nabc\
     HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n\
     HTTP/1.1 204 None\r\nConnection: close\r\n\r\n";
 
 /// Cuts bytes at the places that the numbers tell.
-fn cut(bytes: &[u8], places: &[usize]) -> Vec<Vec<u8>> {
-    let mut places: Vec<usize> = places.iter().map(|place| place % (bytes.len() + 1)).collect();
-    places.extend([0, bytes.len()]);
-    places.sort_unstable();
-    places.windows(2).map(|pair| bytes[pair[0]..pair[1]].to_vec()).collect()
+fn split(bytes: &[u8], positions: &[usize]) -> Vec<Vec<u8>> {
+    let mut positions: Vec<usize> = positions.iter().map(|position| position % (bytes.len() + 1)).collect();
+    positions.extend([0, bytes.len()]);
+    positions.sort_unstable();
+    positions.windows(2).map(|pair| bytes[pair[0]..pair[1]].to_vec()).collect()
 }
 
-fn requests(parts: &[Vec<u8>]) -> Result<Vec<Request>, Malformed> {
-    let (mut reader, mut whole) = (RequestReader::new(LIMITS), Vec::new());
+fn read_requests(parts: &[Vec<u8>]) -> Result<Vec<Request>, Malformed> {
+    let (mut reader, mut complete) = (RequestReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
         while let RequestEvent::Request(request) = reader.next_event()? {
-            whole.push(request);
+            complete.push(request);
         }
     }
-    Ok(whole)
+    Ok(complete)
 }
 
-fn answers(parts: &[Vec<u8>]) -> Result<Vec<Response>, Malformed> {
-    let (mut reader, mut whole) = (ResponseReader::new(LIMITS), Vec::new());
+fn read_responses(parts: &[Vec<u8>]) -> Result<Vec<Response>, Malformed> {
+    let (mut reader, mut complete) = (ResponseReader::new(LIMITS), Vec::new());
     for part in parts {
         reader.bytes.extend_from_slice(part);
-        while let Some(answer) = reader.response()? {
-            whole.push(answer);
+        while let Some(response) = reader.response()? {
+            complete.push(response);
         }
     }
-    Ok(whole)
+    Ok(complete)
 }
 
 quickcheck! {
-    fn cuts_do_not_change_requests(places: Vec<usize>) -> bool {
-        requests(&cut(REQUESTS, &places)) == requests(&[REQUESTS.to_vec()])
+    fn cuts_do_not_change_requests(positions: Vec<usize>) -> bool {
+        read_requests(&split(REQUESTS, &positions)) == read_requests(&[REQUESTS.to_vec()])
     }
 
-    fn cuts_do_not_change_answers(places: Vec<usize>) -> bool {
-        answers(&cut(ANSWERS, &places)) == answers(&[ANSWERS.to_vec()])
+    fn cuts_do_not_change_answers(positions: Vec<usize>) -> bool {
+        read_responses(&split(RESPONSES, &positions)) == read_responses(&[RESPONSES.to_vec()])
     }
 
     /// What comes is taken or refused, and no more is held than the limits say.
-    fn noise_is_refused_or_waited_for(noise: Vec<u8>, copies: u8) -> bool {
+    fn noise_is_rejected_or_buffered_within_limits(noise: Vec<u8>, copies: u8) -> bool {
         let noise = noise.repeat(usize::from(copies));
-        let held = requests(std::slice::from_ref(&noise)).is_ok();
-        answers(std::slice::from_ref(&noise)).ok();
-        !held || noise.len() < LIMITS.head || noise.iter().all(|byte| b"\r\n".contains(byte))
+        let is_buffered = read_requests(std::slice::from_ref(&noise)).is_ok();
+        read_responses(std::slice::from_ref(&noise)).ok();
+        !is_buffered || noise.len() < LIMITS.head || noise.iter().all(|byte| b"\r\n".contains(byte))
     }
 }
 
@@ -72,46 +72,59 @@
 
 #[test]
 fn requests_split_into_single_bytes_are_read_unchanged() {
-    let whole = requests(&single_bytes(REQUESTS)).expect("well formed");
-    let told: Vec<_> = whole.iter().map(|r| (&*r.method, &*r.target, &r.body[..], r.persists)).collect();
+    let complete = read_requests(&single_bytes(REQUESTS)).expect("well formed");
+    let parsed: Vec<_> = complete.iter().map(|r| (&*r.method, &*r.target, &r.body[..], r.persists)).collect();
     let expected: [(&str, &str, &[u8], bool); 4] = [
         ("PUT", "/a/b", b"hello", true),
         ("GET", "/c?d=e", b"", true),
         ("PUT", "/f", b"abc0123456789", true),
         ("GET", "/g", b"", false),
     ];
-    assert_eq!(told, expected);
-    assert_eq!(whole[0].headers.one("x-own"), Ok(Some(&b"1"[..])));
+    assert_eq!(parsed, expected);
+    assert_eq!(complete[0].headers.one("x-own"), Ok(Some(&b"1"[..])));
 }
 
 #[test]
 fn responses_split_into_single_bytes_are_read_unchanged() {
-    let whole = answers(&single_bytes(ANSWERS)).expect("well formed");
-    let told: Vec<_> = whole.iter().map(|a| (a.head.status, &a.body[..], a.head.persists)).collect();
-    assert_eq!(told, [(200, &b"abc"[..], true), (503, &b"no"[..], true), (204, &b""[..], false)]);
+    let complete = read_responses(&single_bytes(RESPONSES)).expect("well formed");
+    let parsed: Vec<_> = complete.iter().map(|a| (a.head.status, &a.body[..], a.head.persists)).collect();
+    assert_eq!(parsed, [(200, &b"abc"[..], true), (503, &b"no"[..], true), (204, &b""[..], false)]);
 }
 
-fn refused(head: &str) -> Malformed {
-    requests(&[head.as_bytes().to_vec()]).expect_err(head)
+fn request_error(head: &str) -> Malformed {
+    read_requests(&[head.as_bytes().to_vec()]).expect_err(head)
 }
 
-fn with(fields: &str) -> Malformed {
-    refused(&format!("PUT /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n\r\n"))
+fn error_with_fields(fields: &str) -> Malformed {
+    request_error(&format!("PUT /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n\r\n"))
 }
 
 #[test]
 fn ambiguous_body_length_is_malformed() {
     for length in ["", "-1", "+5", "5, 5", "5 5", "0x5", "1e3", "99999999999999999999", " "] {
-        assert_eq!(with(&format!("Content-Length: {length}")), Malformed::Length, "{length:?}");
+        assert_eq!(error_with_fields(&format!("Content-Length: {length}")), Malformed::Length, "{length:?}");
     }
-    assert_eq!(with("Content-Length: 5\r\nContent-Length: 5"), Malformed::Length);
-    assert_eq!(with("Content-Length: 5\r\nTransfer-Encoding: chunked"), Malformed::LengthAndCoding);
-    assert_eq!(with("Transfer-Encoding: chunked\r\ncontent-length: 5"), Malformed::LengthAndCoding);
+    assert_eq!(error_with_fields("Content-Length: 5\r\nContent-Length: 5"), Malformed::Length);
+    assert_eq!(
+        error_with_fields("Content-Length: 5\r\nTransfer-Encoding: chunked"),
+        Malformed::LengthAndCoding
+    );
+    assert_eq!(
+        error_with_fields("Transfer-Encoding: chunked\r\ncontent-length: 5"),
+        Malformed::LengthAndCoding
+    );
     for coding in ["gzip, chunked", "identity", "chunked, chunked", "xchunked", ""] {
-        assert_eq!(with(&format!("Transfer-Encoding: {coding}")), Malformed::Coding, "{coding:?}");
+        assert_eq!(
+            error_with_fields(&format!("Transfer-Encoding: {coding}")),
+            Malformed::Coding,
+            "{coding:?}"
+        );
     }
-    assert_eq!(with("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"), Malformed::Coding);
-    assert_eq!(refused("PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Malformed::Coding);
+    assert_eq!(
+        error_with_fields("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked"),
+        Malformed::Coding
+    );
+    assert_eq!(request_error("PUT /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Malformed::Coding);
 }
 
 #[test]
@@ -126,25 +139,25 @@
 #[test]
 fn head_over_limit_or_malformed_is_rejected() {
     assert_eq!(
-        refused(&format!("GET /{} HTTP/1.1\r\nHost: x\r\n\r\n", "a".repeat(1024))),
+        request_error(&format!("GET /{} HTTP/1.1\r\nHost: x\r\n\r\n", "a".repeat(1024))),
         Malformed::HeadTooLong(1024)
     );
-    assert_eq!(refused(&format!("GET /{}", "a".repeat(1024))), Malformed::HeadTooLong(1024));
-    assert_eq!(with(&"A: 1\r\n".repeat(80)), Malformed::HeadTooLong(1024));
-    assert_eq!(refused("GET /a HTTP/2.0\r\nHost: x\r\n\r\n"), Malformed::Version);
-    assert_eq!(refused("GET /a HTTP/1.1\r\n\r\n"), Malformed::Host);
-    assert_eq!(with("Host: y"), Malformed::Host);
-    assert!(matches!(with("Bad Name: 1"), Malformed::Head(_)));
-    assert!(matches!(with("Folded: 1\r\n 2"), Malformed::Head(_)));
-    assert!(matches!(refused("\u{1}\u{2}\u{3}"), Malformed::Head(_)));
-    assert_eq!(with("Content-Length: 513"), Malformed::BodyTooLong(512), "from the head alone");
-    assert_eq!(with("Content-Length: 60000000"), Malformed::BodyTooLong(512));
+    assert_eq!(request_error(&format!("GET /{}", "a".repeat(1024))), Malformed::HeadTooLong(1024));
+    assert_eq!(error_with_fields(&"A: 1\r\n".repeat(80)), Malformed::HeadTooLong(1024));
+    assert_eq!(request_error("GET /a HTTP/2.0\r\nHost: x\r\n\r\n"), Malformed::Version);
+    assert_eq!(request_error("GET /a HTTP/1.1\r\n\r\n"), Malformed::Host);
+    assert_eq!(error_with_fields("Host: y"), Malformed::Host);
+    assert!(matches!(error_with_fields("Bad Name: 1"), Malformed::Head(_)));
+    assert!(matches!(error_with_fields("Folded: 1\r\n 2"), Malformed::Head(_)));
+    assert!(matches!(request_error("\u{1}\u{2}\u{3}"), Malformed::Head(_)));
+    assert_eq!(error_with_fields("Content-Length: 513"), Malformed::BodyTooLong(512), "from the head alone");
+    assert_eq!(error_with_fields("Content-Length: 60000000"), Malformed::BodyTooLong(512));
 }
 
 #[test]
 fn chunk_over_limit_or_malformed_is_rejected() {
     let chunked = |chunks: &str| {
-        refused(&format!("PUT /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}"))
+        request_error(&format!("PUT /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}"))
     };
     assert_eq!(chunked("zz\r\n"), Malformed::Chunk);
     assert_eq!(chunked("3\r\nabcd\r\n"), Malformed::Chunk);
@@ -165,8 +178,8 @@
     assert_eq!(chunked(&format!("0\r\n{}", "T: 1\r\n".repeat(1000))), Malformed::Chunk);
 }
 
-fn malformed_response(answer: &str) -> Malformed {
-    answers(&[answer.as_bytes().to_vec()]).expect_err(answer)
+fn malformed_response(response: &str) -> Malformed {
+    read_responses(&[response.as_bytes().to_vec()]).expect_err(response)
 }
 
 #[test]
@@ -198,7 +211,7 @@
 /// It was refused, whole or not: its op was lost. Before its connection has ended in good order it is no answer.
 #[test]
 fn response_without_length_ends_at_close_only() {
-    for (text, whole) in [
+    for (text, complete) in [
         ("HTTP/1.1 200 OK\r\n\r\nuntil the end", Some("until the end")),
         ("HTTP/1.0 200 OK\r\n\r\n", Some("")),
         ("HTTP/1.1 200 OK\r\n", None),
@@ -211,8 +224,12 @@
             reader.bytes.extend_from_slice(&[byte]);
             assert_eq!(reader.response(), Ok(None), "{text}");
         }
-        let answer = reader.on_close().expect("well formed");
-        assert_eq!(answer.as_ref().map(|answer| &answer.body[..]), whole.map(str::as_bytes), "{text}");
+        let response = reader.on_close().expect("well formed");
+        assert_eq!(
+            response.as_ref().map(|response| &response.body[..]),
+            complete.map(str::as_bytes),
+            "{text}"
+        );
     }
     let endless = format!("HTTP/1.1 200 OK\r\n\r\n{}", "a".repeat(513));
     assert_eq!(malformed_response(&endless), Malformed::BodyTooLong(512));
@@ -241,10 +258,10 @@
 #[test]
 fn encoded_message_is_read_back() {
     let bytes = client::request("PUT", "/a?b", "x:1", &[("X-Own", b"7")], b"body");
-    let read = requests(&[bytes.to_vec()]).expect("our own");
+    let read = read_requests(&[bytes.to_vec()]).expect("our own");
     assert_eq!((&*read[0].target, &read[0].body[..]), ("/a?b", &b"body"[..]));
     let bytes = server::response(429, &[("Retry-After", b"0.110")], b"", true);
-    let read = answers(&[bytes.to_vec()]).expect("our own");
+    let read = read_responses(&[bytes.to_vec()]).expect("our own");
     assert_eq!((read[0].head.status, read[0].head.persists), (429, false));
     assert_eq!(read[0].head.headers.one("retry-after"), Ok(Some(&b"0.110"[..])));
 }
