--- a/crates/http-api/src/messages.rs
+++ b/crates/http-api/src/messages.rs
@@ -178,7 +178,7 @@
     },
     /// Open a watch on the endpoint list.
     WatchEndpoints,
-    /// Fetch the whole endpoint list.
+    /// Fetch the complete endpoint list.
     FetchEndpoints,
     /// Log a message.
     Log(String),
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -1,4 +1,5 @@
-//! The core in virtual time: requests to ops, answers to outcomes, and one final answer for each way an op can end.
+//! The core in virtual time: requests become operations, responses become outcomes, and every operation gets
+//! exactly one final response, however it ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +24,8 @@
 fn entry(uid: &str, shard: u32, state: &str, boot_ms: u64) -> String {
     let port = 7000 + uid.bytes().map(u16::from).sum::<u16>();
     format!(
-        r#"{{"uid":"{uid}","endpoint":"127.0.0.1:{port}","az":"b","model":"m","pod_group":{shard},"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
+        "{{\"uid\":\"{uid}\",\"endpoint\":\"127.0.0.1:{port}\",\"az\":\"b\",\"model\":\"m\",\
+         \"pod_group\":{shard},\"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":{boot_ms}}}"
     )
 }
 
@@ -48,34 +50,34 @@
     )
 }
 
-struct TestCore {
+struct Harness {
     core: Core,
     now: Duration,
     clients: u64,
 }
 
-impl TestCore {
-    fn new() -> TestCore {
-        TestCore::with(SETTINGS, &[entry("s0", 0, "ready", 0), entry("s1", 1, "ready", 0)])
+impl Harness {
+    fn new() -> Harness {
+        Harness::with(SETTINGS, &[entry("s0", 0, "ready", 0), entry("s1", 1, "ready", 0)])
     }
 
-    /// A process that has heard that its earlier list holds.
-    fn with(settings: &str, entries: &[String]) -> TestCore {
-        let mut world = TestCore::with_stale_list(settings, entries);
-        world.handle(vec![Input::EndpointList(
+    /// A core whose cached list was confirmed by discovery.
+    fn with(settings: &str, entries: &[String]) -> Harness {
+        let mut harness = Harness::with_stale_list(settings, entries);
+        harness.handle(vec![Input::EndpointList(
             EndpointList::parse(list(1, false, &[]).as_bytes()).expect("a list"),
         )]);
-        world
+        harness
     }
 
-    /// A new process that knows its earlier list alone.
-    fn with_stale_list(settings: &str, entries: &[String]) -> TestCore {
+    /// A new core that has only its cached list.
+    fn with_stale_list(settings: &str, entries: &[String]) -> Harness {
         let known = list(1, true, entries);
-        let config = Config::parse(&config(settings, &known)).expect("a whole configuration");
-        let mut world =
-            TestCore { core: Core::start(&config, START).expect("it starts"), now: START, clients: 0 };
-        world.handle(vec![]);
-        world
+        let config = Config::parse(&config(settings, &known)).expect("a valid configuration");
+        let mut harness =
+            Harness { core: Core::start(&config, START).expect("it starts"), now: START, clients: 0 };
+        harness.handle(vec![]);
+        harness
     }
 
     fn handle(&mut self, inputs: Vec<Input>) -> Vec<Effect> {
@@ -84,7 +86,7 @@
         effects
     }
 
-    /// Time passes as on a clock that wakes the core when it asked for it.
+    /// Advances the time, and wakes the core at each of its deadlines.
     fn advance(&mut self, duration: Duration) -> Vec<Effect> {
         let (end, mut effects) = (self.now + duration, Vec::new());
         while let Some(at) = self.core.next_deadline().filter(|at| *at <= end) {
@@ -103,8 +105,8 @@
         (client, effects)
     }
 
-    fn finish_attempt(&mut self, attempt: AttemptId, returned: AttemptOutcome) -> Vec<Effect> {
-        self.handle(vec![Input::AttemptFinished { attempt, outcome: returned, finished_at: self.now }])
+    fn finish_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) -> Vec<Effect> {
+        self.handle(vec![Input::AttemptFinished { attempt, outcome, finished_at: self.now }])
     }
 }
 
@@ -141,12 +143,13 @@
 fn response_outcome(text: &str) -> AttemptOutcome {
     let mut reader = ResponseReader::new(LIMITS);
     reader.bytes.extend_from_slice(text.as_bytes());
-    AttemptOutcome::Response(reader.response().expect("well formed").expect("whole"))
+    AttemptOutcome::Response(reader.response().expect("well formed").expect("complete"))
 }
 
 fn ok() -> AttemptOutcome {
     response_outcome(
-        "HTTP/1.1 200 OK\r\nContent-Type: own/kind\r\nX-Rho: noise\r\nX-Backend-Load: queue=x,util=0.5,\r\nContent-Length: 4\r\n\r\nbody",
+        "HTTP/1.1 200 OK\r\nContent-Type: own/kind\r\nX-Rho: noise\r\n\
+         X-Backend-Load: queue=x,util=0.5,\r\nContent-Length: 4\r\n\r\nbody",
     )
 }
 
@@ -155,23 +158,23 @@
 }
 
 fn started_attempts(effects: &[Effect]) -> Vec<(AttemptId, SocketAddr)> {
-    let send = |effect: &Effect| match effect {
+    let to_attempt = |effect: &Effect| match effect {
         Effect::StartAttempt { attempt, address, .. } => Some((*attempt, *address)),
         _ => None,
     };
-    effects.iter().filter_map(send).collect()
+    effects.iter().filter_map(to_attempt).collect()
 }
 
 fn responses(effects: &[Effect]) -> Vec<(ClientId, FinalResponse)> {
-    let answer = |effect: &Effect| match effect {
+    let to_response = |effect: &Effect| match effect {
         Effect::Respond { client, response: reply } => Some((*client, reply.clone())),
         _ => None,
     };
-    effects.iter().filter_map(answer).collect()
+    effects.iter().filter_map(to_response).collect()
 }
 
 fn request_error(request: &Request) -> RequestError {
-    TestCore::new().core.parse_request(request).expect_err("no op")
+    Harness::new().core.parse_request(request).expect_err("no op")
 }
 
 #[test]
@@ -179,18 +182,20 @@
     let nested = r#"{"discovery":"subscribe","failureDomains":["hall a","b,c"],"groupSize":3,
         "profiles":[{"name":"x y","promiseS":0.25,"effect":"guarded","stream":false}],
         "familyInfo":{"writes":[false,true],"meanUnits":2.0},"rules":{"askWithinS":10.0}}"#;
-    let lines = "discovery=subscribe\nfailureDomains=hall_a,b_c\ngroupSize=3\nprofiles.count=1\nprofiles.0.name=x_y\n\
-        profiles.0.promiseS=0.25\nprofiles.0.effect=guarded\nprofiles.0.stream=false\nfamilyInfo.writes=false,true\n\
+    let lines = "discovery=subscribe\nfailureDomains=hall_a,b_c\ngroupSize=3\n\
+        profiles.count=1\nprofiles.0.name=x_y\n\
+        profiles.0.promiseS=0.25\nprofiles.0.effect=guarded\nprofiles.0.stream=false\n\
+        familyInfo.writes=false,true\n\
         familyInfo.meanUnits=2.0\nrules.askWithinS=10.0";
-    let config = Config::parse(&config(nested, &list(0, true, &[]))).expect("a whole configuration");
+    let config = Config::parse(&config(nested, &list(0, true, &[]))).expect("a valid configuration");
     assert_eq!(config.settings, umbertray_setting_names::from_lines(lines));
     assert_eq!(config.settings["op_types.0.repeats"], "deduplicated");
 }
 
 #[test]
 fn missing_or_unreadable_configuration_is_named_in_error() {
-    let whole = config(SETTINGS, &list(1, true, &[]));
-    let error_of = |from: &str, to: &str| match Config::parse(&whole.replace(from, to)) {
+    let complete = config(SETTINGS, &list(1, true, &[]));
+    let error_of = |from: &str, to: &str| match Config::parse(&complete.replace(from, to)) {
         Ok(config) => Core::start(&config, START).err().expect("it must not start").to_string(),
         Err(error) => error.to_string(),
     };
@@ -265,79 +270,80 @@
 
 #[test]
 fn duplicate_id_of_open_request_is_rejected() {
-    let mut world = TestCore::new();
-    let (_, effects) = world.submit(&look(7));
-    assert_eq!(world.core.parse_request(&look(7)).expect_err("an open one has it").status, 409);
-    world.finish_attempt(started_attempts(&effects)[0].0, ok());
-    assert!(world.core.parse_request(&look(7)).is_ok());
+    let mut harness = Harness::new();
+    let (_, effects) = harness.submit(&look(7));
+    assert_eq!(harness.core.parse_request(&look(7)).expect_err("an open request has this id").status, 409);
+    harness.finish_attempt(started_attempts(&effects)[0].0, ok());
+    assert!(harness.core.parse_request(&look(7)).is_ok());
 }
 
 #[test]
 fn attempt_carries_checked_request_and_response_carries_store_body() {
-    let mut world = TestCore::new();
+    let mut harness = Harness::new();
     let target = "/order/00000000000000aa/00000000000000bb?x=1&y";
-    let mut told = fields("00000000000000AB", "units=2,shard=1,hosts=2").to_vec();
-    told.push(("X-Repeat", "1"));
-    let (client, effects) = world.submit(&request("PUT", target, &told, "data"));
+    let mut fields = fields("00000000000000AB", "units=2,shard=1,hosts=2").to_vec();
+    fields.push(("X-Repeat", "1"));
+    let (client, effects) = harness.submit(&request("PUT", target, &fields, "data"));
     let [(attempt, address)] = started_attempts(&effects)[..] else { panic!("{effects:?}") };
     assert_eq!(address.port(), 7000 + u16::from(b's') + u16::from(b'1'));
-    let bytes = world.core.start_attempt(attempt, world.now + ms(100)).expect("still wanted");
+    let bytes = harness.core.start_attempt(attempt, harness.now + ms(100)).expect("not cancelled");
     let mut reader = RequestReader::new(LIMITS);
     reader.bytes.extend_from_slice(&bytes);
-    let Ok(RequestEvent::Request(seen)) = reader.next_event() else { panic!("our own request is read") };
-    assert_eq!((&*seen.method, &*seen.target, &seen.body[..]), ("PUT", target, &b"data"[..]));
-    assert_eq!(seen.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
-    let left =
-        std::str::from_utf8(seen.headers.one("X-Time-Left-Ms").expect("once").expect("told")).expect("text");
+    let Ok(RequestEvent::Request(sent)) = reader.next_event() else { panic!("our own request is read") };
+    assert_eq!((&*sent.method, &*sent.target, &sent.body[..]), ("PUT", target, &b"data"[..]));
+    assert_eq!(sent.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
+    let left = std::str::from_utf8(sent.headers.one("X-Time-Left-Ms").expect("once").expect("present"))
+        .expect("text");
     assert!((500..=700).contains(&left.parse::<u64>().expect("a number")), "what is left: {left}");
-    assert!(seen.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
-    let effects = world.finish_attempt(attempt, ok());
-    let acked = FinalResponse::Succeeded {
+    assert!(sent.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
+    let effects = harness.finish_attempt(attempt, ok());
+    let expected = FinalResponse::Succeeded {
         content_type: Some(Bytes::from_static(b"own/kind")),
         body: Bytes::from_static(b"body"),
     };
-    assert_eq!(responses(&effects), [(client, acked)]);
-    assert_eq!(world.core.open_requests(), 0);
+    assert_eq!(responses(&effects), [(client, expected)]);
+    assert_eq!(harness.core.open_requests(), 0);
 }
 
-/// For each way a dispatch can come back: whether an op that may run again is sent again, and what a once-only gets.
+/// For each outcome of an attempt: whether an operation that must not run twice is retried, and its final
+/// response.
 #[test]
 fn outcomes_distinguish_not_executed_from_maybe_executed() {
-    let full = || response_outcome("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    let over = || response_outcome("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    let rejected = || response_outcome("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    let expired = || response_outcome("HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     let busy = || response_outcome("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     let failed = || response_outcome("HTTP/1.1 500 Oh\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     type Make<'a> = &'a dyn Fn() -> AttemptOutcome;
     let cases: [(&str, Make, bool); 8] = [
-        ("full", &full, false),
-        ("over", &over, false),
+        ("rejected", &rejected, false),
+        ("expired", &expired, false),
         ("never written", &|| AttemptOutcome::NeverWritten, false),
-        ("busy, but not told unrun", &busy, true),
+        ("busy, without X-Unprocessed", &busy, true),
         ("failed", &failed, true),
         ("broken", &|| AttemptOutcome::Broken, true),
         ("timed out", &|| AttemptOutcome::TimedOut, true),
         ("cancelled", &|| AttemptOutcome::Cancelled, true),
     ];
-    for (name, returned, may_have_run) in cases {
-        let mut world = TestCore::new();
-        let (client, effects) = world.submit(&order(1));
+    for (name, outcome, may_have_run) in cases {
+        let mut harness = Harness::new();
+        let (client, effects) = harness.submit(&order(1));
         let (mut all, mut attempts) = (Vec::new(), started_attempts(&effects));
-        let mut again = 0;
+        let mut retries = 0;
         while let Some((attempt, _)) = attempts.pop() {
-            let mut back = world.finish_attempt(attempt, returned());
-            back.extend(world.advance(ms(100)));
-            attempts.extend(started_attempts(&back));
-            again += started_attempts(&back).len();
-            all.extend(back);
+            let mut effects = harness.finish_attempt(attempt, outcome());
+            effects.extend(harness.advance(ms(100)));
+            attempts.extend(started_attempts(&effects));
+            retries += started_attempts(&effects).len();
+            all.extend(effects);
         }
-        all.extend(world.advance(ms(900)));
-        let final_responses: Vec<_> = responses(&all).into_iter().filter(|(own, _)| *own == client).collect();
-        assert_eq!(final_responses.len(), 1, "{name}: one final answer, {final_responses:?}");
+        all.extend(harness.advance(ms(900)));
+        let final_responses: Vec<_> = responses(&all).into_iter().filter(|(id, _)| *id == client).collect();
+        assert_eq!(final_responses.len(), 1, "{name}: one final response, {final_responses:?}");
         if may_have_run {
             assert_eq!(
-                (again, &final_responses[0].1),
+                (retries, &final_responses[0].1),
                 (0, &FinalResponse::Failed),
-                "{name}: not again, and no word that it is harmless"
+                "{name}: neither retried nor reported as safe to retry"
             );
         } else {
             assert!(
@@ -346,145 +352,153 @@
                 final_responses[0].1
             );
         }
-        assert_eq!(world.core.open_requests(), 0, "{name}");
+        assert_eq!(harness.core.open_requests(), 0, "{name}");
     }
 }
 
 #[test]
 fn operation_without_outcome_is_answered_by_its_deadline() {
-    let mut world = TestCore::new();
-    let (client, _) = world.submit(&look(1));
-    let early = world.advance(ms(700));
+    let mut harness = Harness::new();
+    let (client, _) = harness.submit(&look(1));
+    let early = harness.advance(ms(700));
     assert!(responses(&early).is_empty());
-    let final_responses = responses(&world.advance(ms(100)));
+    let final_responses = responses(&harness.advance(ms(100)));
     assert!(
-        matches!(&final_responses[..], [(own, FinalResponse::Rejected { .. })] if *own == client),
+        matches!(&final_responses[..], [(id, FinalResponse::Rejected { .. })] if *id == client),
         "{final_responses:?}"
     );
 }
 
 #[test]
 fn shutdown_answers_every_open_operation_in_time() {
-    let mut world = TestCore::new();
-    let (first, _) = world.submit(&order(1));
-    let end = world.now + ms(300);
-    let mut effects = world.handle(vec![Input::ShuttingDown(end)]);
-    effects.extend(world.advance(ms(100)));
+    let mut harness = Harness::new();
+    let (first, _) = harness.submit(&order(1));
+    let end = harness.now + ms(300);
+    let mut effects = harness.handle(vec![Input::ShuttingDown(end)]);
+    effects.extend(harness.advance(ms(100)));
     assert_eq!(responses(&effects), []);
-    let (second, sent_on) = world.submit(&look(2));
+    let (second, sent_on) = harness.submit(&look(2));
     effects.extend(sent_on);
-    // Looks are a sixteenth of the target latency apart.
-    effects.extend(world.advance(ms(213)));
+    // The scheduler checks every sixteenth of the target latency.
+    effects.extend(harness.advance(ms(213)));
     let mut answered: Vec<ClientId> = responses(&effects).into_iter().map(|(client, _)| client).collect();
     answered.sort();
     assert_eq!(answered, [first, second]);
-    assert_eq!(world.core.open_requests(), 0);
+    assert_eq!(harness.core.open_requests(), 0);
 }
 
 #[test]
 fn late_outcome_after_final_response_has_no_effect() {
-    let mut world = TestCore::new();
-    let (_, effects) = world.submit(&look(1));
-    world.advance(ms(900));
+    let mut harness = Harness::new();
+    let (_, effects) = harness.submit(&look(1));
+    harness.advance(ms(900));
     let attempt = started_attempts(&effects)[0].0;
     assert_eq!(
-        world.core.start_attempt(attempt, world.now),
+        harness.core.start_attempt(attempt, harness.now),
         Err(DenialReason::RequestEnded),
-        "rule 1: nothing after the final answer"
+        "rule 1: no attempt after the final response"
     );
-    let effects = world.finish_attempt(attempt, ok());
+    let effects = harness.finish_attempt(attempt, ok());
     assert!(responses(&effects).is_empty() && started_attempts(&effects).is_empty());
-    assert!(world.finish_attempt(attempt, ok()).is_empty(), "forgotten");
+    assert!(harness.finish_attempt(attempt, ok()).is_empty(), "the operation is forgotten");
 }
 
 #[test]
 fn disconnected_client_gets_no_response_and_its_attempt_does_not_start() {
-    let mut world = TestCore::new();
-    let (client, effects) = world.submit(&look(1));
-    world.handle(vec![Input::ClientDisconnected(client)]);
+    let mut harness = Harness::new();
+    let (client, effects) = harness.submit(&look(1));
+    harness.handle(vec![Input::ClientDisconnected(client)]);
     let attempt = started_attempts(&effects)[0].0;
-    assert_eq!(world.core.start_attempt(attempt, world.now), Err(DenialReason::RequestEnded));
-    assert!(responses(&world.finish_attempt(attempt, AttemptOutcome::NeverWritten)).is_empty());
-    assert!(world.core.parse_request(&look(1)).is_ok(), "its id is free");
+    assert_eq!(harness.core.start_attempt(attempt, harness.now), Err(DenialReason::RequestEnded));
+    assert!(responses(&harness.finish_attempt(attempt, AttemptOutcome::NeverWritten)).is_empty());
+    assert!(harness.core.parse_request(&look(1)).is_ok(), "its id can be used again");
 }
 
 #[test]
 fn attempt_to_store_past_drain_grace_does_not_start() {
-    let mut world = TestCore::new();
+    let mut harness = Harness::new();
     let read = |text: String| EndpointList::parse(text.as_bytes()).expect("a list");
-    let (_, first) = world.submit(&look(1));
+    let (_, first) = harness.submit(&look(1));
     let first = started_attempts(&first)[0].0;
-    world.handle(vec![Input::EndpointList(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
-    assert!(world.core.start_attempt(first, world.now + ms(500)).is_ok(), "rule 3: within the grace");
+    harness.handle(vec![Input::EndpointList(read(list(2, false, &[entry("s0", 0, "draining", 0)])))]);
+    assert!(harness.core.start_attempt(first, harness.now + ms(500)).is_ok(), "rule 3: within the grace");
     assert_eq!(
-        world.core.start_attempt(first, world.now + ms(1000)),
+        harness.core.start_attempt(first, harness.now + ms(1000)),
         Err(DenialReason::DrainGraceOver),
         "rule 3: beyond the grace"
     );
     for dropped in [1, 0] {
         let effects =
-            world.handle(vec![Input::EndpointList(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
+            harness.handle(vec![Input::EndpointList(read(list(3, true, &[entry("s1", 1, "ready", 0)])))]);
         assert_eq!(
             effects.iter().filter(|effect| matches!(effect, Effect::CloseIdleConnections { .. })).count(),
             dropped
         );
     }
     assert_eq!(
-        world.core.start_attempt(first, world.now),
+        harness.core.start_attempt(first, harness.now),
         Err(DenialReason::StoreGone),
-        "rule 3: gone from the whole list"
+        "rule 3: missing from the complete list"
     );
 }
 
 #[test]
 fn boot_timestamp_is_converted_to_scheduler_clock() {
-    let mut world = TestCore::new();
-    world.advance(ms(2000));
-    let started = (world.now - ms(500)).as_millis() as u64;
+    let mut harness = Harness::new();
+    harness.advance(ms(2000));
+    let started = (harness.now - ms(500)).as_millis() as u64;
     let entries = [entry("s0", 0, "gone", 0), entry("s2", 0, "ready", started)];
-    world.handle(vec![Input::EndpointList(
+    harness.handle(vec![Input::EndpointList(
         EndpointList::parse(list(2, false, &entries).as_bytes()).expect("a list"),
     )]);
-    // Cold: it takes an even part of what it always bears, not all at once.
+    // A cold store gets a part of its usual load, spread evenly over time.
     let mut effects = Vec::new();
     for n in 0..12 {
-        effects.extend(world.submit(&look(n)).1);
+        effects.extend(harness.submit(&look(n)).1);
     }
-    effects.extend(world.advance(ms(150)));
-    let told = started_attempts(&effects).len();
-    assert!((1..=2).contains(&told), "a store that has just started is spared: {told}");
+    effects.extend(harness.advance(ms(150)));
+    let count = started_attempts(&effects).len();
+    assert!((1..=2).contains(&count), "a store that has just started gets reduced load: {count}");
 }
 
 #[test]
 fn valid_new_settings_apply_and_invalid_ones_change_nothing() {
-    let mut world = TestCore::new();
+    let mut harness = Harness::new();
     let read =
         |text: &str| Config::parse(&config(text, &list(1, true, &[]))).expect("a configuration").settings;
-    world.handle(vec![Input::SettingsChanged(read(
+    harness.handle(vec![Input::SettingsChanged(read(
         &SETTINGS.replace(r#""name":"more""#, r#""name":"other""#),
     ))]);
-    assert_eq!(world.core.parse_request(&look(1)).expect_err("the plan has another name").status, 400);
-    let effects = world.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace("profiles", "nothing")))]);
+    assert_eq!(harness.core.parse_request(&look(1)).expect_err("the plan has another name").status, 400);
+    let effects =
+        harness.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace("profiles", "nothing")))]);
     assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("op_types.count")), "{effects:?}");
-    assert_eq!(world.core.parse_request(&look(1)).expect_err("the former hold").status, 400);
+    assert_eq!(
+        harness.core.parse_request(&look(1)).expect_err("the previous settings stay in force").status,
+        400
+    );
     let endless = SETTINGS.replace(r#""contracts":["#, r#""contracts":{"count":900000000000},"others":["#);
-    let effects = world.handle(vec![Input::SettingsChanged(read(&endless))]);
+    let effects = harness.handle(vec![Input::SettingsChanged(read(&endless))]);
     assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("plans.0.name")), "{effects:?}");
-    // What the module cannot act on must not be asked for either.
+    // Settings that the scheduler does not accept must not affect the parsing of requests either.
     let unreadable = r#""contracts":[{"name":"new","rate":5.0,"weight":"heavy"},"#;
     let effects =
-        world.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
+        harness.handle(vec![Input::SettingsChanged(read(&SETTINGS.replace(r#""contracts":["#, unreadable)))]);
     assert!(matches!(&effects[..], [Effect::Log(text)] if text.contains("weight")), "{effects:?}");
     let new = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "new" } else { value }));
     assert_eq!(
-        world.core.parse_request(&request("GET", TARGET, &new, "")).expect_err("as it was").status,
+        harness
+            .core
+            .parse_request(&request("GET", TARGET, &new, ""))
+            .expect_err("the previous settings stay in force")
+            .status,
         400
     );
 }
 
-/// The module knows op types and plans by their places: whatever order a new file has them in, what is open must stay
-/// what it was, or a once-only op would be sent twice.
+/// Open operations and the scheduler refer to types and plans by position. If a reordered file changed the
+/// positions of open operations, an operation that must not run twice would be sent again.
 #[test]
 fn changed_settings_keep_positions_of_op_types_and_plans() {
     let read =
@@ -494,131 +508,133 @@
     let both = format!("{look_type},\n      {order_type}");
     assert!(SETTINGS.contains(&both));
     let swapped = SETTINGS.replace(&both, &format!("{order_type},{look_type}"));
-    for told in [swapped, SETTINGS.replace(&both, look_type)] {
-        let mut world = TestCore::new();
-        let (client, effects) = world.submit(&order(1));
-        world.handle(vec![Input::SettingsChanged(read(&told))]);
+    for new_settings in [swapped, SETTINGS.replace(&both, look_type)] {
+        let mut harness = Harness::new();
+        let (client, effects) = harness.submit(&order(1));
+        harness.handle(vec![Input::SettingsChanged(read(&new_settings))]);
         let attempt = started_attempts(&effects)[0].0;
-        let mut back = world.finish_attempt(attempt, failed());
-        back.extend(world.advance(ms(100)));
-        assert_eq!(responses(&back), [(client, FinalResponse::Failed)], "rule 2: it may have run");
-        assert!(started_attempts(&back).is_empty(), "rule 2: it may have run");
-        assert_eq!(world.core.parse_request(&order(2)).is_ok(), told.contains(order_type));
-        assert!(world.core.parse_request(&look(3)).is_ok());
-        // And back again.
-        world.handle(vec![Input::SettingsChanged(read(SETTINGS))]);
-        let (client, effects) = world.submit(&order(4));
-        let mut back = world.finish_attempt(started_attempts(&effects)[0].0, failed());
-        back.extend(world.advance(ms(100)));
+        let mut effects = harness.finish_attempt(attempt, failed());
+        effects.extend(harness.advance(ms(100)));
+        assert_eq!(responses(&effects), [(client, FinalResponse::Failed)], "rule 2: it may have run");
+        assert!(started_attempts(&effects).is_empty(), "rule 2: it may have run");
+        assert_eq!(harness.core.parse_request(&order(2)).is_ok(), new_settings.contains(order_type));
+        assert!(harness.core.parse_request(&look(3)).is_ok());
+        // Then the original settings again.
+        harness.handle(vec![Input::SettingsChanged(read(SETTINGS))]);
+        let (client, effects) = harness.submit(&order(4));
+        let mut effects = harness.finish_attempt(started_attempts(&effects)[0].0, failed());
+        effects.extend(harness.advance(ms(100)));
         assert_eq!(
-            (responses(&back), started_attempts(&back)),
+            (responses(&effects), started_attempts(&effects)),
             (vec![(client, FinalResponse::Failed)], vec![])
         );
     }
-    let mut world = TestCore::new();
+    let mut harness = Harness::new();
     let without = SETTINGS.replace(r#"{"name":"basic","rate":5.0,"weight":1.0},"#, "");
-    world.handle(vec![Input::SettingsChanged(read(&without))]);
-    assert!(world.core.parse_request(&look(1)).is_ok(), "of the plan that stays");
+    harness.handle(vec![Input::SettingsChanged(read(&without))]);
+    assert!(harness.core.parse_request(&look(1)).is_ok(), "its plan still exists");
     let basic = fields("00000000000000ab", "units=2,shard=0,hosts=2")
         .map(|(name, value)| (name, if value == "more" { "basic" } else { value }));
-    let refused =
-        world.core.parse_request(&request("GET", TARGET, &basic, "")).expect_err("the plan is no more");
-    assert_eq!(refused.status, 400);
+    let error =
+        harness.core.parse_request(&request("GET", TARGET, &basic, "")).expect_err("the plan was removed");
+    assert_eq!(error.status, 400);
 }
 
-/// Each dispatch of a deduplicated op was sent without the mark that tells stores of a repeat.
+/// Regression test: attempts of deduplicated operations were sent without the idempotency key by which stores
+/// recognise a retry.
 #[test]
 fn idempotency_key_goes_with_every_attempt_unchanged() {
-    let marked = SETTINGS
+    let settings = SETTINGS
         .replace(r#""effect":"single_shot""#, r#""effect":"guarded","dedupScope":"all","windowS":5.0"#);
-    let mut world = TestCore::with(&marked, &[entry("s0", 0, "ready", 0)]);
-    let bytes = |world: &mut TestCore, attempt| {
-        let bytes = world.core.start_attempt(attempt, world.now).expect("it may begin");
+    let mut harness = Harness::with(&settings, &[entry("s0", 0, "ready", 0)]);
+    let bytes = |harness: &mut Harness, attempt| {
+        let bytes = harness.core.start_attempt(attempt, harness.now).expect("it may begin");
         String::from_utf8(bytes.to_vec()).expect("text")
     };
-    let mut asked = fields("00000000000000ab", "units=2,shard=0,hosts=2").to_vec();
-    asked.push(("Idempotency-Key", "\"Mark 7\""));
+    let mut fields = fields("00000000000000ab", "units=2,shard=0,hosts=2").to_vec();
+    fields.push(("Idempotency-Key", "\"Key 7\""));
     let (_, effects) =
-        world.submit(&request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data"));
+        harness.submit(&request("PUT", "/order/00000000000000aa/00000000000000bb", &fields, "data"));
     let (first, _) = started_attempts(&effects)[0];
-    assert!(bytes(&mut world, first).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
-    let mut again = world.finish_attempt(first, AttemptOutcome::Broken);
-    again.extend(world.advance(ms(150)));
-    let (second, _) = started_attempts(&again)[0];
-    assert!(bytes(&mut world, second).contains("\r\nIdempotency-Key: \"Mark 7\"\r\n"));
-    asked.push(("Idempotency-Key", "another"));
-    let doubled = request("PUT", "/order/00000000000000aa/00000000000000bb", &asked, "data");
-    assert_eq!(request_error(&doubled).status, 400, "stores would see two marks");
-    let (_, effects) = world.submit(&look(1));
+    assert!(bytes(&mut harness, first).contains("\r\nIdempotency-Key: \"Key 7\"\r\n"));
+    let mut effects = harness.finish_attempt(first, AttemptOutcome::Broken);
+    effects.extend(harness.advance(ms(150)));
+    let (second, _) = started_attempts(&effects)[0];
+    assert!(bytes(&mut harness, second).contains("\r\nIdempotency-Key: \"Key 7\"\r\n"));
+    fields.push(("Idempotency-Key", "another"));
+    let doubled = request("PUT", "/order/00000000000000aa/00000000000000bb", &fields, "data");
+    assert_eq!(request_error(&doubled).status, 400, "stores would receive two idempotency keys");
+    let (_, effects) = harness.submit(&look(1));
     assert!(
         started_attempts(&effects)
             .iter()
-            .all(|(attempt, _)| !bytes(&mut world, *attempt).contains("Idempotency-Key"))
+            .all(|(attempt, _)| !bytes(&mut harness, *attempt).contains("Idempotency-Key"))
     );
 }
 
-/// A deduplicated op whose first dispatch may have run, and a further one that is decided on within the span in which
-/// stores remember its mark, here 600 ms. Its connection comes up late.
-fn with_decided_retry(repeats: &str) -> (TestCore, AttemptId) {
-    let marked = SETTINGS.replace(r#""effect":"single_shot""#, repeats);
-    let mut world = TestCore::with(&marked, &[entry("s0", 0, "ready", 0)]);
-    let (_, effects) = world.submit(&order(1));
+/// A deduplicated operation whose first attempt may have been executed, and a retry that is decided on within
+/// the deduplication window of the stores, here 600 ms. The connection of the retry is established late.
+fn with_decided_retry(repeats: &str) -> (Harness, AttemptId) {
+    let settings = SETTINGS.replace(r#""effect":"single_shot""#, repeats);
+    let mut harness = Harness::with(&settings, &[entry("s0", 0, "ready", 0)]);
+    let (_, effects) = harness.submit(&order(1));
     let (first, _) = started_attempts(&effects)[0];
-    assert!(world.core.start_attempt(first, world.now).is_ok());
-    world.advance(ms(20));
-    let mut again = world.finish_attempt(first, AttemptOutcome::Broken);
-    again.extend(world.advance(ms(130)));
-    let (second, _) = started_attempts(&again)[0];
-    (world, second)
+    assert!(harness.core.start_attempt(first, harness.now).is_ok());
+    harness.advance(ms(20));
+    let mut effects = harness.finish_attempt(first, AttemptOutcome::Broken);
+    effects.extend(harness.advance(ms(130)));
+    let (second, _) = started_attempts(&effects)[0];
+    (harness, second)
 }
 
 const DEDUPLICATED: &str = r#""effect":"guarded","dedupScope":"all","windowS":0.6"#;
 
-/// Rule 2: it began when stores had forgotten the mark.
+/// Rule 2: the retry started after stores had forgotten the idempotency key.
 #[test]
 fn retry_past_deduplication_window_does_not_start() {
     for (wait, expected) in [(400, Ok(())), (500, Err(DenialReason::MayHaveRun))] {
-        let (mut world, second) = with_decided_retry(DEDUPLICATED);
-        world.now += ms(wait);
+        let (mut harness, second) = with_decided_retry(DEDUPLICATED);
+        harness.now += ms(wait);
         assert_eq!(
-            world.core.start_attempt(second, world.now).map(drop),
+            harness.core.start_attempt(second, harness.now).map(drop),
             expected,
             "{wait} ms after it was decided on"
         );
-        world.finish_attempt(second, AttemptOutcome::Withheld);
+        harness.finish_attempt(second, AttemptOutcome::Withheld);
     }
 }
 
-/// Rule 2: the settings of the moment decide, not those that it was decided by.
+/// Rule 2: the settings in force at the start of an attempt apply, not those at its decision.
 #[test]
 fn retry_of_type_that_became_not_idempotent_does_not_start() {
-    let (mut world, second) = with_decided_retry(DEDUPLICATED);
-    assert!(world.core.start_attempt(second, world.now).is_ok());
-    let (mut world, second) = with_decided_retry(DEDUPLICATED);
+    let (mut harness, second) = with_decided_retry(DEDUPLICATED);
+    assert!(harness.core.start_attempt(second, harness.now).is_ok());
+    let (mut harness, second) = with_decided_retry(DEDUPLICATED);
     let once_only = Config::parse(&config(SETTINGS, &list(1, true, &[]))).expect("a configuration").settings;
-    world.handle(vec![Input::SettingsChanged(once_only)]);
-    assert_eq!(world.core.start_attempt(second, world.now), Err(DenialReason::MayHaveRun));
+    harness.handle(vec![Input::SettingsChanged(once_only)]);
+    assert_eq!(harness.core.start_attempt(second, harness.now), Err(DenialReason::MayHaveRun));
 }
 
-/// What a client that has left asked for is called off, wherever it is; what was written whole stays out.
+/// The attempts of a disconnected client are cancelled, unless they have been written completely.
 #[test]
 fn disconnected_client_cancels_unwritten_attempts() {
-    let mut world = TestCore::new();
-    let (client, effects) = world.submit(&order(1));
+    let mut harness = Harness::new();
+    let (client, effects) = harness.submit(&order(1));
     let (attempt, _) = started_attempts(&effects)[0];
-    assert_eq!(world.core.waiting_client(attempt), Some(client));
-    let effects = world.handle(vec![Input::ClientDisconnected(client)]);
+    assert_eq!(harness.core.waiting_client(attempt), Some(client));
+    let effects = harness.handle(vec![Input::ClientDisconnected(client)]);
     assert!(effects.contains(&Effect::CancelUnlessWritten { attempt }), "{effects:?}");
-    assert_eq!(world.core.waiting_client(attempt), None);
-    assert_eq!(world.core.start_attempt(attempt, world.now), Err(DenialReason::RequestEnded));
-    // That this gateway called it off tells nothing of its store: the next goes there at once.
-    world.finish_attempt(attempt, AttemptOutcome::Withheld);
-    let (_, effects) = world.submit(&look(2));
+    assert_eq!(harness.core.waiting_client(attempt), None);
+    assert_eq!(harness.core.start_attempt(attempt, harness.now), Err(DenialReason::RequestEnded));
+    // The cancellation by this gateway says nothing about the store: the next operation is sent to it at
+    // once.
+    harness.finish_attempt(attempt, AttemptOutcome::Withheld);
+    let (_, effects) = harness.submit(&look(2));
     assert_eq!(started_attempts(&effects).len(), 1);
 }
 
-/// How often an op is sent on from one store of its shard to another, in a zone each, when its first dispatch may have
-/// run and repeats are discarded in a zone; the settings may name other zones by then.
+/// The number of retries from one store of a shard to another, with one zone each, after the first attempt
+/// may have been executed. Repeats are deduplicated per zone, and the settings may name other zones by then.
 fn retries_after_broken_attempt(zones: [&str; 2], settings_name: &str) -> usize {
     let in_zone = SETTINGS.replace(
         r#""deadlineS":1.0,"effect":"single_shot""#,
@@ -628,18 +644,18 @@
         let zone = format!(r#""az":"{}""#, zones[store]);
         entry(&format!("s{store}"), 0, state, 0).replace(r#""az":"b""#, &zone)
     };
-    let mut world = TestCore::with(&in_zone, &[zoned(0, "ready"), zoned(1, "ready")]);
-    let (_, effects) = world.submit(&order(1));
+    let mut harness = Harness::with(&in_zone, &[zoned(0, "ready"), zoned(1, "ready")]);
+    let (_, effects) = harness.submit(&order(1));
     let (attempt, address) = started_attempts(&effects)[0];
     let first = usize::from(address.port() - 7000 - u16::from(b's') - u16::from(b'0'));
     let named = in_zone.replace(r#"["a","b"]"#, settings_name);
     let settings = Config::parse(&config(&named, &list(1, true, &[]))).expect("a configuration").settings;
-    world.handle(vec![Input::SettingsChanged(settings)]);
+    harness.handle(vec![Input::SettingsChanged(settings)]);
     let gone = list(2, false, &[zoned(first, "gone")]);
-    world.handle(vec![Input::EndpointList(EndpointList::parse(gone.as_bytes()).expect("a list"))]);
-    let mut back = world.finish_attempt(attempt, AttemptOutcome::Broken);
-    back.extend(world.advance(ms(300)));
-    started_attempts(&back).len()
+    harness.handle(vec![Input::EndpointList(EndpointList::parse(gone.as_bytes()).expect("a list"))]);
+    let mut effects = harness.finish_attempt(attempt, AttemptOutcome::Broken);
+    effects.extend(harness.advance(ms(300)));
+    started_attempts(&effects).len()
 }
 
 #[test]
@@ -653,20 +669,21 @@
     assert_eq!(
         retries_after_broken_attempt(["a", "b"], r#"["b","a"]"#),
         0,
-        "rule 2: stores listed before zones were told anew"
+        "rule 2: stores listed before the settings renamed the zones"
     );
 }
 
-/// One word that this version does not know must not hide from it what else the list tells.
+/// An unknown state in one entry must not hide the other entries of the list.
 #[test]
 fn unknown_store_state_is_logged_and_treated_as_gone() {
-    let mut world = TestCore::new();
+    let mut harness = Harness::new();
     let entries = [entry("s0", 0, "asleep", 0), entry("s1", 1, "ready", 0), entry("s2", 0, "ready", 0)];
-    let told = EndpointList::parse(list(2, true, &entries).as_bytes()).expect("the rest is a list");
-    let effects = world.handle(vec![Input::EndpointList(told)]);
-    let said = |effect: &Effect| matches!(effect, Effect::Log(text) if text.contains("version 2, entry s0: state \"asleep\""));
-    assert!(effects.iter().any(said), "{effects:?}");
-    let (_, effects) = world.submit(&look(1));
+    let list = EndpointList::parse(list(2, true, &entries).as_bytes()).expect("the rest is a list");
+    let effects = harness.handle(vec![Input::EndpointList(list)]);
+    let expected = "version 2, entry s0: state \"asleep\"";
+    let is_expected = |effect: &Effect| matches!(effect, Effect::Log(text) if text.contains(expected));
+    assert!(effects.iter().any(is_expected), "{effects:?}");
+    let (_, effects) = harness.submit(&look(1));
     let port = 7000 + u16::from(b's') + u16::from(b'2');
     assert!(
         started_attempts(&effects).iter().all(|(_, address)| address.port() == port)
@@ -706,10 +723,13 @@
     assert!(endless.next_event().is_err());
 }
 
-/// Lists may come indented, on a watch too; it was taken for unreadable, and all was asked for anew each time.
+/// Regression test: indented objects on a watch were rejected as unreadable, and the complete list was
+/// fetched again each time.
 #[test]
 fn indented_watch_object_is_read_as_one_event() {
-    let text = "{\n  \"rev\": 7, \"all\": false,\n  \"targets\": [\n    {\"uid\": \"a}\\\"\", \"endpoint\": \"127.0.0.1:1\",\n     \"state\": \"gone\"}\n  ]\n}\n\n{\"rev\":8,\"all\":true,\"targets\":[]}\n";
+    let text = "{\n  \"rev\": 7, \"all\": false,\n  \"targets\": [\n    {\"uid\": \"a}\\\"\",\
+        \x20\"endpoint\": \"127.0.0.1:1\",\n     \"state\": \"gone\"}\n  ]\n}\n\n\
+        {\"rev\":8,\"all\":true,\"targets\":[]}\n";
     for piece in [1, 3, text.len()] {
         let (mut lines, mut read) = (WatchReader::new(1 << 20), Vec::new());
         for bytes in text.as_bytes().chunks(piece) {
@@ -725,56 +745,58 @@
     }
     let mut broken = WatchReader::new(1 << 20);
     broken.bytes.extend_from_slice(b"{\"rev\": \"never closed\n{}\n");
-    assert!(broken.next_event().is_err(), "a text that is not closed on its line ends the search");
+    assert!(broken.next_event().is_err(), "an unclosed string at the end of a line ends the event");
 }
 
-/// What discovery had before a process began counts from its first moment on, and an earlier one may have heard of it.
+/// A change that discovery had before a process started takes effect from the first moment of the process.
+/// An earlier process may already have been notified of it, so a drain has no grace left.
 #[test]
 fn drain_in_first_list_of_process_has_no_grace() {
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
-    let told = |version, state| {
+    let list_input = |version, state| {
         Input::EndpointList(
             EndpointList::parse(list(version, true, &stores(state)).as_bytes()).expect("a list"),
         )
     };
     for known in ["ready", "draining"] {
-        let mut world = TestCore::with_stale_list(SETTINGS, &stores(known));
-        let (_, early) = world.submit(&look(1));
+        let mut harness = Harness::with_stale_list(SETTINGS, &stores(known));
+        let (_, early) = harness.submit(&look(1));
         assert_eq!(started_attempts(&early).is_empty(), known == "draining", "{early:?}");
-        world.handle(vec![told(2, "draining")]);
+        harness.handle(vec![list_input(2, "draining")]);
         if let Some((attempt, _)) = started_attempts(&early).first() {
             assert_eq!(
-                world.core.start_attempt(*attempt, world.now),
+                harness.core.start_attempt(*attempt, harness.now),
                 Err(DenialReason::DrainGraceOver),
                 "rule 3: decided on the earlier list"
             );
         }
-        assert!(started_attempts(&world.submit(&look(2)).1).is_empty(), "known as {known}");
-        // What comes from then on is as new as it seems.
-        world.handle(vec![told(3, "ready"), told(4, "draining")]);
-        assert!(!started_attempts(&world.submit(&look(3)).1).is_empty(), "known as {known}");
+        assert!(started_attempts(&harness.submit(&look(2)).1).is_empty(), "known as {known}");
+        // From now on, changes count as notified when they are received.
+        harness.handle(vec![list_input(3, "ready"), list_input(4, "draining")]);
+        assert!(!started_attempts(&harness.submit(&look(3)).1).is_empty(), "known as {known}");
     }
 }
 
-/// A drain that was missed counts as told although it did not come: heard of after a silence, its grace may be over.
+/// A drain missed during a silence of the watch counts as notified although it was not received, so its grace
+/// may have expired by the time it is received.
 #[test]
-fn drain_heard_after_watch_silence_has_no_grace() {
+fn drain_received_after_watch_silence_has_no_grace() {
     for silent in [false, true] {
-        let mut world = TestCore::new();
-        world.handle(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
-        let told = |version, state| {
+        let mut harness = Harness::new();
+        harness.handle(if silent { vec![Input::EndpointListFailed] } else { Vec::new() });
+        let list_input = |version, state| {
             let entries = [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
             Input::EndpointList(
                 EndpointList::parse(list(version, true, &entries).as_bytes()).expect("a list"),
             )
         };
-        world.handle(vec![told(2, "draining")]);
-        let (_, effects) = world.submit(&look(1));
+        harness.handle(vec![list_input(2, "draining")]);
+        let (_, effects) = harness.submit(&look(1));
         assert_eq!(started_attempts(&effects).is_empty(), silent, "{effects:?}");
-        // What comes on a watch that stands is as new as it seems.
-        world.handle(vec![told(3, "ready")]);
-        world.handle(vec![told(4, "draining")]);
-        let (_, effects) = world.submit(&look(2));
+        // Changes on a working watch count as notified when they are received.
+        harness.handle(vec![list_input(3, "ready")]);
+        harness.handle(vec![list_input(4, "draining")]);
+        let (_, effects) = harness.submit(&look(2));
         assert!(!started_attempts(&effects).is_empty(), "{effects:?}");
     }
 }
--- a/crates/http-api/tests/golden.rs
+++ b/crates/http-api/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden examples of the platform's HTTP: what is sent to stores and discovery, which request is refused with which
-//! words, and how lists and load reports are read. Every later version has to write and read them byte for byte.
+//! Golden examples of the platform's HTTP protocol: requests to stores and discovery, error responses to
+//! invalid requests, and the parsing of lists and load reports. Every later version has to write and read
+//! them byte for byte.
 
 use std::time::Duration;
 
@@ -24,7 +25,7 @@
 const KEY: (&str, &str) = ("Idempotency-Key", "own key");
 
 fn core() -> Core {
-    let configuration = Config::parse(CONFIGURATION).expect("a whole configuration");
+    let configuration = Config::parse(CONFIGURATION).expect("a valid configuration");
     let mut core = Core::start(&configuration, START).expect("it starts");
     core.handle(START, vec![]);
     core
@@ -44,7 +45,7 @@
     transcript.push_str(&format!("{name}: {}\n", bytes.escape_ascii()));
 }
 
-/// The bytes of the first attempt of a request, as its store gets them.
+/// The request of an operation's first attempt, as received by its store.
 fn attempt(request: &Request) -> Bytes {
     let mut core = core();
     let now = START + Duration::from_secs(2);
@@ -68,7 +69,7 @@
     line(transcript, "attempt, new object", &attempt(&request("PUT", WRITE, &fields, "data")));
 }
 
-fn refusals(transcript: &mut String) {
+fn error_responses(transcript: &mut String) {
     let fields = [ID, PLAN, TIME_LEFT, PLACEMENT];
     let placed = |placement| [ID, PLAN, TIME_LEFT, ("X-Placement", placement)];
     let examples = [
@@ -90,17 +91,17 @@
         request("GET", READ, &placed("units=2,hosts=2"), ""),
     ];
     for example in examples {
-        let refused = core().parse_request(&example).expect_err("no operation");
-        transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
+        let error = core().parse_request(&example).expect_err("no operation");
+        transcript.push_str(&format!("refused: {} {}\n", error.status, error.message));
     }
     let (mut core, example) = (core(), request("GET", READ, &fields, ""));
     let operation = core.parse_request(&example).expect("an operation");
     core.handle(START, vec![Input::Request { client: ClientId(1), request: operation, started_at: START }]);
-    let refused = core.parse_request(&example).expect_err("its id is taken");
-    transcript.push_str(&format!("refused: {} {}\n", refused.status, refused.message));
+    let error = core.parse_request(&example).expect_err("an open request has this id");
+    transcript.push_str(&format!("refused: {} {}\n", error.status, error.message));
 }
 
-fn discovery(transcript: &mut String) {
+fn other_requests(transcript: &mut String) {
     for (name, target) in [
         ("discovery, list", protocol::ENDPOINT_LIST.to_string()),
         ("discovery, watch", protocol::watch(7)),
@@ -130,7 +131,8 @@
 fn lists(transcript: &mut String) {
     let entry = |uid: &str, state: &str, boot: u64| {
         format!(
-            r#"{{"uid":"{uid}","endpoint":"127.0.0.1:7001","az":"b","pod_group":3,"state":"{state}","boot_ms":{boot}}}"#
+            "{{\"uid\":\"{uid}\",\"endpoint\":\"127.0.0.1:7001\",\"az\":\"b\",\
+             \"pod_group\":3,\"state\":\"{state}\",\"boot_ms\":{boot}}}"
         )
     };
     let entries = [
@@ -139,9 +141,9 @@
         entry("s2", "gone", 0),
         entry("s3", "odd", 0),
     ];
-    let whole = format!("{{\"rev\":9,\"all\":true,\n \"targets\":[{}]}}\n\n", entries.join(","));
+    let complete = format!("{{\"rev\":9,\"all\":true,\n \"targets\":[{}]}}\n\n", entries.join(","));
     let mut lines = WatchReader::new(65536);
-    lines.bytes.extend_from_slice(whole.as_bytes());
+    lines.bytes.extend_from_slice(complete.as_bytes());
     lines.bytes.extend_from_slice(b"{\"rev\":10,\"all\":false,\"targets\":[]}\n{\"rev\":11}\n");
     for _ in 0..4 {
         let text = match lines.next_event() {
@@ -158,15 +160,15 @@
 fn requests_refusals_and_lists_match_recorded_text() {
     let mut transcript = String::new();
     attempts(&mut transcript);
-    refusals(&mut transcript);
-    discovery(&mut transcript);
+    error_responses(&mut transcript);
+    other_requests(&mut transcript);
     lists(&mut transcript);
     assert!(transcript == RECORDED, "differs from tests/golden/http.txt:\n{transcript}");
 }
 
 #[test]
 fn configuration_becomes_recorded_settings() {
-    let configuration = Config::parse(CONFIGURATION).expect("a whole configuration");
+    let configuration = Config::parse(CONFIGURATION).expect("a valid configuration");
     let settings = &configuration.settings;
     let text: String = settings.iter().map(|(name, value)| format!("{name} = {value}\n")).collect();
     let recorded = include_str!("golden/settings.txt");
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -226,7 +226,7 @@
         self.phase.subscribe()
     }
 
-    pub(crate) fn enter(&self, phase: Phase) {
+    pub(crate) fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
--- a/crates/http-gateway/src/resource_limits.rs
+++ b/crates/http-gateway/src/resource_limits.rs
@@ -89,19 +89,19 @@
         let max_retry_after = duration(settings, "limits.max_retry_after").unwrap_or(shortest_objective);
         let memory = (config.limits.memory_mb * MEGABYTE) as usize;
         let sockets = config.limits.sockets;
-        let head = fraction(protocol::MAX_BODY, HEAD_PER_BODY);
-        let store_connections = fraction(sockets, STORE_SOCKETS);
+        let head = fraction_of(protocol::MAX_BODY, HEAD_PER_BODY);
+        let store_connections = fraction_of(sockets, STORE_SOCKETS);
         Ok(ResourceLimits {
             http: Limits { head, body: protocol::MAX_BODY },
-            response: Limits { head, body: fraction(memory, RESPONSE_MEMORY).max(protocol::MAX_BODY) },
-            all_responses: fraction(memory, ALL_RESPONSES_MEMORY),
-            read_ahead: fraction(protocol::MAX_BODY, READ_AHEAD_PER_BODY),
-            endpoint_list: fraction(memory, LIST_MEMORY),
-            clients: fraction(sockets, CLIENT_SOCKETS),
-            rejected_clients: fraction(sockets, REJECTED_CLIENT_SOCKETS),
+            response: Limits { head, body: fraction_of(memory, RESPONSE_MEMORY).max(protocol::MAX_BODY) },
+            all_responses: fraction_of(memory, ALL_RESPONSES_MEMORY),
+            read_ahead: fraction_of(protocol::MAX_BODY, READ_AHEAD_PER_BODY),
+            endpoint_list: fraction_of(memory, LIST_MEMORY),
+            clients: fraction_of(sockets, CLIENT_SOCKETS),
+            rejected_clients: fraction_of(sockets, REJECTED_CLIENT_SOCKETS),
             retry_after: max_retry_after.min(shortest_objective),
             store_connections,
-            single_store_connections: fraction(store_connections, SINGLE_STORE),
+            single_store_connections: fraction_of(store_connections, SINGLE_STORE),
             timeouts,
         })
     }
@@ -117,7 +117,7 @@
     names.map(|name| duration(settings, name)).collect()
 }
 
-/// A fraction of `whole`, rounded down, but at least 1.
-fn fraction(whole: usize, fraction: f64) -> usize {
-    ((whole as f64 * fraction) as usize).max(1)
+/// A fraction of `total`, rounded down, but at least 1.
+fn fraction_of(total: usize, ratio: f64) -> usize {
+    ((total as f64 * ratio) as usize).max(1)
 }
--- a/crates/http-gateway/src/response/tests.rs
+++ b/crates/http-gateway/src/response/tests.rs
@@ -1,4 +1,4 @@
-//! Golden examples: each final answer and refusal as its client gets it, recorded.
+//! Golden examples of the final responses and error responses that clients receive.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 #[test]
 fn responses_match_recorded_bytes() {
     let mut transcript = String::new();
-    let replies = [
+    let responses = [
         ("succeeded", FinalResponse::Succeeded { content_type: None, body: Bytes::from_static(b"body") }),
         (
             "succeeded, typed",
@@ -27,14 +27,14 @@
         ("rejected", FinalResponse::Rejected { retry_after: Duration::from_millis(250) }),
         ("failed", FinalResponse::Failed),
     ];
-    for (name, reply) in &replies {
+    for (name, response) in &responses {
         for close in [false, true] {
-            line(&mut transcript, &format!("{name}, close {close}"), &encode(reply, close));
+            line(&mut transcript, &format!("{name}, close {close}"), &encode(response, close));
         }
     }
     for status in [400, 404, 405, 408, 409] {
-        let refused = RequestError { status, message: "the reason".into() };
-        line(&mut transcript, "refused", &encode_error(&refused));
+        let error = RequestError { status, message: "the reason".into() };
+        line(&mut transcript, "refused", &encode_error(&error));
     }
     let long_target = format!("GET /{} HTTP/1.1\r\n\r\n", "a".repeat(400));
     let malformed = [
--- a/crates/http-gateway/src/shutdown.rs
+++ b/crates/http-gateway/src/shutdown.rs
@@ -23,9 +23,9 @@
     let clients = event_loop.clients.len();
     tracing::info!(open = event_loop.open_requests(), clients, %counters, "drain started");
     event_loop.post(Input::ShuttingDown(now + timeouts.retry_until));
-    event_loop.enter(Phase::Draining);
+    event_loop.enter_phase(Phase::Draining);
     sleep_until(accept_until).await;
-    event_loop.enter(Phase::Closing);
+    event_loop.enter_phase(Phase::Closing);
     if timeout_at(drain_deadline, event_loop.clients.wait_until_empty()).await.is_ok() {
         tracing::info!(%counters, "lifecycle counters");
         return;
--- a/crates/http-gateway/src/watch/attempt.rs
+++ b/crates/http-gateway/src/watch/attempt.rs
@@ -61,7 +61,7 @@
     async fn next_event(&mut self) -> AttemptEvent {
         let progress = self.progress.clone();
         tokio::select! {
-            biased; // What has come by its deadline is in time.
+            biased; // A response that arrives by its deadline is in time.
             event = self.failed_or_received() => event,
             () = progress.timed_out() => AttemptEvent::TimedOut,
         }
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -1,4 +1,4 @@
-//! Against a scripted discovery, in memory and in paused time.
+//! Tests of the watch against a scripted discovery, in memory and in paused time.
 
 mod scripted_discovery;
 
@@ -12,24 +12,24 @@
 use self::scripted_discovery::{Behavior, Delivery, MINUTE, NEXT_ADDRESS, TRICKLE_INTERVAL, TestWatch};
 use crate::backoff::{self, last_attempt_begins_within};
 
-/// Changes must be known this long after a watch fell silent.
+/// Maximum time from a watch falling silent until changes are known.
 const MAX_STALENESS: Duration = Duration::from_secs(6);
 /// The same after discovery has moved to another address.
 const MAX_STALENESS_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// Version 2 is told as soon as the last of so many attempts begins, and in the time after which it counts as told.
+/// Checks that version 2 is received once the last of the attempts starts, and before it counts as notified.
 async fn assert_updates_in_time(behaviors: &[Behavior]) {
     for delivery in [Delivery::Pushed, Delivery::Polled] {
         let test_watch = TestWatch::new(delivery, behaviors);
         test_watch.wait_for_list(2).await;
-        let took = test_watch.silent_since.get().expect("a watch that fell silent").elapsed();
-        // The silence of a line that trickles counts from its first byte.
+        let elapsed = test_watch.silent_since.get().expect("a watch that fell silent").elapsed();
+        // The silence of a slow line counts from its first byte.
         let bound = last_attempt_begins_within(behaviors.len() as u32 - 1) + TRICKLE_INTERVAL;
         assert!(
-            took < MAX_STALENESS && took <= bound,
-            "{delivery:?} {behaviors:?}: {took:?}, at most {bound:?}"
+            elapsed < MAX_STALENESS && elapsed <= bound,
+            "{delivery:?} {behaviors:?}: {elapsed:?}, at most {bound:?}"
         );
-        assert_eq!(test_watch.dial_count(), behaviors.len());
+        assert_eq!(test_watch.connect_count(), behaviors.len());
     }
 }
 
@@ -40,16 +40,17 @@
 
 #[tokio::test]
 async fn watch_silent_once_tells_changes_in_time() {
-    in_paused_time(assert_updates_in_time(&[Behavior::Once(1), Behavior::Alive(2)])).await;
+    in_paused_time(assert_updates_in_time(&[Behavior::ListThenSilent(1), Behavior::ListThenHeartbeats(2)]))
+        .await;
 }
 
 #[tokio::test]
 async fn watch_silent_three_times_tells_changes_in_time() {
     in_paused_time(assert_updates_in_time(&[
-        Behavior::Once(1),
-        Behavior::Silent,
-        Behavior::Silent,
-        Behavior::Alive(2),
+        Behavior::ListThenSilent(1),
+        Behavior::NoResponse,
+        Behavior::NoResponse,
+        Behavior::ListThenHeartbeats(2),
     ]))
     .await;
 }
@@ -57,10 +58,10 @@
 #[tokio::test]
 async fn hanging_connect_then_silent_watch_tells_changes_in_time() {
     in_paused_time(assert_updates_in_time(&[
-        Behavior::Once(1),
-        Behavior::Hang,
-        Behavior::Silent,
-        Behavior::Alive(2),
+        Behavior::ListThenSilent(1),
+        Behavior::ConnectStalled,
+        Behavior::NoResponse,
+        Behavior::ListThenHeartbeats(2),
     ]))
     .await;
 }
@@ -68,10 +69,10 @@
 #[tokio::test]
 async fn trickling_list_tells_changes_in_time() {
     in_paused_time(assert_updates_in_time(&[
-        Behavior::Once(1),
+        Behavior::ListThenSilent(1),
         Behavior::Trickle,
         Behavior::Trickle,
-        Behavior::Alive(2),
+        Behavior::ListThenHeartbeats(2),
     ]))
     .await;
 }
@@ -79,44 +80,53 @@
 #[tokio::test]
 async fn trickling_line_tells_changes_in_time() {
     in_paused_time(assert_updates_in_time(&[
-        Behavior::Unending(1),
-        Behavior::Hang,
+        Behavior::ListThenEndlessLine(1),
+        Behavior::ConnectStalled,
         Behavior::Trickle,
-        Behavior::Alive(2),
+        Behavior::ListThenHeartbeats(2),
     ]))
     .await;
 }
 
 #[tokio::test]
 async fn older_list_after_silence_is_rejected() {
-    in_paused_time(assert_updates_in_time(&[Behavior::Once(1), Behavior::Once(0), Behavior::Alive(2)])).await;
+    in_paused_time(assert_updates_in_time(&[
+        Behavior::ListThenSilent(1),
+        Behavior::ListThenSilent(0),
+        Behavior::ListThenHeartbeats(2),
+    ]))
+    .await;
 }
 
-/// Discovery has started anew, and counts from its beginning: what a watch tells is refused, the whole list is not.
+/// After a restart, discovery counts versions from the beginning. The older version is rejected on a watch,
+/// but accepted as a complete list.
 #[tokio::test]
 async fn restarted_versions_with_whole_list_are_accepted() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Once(5), Behavior::Alive(3)]);
+        let test_watch =
+            TestWatch::new(Delivery::Pushed, &[Behavior::ListThenSilent(5), Behavior::ListThenHeartbeats(3)]);
         test_watch.wait_for_list(3).await;
-        let took = test_watch.silent_since.get().expect("a watch that fell silent").elapsed();
-        assert!(took < MAX_STALENESS, "{took:?}");
-        assert_eq!(test_watch.dial_count(), 3);
+        let elapsed = test_watch.silent_since.get().expect("a watch that fell silent").elapsed();
+        assert!(elapsed < MAX_STALENESS, "{elapsed:?}");
+        assert_eq!(test_watch.connect_count(), 3);
     })
     .await;
 }
 
-/// A whole list ends the row, so its watch is not waited for as an outage is.
+/// A complete list resets the failure count, so a silent watch after it is not given the long timeout of an
+/// outage.
 #[tokio::test]
 async fn watch_silent_after_whole_list_is_abandoned_soon() {
     in_paused_time(async {
-        let mut behaviors = vec![Behavior::Hang; 8];
-        behaviors.extend([Behavior::Unopened(1), Behavior::Alive(2)]);
+        let mut behaviors = vec![Behavior::ConnectStalled; 8];
+        behaviors.extend([Behavior::WatchSilent(1), Behavior::ListThenHeartbeats(2)]);
         let test_watch = TestWatch::new(Delivery::Pushed, &behaviors);
         test_watch.wait_for_list(1).await;
-        let listed = Instant::now();
+        let listed_at = Instant::now();
         test_watch.wait_for_list(2).await;
-        let (took, bound) = (listed.elapsed(), last_attempt_begins_within(2) - backoff::watch_idle_timeout());
-        assert!(took <= bound, "{took:?}, at most {bound:?}");
+        let (elapsed, bound) =
+            (listed_at.elapsed(), last_attempt_begins_within(2) - backoff::watch_idle_timeout());
+        assert!(elapsed <= bound, "{elapsed:?}, at most {bound:?}");
     })
     .await;
 }
@@ -124,11 +134,13 @@
 #[tokio::test]
 async fn first_list_trickling_is_accepted() {
     in_paused_time(async {
-        let test_watch =
-            TestWatch::new(Delivery::Pushed, &[Behavior::Trickle, Behavior::Trickle, Behavior::Alive(2)]);
-        let begun = Instant::now();
+        let test_watch = TestWatch::new(
+            Delivery::Pushed,
+            &[Behavior::Trickle, Behavior::Trickle, Behavior::ListThenHeartbeats(2)],
+        );
+        let started_at = Instant::now();
         test_watch.wait_for_list(2).await;
-        assert!(begun.elapsed() < MAX_STALENESS, "{:?}", begun.elapsed());
+        assert!(started_at.elapsed() < MAX_STALENESS, "{:?}", started_at.elapsed());
     })
     .await;
 }
@@ -138,7 +150,7 @@
     in_paused_time(async {
         let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000)]);
         test_watch.wait_for_list(1).await;
-        assert!(test_watch.dial_count() > 1, "slow enough to need more than the first patience");
+        assert!(test_watch.connect_count() > 1, "the list must need more than the first timeout");
     })
     .await;
 }
@@ -146,20 +158,21 @@
 #[tokio::test]
 async fn large_list_on_slow_path_beside_other_attempts_is_accepted() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000), Behavior::Hang]);
+        let test_watch =
+            TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000), Behavior::ConnectStalled]);
         test_watch.wait_for_list(1).await;
-        assert!(test_watch.dial_count() > 1);
+        assert!(test_watch.connect_count() > 1);
     })
     .await;
 }
 
-/// Where the module lets time pass too: it is the only call.
+/// Also while the scheduler waits before it polls again, the first connection continues.
 #[tokio::test]
 async fn slow_list_while_scheduler_waits_continues() {
     in_paused_time(async {
         let test_watch = TestWatch::new(Delivery::PolledOnce, &[Behavior::Slow(20_000)]);
         test_watch.wait_for_list(1).await;
-        assert_eq!(test_watch.dial_count(), 1);
+        assert_eq!(test_watch.connect_count(), 1);
     })
     .await;
 }
@@ -167,40 +180,41 @@
 #[tokio::test]
 async fn slow_list_after_address_change_is_ignored() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000), Behavior::Hang]);
-        test_watch.wait_for_dials(2).await;
-        test_watch.move_to_next_address(&[Behavior::Hang]);
-        let former = test_watch
+        let test_watch =
+            TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000), Behavior::ConnectStalled]);
+        test_watch.wait_for_connects(2).await;
+        test_watch.move_to_next_address(&[Behavior::ConnectStalled]);
+        let old_list = test_watch
             .event_loop
             .posted(|input| matches!(input, Input::EndpointList(list) if list.version == 1));
-        assert!(timeout(MINUTE, former).await.is_err());
+        assert!(timeout(MINUTE, old_list).await.is_err());
     })
     .await;
 }
 
-/// The first list, and the first object of its watch too.
+/// Both the first list and the first object of its watch arrive slowly.
 #[tokio::test]
 async fn watch_on_slow_path_stays_open() {
     in_paused_time(async {
         let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Slow(20_000)]);
         sleep(MINUTE).await;
-        let dialed = test_watch.dial_count();
+        let connects = test_watch.connect_count();
         sleep(MINUTE).await;
-        assert_eq!(test_watch.dial_count(), dialed);
+        assert_eq!(test_watch.connect_count(), connects);
     })
     .await;
 }
 
-/// A sign of life is no list, but it may be all that there is to say.
+/// A heartbeat is not a list, but there may be no changes to send.
 #[tokio::test]
 async fn watch_without_changes_stays_open() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Unchanged]);
+        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::HeartbeatsOnly]);
         sleep(MINUTE).await;
-        let dialed = test_watch.dial_count();
+        let connects = test_watch.connect_count();
         sleep(MINUTE).await;
-        assert_eq!(test_watch.dial_count(), dialed);
-        assert!(dialed <= 3, "{dialed}");
+        assert_eq!(test_watch.connect_count(), connects);
+        assert!(connects <= 3, "{connects}");
     })
     .await;
 }
@@ -208,152 +222,174 @@
 #[tokio::test]
 async fn watch_with_heartbeats_stays_open() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Polled, &[Behavior::Alive(1)]);
+        let test_watch = TestWatch::new(Delivery::Polled, &[Behavior::ListThenHeartbeats(1)]);
         sleep(10 * MINUTE).await;
-        assert_eq!(test_watch.dial_count(), 1);
+        assert_eq!(test_watch.connect_count(), 1);
     })
     .await;
 }
 
-/// What a watch may meet that tells nothing.
-const OF_NO_USE: [Behavior; 10] = [
-    Behavior::Hang,
-    Behavior::Late,
-    Behavior::LateUnreadable,
-    Behavior::Silent,
-    Behavior::Head,
+/// Behaviors of a connection that deliver no list.
+const FAILING_BEHAVIORS: [Behavior; 10] = [
+    Behavior::ConnectStalled,
+    Behavior::LateNoResponse,
+    Behavior::LateInvalidList,
+    Behavior::NoResponse,
+    Behavior::HeadOnly,
     Behavior::Trickle,
-    Behavior::Refused,
-    Behavior::Ended,
-    Behavior::Cut,
-    Behavior::Unreadable,
+    Behavior::ConnectRefused,
+    Behavior::ClosedAtOnce,
+    Behavior::Truncated,
+    Behavior::InvalidList,
 ];
 
-/// After a long outage, discovery is back in the moment in which an attempt has begun that is lost, and so is the next one.
+/// After a long outage, discovery returns just after an attempt has started. That attempt and the next one
+/// are lost.
 #[tokio::test]
 async fn two_lost_attempts_after_outage_leave_third_in_time() {
     in_paused_time(async {
-        for (first, second) in OF_NO_USE.iter().flat_map(|first| OF_NO_USE.map(|second| (*first, second))) {
-            let mut behaviors = vec![Behavior::Once(1)];
-            behaviors.extend([Behavior::Hang; 8]);
-            let back = behaviors.len();
-            behaviors.extend([first, second, Behavior::Alive(2)]);
+        for (first, second) in
+            FAILING_BEHAVIORS.iter().flat_map(|first| FAILING_BEHAVIORS.map(|second| (*first, second)))
+        {
+            let mut behaviors = vec![Behavior::ListThenSilent(1)];
+            behaviors.extend([Behavior::ConnectStalled; 8]);
+            let first_after_outage = behaviors.len();
+            behaviors.extend([first, second, Behavior::ListThenHeartbeats(2)]);
             let test_watch = TestWatch::new(Delivery::Pushed, &behaviors);
             test_watch.wait_for_list(2).await;
-            let took = test_watch.dials.borrow()[back].1.elapsed();
-            assert!(took < MAX_STALENESS, "{first:?}, {second:?}: {took:?}");
+            let elapsed = test_watch.connects.borrow()[first_after_outage].1.elapsed();
+            assert!(elapsed < MAX_STALENESS, "{first:?}, {second:?}: {elapsed:?}");
         }
     })
     .await;
 }
 
-/// The shortest grace of a drain that a deployment is known to have.
+/// The shortest drain grace of any known deployment.
 const SHORT_GRACE: Duration = Duration::from_millis(250);
 
-/// What is had at the return counts at once.
+/// What the agent has at its return counts as notified immediately, so the query must follow within the
+/// grace.
 #[tokio::test]
 async fn agent_back_after_long_refusal_is_queried_within_short_grace() {
     in_paused_time(async {
-        for outage in [Behavior::Refused, Behavior::Ended, Behavior::Cut] {
+        for outage in [Behavior::ConnectRefused, Behavior::ClosedAtOnce, Behavior::Truncated] {
             let test_watch = TestWatch::new(Delivery::Pushed, &[outage]);
-            test_watch.wait_for_dials(20).await;
-            let back = Instant::now();
-            *test_watch.behaviors.borrow_mut() = VecDeque::from([Behavior::Alive(2)]);
+            test_watch.wait_for_connects(20).await;
+            let returned_at = Instant::now();
+            *test_watch.behaviors.borrow_mut() = VecDeque::from([Behavior::ListThenHeartbeats(2)]);
             test_watch.wait_for_list(2).await;
-            let took = back.elapsed();
-            assert!(took < SHORT_GRACE, "after {outage:?}: {took:?}");
+            let elapsed = returned_at.elapsed();
+            assert!(elapsed < SHORT_GRACE, "after {outage:?}: {elapsed:?}");
         }
     })
     .await;
 }
 
-/// What cannot be read costs time to read, and lists that are asked for are priced.
+/// Unreadable lists take time to parse, and polled lists have a cost.
 #[tokio::test]
 async fn unreadable_lists_and_polling_do_not_spin() {
     in_paused_time(async {
-        let garbage =
-            [Behavior::Unreadable, Behavior::Unwatched(1)].map(|behavior| (Delivery::Pushed, behavior));
-        let asked = [Behavior::Refused, Behavior::Ended].map(|behavior| (Delivery::Polled, behavior));
-        let endless = [garbage, asked].concat();
+        let invalid =
+            [Behavior::InvalidList, Behavior::WatchInvalid(1)].map(|behavior| (Delivery::Pushed, behavior));
+        let refused =
+            [Behavior::ConnectRefused, Behavior::ClosedAtOnce].map(|behavior| (Delivery::Polled, behavior));
+        let endless = [invalid, refused].concat();
         for (delivery, behavior) in endless {
             let test_watch = TestWatch::new(delivery, &[behavior]);
             sleep(MINUTE).await;
             assert!(
-                test_watch.dial_count() < 2 * 60 + 10,
+                test_watch.connect_count() < 2 * 60 + 10,
                 "{delivery:?} {behavior:?}: {}",
-                test_watch.dial_count()
+                test_watch.connect_count()
             );
         }
     })
     .await;
 }
 
-/// What the old address failed at says nothing of the new one: two attempts there may hang, as after a silence.
+/// Failures at the old address say nothing about the new one: two attempts there may time out, as after a
+/// silence.
 #[tokio::test]
 async fn address_change_after_outage_resets_backoff() {
     in_paused_time(async {
-        // In the middle of an attempt, or of the wait after it.
-        for outage in [Behavior::Hang, Behavior::Refused] {
+        // During an attempt, or during the backoff after it.
+        for outage in [Behavior::ConnectStalled, Behavior::ConnectRefused] {
             for delivery in [Delivery::Pushed, Delivery::Polled] {
                 let test_watch = TestWatch::new(delivery, &[outage]);
-                test_watch.wait_for_dials(9).await;
-                let moved = Instant::now();
-                test_watch.move_to_next_address(&[Behavior::Hang, Behavior::Silent, Behavior::Alive(2)]);
+                test_watch.wait_for_connects(9).await;
+                let moved_at = Instant::now();
+                test_watch.move_to_next_address(&[
+                    Behavior::ConnectStalled,
+                    Behavior::NoResponse,
+                    Behavior::ListThenHeartbeats(2),
+                ]);
                 test_watch.wait_for_list(2).await;
-                let took = moved.elapsed();
-                assert!(took < MAX_STALENESS_AFTER_MOVE, "{delivery:?} after {outage:?}: {took:?}");
-                assert_eq!(test_watch.dials.borrow()[9].0, NEXT_ADDRESS.parse().expect("an address"));
+                let elapsed = moved_at.elapsed();
+                assert!(elapsed < MAX_STALENESS_AFTER_MOVE, "{delivery:?} after {outage:?}: {elapsed:?}");
+                assert_eq!(test_watch.connects.borrow()[9].0, NEXT_ADDRESS.parse().expect("an address"));
             }
         }
     })
     .await;
 }
 
-/// What the old address had last may be heard from the new one alone: it must not pass for new.
+/// The latest changes of the old address may only be received from the new one; they must not be treated as
+/// new.
 #[tokio::test]
 async fn moved_watch_is_reported_broken() {
     in_paused_time(async {
-        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::Alive(1)]);
+        let test_watch = TestWatch::new(Delivery::Pushed, &[Behavior::ListThenHeartbeats(1)]);
         test_watch.wait_for_list(1).await;
-        test_watch.move_to_next_address(&[Behavior::Alive(2)]);
+        test_watch.move_to_next_address(&[Behavior::ListThenHeartbeats(2)]);
         let broken = test_watch.event_loop.posted(|input| matches!(input, Input::EndpointListFailed));
-        timeout(MINUTE, broken).await.expect("the core is told");
+        timeout(MINUTE, broken).await.expect("the core is notified");
     })
     .await;
 }
 
-/// The module lets more time pass after each failure, up to the whole of `ask_within`.
+/// The scheduler waits longer after each failure, up to `ask_within`.
 #[tokio::test]
 async fn changed_address_while_scheduler_waits_is_queried() {
     in_paused_time(async {
-        // While the module lets time pass, or in the wait before.
-        for (outage, since) in [(Behavior::Hang, MINUTE), (Behavior::Refused, TRICKLE_INTERVAL / 10)] {
+        // While the scheduler waits, or during the backoff before that.
+        for (outage, since) in
+            [(Behavior::ConnectStalled, MINUTE), (Behavior::ConnectRefused, TRICKLE_INTERVAL / 10)]
+        {
             let test_watch = TestWatch::new(Delivery::PolledOnce, &[outage]);
             sleep(since).await;
-            assert_eq!(test_watch.dial_count(), 1, "the module lets time pass");
-            let moved = Instant::now();
-            test_watch.move_to_next_address(&[Behavior::Alive(2)]);
+            assert_eq!(test_watch.connect_count(), 1, "the scheduler waits");
+            let moved_at = Instant::now();
+            test_watch.move_to_next_address(&[Behavior::ListThenHeartbeats(2)]);
             test_watch.wait_for_list(2).await;
-            assert!(moved.elapsed() < MAX_STALENESS_AFTER_MOVE, "after {outage:?}: {:?}", moved.elapsed());
+            assert!(
+                moved_at.elapsed() < MAX_STALENESS_AFTER_MOVE,
+                "after {outage:?}: {:?}",
+                moved_at.elapsed()
+            );
         }
     })
     .await;
 }
 
-/// A watch that has long been open has ended the row of failures before it, also where it ends by order.
+/// A watch that was open for long has reset the failure count, even if it ends because a fetch was requested.
 #[tokio::test]
 async fn list_fetched_on_request_resets_backoff() {
     in_paused_time(async {
-        let mut behaviors = vec![Behavior::Hang; 8];
-        behaviors.extend([Behavior::Alive(1), Behavior::Hang, Behavior::Silent, Behavior::Alive(2)]);
+        let mut behaviors = vec![Behavior::ConnectStalled; 8];
+        behaviors.extend([
+            Behavior::ListThenHeartbeats(1),
+            Behavior::ConnectStalled,
+            Behavior::NoResponse,
+            Behavior::ListThenHeartbeats(2),
+        ]);
         let test_watch = TestWatch::new(Delivery::Pushed, &behaviors);
         test_watch.wait_for_list(1).await;
-        let ordered = Instant::now();
+        let requested_at = Instant::now();
         test_watch.event_loop.fetch_requested.notify_one();
         test_watch.wait_for_list(2).await;
-        let (took, bound) =
-            (ordered.elapsed(), last_attempt_begins_within(3) - backoff::watch_idle_timeout());
-        assert!(took <= bound, "{took:?}, at most {bound:?}");
+        let (elapsed, bound) =
+            (requested_at.elapsed(), last_attempt_begins_within(3) - backoff::watch_idle_timeout());
+        assert!(elapsed <= bound, "{elapsed:?}, at most {bound:?}");
     })
     .await;
 }
--- a/crates/http-gateway/src/watch/tests/scripted_discovery.rs
+++ b/crates/http-gateway/src/watch/tests/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A scripted discovery in memory, and a watch that follows it.
+//! An in-memory discovery with scripted behavior, and a watch that follows it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,11 +20,11 @@
 use crate::resource_limits::ResourceLimits;
 
 pub(super) const MINUTE: Duration = Duration::from_secs(60);
-/// Between the bytes of a list that trickles.
+/// Time between the bytes of a list that arrives slowly.
 pub(super) const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 pub(super) const NEXT_ADDRESS: &str = "127.0.0.1:10";
 const ADDRESS: &str = "127.0.0.1:9";
-/// Until a connect succeeds that is late.
+/// Duration of a connect that succeeds late.
 const CONNECT_DELAY: Duration = Duration::from_millis(2700);
 const STREAM: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const CONFIG: &str = r#"{"name":"g0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"0f",
@@ -37,57 +37,57 @@
     "rules":{"coldFrom":0.5,"coldS":4.0,"drainGraceS":1.0,"fallS":1.0,"tipMultiple":2.0},
     "telemetry":{"fields":["util"],"via":"answers"},"tickS":0.002}}"#;
 
-/// What discovery does with one connection.
+/// Behavior of discovery on one connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Behavior {
-    /// The connect hangs.
-    Hang,
-    /// The connect fails at once.
-    Refused,
-    /// Connects and never says a thing.
-    Silent,
-    /// The same, and the connect comes up late.
-    Late,
-    /// An object that is no list, and the connect comes up late.
-    LateUnreadable,
-    /// A response's head, then nothing.
-    Head,
-    /// Ends the connection at once.
-    Ended,
-    /// Ends it in the middle of the list, or of the first object.
-    Cut,
-    /// An object that is no list.
-    Unreadable,
-    /// The list of that version whole, but a watch says nothing.
-    Unopened(u64),
-    /// The list of that version whole, but a watch brings an object that is no list.
-    Unwatched(u64),
-    /// The whole list, or the first object, a byte now and then.
+    /// The connect stalls.
+    ConnectStalled,
+    /// The connect is refused immediately.
+    ConnectRefused,
+    /// Accepts the connection and never responds.
+    NoResponse,
+    /// The same, after a late connect.
+    LateNoResponse,
+    /// Responds with an object that is not a list, after a late connect.
+    LateInvalidList,
+    /// Sends the head of a response, then nothing.
+    HeadOnly,
+    /// Closes the connection immediately.
+    ClosedAtOnce,
+    /// Closes the connection in the middle of the list, or of the first object of the watch.
+    Truncated,
+    /// Responds with an object that is not a list.
+    InvalidList,
+    /// Sends the complete list of that version, but nothing on the watch.
+    WatchSilent(u64),
+    /// Sends the complete list of that version, but an object that is not a list on the watch.
+    WatchInvalid(u64),
+    /// Sends the complete list, or the first object of the watch, one byte at a time.
     Trickle,
-    /// The same, so many bytes a second, and heartbeats from then on.
+    /// The same at this rate in bytes per second, then heartbeats.
     Slow(usize),
-    /// The list of that version, then nothing.
-    Once(u64),
-    /// The list of that version, then a line that never ends, a byte now and then.
-    Unending(u64),
-    /// The list of that version, then heartbeats.
-    Alive(u64),
-    /// No object, only heartbeats.
-    Unchanged,
+    /// Sends the list of that version, then nothing.
+    ListThenSilent(u64),
+    /// Sends the list of that version, then a line that never ends, slowly.
+    ListThenEndlessLine(u64),
+    /// Sends the list of that version, then heartbeats.
+    ListThenHeartbeats(u64),
+    /// Sends no object, only heartbeats.
+    HeartbeatsOnly,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Delivery {
     Pushed,
     Polled,
-    /// The scheduler requests a watch once, and then lets time pass.
+    /// The scheduler requests a watch once, then does not request another one.
     PolledOnce,
 }
 
-/// A gateway's watch, and the discovery that it follows.
+/// A gateway's watch and the discovery that it follows.
 pub(super) struct TestWatch {
     pub(super) event_loop: Rc<EventLoop>,
-    pub(super) dials: Rc<RefCell<Vec<(SocketAddr, Instant)>>>,
+    pub(super) connects: Rc<RefCell<Vec<(SocketAddr, Instant)>>>,
     pub(super) behaviors: Rc<RefCell<VecDeque<Behavior>>>,
     /// When the first watch fell silent.
     pub(super) silent_since: Rc<Cell<Option<Instant>>>,
@@ -96,62 +96,63 @@
 }
 
 impl TestWatch {
-    /// The last behavior goes on for all later connections. A scheduler that polls does so again at once.
+    /// Further connections repeat the last behavior. Unless it polls only once, the scheduler requests the
+    /// next watch immediately.
     pub(super) fn new(delivery: Delivery, behaviors: &[Behavior]) -> TestWatch {
-        let config = Config::parse(CONFIG).expect("a whole configuration");
+        let config = Config::parse(CONFIG).expect("a valid configuration");
         let clock = Clock::start();
         let core = Core::start(&config, clock.now()).expect("it starts");
         let event_loop =
-            Rc::new(EventLoop::new(core, clock, ResourceLimits::from_config(&config).expect("bounds")));
-        let (dials, silent_since) =
+            Rc::new(EventLoop::new(core, clock, ResourceLimits::from_config(&config).expect("limits")));
+        let (connects, silent_since) =
             (Rc::<RefCell<Vec<_>>>::default(), Rc::<Cell<Option<Instant>>>::default());
         let behaviors = Rc::new(RefCell::new(VecDeque::from(behaviors.to_vec())));
-        let (asks, dialed, next, since) =
-            (event_loop.clone(), dials.clone(), behaviors.clone(), silent_since.clone());
+        let (scheduler, connect_log, next, since) =
+            (event_loop.clone(), connects.clone(), behaviors.clone(), silent_since.clone());
         event_loop.watch_requested.notify_one();
-        let dial = async move |address: SocketAddr| -> io::Result<DuplexStream> {
+        let connect = async move |address: SocketAddr| -> io::Result<DuplexStream> {
             if !matches!(delivery, Delivery::PolledOnce) {
-                asks.watch_requested.notify_one();
+                scheduler.watch_requested.notify_one();
             }
-            dialed.borrow_mut().push((address, Instant::now()));
+            connect_log.borrow_mut().push((address, Instant::now()));
             let behavior = next.borrow()[0];
             if next.borrow().len() > 1 {
                 next.borrow_mut().pop_front();
             }
-            if behavior == Behavior::Hang {
+            if behavior == Behavior::ConnectStalled {
                 return pending().await;
             }
-            if behavior == Behavior::Refused {
+            if behavior == Behavior::ConnectRefused {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             }
-            if let Behavior::Late | Behavior::LateUnreadable = behavior {
+            if let Behavior::LateNoResponse | Behavior::LateInvalidList = behavior {
                 sleep(CONNECT_DELAY).await;
             }
-            let (ours, theirs) = tokio::io::duplex(1 << 20);
-            spawn_local(serve_connection(theirs, behavior, since.clone()));
-            Ok(ours)
+            let (client, server) = tokio::io::duplex(1 << 20);
+            spawn_local(serve_connection(server, behavior, since.clone()));
+            Ok(client)
         };
-        let asked = !matches!(delivery, Delivery::Pushed);
-        let source = DiscoverySource { address: ADDRESS.parse().expect("an address"), is_polled: asked };
+        let is_polled = !matches!(delivery, Delivery::Pushed);
+        let source = DiscoverySource { address: ADDRESS.parse().expect("an address"), is_polled };
         let (sender, source) = watch::channel(source);
-        let task = spawn_local(follow(dial, event_loop.clone(), source, 0, 1));
-        TestWatch { event_loop, dials, behaviors, silent_since, task, source: sender }
+        let task = spawn_local(follow(connect, event_loop.clone(), source, 0, 1));
+        TestWatch { event_loop, connects, behaviors, silent_since, task, source: sender }
     }
 
-    pub(super) fn dial_count(&self) -> usize {
-        self.dials.borrow().len()
+    pub(super) fn connect_count(&self) -> usize {
+        self.connects.borrow().len()
     }
 
-    pub(super) async fn wait_for_dials(&self, times: usize) {
+    pub(super) async fn wait_for_connects(&self, times: usize) {
         let dialed = async {
-            while self.dial_count() < times {
+            while self.connect_count() < times {
                 sleep(TRICKLE_INTERVAL / 100).await;
             }
         };
-        timeout(10 * MINUTE, dialed).await.expect("so many calls, within ten minutes");
+        timeout(10 * MINUTE, dialed).await.expect("the connects, within ten minutes");
     }
 
-    /// Discovery is at another address from now on.
+    /// Moves discovery to another address.
     pub(super) fn move_to_next_address(&self, behaviors: &[Behavior]) {
         *self.behaviors.borrow_mut() = VecDeque::from(behaviors.to_vec());
         let address = NEXT_ADDRESS.parse().expect("an address");
@@ -183,25 +184,28 @@
     behavior: Behavior,
     silent_since: &Cell<Option<Instant>>,
 ) -> io::Result<()> {
-    let mut watched = false;
-    while !watched {
-        watched = request(stream).await?.contains("watch=1");
+    let mut is_watch = false;
+    while !is_watch {
+        is_watch = request(stream).await?.contains("watch=1");
         let list = list(behavior);
-        let text = match (watched, behavior) {
-            (true, Behavior::Unchanged) => STREAM.into(),
-            (true, Behavior::Unwatched(_)) => format!("{STREAM}{}", chunk("{}")),
+        let text = match (is_watch, behavior) {
+            (true, Behavior::HeartbeatsOnly) => STREAM.into(),
+            (true, Behavior::WatchInvalid(_)) => format!("{STREAM}{}", chunk("{}")),
             (true, _) => format!("{STREAM}{}", chunk(&list)),
             (false, _) => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()),
         };
         match behavior {
-            Behavior::Hang | Behavior::Refused | Behavior::Silent | Behavior::Late => return pending().await,
-            Behavior::Head => {
+            Behavior::ConnectStalled
+            | Behavior::ConnectRefused
+            | Behavior::NoResponse
+            | Behavior::LateNoResponse => return pending().await,
+            Behavior::HeadOnly => {
                 stream.write_all(STREAM.as_bytes()).await?;
                 return pending().await;
             }
-            Behavior::Unopened(_) if watched => return pending().await,
-            Behavior::Ended => return Ok(()),
-            Behavior::Cut => return stream.write_all(&text.as_bytes()[..text.len() / 2]).await,
+            Behavior::WatchSilent(_) if is_watch => return pending().await,
+            Behavior::ClosedAtOnce => return Ok(()),
+            Behavior::Truncated => return stream.write_all(&text.as_bytes()[..text.len() / 2]).await,
             Behavior::Trickle => write_slowly(stream, text.as_bytes(), 1, TRICKLE_INTERVAL).await?,
             Behavior::Slow(rate) => {
                 write_slowly(stream, text.as_bytes(), rate / 10, TRICKLE_INTERVAL).await?;
@@ -209,14 +213,14 @@
             _ => stream.write_all(text.as_bytes()).await?,
         }
     }
-    if let Behavior::Once(_) | Behavior::Unending(_) = behavior {
+    if let Behavior::ListThenSilent(_) | Behavior::ListThenEndlessLine(_) = behavior {
         silent_since.set(silent_since.get().or(Some(Instant::now())));
     }
     match behavior {
-        Behavior::Unending(_) => loop {
+        Behavior::ListThenEndlessLine(_) => loop {
             write_slowly(stream, b"1\r\n{\r\n", 6, TRICKLE_INTERVAL).await?;
         },
-        Behavior::Alive(_) | Behavior::Unchanged | Behavior::Slow(_) => loop {
+        Behavior::ListThenHeartbeats(_) | Behavior::HeartbeatsOnly | Behavior::Slow(_) => loop {
             sleep(protocol::WATCH_HEARTBEAT_INTERVAL).await;
             stream.write_all(chunk("").as_bytes()).await?;
         },
@@ -235,11 +239,11 @@
 async fn write_slowly(
     stream: &mut DuplexStream,
     bytes: &[u8],
-    at_once: usize,
-    pause: Duration,
+    chunk_size: usize,
+    interval: Duration,
 ) -> io::Result<()> {
-    for part in bytes.chunks(at_once) {
-        sleep(pause).await;
+    for part in bytes.chunks(chunk_size) {
+        sleep(interval).await;
         stream.write_all(part).await?;
     }
     Ok(())
@@ -251,18 +255,19 @@
 
 fn list(behavior: Behavior) -> String {
     let (version, stores) = match behavior {
-        Behavior::Unreadable | Behavior::LateUnreadable => return "{}".into(),
-        Behavior::Once(version)
-        | Behavior::Unending(version)
-        | Behavior::Alive(version)
-        | Behavior::Unopened(version)
-        | Behavior::Unwatched(version) => (version, 1),
+        Behavior::InvalidList | Behavior::LateInvalidList => return "{}".into(),
+        Behavior::ListThenSilent(version)
+        | Behavior::ListThenEndlessLine(version)
+        | Behavior::ListThenHeartbeats(version)
+        | Behavior::WatchSilent(version)
+        | Behavior::WatchInvalid(version) => (version, 1),
         Behavior::Slow(_) => (1, 1024),
         _ => (1, 1),
     };
     let store = |n| {
         format!(
-            r#"{{"uid":"s-{n:08x}","endpoint":"127.0.0.1:{}","az":"a","model":"m","pod_group":0,"state":"ready","capacity_hint":1.0,"boot_ms":0}}"#,
+            "{{\"uid\":\"s-{n:08x}\",\"endpoint\":\"127.0.0.1:{}\",\"az\":\"a\",\"model\":\"m\",\
+             \"pod_group\":0,\"state\":\"ready\",\"capacity_hint\":1.0,\"boot_ms\":0}}",
             7000 + n
         )
     };
--- a/crates/http-gateway/src/watch/transfer.rs
+++ b/crates/http-gateway/src/watch/transfer.rs
@@ -53,9 +53,9 @@
         ReadDeadline { idle_timeout, transfer_deadline: Instant::now() + idle_timeout }
     }
 
-    async fn wait<T>(self, done: impl Future<Output = io::Result<T>>) -> Result<io::Result<T>, WatchError> {
-        let until = self.transfer_deadline.min(Instant::now() + self.idle_timeout);
-        timeout_at(until, done).await.map_err(|_| WatchError::Silent)
+    async fn wait<T>(self, future: impl Future<Output = io::Result<T>>) -> Result<io::Result<T>, WatchError> {
+        let deadline = self.transfer_deadline.min(Instant::now() + self.idle_timeout);
+        timeout_at(deadline, future).await.map_err(|_| WatchError::Silent)
     }
 }
 
--- a/crates/http/tests/connection.rs
+++ b/crates/http/tests/connection.rs
@@ -1,8 +1,10 @@
-//! Every order of events around the end of a client's connection, at small size: the product's states between a client,
-//! a net, a hub and a process of the test. What comes is bounded, so the space is finite and searched whole.
+//! Exhaustive search over all orders of events at the end of a client connection: the real
+//! [`ConnectionState`], with models of the client, the network, the event loop and the process. The input is
+//! limited, so the state space is finite and searched completely.
 //!
-//! The client may send whole requests and halves at any moment, one behind the other, end or reset its connection, and
-//! read late. Room may be wanted, the gateway close and the process end at any moment, and any time be over.
+//! At any moment the client may send complete or partial requests, also several in a row, close or reset its
+//! connection, or read late. At any moment capacity may be demanded, the gateway may close, the process may
+//! exit, and any timeout may expire.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -10,7 +12,7 @@
     CloseDemand, ConnectionState, Event, NextStep, Obligation, ResponseKind, State,
 };
 
-/// Bugs of the test's own making, each of which the search has to find.
+/// Faults injected by this test, each of which the search has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum InjectedBug {
     None,
@@ -26,19 +28,21 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Property {
-    /// A whole request that was read before the shutdown has a whole answer, unless its client has gone.
+    /// A complete request that was read before sending was shut down gets a complete response, unless its
+    /// client has closed the connection.
     RequestAnswered,
-    /// Nothing read after the shutdown is handed on.
+    /// Nothing read after sending was shut down is forwarded.
     NothingForwardedAfterShutdown,
-    /// Of an op whose client has gone the hub is told, once and at once.
+    /// If the client of an open operation closes its connection, this is reported immediately, and only once.
     DisconnectReported,
-    /// No answer is taken away by a close over unread bytes, unless its time is over or room is wanted.
+    /// A response is not destroyed by closing over unread bytes, unless its time has expired or capacity is
+    /// demanded.
     ResponseNotReset,
-    /// Who sent half a request is answered before the connection ends.
+    /// A client that sent part of a request gets a response before its connection ends.
     PartialRequestAnswered,
-    /// The process ends before its deadline only when nothing is owed.
+    /// The process exits before its deadline only if no response is pending.
     ExitsWithoutPendingResponses,
-    /// Once the process ends, a silent client does not keep a connection.
+    /// Once the process is exiting, an idle client cannot keep a connection open.
     Terminates,
 }
 
@@ -50,59 +54,62 @@
     Fin,
 }
 
-/// What happens next.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Send(Sent),
-    /// The client resets; unread bytes are gone.
+    /// The client resets the connection; bytes that the gateway has not read are lost.
     Reset,
     /// The client reads what was written.
     ResponseRead,
     Phase(CloseDemand),
     CapacityDemanded,
-    /// The gateway reads what is first.
+    /// The gateway reads the next item sent.
     Read,
-    /// What is done now ends so.
+    /// The current step of the gateway ends with this event.
     Report(Event),
     Close,
-    /// Nothing is owed, as far as the gateway knows.
+    /// The process exits because it knows of no pending obligation.
     ProcessExits,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Model {
     bug: InjectedBug,
-    /// The client's requests persist, and are ops.
+    /// Whether the client's requests allow further ones on the connection; `is_op` says whether they are
+    /// operations.
     persists: bool,
     is_op: bool,
     connection: ConnectionState,
     next_step: NextStep,
     requests_left: u8,
     partial_sent: bool,
-    /// Sent, and not read by the gateway.
+    /// Sent by the client and not read by the gateway.
     unread: VecDeque<Sent>,
     client_closed: bool,
     reset: bool,
-    /// Read by the gateway, and not taken: whole requests, and a half.
+    /// Complete requests read by the gateway and not processed yet; `partial_read` says whether a partial one
+    /// follows.
     read_ahead: u8,
     partial_read: bool,
-    /// Of the half that was read, an error or a word that the connection ends was written.
+    /// Whether an error or the end of the connection was announced to the client after the partial request
+    /// was read.
     close_announced: bool,
-    /// Whole requests read before the shutdown and not answered.
+    /// Complete requests read before sending was shut down and not answered.
     pending_responses: u8,
     forwarded: bool,
     op_open: bool,
-    /// An answer was written that the client has not read.
+    /// A response was written that the client has not read.
     response_unread: bool,
-    /// It took no answer in its time.
+    /// The client did not read a response in time.
     client_not_reading: bool,
-    /// Its time to read its last answer is over, or was cut for room.
+    /// The client's time to read its last response has expired, or was cut short for capacity.
     linger_expired: bool,
     sending_shut_down: bool,
     closed: bool,
     phase: CloseDemand,
     capacity_demanded: bool,
-    /// Since the last request.
+    /// Whether capacity was demanded since the last request.
     demanded_since_request: bool,
 }
 
@@ -156,7 +163,7 @@
             CloseDemand::Graceful => Some(Step::Phase(CloseDemand::Immediate)),
             _ => None,
         });
-        // The process waits for connections to end; planted, only for answers.
+        // The process waits for connections to close; with this injected bug, only for responses.
         if self.bug == InjectedBug::ExitsDuringLingeringClose
             && self.phase == CloseDemand::Immediate
             && self.connection.obligation() == Obligation::LingeringClose
@@ -193,7 +200,7 @@
             _ => None,
         };
         match self.next_step {
-            // What was read ahead is looked at first.
+            // Requests that were read ahead are processed first.
             NextStep::Read if request_event.is_some() => steps.extend(request_event.map(Step::Report)),
             NextStep::Read if self.can_read() => {
                 steps.push(Step::Read);
@@ -261,7 +268,7 @@
     }
 
     fn read(&mut self) -> PropertyResult {
-        let sent = if self.reset { Sent::Fin } else { self.unread.pop_front().expect("it can read") };
+        let sent = if self.reset { Sent::Fin } else { self.unread.pop_front().expect("an unread item") };
         if self.sending_shut_down && sent != Sent::Fin {
             if self.bug == InjectedBug::ForwardsAfterShutdown && sent != Sent::Partial {
                 self.next_step = NextStep::AwaitResponse;
@@ -331,7 +338,8 @@
             _ => self.pending_responses = self.pending_responses.saturating_sub(1),
         }
         if is_last && (!self.persists || response != ResponseKind::Final) {
-            // The client has said that it sends no more, or what is behind an error is no request.
+            // The client has announced that it sends no more, or the bytes after an invalid request are no
+            // request.
             self.pending_responses = 0;
         }
     }
@@ -401,7 +409,8 @@
         }
     }
 
-    /// The process ends, the client is silent: all that is left is the gateway's own.
+    /// Checks that the connection closes by the gateway's own steps once the process is exiting and the
+    /// client is idle.
     fn check_termination(&self) -> PropertyResult {
         let mut model = self.clone();
         (model.phase, model.bug) = (CloseDemand::Immediate, InjectedBug::None);
@@ -423,7 +432,7 @@
     violation: Option<(Property, Vec<Step>)>,
 }
 
-/// Breadth first, so that what is found is found by a shortest way.
+/// Breadth-first search, so that a shortest trace is exploration.
 fn explore(start: Model) -> Exploration {
     let mut seen = HashSet::from([start.clone()]);
     let mut queue = VecDeque::from([(start, Vec::new())]);
@@ -449,21 +458,21 @@
     for rejecting in [false, true] {
         for persists in [true, false] {
             for is_op in [true, false] {
-                let found = explore(Model::new(InjectedBug::None, rejecting, persists, is_op));
+                let exploration = explore(Model::new(InjectedBug::None, rejecting, persists, is_op));
                 assert_eq!(
-                    found.violation, None,
-                    "turned away: {rejecting}, persists: {persists}, is_op: {is_op}"
+                    exploration.violation, None,
+                    "rejecting: {rejecting}, persists: {persists}, is_op: {is_op}"
                 );
-                states += found.states;
+                states += exploration.states;
             }
         }
     }
     println!("{states} states");
-    assert!(states > 10_000, "{states} states: the search has lost its way");
+    assert!(states > 10_000, "{states} states: the search is incomplete");
 }
 
 #[test]
-fn planted_faults_are_detected() {
+fn injected_bugs_are_detected() {
     for (bug, property) in [
         (InjectedBug::ClosesWhileAwaitingResponse, Property::RequestAnswered),
         (InjectedBug::ForwardsAfterShutdown, Property::NothingForwardedAfterShutdown),
@@ -474,8 +483,8 @@
         (InjectedBug::DropsReadAheadRequest, Property::RequestAnswered),
         (InjectedBug::KeepsCapacityDemandAfterRequest, Property::ResponseNotReset),
     ] {
-        let found = explore(Model::new(bug, false, true, true));
-        let (violation, trace) = found.violation.unwrap_or_else(|| panic!("{bug:?} is not found"));
+        let exploration = explore(Model::new(bug, false, true, true));
+        let (violation, trace) = exploration.violation.unwrap_or_else(|| panic!("{bug:?} is not detected"));
         println!("{bug:?} breaks {violation:?}: {trace:?}");
         assert_eq!(violation, property, "{bug:?}: {trace:?}");
     }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages cut anywhere over reads, and bytes that are none.
+//! Parsing of messages that are split arbitrarily over reads, and of invalid bytes.
 
 use bytes::BytesMut;
 use quickcheck::quickcheck;
@@ -10,7 +10,8 @@
 
 const REQUESTS: &[u8] = b"PUT /a/b HTTP/1.1\r\nHost: x\r\nX-Own: 1\r\nContent-Length: 5\r\n\r\nhello\
     GET /c?d=e HTTP/1.1\r\nhost: x\r\n\r\n\
-    \r\nPUT /f HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;kind=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTail: 1\r\n\r\n\
+    \r\nPUT /f HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n\
+    3;kind=1\r\nabc\r\nA\r\n0123456789\r\n0\r\nTail: 1\r\n\r\n\
     GET /g HTTP/1.0\r\n\r\n";
 
 const RESPONSES: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n\
@@ -18,7 +19,7 @@
     HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nno\r\n0\r\n\r\n\
     HTTP/1.1 204 None\r\nConnection: close\r\n\r\n";
 
-/// Cuts bytes at the places that the numbers tell.
+/// Splits bytes at the given positions.
 fn split(bytes: &[u8], positions: &[usize]) -> Vec<Vec<u8>> {
     let mut positions: Vec<usize> = positions.iter().map(|position| position % (bytes.len() + 1)).collect();
     positions.extend([0, bytes.len()]);
@@ -49,15 +50,15 @@
 }
 
 quickcheck! {
-    fn cuts_do_not_change_requests(positions: Vec<usize>) -> bool {
+    fn splits_do_not_change_requests(positions: Vec<usize>) -> bool {
         read_requests(&split(REQUESTS, &positions)) == read_requests(&[REQUESTS.to_vec()])
     }
 
-    fn cuts_do_not_change_answers(positions: Vec<usize>) -> bool {
+    fn splits_do_not_change_responses(positions: Vec<usize>) -> bool {
         read_responses(&split(RESPONSES, &positions)) == read_responses(&[RESPONSES.to_vec()])
     }
 
-    /// What comes is taken or refused, and no more is held than the limits say.
+    /// Arbitrary bytes are accepted or rejected, and never buffered beyond the limits.
     fn noise_is_rejected_or_buffered_within_limits(noise: Vec<u8>, copies: u8) -> bool {
         let noise = noise.repeat(usize::from(copies));
         let is_buffered = read_requests(std::slice::from_ref(&noise)).is_ok();
@@ -130,7 +131,8 @@
 #[test]
 fn bytes_behind_malformed_head_are_not_read() {
     let mut reader = RequestReader::new(LIMITS);
-    let hidden = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
+    let hidden = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\
+                  Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
                   GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     reader.bytes.extend_from_slice(hidden.as_bytes());
     assert_eq!(reader.next_event(), Err(Malformed::LengthAndCoding));
@@ -208,7 +210,8 @@
     assert!(matches!(malformed_response("noise noise noise\r\n"), Malformed::Head(_) | Malformed::Version));
 }
 
-/// It was refused, whole or not: its op was lost. Before its connection has ended in good order it is no answer.
+/// A response without a length ends when its connection is closed. Such responses were rejected, even
+/// complete ones, so their operations were lost. Before a regular close the response is not complete.
 #[test]
 fn response_without_length_ends_at_close_only() {
     for (text, complete) in [
@@ -258,10 +261,10 @@
 #[test]
 fn encoded_message_is_read_back() {
     let bytes = client::request("PUT", "/a?b", "x:1", &[("X-Own", b"7")], b"body");
-    let read = read_requests(&[bytes.to_vec()]).expect("our own");
+    let read = read_requests(&[bytes.to_vec()]).expect("our own message");
     assert_eq!((&*read[0].target, &read[0].body[..]), ("/a?b", &b"body"[..]));
     let bytes = server::response(429, &[("Retry-After", b"0.110")], b"", true);
-    let read = read_responses(&[bytes.to_vec()]).expect("our own");
+    let read = read_responses(&[bytes.to_vec()]).expect("our own message");
     assert_eq!((read[0].head.status, read[0].head.persists), (429, false));
     assert_eq!(read[0].head.headers.one("retry-after"), Ok(Some(&b"0.110"[..])));
 }
