--- a/crates/http-gateway/src/client/responding.rs
+++ b/crates/http-gateway/src/client/responding.rs
@@ -29,7 +29,7 @@
         let Some(mut op) = self.op.take() else { return self.response_ready() };
         let response = tokio::select! {
             biased;
-            // Puts the operation back; the state machine decides to cancel it.
+            // The operation is put back below; the state machine decides to cancel it.
             () = self.client_disconnected() => None,
             response = &mut op.response => Some(response),
         };
--- a/crates/http-gateway/src/client_connections.rs
+++ b/crates/http-gateway/src/client_connections.rs
@@ -98,7 +98,7 @@
 
     /// Demands that connections without a complete request close, and returns once no connection waits for
     /// its response.
-    pub(crate) async fn wait_until_answered(&self) {
+    pub(crate) async fn close_unused_and_wait_until_answered(&self) {
         self.common_demand.set(CloseDemand::Immediate);
         self.open.borrow().values().for_each(|connection| connection.demand_raised.notify_one());
         self.wait_until(|open| {
--- a/crates/http-gateway/src/shutdown.rs
+++ b/crates/http-gateway/src/shutdown.rs
@@ -41,7 +41,8 @@
 ///
 /// Hazard: unread bytes on a connection reset it when the process exits, and the reset can destroy responses.
 async fn close_remaining(event_loop: &EventLoop, response_write: Duration, drain_close: Duration) {
-    let is_answered = timeout(response_write, event_loop.clients.wait_until_answered()).await.is_ok();
+    let is_answered =
+        timeout(response_write, event_loop.clients.close_unused_and_wait_until_answered()).await.is_ok();
     let is_closed = timeout(drain_close, event_loop.clients.wait_until_empty()).await.is_ok();
     let clients = event_loop.clients.len();
     let counters = &event_loop.counters;
