--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -10,7 +10,7 @@
 
 use imbl::{HashMap, Vector};
 use serde_json::{Value, json};
-use umbertray_config::{FunctionCall, SettingsDocument, check};
+use umbertray_config::{FunctionCall, SettingsDocument, parse};
 use umbertray_routing::Settings;
 pub use umbertray_routing::SettingsChange;
 use umbertray_routing::settings::{OpType, Plan, Rules, TypeRule, Volume};
@@ -65,7 +65,7 @@
 
     /// Version 0, the empty configuration; not one to act on.
     pub fn empty() -> Version {
-        let rules = check::rules(&FunctionCall::synthetic("rules", Value::Null, []), &mut Vec::new());
+        let rules = parse::rules(&FunctionCall::synthetic("rules", Value::Null, []), &mut Vec::new());
         Version {
             number: 0,
             configuration: Configuration::default(),
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use serde_json::Value;
-use umbertray_config::{FunctionCall, Problem, canonical, check};
+use umbertray_config::{FunctionCall, Problem, canonical, parse};
 use umbertray_routing::SettingsChange;
 use umbertray_routing::settings::{OpType, TypeRule, Volume};
 
@@ -95,7 +95,7 @@
     }
 
     fn put_op_type(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
-        let op_type = check::op_type(call, problems);
+        let op_type = parse::op_type(call, problems);
         let canonical = canonical::op_type(&op_type).named;
         let op_types = Arc::make_mut(&mut self.version.op_types);
         match op_types.iter_mut().find(|known| known.name == op_type.name) {
@@ -119,13 +119,13 @@
         let op_types = &self.version.op_types;
         let index_of = |name: &str| op_types.iter().position(|op_type| op_type.name == name);
         let rules: Vec<TypeRule> =
-            calls.iter().map(|call| check::type_rule(call, &index_of, problems)).collect();
+            calls.iter().map(|call| parse::type_rule(call, &index_of, problems)).collect();
         let given = fields.get("rules").and_then(Value::as_array).map_or(0, Vec::len);
         let requests = FunctionCall::synthetic("requests", Value::Null, []);
         if given != rules.len() || fields.len() != 1 {
             problems.push(requests.problem("rules must be a list of request rules"));
         }
-        for kind in check::unruled(&rules) {
+        for kind in parse::uncovered_kinds(&rules) {
             problems.push(requests.problem(format!("no rule without up_to covers {kind:?}")));
         }
         let canonical =
@@ -136,7 +136,7 @@
     }
 
     fn put_rules(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
-        let rules = check::rules(call, problems);
+        let rules = parse::rules(call, problems);
         let canonical = canonical::rules(&rules).named;
         self.version.rules = Arc::new(rules);
         self.changes.push(SettingsChange::Figures);
@@ -144,7 +144,7 @@
     }
 
     fn put_plan(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
-        let plan = check::plan(call, problems);
+        let plan = parse::plan(call, problems);
         let canonical = canonical::plan(&plan).named;
         let version = &mut self.version;
         let index = version.plan_indices.get(&plan.name).copied().unwrap_or(version.plans.len());
@@ -164,7 +164,7 @@
     fn put_volume(&mut self, call: &FunctionCall, problems: &mut Vec<Problem>) -> Fields {
         let version = &mut self.version;
         let plan_indices = &version.plan_indices;
-        let volume = check::volume(call, &|name| plan_indices.get(name).copied(), problems);
+        let volume = parse::volume(call, &|name| plan_indices.get(name).copied(), problems);
         if !problems.is_empty() {
             return call.named.clone();
         }
--- a/crates/config/src/arguments.rs
+++ b/crates/config/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Reading the arguments of a call.
+//! Reads the arguments of a script's function call.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -10,40 +10,40 @@
 
 /// Reads a call's arguments by name.
 ///
-/// Each problem is noted and a placeholder value is returned in place of the wrong one, so that all problems of a script
-/// are found at once. A `default` of `None` makes an argument required.
+/// An invalid argument is recorded as a problem and replaced by a placeholder value, so that all problems of
+/// a script are found in one run. An argument that is read with a `default` of `None` is required.
 pub struct Arguments<'a> {
     /// The call whose arguments are read.
     pub call: &'a FunctionCall,
     problems: &'a mut Vec<Problem>,
-    /// Names read so far, in order; the message for an unknown argument lists them.
-    known: Vec<&'static str>,
+    /// Names of the arguments read so far, in order. The message for an unknown argument lists them.
+    names_read: Vec<&'static str>,
 }
 
 impl<'a> Arguments<'a> {
-    /// Begins to read a call; its problems are appended to `problems`.
+    /// Creates a reader of a call's arguments that appends the problems it finds to `problems`.
     pub fn new(call: &'a FunctionCall, problems: &'a mut Vec<Problem>) -> Arguments<'a> {
-        Arguments { call, problems, known: Vec::new() }
+        Arguments { call, problems, names_read: Vec::new() }
     }
 
-    /// Notes a problem with the call.
-    pub fn problem(&mut self, what: impl Display) {
-        self.problems.push(self.call.problem(what));
+    /// Records a problem with the call.
+    pub fn problem(&mut self, message: impl Display) {
+        self.problems.push(self.call.problem(message));
     }
 
     fn get(&mut self, name: &'static str) -> Option<&'a Value> {
-        self.known.push(name);
+        self.names_read.push(name);
         self.call.named.get(name).filter(|value| !value.is_null())
     }
 
-    /// Whether an argument is given, not null and of a kind; does not count as reading it.
+    /// Whether an argument is present and satisfies `is_kind`. The argument does not count as read.
     pub(crate) fn is_given_as(&self, name: &str, is_kind: fn(&Value) -> bool) -> bool {
         self.call.named.get(name).is_some_and(is_kind)
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     pub fn number(&mut self, name: &'static str, range: RangeInclusive<f64>, default: Option<f64>) -> f64 {
-        let problem = match (self.get(name), default) {
+        let message = match (self.get(name), default) {
             (Some(value), _) => match value.as_f64() {
                 Some(number) if range.contains(&number) => return number,
                 Some(number) => {
@@ -55,18 +55,18 @@
             (None, Some(default)) => return default,
             (None, None) => format!("{name} is missing"),
         };
-        self.problem(problem);
+        self.problem(message);
         *range.start()
     }
 
-    /// A number within a range, where one is given.
+    /// Reads an optional number within a range; `None` if the argument is absent.
     pub fn optional(&mut self, name: &'static str, range: RangeInclusive<f64>) -> Option<f64> {
         let is_given = self.is_given_as(name, |value| !value.is_null());
         let number = self.number(name, range, Some(0.0));
         is_given.then_some(number)
     }
 
-    /// A whole number within a range.
+    /// Reads an integer within a range.
     pub fn count(&mut self, name: &'static str, range: RangeInclusive<u64>, default: Option<u64>) -> u64 {
         let range = *range.start() as f64..=*range.end() as f64;
         let number = self.number(name, range, default.map(|count| count as f64));
@@ -76,7 +76,7 @@
         number as u64
     }
 
-    /// A duration in seconds, within a range.
+    /// Reads a duration, given in seconds, within a range in seconds.
     pub fn duration(
         &mut self,
         name: &'static str,
@@ -86,7 +86,7 @@
         Duration::from_secs_f64(self.number(name, range, default))
     }
 
-    /// A truth value; false where it is absent.
+    /// Reads a Boolean; false if the argument is absent.
     pub fn flag(&mut self, name: &'static str) -> bool {
         match self.get(name) {
             None => false,
@@ -98,24 +98,24 @@
         }
     }
 
-    /// A string.
+    /// Reads a string.
     pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
-        let problem = match (self.get(name), default) {
+        let message = match (self.get(name), default) {
             (Some(Value::String(text)), _) => return text.clone(),
             (Some(other), _) => format!("{name} = {other} is not a string"),
             (None, Some(default)) => return default.into(),
             (None, None) => format!("{name} is missing"),
         };
-        self.problem(problem);
+        self.problem(message);
         String::new()
     }
 
-    /// A string that is not empty, where one is given.
+    /// Reads an optional string; `None` if the argument is absent or the string is empty.
     pub(crate) fn optional_text(&mut self, name: &'static str) -> Option<String> {
         Some(self.text(name, Some(""))).filter(|text| !text.is_empty())
     }
 
-    /// A list of strings, required and not empty; one string is a list of one.
+    /// Reads a required, non-empty list of strings. A single string counts as a list of one.
     pub fn texts(&mut self, name: &'static str) -> Vec<String> {
         match self.get(name) {
             Some(value) => self.strings(name, value),
@@ -126,12 +126,12 @@
         }
     }
 
-    /// The positional argument as a list of strings, not empty; one string is a list of one.
+    /// Reads the positional argument as a non-empty list of strings. A single string counts as a list of one.
     pub fn first_texts(&mut self) -> Vec<String> {
         self.strings("the first argument", &self.call.first)
     }
 
-    /// The positional argument as a string, the last of a list.
+    /// Reads the positional argument as a string; of a list, the last string.
     pub fn first_text(&mut self) -> String {
         self.first_texts().pop().unwrap_or_default()
     }
@@ -145,17 +145,18 @@
         match texts {
             Some(texts) if !texts.is_empty() => texts,
             _ => {
-                self.problem(format!("{name} = {value} is not a string or a list of strings"));
+                self.problem(format!("{name} = {value} is not a string or a non-empty list of strings"));
                 Vec::new()
             }
         }
     }
 
-    /// Notes every argument that was given and not read. Must come after all reads.
+    /// Records a problem for every argument that was not read. Must be called after all arguments have been
+    /// read.
     pub fn end(mut self) {
-        let known = self.known.join(", ");
+        let known = self.names_read.join(", ");
         for name in self.call.named.keys() {
-            if !self.known.contains(&name.as_str()) {
+            if !self.names_read.contains(&name.as_str()) {
                 self.problem(format!("unknown argument {name}; known are {known}"));
             }
         }
--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -1,19 +1,19 @@
-//! Checked settings as calls, every default filled in.
+//! Converts validated settings into calls that state every default explicitly.
 //!
-//! Invariant: what these calls evaluate to is what they were made of.
+//! Invariant: parsing these calls yields the settings that they were made from.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 use umbertray_routing::settings::{Bounds, Idempotency, Limit, OpType, Plan, Rules, TypeRule, Volume};
 
-use crate::{ChangeSource, FunctionCall, SettingsDocument, check};
+use crate::{ChangeSource, FunctionCall, SettingsDocument, parse};
 
 fn seconds(duration: Duration) -> Value {
     json!(duration.as_secs_f64())
 }
 
-/// The script's value of the source of changes: a folder, or a list of relays.
+/// The value of `changes` for a source of the log of changes: a folder, or a list of relays.
 fn change_source(changes: &ChangeSource) -> Value {
     match changes {
         ChangeSource::Folder(folder) => json!(folder),
@@ -23,6 +23,7 @@
     }
 }
 
+/// The value of `vouch`, which only a list of relays has.
 fn quorum(changes: &ChangeSource) -> Option<usize> {
     match changes {
         ChangeSource::Folder(_) => None,
@@ -30,7 +31,7 @@
     }
 }
 
-/// The call of `gateway` with a gateway's own settings.
+/// The call of `gateway` with the settings of a single gateway.
 pub fn gateway(document: &SettingsDocument) -> FunctionCall {
     let settings = &document.settings;
     let listen: Vec<String> = document.listen.iter().map(ToString::to_string).collect();
@@ -62,7 +63,7 @@
     )
 }
 
-/// The call of `op_type` with an op type.
+/// The call of `op_type` that defines an op type.
 pub fn op_type(op_type: &OpType) -> FunctionCall {
     let (repeats, dedup_span) = match op_type.idempotency {
         Idempotency::Idempotent => ("replayable", Value::Null),
@@ -83,9 +84,9 @@
     )
 }
 
-/// The call of `request` with a request rule, which refers to one of these op types.
+/// The call of `request` that defines a request rule; the rule refers to one of `op_types` by index.
 pub fn request(rule: &TypeRule, op_types: &[OpType]) -> FunctionCall {
-    let kinds: Vec<&str> = rule.kinds.iter().map(|kind| check::kind_name(*kind)).collect();
+    let kinds: Vec<&str> = rule.kinds.iter().map(|kind| parse::kind_name(*kind)).collect();
     FunctionCall::synthetic(
         "request",
         json!(kinds),
@@ -93,9 +94,9 @@
     )
 }
 
-/// The call of `plan` with a plan.
+/// The call of `plan` that defines a plan.
 pub fn plan(plan: &Plan) -> FunctionCall {
-    let limit = |figure: fn(&Limit) -> f64| json!(plan.limit.as_ref().map(figure));
+    let limit = |field: fn(&Limit) -> f64| json!(plan.limit.as_ref().map(field));
     FunctionCall::synthetic(
         "plan",
         json!(plan.name),
@@ -110,7 +111,7 @@
     )
 }
 
-/// The call of `volume` with a volume, which has the plan of this name.
+/// The call of `volume` that defines a volume; `plan` is the name of the volume's plan.
 pub fn volume(volume: &Volume, plan: &str) -> FunctionCall {
     FunctionCall::synthetic(
         "volume",
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! What scripts evaluate to: the settings of each kind of process.
+//! The validated settings of each kind of process.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,39 +7,42 @@
 
 use crate::{FunctionCall, canonical};
 
-/// The settings of a gateway: its own, and those that all gateways of a deployment share.
+/// The settings of a gateway: those of the gateway itself, and those that all gateways of its deployment
+/// share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsDocument {
     /// Addresses to accept clients on.
     pub listen: Vec<SocketAddr>,
-    /// Address of the service that has the store list.
+    /// Address of the list service, which serves the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// The coordinator of the map of extents; `None`: the service of the store list has it.
+    /// Address of the coordinator, which serves the map of extents. If `None`, the list service also serves
+    /// the map.
     pub coordinator: Option<SocketAddr>,
-    /// Seed of the gateway's random choices, and its identity.
+    /// Seed of the gateway's random choices. It also identifies the gateway.
     pub seed: u64,
-    /// The folder in which state survives restarts.
+    /// The folder in which the gateway saves state across restarts.
     pub state: Option<String>,
-    /// Source of the log of changes, whose plans, volumes, op types and rules replace the script's.
+    /// Source of the log of changes. The log's plans, volumes, op types and rules replace those of the
+    /// script.
     pub changes: Option<ChangeSource>,
-    /// The gateway's name at relays; unique among all that follow them.
+    /// The gateway's name at relays. It must be unique among all followers of the relays.
     pub name: String,
     /// The zone that the gateway is in.
     pub zone: String,
-    /// What the scheduler and the routing work by.
+    /// The settings of the scheduler and the routing.
     pub settings: Settings,
 }
 
 /// Source of a log of changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// The writer's folder.
+    /// The folder in which the log's writer keeps it.
     Folder(String),
-    /// Relays.
+    /// Relays that distribute the log.
     Relays {
-        /// The relays to follow, each once.
+        /// The relays to follow, without duplicates.
         upstreams: Vec<Upstream>,
-        /// How many of them must say the same before it is acted on.
+        /// How many of the relays must agree on a version before it is applied.
         quorum: usize,
     },
 }
@@ -47,11 +50,11 @@
 /// A relay that is followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
-    /// The relay's name; its address where it has no other.
+    /// The relay's name; by default its address.
     pub name: String,
     /// The zone that the relay is in.
     pub zone: String,
-    /// Where it accepts followers.
+    /// The address on which the relay accepts followers.
     pub address: SocketAddr,
 }
 
@@ -66,9 +69,9 @@
 pub struct CoordinatorSettings {
     /// Address to accept gateways on.
     pub listen: SocketAddr,
-    /// Address of the service that has the store list.
+    /// Address of the list service, which serves the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// The folder of its log.
+    /// The folder of the coordinator's log.
     pub folder: String,
 }
 
@@ -77,23 +80,23 @@
 pub struct RelaySettings {
     /// Address to accept followers on.
     pub listen: SocketAddr,
-    /// The relay's name; unique among all that follow relays.
+    /// The relay's name. It must be unique among all followers of relays.
     pub name: String,
     /// The zone that the relay is in.
     pub zone: String,
-    /// Source of the log that it carries.
+    /// Source of the log that the relay distributes.
     pub changes: ChangeSource,
-    /// The folder in which its copy of the log survives restarts.
+    /// The folder in which the relay keeps its copy of the log across restarts.
     pub folder: Option<String>,
 }
 
 impl SettingsDocument {
-    /// The settings, every default filled in, as a script that reads back to the same.
+    /// The settings as a script that states every default explicitly and parses back to equal settings.
     pub fn as_script(&self) -> String {
         as_script(&self.calls())
     }
 
-    /// The gateway's own part of that script.
+    /// The part of that script that defines the settings of the gateway itself.
     pub fn own_script(&self) -> String {
         as_script(&[canonical::gateway(self), canonical::bounds(&self.settings.bounds)])
     }
--- a/crates/config/src/function_call.rs
+++ b/crates/config/src/function_call.rs
@@ -1,4 +1,4 @@
-//! A call that a script made.
+//! A recorded call of a script.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -7,25 +7,25 @@
 
 use crate::Problem;
 
-/// A call of one of the script's own functions.
+/// A call of one of the functions that this package offers to scripts.
 #[derive(Clone, Debug)]
 pub struct FunctionCall {
     /// The function's name.
     pub function: &'static str,
-    /// The positional argument; null where there is none.
+    /// The positional argument; null if there is none.
     pub first: Value,
     /// The named arguments.
     pub named: BTreeMap<String, Value>,
-    /// The script's name; empty where no script made the call.
+    /// Name of the script file; empty for a synthetic call.
     pub file: String,
-    /// Line of the call, from 1; 0 where it has no place.
+    /// Line of the call, counted from 1; 0 if unknown.
     pub line: usize,
-    /// Column of the call, from 1; 0 where it has no place.
+    /// Column of the call, counted from 1; 0 if unknown.
     pub column: usize,
 }
 
 impl FunctionCall {
-    /// A call that no script made. Fields that are null are left out.
+    /// Creates a call that does not come from a script. Fields that are null are omitted.
     pub fn synthetic(
         function: &'static str,
         first: Value,
@@ -36,7 +36,7 @@
         FunctionCall { function, first, named, file: String::new(), line: 0, column: 0 }
     }
 
-    /// The call as a line of a script, without its line feed.
+    /// The call as a line of a script, without the trailing line feed.
     pub fn as_script(&self) -> String {
         let mut arguments = Vec::new();
         if !self.first.is_null() {
@@ -46,25 +46,25 @@
         format!("{}({})", self.function, arguments.join(", "))
     }
 
-    /// A problem with this call, at its place.
-    pub fn problem(&self, what: impl Display) -> Problem {
+    /// Creates a problem with this call, at the call's line and column.
+    pub fn problem(&self, message: impl Display) -> Problem {
         Problem {
             file: self.file.clone(),
             line: self.line,
             column: self.column,
-            what: format!("{}: {what}", self.function),
+            what: format!("{}: {message}", self.function),
         }
     }
 }
 
-/// A value as Starlark writes it.
+/// A value as a Starlark literal.
 fn literal(value: &Value) -> String {
     match value {
         Value::Bool(true) => "True".into(),
         Value::Bool(false) => "False".into(),
         Value::Null => "None".into(),
         Value::Array(items) => format!("[{}]", items.iter().map(literal).collect::<Vec<_>>().join(", ")),
-        // A JSON string is one of Starlark's, and numbers are written alike.
+        // JSON strings and numbers are also valid Starlark literals.
         other => other.to_string(),
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,15 +1,17 @@
-//! The settings script and what it evaluates to.
+//! Evaluates and validates the settings scripts of gateways, coordinators and relays.
 //!
-//! A script is Starlark: calls of `gateway`, `op_type`, `request`, `plan`, `volume`, `rules` and `bounds`, with the
-//! language's own means to compute them. [`evaluate`] runs it within bounds and records its calls ([`FunctionCall`]);
-//! [`check`] reads their [`Arguments`] and names every problem with its place; [`canonical`] turns checked settings back
-//! into calls. docs/settings.md is the operators' page.
+//! A script is written in Starlark. It calls the functions `gateway`, `op_type`, `request`, `plan`, `volume`,
+//! `rules` and `bounds`, and may compute their arguments with the language's loops and functions.
+//! [`evaluate`] runs a script with limits on time and memory and records its calls ([`FunctionCall`]).
+//! [`parse`] reads the [`Arguments`] of the calls and reports every problem with its line and column.
+//! [`canonical`] converts validated settings back into calls. docs/settings.md documents the settings for
+//! operators.
 
 mod arguments;
 pub mod canonical;
-pub mod check;
 mod document;
 mod function_call;
+pub mod parse;
 mod problem;
 mod script;
 
@@ -19,13 +21,15 @@
 pub use problem::Problem;
 pub use script::evaluate;
 
-/// The functions whose calls make up settings; the others that a script may call belong to a fault test.
+/// The functions that define a gateway's settings. All other functions that a script may call belong to the
+/// scripts of coordinators, relays and fault tests.
 const SETTINGS_FUNCTIONS: [&str; 7] = ["gateway", "op_type", "request", "plan", "volume", "rules", "bounds"];
 
-/// The functions whose calls are a gateway's own, not shared by its deployment.
-const OWN_FUNCTIONS: [&str; 2] = ["gateway", "bounds"];
+/// The functions that define the settings of a single gateway. The settings of the other functions are shared
+/// by all gateways of the deployment.
+const LOCAL_FUNCTIONS: [&str; 2] = ["gateway", "bounds"];
 
-/// Evaluates a gateway's script and checks its settings.
+/// Evaluates a gateway's script and validates its settings.
 ///
 /// # Errors
 /// All problems with the script or its settings.
@@ -33,60 +37,67 @@
     parse_whole(file, &evaluate_script(file, text)?)
 }
 
-/// Evaluates a coordinator's script and checks its settings.
+/// Evaluates a coordinator's script and validates its settings.
 ///
 /// # Errors
 /// All problems with the script or its settings.
 pub fn read_coordinator(file: &str, text: String) -> Result<CoordinatorSettings, Vec<Problem>> {
-    check::coordinator(file, &evaluate_script(file, text)?)
+    parse::coordinator(file, &evaluate_script(file, text)?)
 }
 
-/// Evaluates a relay's script and checks its settings.
+/// Evaluates a relay's script and validates its settings.
 ///
 /// # Errors
 /// All problems with the script or its settings.
 pub fn read_relay(file: &str, text: String) -> Result<RelaySettings, Vec<Problem>> {
-    check::relay(file, &evaluate_script(file, text)?)
+    parse::relay(file, &evaluate_script(file, text)?)
 }
 
 fn evaluate_script(file: &str, text: String) -> Result<Vec<FunctionCall>, Vec<Problem>> {
     evaluate(file, text).map_err(|problem| vec![problem])
 }
 
-/// Checks that a script's calls are settings and nothing else, and what they say.
+/// Parses the settings of a gateway's script that may call the settings functions only.
 ///
 /// # Errors
-/// All problems with the calls.
+/// All problems with the calls, or all calls of other functions.
 pub fn parse_whole(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check_functions(calls, &SETTINGS_FUNCTIONS, "does not belong in settings")?;
     document(file, calls)
 }
 
-/// Checks a gateway's own calls, where a log of changes has the shared settings, which are not known yet:
-/// placeholders stand in for those.
+/// Parses the script of a gateway that reads the shared settings from a log of changes.
+///
+/// The script may define only the settings of the gateway itself. The shared settings are not known yet, so
+/// the returned document holds placeholders for them.
 ///
 /// # Errors
-/// All problems with the calls, among them any that make shared settings.
+/// All problems with the calls, or all calls that define shared settings.
 pub fn own_part(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
-    check_functions(calls, &OWN_FUNCTIONS, "is the log's to say, since gateway(changes = ...) names one")?;
+    check_functions(
+        calls,
+        &LOCAL_FUNCTIONS,
+        "must be set in the log of changes, which gateway(changes = ...) refers to",
+    )?;
     document(file, &[calls, &placeholder_settings()].concat())
 }
 
-/// Checks the settings among a script's calls; calls of other functions are left to the caller.
+/// Parses the settings among a script's calls. Calls of other functions are ignored; the caller handles them.
 ///
 /// # Errors
 /// All problems with the settings.
 pub fn document(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
-    check::document(file, calls)
+    parse::document(file, calls)
 }
 
-fn check_functions(calls: &[FunctionCall], allowed: &[&str], what: &str) -> Result<(), Vec<Problem>> {
+/// Reports `message` for each call of a function that is not in `allowed`.
+fn check_functions(calls: &[FunctionCall], allowed: &[&str], message: &str) -> Result<(), Vec<Problem>> {
     let others = calls.iter().filter(|call| !allowed.contains(&call.function));
-    let problems: Vec<Problem> = others.map(|call| call.problem(what)).collect();
+    let problems: Vec<Problem> = others.map(|call| call.problem(message)).collect();
     if problems.is_empty() { Ok(()) } else { Err(problems) }
 }
 
-/// The fewest shared settings that are valid.
+/// A minimal valid set of shared settings.
 fn placeholder_settings() -> [FunctionCall; 4] {
     let kinds = ["read", "write", "zero", "trim", "flush", "status"];
     let op_type = [("target_latency", 0.001.into()), ("op_timeout", 1.into()), ("utility", 1.into())];
--- a/crates/config/src/check.rs
+++ b/crates/config/src/parse.rs
@@ -1,7 +1,7 @@
-//! What a script's calls say, checked.
+//! Parses and validates the calls of a script.
 //!
-//! Each function reads one kind of call and notes its problems, with a placeholder in place of what is wrong, so that
-//! [`document`] finds all problems of a script at once.
+//! Each function parses one kind of call. It records problems and continues with placeholders for invalid
+//! values, so that [`document`] finds all problems of a script in one run.
 
 mod deployment;
 mod limits;
@@ -20,19 +20,20 @@
 pub use deployment::{plan, volume};
 pub use limits::rules;
 pub(crate) use operations::kind_name;
-pub use operations::{op_type, type_rule, unruled};
+pub use operations::{op_type, type_rule, uncovered_kinds};
 pub(crate) use process::{coordinator, relay};
 
 /// The longest duration of any setting, seconds.
-const DAY: f64 = 86_400.0;
+const MAX_DURATION_SECONDS: f64 = 86_400.0;
 
-/// The largest figure of any setting that has no bound of its own.
-const MAX_FIGURE: f64 = 1e12;
+/// The largest value of a numeric setting that has no specific limit.
+const MAX_NUMBER: f64 = 1e12;
 
-/// The index of the op type or plan of a name, if there is one.
+/// Looks up the index of an op type or plan by its name.
 pub type IndexOf<'a> = &'a dyn Fn(&str) -> Option<usize>;
 
-/// Everything of a gateway's settings but its own.
+/// The settings from all calls other than `gateway`: those that the deployment shares, and the gateway's
+/// bounds.
 struct SharedSettings {
     op_types: Vec<OpType>,
     type_rules: Vec<TypeRule>,
@@ -42,7 +43,7 @@
     bounds: Bounds,
 }
 
-/// The settings that a script's calls make up.
+/// Parses the settings that a script's calls define.
 ///
 /// # Errors
 /// All problems with the calls.
@@ -55,9 +56,9 @@
     let volumes = script.volumes(&plans, &mut problems);
     script.check_names(&op_types, &plans, &volumes, &mut problems);
     script.check_complete(&type_rules, &mut problems);
-    let gateway_call = script.single("gateway", &mut problems);
-    let rules_call = script.single("rules", &mut problems);
-    let bounds_call = script.single("bounds", &mut problems);
+    let gateway_call = script.single_call("gateway", &mut problems);
+    let rules_call = script.single_call("rules", &mut problems);
+    let bounds_call = script.single_call("bounds", &mut problems);
     let rules = rules(&rules_call, &mut problems);
     let bounds = limits::bounds(&bounds_call, &mut problems);
     let shared = SharedSettings { op_types, type_rules, plans, volumes, rules, bounds };
@@ -65,7 +66,7 @@
     if problems.is_empty() { Ok(document) } else { Err(problems) }
 }
 
-/// A script's calls by function.
+/// A script's calls, accessed by function.
 struct Script<'a> {
     file: &'a str,
     calls: &'a [FunctionCall],
@@ -102,17 +103,23 @@
         volumes: &Vector<Volume>,
         problems: &mut Vec<Problem>,
     ) {
-        problems.extend(self.taken_names("op_type", op_types.iter().map(|op_type| op_type.name.as_str())));
-        problems.extend(self.taken_names("plan", plans.iter().map(|plan| plan.name.as_str())));
-        problems.extend(self.taken_names("volume", volumes.iter().map(|volume| volume.name.as_str())));
+        problems
+            .extend(self.duplicate_names("op_type", op_types.iter().map(|op_type| op_type.name.as_str())));
+        problems.extend(self.duplicate_names("plan", plans.iter().map(|plan| plan.name.as_str())));
+        problems.extend(self.duplicate_names("volume", volumes.iter().map(|volume| volume.name.as_str())));
     }
 
-    /// A problem for each call whose name an earlier call of the function has; `names` are those of the calls, in order.
-    fn taken_names<'n>(&self, function: &'static str, names: impl Iterator<Item = &'n str>) -> Vec<Problem> {
-        let mut known = HashSet::new();
+    /// Returns a problem for each call of `function` that repeats the name of an earlier one. `names` are the
+    /// names that the calls define, in the order of the calls.
+    fn duplicate_names<'n>(
+        &self,
+        function: &'static str,
+        names: impl Iterator<Item = &'n str>,
+    ) -> Vec<Problem> {
+        let mut seen_names = HashSet::new();
         let mut problems = Vec::new();
         for (call, name) in self.calls_of(function).zip(names) {
-            if !known.insert(name) {
+            if !seen_names.insert(name) {
                 problems.push(call.problem(format!("the name {name:?} is taken")));
             }
         }
@@ -122,17 +129,18 @@
     fn check_complete(&self, type_rules: &[TypeRule], problems: &mut Vec<Problem>) {
         for function in ["op_type", "plan", "volume"] {
             if self.calls_of(function).next().is_none() {
-                problems.push(Problem::of_file(self.file, format!("no {function} is named")));
+                problems.push(Problem::for_file(self.file, format!("the script defines no {function}")));
             }
         }
-        for kind in unruled(type_rules) {
-            let what = format!("no request rule without up_to covers {kind:?}");
-            problems.push(Problem::of_file(self.file, what));
+        for kind in uncovered_kinds(type_rules) {
+            let message = format!("no request rule without up_to covers {kind:?}");
+            problems.push(Problem::for_file(self.file, message));
         }
     }
 
-    /// The one call of a function; one without arguments where there is none.
-    fn single(&self, function: &'static str, problems: &mut Vec<Problem>) -> FunctionCall {
+    /// The only call of a function, or a call without arguments if the script has none. Further calls are
+    /// problems.
+    fn single_call(&self, function: &'static str, problems: &mut Vec<Problem>) -> FunctionCall {
         let mut calls = self.calls_of(function);
         let first = calls.next();
         problems.extend(calls.map(|call| call.problem("is called twice")));
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/parse/limits.rs
@@ -1,26 +1,26 @@
-//! The deployment's rules and a gateway's bounds.
+//! Parses the deployment's rules and a gateway's bounds.
 
 use std::time::Duration;
 
 use umbertray_routing::settings::{Bounds, RetryBudget, Rules};
 
-use super::{DAY, MAX_FIGURE};
+use super::{MAX_DURATION_SECONDS, MAX_NUMBER};
 use crate::{Arguments, FunctionCall, Problem};
 
-/// Reads a call of `rules`.
+/// Parses a call of `rules`.
 pub fn rules(call: &FunctionCall, problems: &mut Vec<Problem>) -> Rules {
     let mut args = Arguments::new(call, problems);
     let retry_budget = retry_budget(&mut args);
     let rules = Rules {
-        drain_grace: args.duration("drain_grace", 0.0..=DAY, Some(1.0)),
+        drain_grace: args.duration("drain_grace", 0.0..=MAX_DURATION_SECONDS, Some(1.0)),
         slow_start_from: args.number("cold_from", 0.001..=1.0, Some(0.25)),
-        slow_start_duration: args.duration("cold_time", 0.0..=DAY, Some(10.0)),
-        slow_start_units: args.number("cold_units", 0.0..=MAX_FIGURE, Some(8.0)),
+        slow_start_duration: args.duration("cold_time", 0.0..=MAX_DURATION_SECONDS, Some(10.0)),
+        slow_start_units: args.number("cold_units", 0.0..=MAX_NUMBER, Some(8.0)),
         slow_start_multiple: args.number("fall_multiple", 1.0..=1e3, Some(2.0)),
-        slow_start_window: args.duration("fall_time", 0.001..=DAY, Some(1.0)),
-        order_pause: args.duration("order_pause", 0.0..=DAY, Some(0.5)),
-        poll_within: args.duration("ask_within", 0.01..=DAY, Some(10.0)),
-        capacity: args.optional("capacity", 1e-6..=MAX_FIGURE),
+        slow_start_window: args.duration("fall_time", 0.001..=MAX_DURATION_SECONDS, Some(1.0)),
+        order_pause: args.duration("order_pause", 0.0..=MAX_DURATION_SECONDS, Some(0.5)),
+        poll_within: args.duration("ask_within", 0.01..=MAX_DURATION_SECONDS, Some(10.0)),
+        capacity: args.optional("capacity", 1e-6..=MAX_NUMBER),
         retry_budget,
     };
     args.end();
@@ -28,22 +28,22 @@
 }
 
 fn retry_budget(args: &mut Arguments) -> Option<RetryBudget> {
-    let reserve = args.optional("further_free", 0.0..=MAX_FIGURE);
+    let reserve = args.optional("further_free", 0.0..=MAX_NUMBER);
     let ratio = args.optional("further_share", 0.0..=1e3);
-    let window = args.optional("further_span", 0.001..=DAY);
+    let window = args.optional("further_span", 0.001..=MAX_DURATION_SECONDS);
     match (reserve, ratio, window) {
         (None, None, None) => None,
         (Some(reserve), Some(ratio), Some(window)) => {
             Some(RetryBudget { reserve, ratio, window: Duration::from_secs_f64(window) })
         }
         _ => {
-            args.problem("further_free, further_share and further_span go together");
+            args.problem("further_free, further_share and further_span must be given together");
             None
         }
     }
 }
 
-/// Reads a call of `bounds`.
+/// Parses a call of `bounds`.
 pub(super) fn bounds(call: &FunctionCall, problems: &mut Vec<Problem>) -> Bounds {
     let mut args = Arguments::new(call, problems);
     let bounds = Bounds {
@@ -55,14 +55,15 @@
         locations: args.count("places", 1..=1 << 32, Some(1 << 20)) as usize,
     };
     let Bounds { bytes, bytes_per_session, request_bytes, .. } = bounds;
-    // A request that exceeds its session's bound would wait for ever.
+    // A request larger than the bound of its session would wait forever.
     if request_bytes as usize > bytes_per_session || bytes_per_session > bytes {
         args.problem(format!(
-            "request_bytes {request_bytes}, bytes_a_session {bytes_per_session} and bytes {bytes} must not fall in this order"
+            "request_bytes {request_bytes} must not exceed bytes_a_session {bytes_per_session}, \
+             which must not exceed bytes {bytes}"
         ));
     }
-    // Half of the bytes are reserved by volume, in parts that may be small: a request larger than the other half might
-    // never be admitted.
+    // Half of the bytes are divided among the volumes as reservations, which may be small. A request larger
+    // than the other half might never be admitted.
     if request_bytes as usize > bytes / 2 {
         args.problem(format!("request_bytes {request_bytes} is over half of bytes {bytes}"));
     }
--- a/crates/config/src/check/operations.rs
+++ b/crates/config/src/parse/operations.rs
@@ -1,9 +1,9 @@
-//! Op types, and the rules that make requests ops of a type.
+//! Parses op types and the rules that assign op types to requests.
 
 use umbertray_routing::settings::{Idempotency, OpType, TypeRule};
 use umbertray_store_protocol::store::OperationKind;
 
-use super::{DAY, IndexOf, MAX_FIGURE};
+use super::{IndexOf, MAX_DURATION_SECONDS, MAX_NUMBER};
 use crate::{Arguments, FunctionCall, Problem};
 
 const KINDS: [(&str, OperationKind); 6] = [
@@ -15,21 +15,21 @@
     ("status", OperationKind::Status),
 ];
 
-/// A request's kind as scripts name it.
+/// The name of an operation kind in scripts.
 pub(crate) fn kind_name(kind: OperationKind) -> &'static str {
     KINDS.iter().find(|(_, known)| *known == kind).map_or("read", |(name, _)| name)
 }
 
-/// Reads a call of `op_type`.
+/// Parses a call of `op_type`.
 pub fn op_type(call: &FunctionCall, problems: &mut Vec<Problem>) -> OpType {
     let mut args = Arguments::new(call, problems);
     let name = args.first_text();
-    let target_latency = args.duration("target_latency", 0.001..=DAY, None);
-    let op_timeout = args.duration("op_timeout", 0.001..=DAY, None);
+    let target_latency = args.duration("target_latency", 0.001..=MAX_DURATION_SECONDS, None);
+    let op_timeout = args.duration("op_timeout", 0.001..=MAX_DURATION_SECONDS, None);
     if op_timeout < target_latency {
         args.problem(format!("op_timeout {op_timeout:?} is under target_latency {target_latency:?}"));
     }
-    let priority_weight = args.number("utility", 1e-6..=MAX_FIGURE, None);
+    let priority_weight = args.number("utility", 1e-6..=MAX_NUMBER, None);
     let idempotency = idempotency(&mut args);
     let ordered_by_key = args.flag("in_order");
     args.end();
@@ -39,7 +39,9 @@
 fn idempotency(args: &mut Arguments) -> Idempotency {
     let idempotency = match args.text("repeats", Some("replayable")).as_str() {
         "replayable" => Idempotency::Idempotent,
-        "deduplicated" => Idempotency::Deduplicated(args.duration("dedup_span", 0.001..=DAY, None)),
+        "deduplicated" => {
+            Idempotency::Deduplicated(args.duration("dedup_span", 0.001..=MAX_DURATION_SECONDS, None))
+        }
         "once_only" => Idempotency::NotIdempotent,
         other => {
             args.problem(format!("repeats = {other:?} is none of replayable, deduplicated, once_only"));
@@ -47,13 +49,13 @@
         }
     };
     let is_deduplicated = matches!(idempotency, Idempotency::Deduplicated(_));
-    if !is_deduplicated && args.optional("dedup_span", 0.0..=DAY).is_some() {
-        args.problem("dedup_span goes with repeats = \"deduplicated\" only");
+    if !is_deduplicated && args.optional("dedup_span", 0.0..=MAX_DURATION_SECONDS).is_some() {
+        args.problem("dedup_span requires repeats = \"deduplicated\"");
     }
     idempotency
 }
 
-/// Reads a call of `request`, a rule that makes requests ops of a type.
+/// Parses a call of `request`, a rule that assigns an op type to requests.
 pub fn type_rule(call: &FunctionCall, op_types: IndexOf, problems: &mut Vec<Problem>) -> TypeRule {
     let mut args = Arguments::new(call, problems);
     let kinds = operation_kinds(&mut args);
@@ -81,8 +83,9 @@
     kinds
 }
 
-/// Names of the kinds of requests that no rule covers whatever their length: which op type they have would be undefined.
-pub fn unruled(rules: &[TypeRule]) -> impl Iterator<Item = &'static str> {
+/// Names of the request kinds that are not covered by any rule without `up_to`. The op type of their longest
+/// requests would be undefined.
+pub fn uncovered_kinds(rules: &[TypeRule]) -> impl Iterator<Item = &'static str> {
     let is_covered = |kind: OperationKind| {
         rules.iter().any(|rule| rule.kinds.contains(&kind) && rule.max_length.is_none())
     };
--- a/crates/config/src/check/process.rs
+++ b/crates/config/src/parse/process.rs
@@ -1,18 +1,18 @@
-//! The settings of each kind of process: gateway, coordinator and relay.
+//! Parses the settings of each kind of process: gateway, coordinator and relay.
 
 use umbertray_routing::Settings;
 
 use super::source::{Identity, address, change_source, identity};
-use super::{DAY, SharedSettings};
+use super::{MAX_DURATION_SECONDS, SharedSettings};
 use crate::{Arguments, CoordinatorSettings, FunctionCall, Problem, RelaySettings, SettingsDocument};
 
-/// The unit of an extent's size, bytes.
+/// The page size, bytes. An extent's size is a multiple of it.
 const PAGE_BYTES: u32 = 4096;
 
-/// Largest seed: the largest whole number that a script's numbers hold exactly.
+/// Largest seed: numbers from a script are read as `f64`, which holds integers up to this one exactly.
 const MAX_SEED: u64 = 1 << 53;
 
-/// Reads a call of `gateway`.
+/// Parses a call of `gateway`.
 pub(super) fn gateway(
     call: &FunctionCall,
     shared: SharedSettings,
@@ -52,15 +52,15 @@
         max_units: args.count("most_units", 1..=1 << 16, Some(8)) as u32,
         mean_units: args.number("mean_units", 0.01..=65_536.0, Some(1.5)),
         max_attempts: args.count("max_dispatches", 1..=100, Some(3)) as u32,
-        max_retry_after: args.duration("max_retry_after", 0.0..=DAY, Some(1.0)),
-        connect_timeout: args.duration("connect_timeout", 0.001..=DAY, Some(0.25)),
+        max_retry_after: args.duration("max_retry_after", 0.0..=MAX_DURATION_SECONDS, Some(1.0)),
+        connect_timeout: args.duration("connect_timeout", 0.001..=MAX_DURATION_SECONDS, Some(0.25)),
         tick: args.duration("tick", 0.001..=1.0, Some(0.002)),
         rules,
         bounds,
     }
 }
 
-/// Reads a coordinator's script: one call of `keeper`.
+/// Parses a coordinator's script, which consists of one call of `keeper`.
 ///
 /// # Errors
 /// All problems with the script.
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reads a relay's script: one call of `relay`.
+/// Parses a relay's script, which consists of one call of `relay`.
 ///
 /// # Errors
 /// All problems with the script.
@@ -104,15 +104,16 @@
     }
 }
 
-/// The call of a script that must have this one only.
+/// Returns the call of `function`, which must be the only call of the script.
 fn only_call<'a>(
     file: &str,
     calls: &'a [FunctionCall],
     function: &str,
 ) -> Result<&'a FunctionCall, Vec<Problem>> {
     let [call] = calls else {
-        let what = format!("one call of {function} is wanted, and no other; there are {}", calls.len());
-        return Err(vec![Problem::of_file(file, what)]);
+        let message =
+            format!("expected exactly one call, of {function}; the script makes {} calls", calls.len());
+        return Err(vec![Problem::for_file(file, message)]);
     };
     if call.function != function {
         return Err(vec![call.problem(format!("does not belong in a {function}'s script"))]);
--- a/crates/config/src/check/source.rs
+++ b/crates/config/src/parse/source.rs
@@ -1,20 +1,20 @@
-//! Addresses, and the source of the log of changes.
+//! Parses addresses, the identity of a process and the source of the log of changes.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 use umbertray_store_protocol::changes::MAX_NAME;
 
-use super::MAX_FIGURE;
+use super::MAX_NUMBER;
 use crate::{Arguments, ChangeSource, Upstream};
 
-/// The quorum unless a script states one: one relay more than may lie.
+/// The default quorum: one more than the single relay that may report false data.
 const DEFAULT_QUORUM: u64 = 2;
 
-/// The zone of a process that states none.
+/// The zone of a process whose script does not set one.
 const DEFAULT_ZONE: &str = "default";
 
-/// Parses an address and port, the value of the argument `name` or part of it.
+/// Parses an address and port from the argument `name` or a part of it.
 pub(super) fn address(args: &mut Arguments, name: &str, text: &str) -> SocketAddr {
     text.parse().unwrap_or_else(|_| {
         args.problem(format!("{name} = {text:?} is not an address and port"));
@@ -22,14 +22,14 @@
     })
 }
 
-/// Reads `changes` and `vouch`: a folder is a string, relays are a list.
+/// Parses `changes` and `vouch`. A string is a folder, a list names relays.
 pub(super) fn change_source(args: &mut Arguments) -> Option<ChangeSource> {
     if args.is_given_as("changes", Value::is_array) {
         return Some(relays(args));
     }
     let source = args.optional_text("changes").map(ChangeSource::Folder);
-    if args.optional("vouch", 1.0..=MAX_FIGURE).is_some() {
-        args.problem("vouch goes with a list of relays only");
+    if args.optional("vouch", 1.0..=MAX_NUMBER).is_some() {
+        args.problem("vouch requires a list of relays in changes");
     }
     source
 }
@@ -45,13 +45,16 @@
     ChangeSource::Relays { upstreams, quorum }
 }
 
+/// Whether a relay with the same name or address is listed more than once.
+///
 /// Hazard: a relay that is listed twice would count twice towards the quorum.
 fn is_repeated(upstream: &Upstream, upstreams: &[Upstream]) -> bool {
     let is_same = |other: &&Upstream| other.name == upstream.name || other.address == upstream.address;
     upstreams.iter().filter(is_same).count() > 1
 }
 
-/// Parses ZONE/NAME=HOST:PORT, or HOST:PORT of a relay in the default zone that has no other name.
+/// Parses `ZONE/NAME=HOST:PORT`. The zone and the name are optional: they default to the default zone and the
+/// address.
 fn upstream(args: &mut Arguments, text: &str) -> Upstream {
     let (zone_and_name, address_text) = text.split_once('=').unwrap_or(("", text));
     let (zone, name) = zone_and_name.split_once('/').unwrap_or((DEFAULT_ZONE, zone_and_name));
@@ -63,13 +66,13 @@
     Upstream { name, zone: zone.into(), address }
 }
 
-/// How a process that follows relays is known to them.
+/// The name and zone by which a process identifies itself to relays.
 pub(super) struct Identity {
     pub(super) name: String,
     pub(super) zone: String,
 }
 
-/// Reads `name` and `zone`.
+/// Parses `name` and `zone`.
 pub(super) fn identity(args: &mut Arguments, default_name: &str) -> Identity {
     let name = args.text("name", Some(default_name));
     let zone = args.text("zone", Some(DEFAULT_ZONE));
@@ -78,7 +81,7 @@
             args.problem(format!("{field} = {text:?} is empty or longer than {MAX_NAME} bytes"));
         }
         if text.contains(['/', '=']) {
-            args.problem(format!("{field} = {text:?} has a / or = in it"));
+            args.problem(format!("{field} = {text:?} contains / or ="));
         }
     }
     Identity { name, zone }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a script, and where.
+//! Problems found in a script.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Something that must be corrected in a script, and where.
+/// A problem in a script that the operator must correct.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The script's name.
+    /// Name of the script file.
     pub file: String,
-    /// Line, from 1; 0 where the whole file is meant.
+    /// Line, counted from 1; 0 if the problem concerns the file and not one line.
     pub line: usize,
-    /// Column, from 1; 0 where the whole file is meant.
+    /// Column, counted from 1; 0 if the problem concerns the file and not one line.
     pub column: usize,
-    /// What is wrong, for operators.
+    /// The message for operators.
     pub what: String,
 }
 
 impl Problem {
-    /// A problem with a script as a whole.
-    pub(crate) fn of_file(file: &str, what: String) -> Problem {
-        Problem { file: file.into(), line: 0, column: 0, what }
+    /// A problem that concerns the script file and not one of its lines.
+    pub(crate) fn for_file(file: &str, message: String) -> Problem {
+        Problem { file: file.into(), line: 0, column: 0, what: message }
     }
 }
 
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,4 +1,4 @@
-//! Evaluating a script, within bounds.
+//! Evaluates a script with limits on time and memory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,16 +16,16 @@
 
 use crate::{FunctionCall, Problem};
 
-/// Limit on a script's calls and loop iterations.
+/// Limit on a script's calls and loop iterations together.
 const MAX_TICKS: u64 = 500_000;
-/// Limit on the memory that a script holds, bytes.
+/// Limit on the memory of a script's values, bytes.
 const MAX_HEAP_BYTES: usize = 64 << 20;
-/// Limit on the nesting of a script's calls.
+/// Limit on the depth of a script's call stack.
 const MAX_CALL_DEPTH: usize = 100;
 /// The longest script, bytes.
 const MAX_SCRIPT_BYTES: usize = 4 << 20;
 
-/// The calls that a script has made, in order.
+/// The calls that a script has made so far, in order.
 #[derive(Debug, Default, ProvidesStaticType)]
 struct RecordedCalls(RefCell<Vec<FunctionCall>>);
 
@@ -55,10 +55,10 @@
     Ok(NoneType)
 }
 
-/// Checks the heap before each statement.
+/// Checks the size of the heap before each statement.
 ///
-/// Hazard: the evaluator by itself checks every thousand instructions, and a list that doubles needs far fewer to exhaust
-/// a machine's memory.
+/// Hazard: the evaluator itself checks the heap only every thousand instructions. A list that doubles
+/// repeatedly needs far fewer instructions to exhaust the machine's memory.
 struct HeapLimit;
 
 impl<'e> BeforeStmtFuncDyn<'e> for HeapLimit {
@@ -69,15 +69,15 @@
         eval: &mut Evaluator<'v, '_, 'e>,
     ) -> starlark::Result<()> {
         if eval.heap().allocated_bytes() > MAX_HEAP_BYTES {
-            let what = format!("it holds more than {MAX_HEAP_BYTES} bytes");
-            return Err(starlark::Error::new_other(anyhow::anyhow!(what)));
+            let message = format!("the script uses more than {MAX_HEAP_BYTES} bytes of memory");
+            return Err(starlark::Error::new_other(anyhow::anyhow!(message)));
         }
         Ok(())
     }
 }
 
-/// The functions that a script may call: those of settings, of a coordinator, of a relay and of a fault test. The attribute
-/// needs each of them written out.
+/// The functions that scripts may call: those of settings, coordinators, relays and fault tests. They are
+/// written out one by one because the attribute requires it.
 #[starlark_module]
 fn functions(builder: &mut GlobalsBuilder) {
     fn gateway<'v>(
@@ -180,22 +180,24 @@
     builder.build()
 }
 
-/// Evaluates a script within bounds; its calls, in order. `file` is its name in problems.
+/// Evaluates a script with limits on time and memory and returns its calls in order. `file` is the name that
+/// problems refer to.
 ///
 /// # Errors
-/// The first problem: a syntax error, an error at run time, or a bound that was exceeded.
+/// The first problem: a syntax error, a runtime error or an exceeded limit.
 pub fn evaluate(file: &str, text: String) -> Result<Vec<FunctionCall>, Problem> {
     if text.len() > MAX_SCRIPT_BYTES {
-        let what = format!("{} bytes, over the bound of {MAX_SCRIPT_BYTES}", text.len());
-        return Err(Problem::of_file(file, what));
+        let message =
+            format!("the script has {} bytes, more than the limit of {MAX_SCRIPT_BYTES}", text.len());
+        return Err(Problem::for_file(file, message));
     }
     let dialect = Dialect { enable_top_level_stmt: true, ..Dialect::Standard };
-    let script = AstModule::parse(file, text, &dialect).map_err(|error| problem(file, &error))?;
+    let script = AstModule::parse(file, text, &dialect).map_err(|error| interpreter_problem(file, &error))?;
     let calls = RecordedCalls::default();
-    // The interpreter panics on a single value of some gigabytes, which one expression can ask for.
+    // The interpreter panics on a single value of several gigabytes, which one expression can create.
     match catch_unwind(AssertUnwindSafe(|| run(script, &calls))) {
-        Ok(evaluated) => evaluated.map_err(|error| problem(file, &error))?,
-        Err(_) => return Err(Problem::of_file(file, "a value in it is too large".into())),
+        Ok(evaluated) => evaluated.map_err(|error| interpreter_problem(file, &error))?,
+        Err(_) => return Err(Problem::for_file(file, "a value in the script is too large".into())),
     }
     Ok(calls.0.into_inner())
 }
@@ -213,16 +215,16 @@
     })
 }
 
-/// An error of the interpreter: its first line, and its place where it has one.
-fn problem(file: &str, error: &starlark::Error) -> Problem {
+/// Converts an error of the interpreter: the first line of its message, and its line and column if known.
+fn interpreter_problem(file: &str, error: &starlark::Error) -> Problem {
     let span = error.span().map(|span| span.resolve());
-    let what = error.without_diagnostic().to_string();
-    let what = what.lines().next().unwrap_or_default().to_string();
+    let text = error.without_diagnostic().to_string();
+    let message = text.lines().next().unwrap_or_default().to_string();
     match span {
         Some(location) => {
             let begin = location.span.begin;
-            Problem { file: location.file, line: begin.line + 1, column: begin.column + 1, what }
+            Problem { file: location.file, line: begin.line + 1, column: begin.column + 1, what: message }
         }
-        None => Problem::of_file(file, what),
+        None => Problem::for_file(file, message),
     }
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,11 +1,13 @@
-//! Settings as people write them: read, or every problem reported with its place.
+//! Reads settings scripts: valid scripts are accepted, and every problem is reported with its line and
+//! column.
 
 use umbertray_config::{ChangeSource, Problem, SettingsDocument, read};
 
 const VALID: &str = r#"
 gateway(listen = ["127.0.0.1:0", "[::1]:0"], list = "127.0.0.1:7000", gateways = 3, state = "/var/lib/x")
 op_type("get", target_latency = 100 * ms, op_timeout = 1, utility = 3)
-op_type("put", target_latency = 0.2, op_timeout = 2, utility = 2, repeats = "deduplicated", dedup_span = 5, in_order = True)
+op_type("put", target_latency = 0.2, op_timeout = 2, utility = 2, repeats = "deduplicated",
+    dedup_span = 5, in_order = True)
 request(["read", "status"], up_to = 64 * KiB, op_type = "get")
 request(["read", "status"], op_type = "put")
 request(["write", "zero", "trim", "flush"], op_type = "put")
@@ -20,8 +22,8 @@
     read("s.star", text.into()).expect_err("invalid settings")
 }
 
-/// The problems of the valid script with one text replaced.
-fn with(from: &str, to: &str) -> Vec<String> {
+/// The problems of the valid script with one piece of its text replaced.
+fn problems_after_replacing(from: &str, to: &str) -> Vec<String> {
     assert!(VALID.contains(from), "{from}");
     problems(&VALID.replacen(from, to, 1)).iter().map(ToString::to_string).collect()
 }
@@ -48,38 +50,38 @@
         ("op_type(\"put\"", "op_type(\"get\"", "s.star:4:1: op_type: the name \"get\" is taken"),
         ("dedup_span = 5, ", "", "s.star:4:1: op_type: dedup_span is missing"),
         ("in_order = True", "in_order = 1", "s.star:4:1: op_type: in_order = 1 is neither True nor False"),
-        ("op_type = \"get\"", "op_type = \"got\"", "s.star:5:1: request: there is no op type \"got\""),
+        ("op_type = \"get\"", "op_type = \"got\"", "s.star:6:1: request: there is no op type \"got\""),
         (
             "[\"read\", \"status\"], up_to",
             "[\"reed\"], up_to",
-            "s.star:5:1: request: \"reed\" is none of read",
+            "s.star:6:1: request: \"reed\" is none of read",
         ),
         (", \"flush\"]", "]", "s.star: no request rule without up_to covers \"flush\""),
-        ("rate = 100)", "rate = 100, reserve = 200)", "s.star:8:1: plan: reserve 200 is over rate 100"),
-        ("limit = 50", "limit = 10", "s.star:9:1: plan: limit 10 is under reserve 20"),
-        ("limit = 50, ", "", "s.star:9:1: plan: limit_burst and limit_slack go with limit only"),
-        ("plan = \"small\")", "plan = \"smal\")", "s.star:10:2: volume: there is no plan \"smal\""),
-        ("size = 512", "size = 700", "s.star:11:1: volume: size = 700 is not a multiple of 512"),
+        ("rate = 100)", "rate = 100, reserve = 200)", "s.star:9:1: plan: reserve 200 is over rate 100"),
+        ("limit = 50", "limit = 10", "s.star:10:1: plan: limit 10 is under reserve 20"),
+        ("limit = 50, ", "", "s.star:10:1: plan: limit_burst and limit_slack require limit"),
+        ("plan = \"small\")", "plan = \"smal\")", "s.star:11:2: volume: there is no plan \"smal\""),
+        ("size = 512", "size = 700", "s.star:12:1: volume: size = 700 is not a multiple of 512"),
         (
             "further_free = 2, ",
             "",
-            "s.star:12:1: rules: further_free, further_share and further_span go together",
+            "s.star:13:1: rules: further_free, further_share and further_span must be given together",
         ),
         ("127.0.0.1:7000", "nowhere", "s.star:2:1: gateway: list = \"nowhere\" is not an address and port"),
         (
             "rules(",
             "bounds(bytes = 65536, bytes_a_session = 131072)\nrules(",
-            "s.star:12:1: bounds: request_bytes",
+            "s.star:13:1: bounds: request_bytes",
         ),
         (
             "rules(",
             "bounds(bytes = 131072, bytes_a_session = 131072, request_bytes = 131072)\nrules(",
-            "s.star:12:1: bounds: request_bytes 131072 is over half of bytes 131072",
+            "s.star:13:1: bounds: request_bytes 131072 is over half of bytes 131072",
         ),
-        ("rules(", "rules()\nrules(", "s.star:13:1: rules: is called twice"),
-        ("rules(", "day(length = 1)\nrules(", "s.star:12:1: day: does not belong in settings"),
+        ("rules(", "rules()\nrules(", "s.star:14:1: rules: is called twice"),
+        ("rules(", "day(length = 1)\nrules(", "s.star:13:1: day: does not belong in settings"),
     ] {
-        let found = with(from, to);
+        let found = problems_after_replacing(from, to);
         assert!(found.iter().any(|problem| problem.starts_with(expected)), "{expected}\n{found:#?}");
     }
 }
@@ -111,7 +113,8 @@
 
 #[test]
 fn relay_settings_have_names_and_zones() {
-    let text = "relay(listen = \"10.0.0.1:7200\", zone = \"a\", changes = [\"b/r2=10.0.0.2:7200\", \"10.0.0.3:7200\", \"r4=10.0.0.4:7200\"])";
+    let text = "relay(listen = \"10.0.0.1:7200\", zone = \"a\", \
+                changes = [\"b/r2=10.0.0.2:7200\", \"10.0.0.3:7200\", \"r4=10.0.0.4:7200\"])";
     let relay = umbertray_config::read_relay("r.star", text.into()).expect("valid settings");
     assert_eq!((relay.name.as_str(), relay.zone.as_str()), ("10.0.0.1:7200", "a"));
     let ChangeSource::Relays { upstreams, quorum } = relay.changes else { panic!("relays are named") };
@@ -128,9 +131,10 @@
 
 #[test]
 fn gateway_following_relays_reads_back_the_same() {
-    let more = ", changes = [\"a/r1=10.0.0.1:7200\", \"b/r2=10.0.0.2:7200\"], vouch = 1, name = \"g\", zone = \"b\")";
-    let own = format!("gateway(listen = [\"127.0.0.1:0\"], list = \"127.0.0.1:1\"{more}");
-    let calls = umbertray_config::evaluate("s.star", own).expect("a script");
+    let script = "gateway(listen = [\"127.0.0.1:0\"], list = \"127.0.0.1:1\", \
+                  changes = [\"a/r1=10.0.0.1:7200\", \"b/r2=10.0.0.2:7200\"], \
+                  vouch = 1, name = \"g\", zone = \"b\")";
+    let calls = umbertray_config::evaluate("s.star", script.into()).expect("a script");
     let document = umbertray_config::own_part("s.star", &calls).expect("valid settings");
     let again = umbertray_config::evaluate("again", document.own_script()).expect("a script");
     assert_eq!(umbertray_config::own_part("again", &again), Ok(document));
@@ -144,9 +148,9 @@
         ("[\"r=10.0.0.1:1\", \"s=10.0.0.1:1\"]", "it would vouch for itself"),
         ("[\"/r=10.0.0.1:1\"]", "is empty or longer than 128 bytes"),
         ("[\"r=10.0.0.1:1\"], vouch = 2", "vouch = 2 is out of range, 1 to 1"),
-        ("\"/srv/log\", vouch = 2", "vouch goes with a list of relays only"),
-        ("[\"r=10.0.0.1:1\"], name = \"a/b\"", "has a / or = in it"),
-        ("[]", "is not a string or a list of strings"),
+        ("\"/srv/log\", vouch = 2", "vouch requires a list of relays in changes"),
+        ("[\"r=10.0.0.1:1\"], name = \"a/b\"", "contains / or ="),
+        ("[]", "is not a string or a non-empty list of strings"),
         ("[\"r=10.0.0.1:1\"], follow = 3", "unknown argument follow"),
     ] {
         let text = format!("relay(listen = \"10.0.0.9:7200\", changes = {changes})");
--- a/crates/setting-names/src/lib.rs
+++ b/crates/setting-names/src/lib.rs
@@ -1,8 +1,9 @@
-//! Translation of setting names from the operators' wires to the names that this project uses: one table for all wires.
+//! Translates setting names and values from the operators' wire formats to the names that this project uses.
+//! One table serves all wire formats.
 
 use umbertray::interface::Settings;
 
-/// Names on the wire that differ from this project's by more than their case.
+/// Names on the wire that a case conversion alone does not translate, and this project's names for them.
 const NAMES: &[(&str, &str)] = &[
     ("capDepth", "limit_burst"),
     ("capSlack", "limit_slack"),
@@ -35,7 +36,7 @@
     ("worthFactor", "price"),
 ];
 
-/// Values of idempotency and discovery settings on the wire, and this project's.
+/// Values of the idempotency and discovery settings on the wire, and this project's values.
 const VALUES: &[(&str, &str)] = &[
     ("free", "replayable"),
     ("guarded", "deduplicated"),
@@ -44,17 +45,18 @@
     ("subscribe", "asked"),
 ];
 
-/// Translates one step of a path: by the table, otherwise to snake case without the suffix for seconds.
-fn translate_step(wire: &str) -> String {
-    if let Some((_, translated)) = NAMES.iter().find(|(name, _)| *name == wire) {
+/// Translates one segment of a path. A name that is not in the table is converted to snake case, without the
+/// suffix `S` that marks seconds.
+fn translate_segment(wire_name: &str) -> String {
+    if let Some((_, translated)) = NAMES.iter().find(|(name, _)| *name == wire_name) {
         return (*translated).into();
     }
-    let bare = match wire.strip_suffix('S') {
-        Some(head) if head.ends_with(|letter: char| letter.is_ascii_lowercase()) => head,
-        _ => wire,
+    let without_suffix = match wire_name.strip_suffix('S') {
+        Some(stem) if stem.ends_with(|letter: char| letter.is_ascii_lowercase()) => stem,
+        _ => wire_name,
     };
-    let mut translated = String::with_capacity(bare.len() + 4);
-    for letter in bare.chars() {
+    let mut translated = String::with_capacity(without_suffix.len() + 4);
+    for letter in without_suffix.chars() {
         if letter.is_ascii_uppercase() {
             translated.push('_');
         }
@@ -63,21 +65,21 @@
     translated
 }
 
-/// Translates one setting.
+/// Translates the path and the value of one setting.
 fn translate((path, value): (&str, &str)) -> (String, String) {
-    let path = path.split('.').map(translate_step).collect::<Vec<_>>().join(".");
+    let path = path.split('.').map(translate_segment).collect::<Vec<_>>().join(".");
     let has_translated_values = path.ends_with(".repeats") || path == "discovery";
     let translated = VALUES.iter().find(|(wire, _)| has_translated_values && *wire == value);
     let value = translated.map_or(value, |(_, translated)| translated);
     (path, value.to_string())
 }
 
-/// Translates settings given as paths, whose steps are joined by dots, and their values.
+/// Translates settings given as pairs of a path, with segments separated by dots, and a value.
 pub fn from_pairs<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Settings {
     pairs.into_iter().map(translate).collect()
 }
 
-/// Translates settings given as lines `path=value`; lines without `=` are skipped.
+/// Translates settings given as lines `path=value`. Lines without `=` are ignored.
 pub fn from_lines(lines: &str) -> Settings {
     from_pairs(lines.lines().filter_map(|line| line.split_once('=')))
 }
