--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -281,7 +281,7 @@
     );
     fails(&with_author(&["apply", "--remove", "volume/vol"]), 4, "--allow removal");
     fails(&with_author(&["apply", "--set", "volume/vol:size=512"]), 2, "size cannot fall");
-    fails(&with_author(&["apply", "--set", "vol:size=512"]), 2, "is no place");
+    fails(&with_author(&["apply", "--set", "vol:size=512"]), 2, "is not a path");
     fails(&with_author(&["apply", "--set", "volume/vol:plan=none"]), 2, "there is no plan \"none\"");
     fails(&["apply", "--set", "plan/free:weight=3", "--actor", "", "--reason", "x"], 2, "needs an actor");
     fails(&["show", "--at", "9"], 2, "there is no version 9");
--- a/crates/config-log/src/applied_version.rs
+++ b/crates/config-log/src/applied_version.rs
@@ -1,4 +1,5 @@
-//! The version acted on last, kept in a folder of one's own: nothing older is taken after a restart.
+//! Stores the version that a process applied last in the process's own folder, so that it applies no older
+//! version after a restart.
 
 use std::io;
 use std::path::Path;
@@ -11,7 +12,7 @@
 const FILE: &str = "acted";
 const TEMPORARY_FILE: &str = "acted.new";
 
-/// More than the file ever has, bytes.
+/// Limit on what is read of the file, bytes. The file is always smaller.
 const MAX_FILE_BYTES: usize = 4096;
 
 #[derive(Serialize, Deserialize)]
@@ -20,10 +21,10 @@
     hash: Hash,
 }
 
-/// The version that an earlier run acted on, and its hash; `None` where there was none.
+/// Reads the version that an earlier run applied last, and its hash; `None` if there is no such version.
 ///
 /// # Errors
-/// Where the file exists and cannot be read: without it an older log would be taken.
+/// An error if the file exists but cannot be read. Ignoring it would permit an older log to be applied.
 pub fn read(folder: &Path) -> io::Result<Option<(u64, Hash)>> {
     match Disk::read_only(folder).read(FILE, MAX_FILE_BYTES) {
         Ok(bytes) => {
@@ -35,10 +36,11 @@
     }
 }
 
-/// Writes the version that is acted on, synced when this returns.
+/// Writes the version that is being applied. It is synced when this returns.
 ///
-/// Until then a crash lets the next run take an older log, if one was put in place of the newest meanwhile. It must not be
-/// waited for before acting: a lowered limit would be open for as long as the disk takes.
+/// If the process crashes before that, the next run may apply an older log that has replaced the newest one
+/// in the meantime. Even so, the caller must not wait for this write before it applies the version: a lowered
+/// limit would remain unenforced until the disk has finished.
 ///
 /// # Errors
 /// Those of the file system.
--- a/crates/config-log/src/chain.rs
+++ b/crates/config-log/src/chain.rs
@@ -1,12 +1,14 @@
-//! A hash-chained log of opaque bodies, in segments of records.
+//! A hash-chained log of opaque bodies, stored in segments of records.
 //!
-//! A segment is a magic and version, then records as state files have them (`umbertray_snapshot::record`): a header with
-//! the whole state at the segment's start, then the bodies since, then markers that say up to which version the log is
-//! synced. Invariant: each body carries the hash of the one before it, its own bytes included, so that none can be left
-//! out, edited or moved unnoticed.
+//! A segment file starts with a magic and a format version. Records in the format of state files
+//! (`umbertray_snapshot::record`) follow: a header with the complete state at the segment's start, then an
+//! entry for each body committed since, and markers that state up to which version the log is synced.
 //!
-//! [`LogFormat`] and the records are in `format`, [`SegmentReader`] and [`read_segment`] in `reader`, and
-//! [`HashChain`], the one writer, in `writer`.
+//! Invariant: the hash of each entry covers the hash of the previous entry and its own body, so that an entry
+//! that is omitted, edited or moved is detected.
+//!
+//! `format` defines [`LogFormat`] and the records, `reader` provides [`SegmentReader`] and [`read_segment`],
+//! and `writer` provides [`HashChain`], the only writer.
 
 mod format;
 mod reader;
--- a/crates/config-log/src/chain/format.rs
+++ b/crates/config-log/src/chain/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of a segment: its file's name, its opening and its records; and what may be wrong with them.
+//! The format of a segment: its file name, its preamble and its records, and the errors of damaged segments.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,51 +11,53 @@
 /// The format version that is written and read.
 pub const VERSION: u16 = 1;
 
-/// A change that was done, for recognising one that is sent again.
+/// A committed change, remembered to recognise when it is sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedChange {
     /// The change's id, chosen by its author.
     pub id: String,
-    /// The version that it made.
+    /// The version that it created.
     pub version: u64,
-    /// Distinguishes it from another change under the same id.
+    /// Distinguishes it from a different change with the same id.
     pub fingerprint: u64,
 }
 
-/// How the files of one kind of log begin and are named.
+/// The magic and the file names of one kind of log.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LogFormat {
     /// The first bytes of every segment.
     pub magic: &'static [u8; 6],
-    /// A segment's name is this, the version in twenty digits, and the suffix.
+    /// A segment's file name is this prefix, the version that it begins after in twenty digits, and the
+    /// suffix.
     pub prefix: &'static str,
-    /// The end of a segment's name.
+    /// The end of a segment's file name.
     pub suffix: &'static str,
-    /// The name of a segment until it is whole and synced.
+    /// The file name of a new segment until it is completely written and synced.
     pub temporary: &'static str,
 }
 
 impl LogFormat {
-    /// The file of the segment that begins after a version.
+    /// The file name of the segment that begins after a version.
     pub fn file_name(&self, version: u64) -> String {
         format!("{}{version:020}{}", self.prefix, self.suffix)
     }
 
-    /// The version after which the segment of this file name begins; `None` where the file is no segment.
+    /// The version after which the segment with this file name begins; `None` if it is not the name of a
+    /// segment.
     pub fn version_in(&self, name: &str) -> Option<u64> {
         name.strip_prefix(self.prefix)?.strip_suffix(self.suffix)?.parse().ok()
     }
 
-    /// The bytes of a segment without entries; `None` where the header is too long for a record.
-    pub(super) fn encode_opening(&self, header: SegmentHeader) -> Option<Vec<u8>> {
+    /// Encodes a segment without entries; `None` if the header is too long for a record.
+    pub(super) fn encode_empty_segment(&self, header: SegmentHeader) -> Option<Vec<u8>> {
         let mut bytes = self.magic.to_vec();
         bytes.extend(VERSION.to_le_bytes());
         bytes.extend(encode_record(&LogRecord::Header(header))?);
         Some(bytes)
     }
 
-    /// Checks magic and version, and returns the bytes after them.
-    pub(super) fn strip_opening<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Corruption> {
+    /// Checks the magic and the format version, and returns the bytes after them.
+    pub(super) fn strip_preamble<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Corruption> {
         let rest = bytes.strip_prefix(self.magic).ok_or(Corruption::NotALog)?;
         let (version, rest) = rest.split_first_chunk::<2>().ok_or(Corruption::NoHeader)?;
         match u16::from_le_bytes(*version) {
@@ -66,23 +68,23 @@
     }
 }
 
-/// A body and its place in the log.
+/// A body and its position in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The version that the body makes; one more than that of the entry before.
+    /// The version that the body creates: one more than that of the previous entry.
     pub version: u64,
-    /// Hash of the entry before and of this body.
+    /// Hash of the previous entry's hash and this body.
     pub hash: Hash,
-    /// The bytes, opaque to the chain.
+    /// The body, opaque to the chain.
     pub body: Vec<u8>,
 }
 
-/// What a reader decodes entries into.
+/// A type that a reader decodes entries into.
 pub trait FromEntry: Sized {
     /// Decodes an entry.
     ///
     /// # Errors
-    /// [`Corruption`] where the body is invalid; the reading ends there, and nothing that follows is decoded.
+    /// [`Corruption`] if the body is invalid. Reading stops at this entry.
     fn from_entry(entry: Entry) -> Result<Self, Corruption>;
 }
 
@@ -92,16 +94,16 @@
     }
 }
 
-/// The first record of a segment: the whole state at its start.
+/// The first record of a segment: the complete state at its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SegmentHeader {
-    /// The version that the checkpoint is of.
+    /// The version of the checkpoint.
     pub version: u64,
     /// Hash of that version's entry in the chain.
     pub hash: Hash,
     /// The state at that version, opaque to the chain.
     pub checkpoint: Vec<u8>,
-    /// Changes done lately, oldest first.
+    /// Recently committed changes, oldest first.
     pub completed: VecDeque<CompletedChange>,
 }
 
@@ -110,47 +112,48 @@
 pub enum LogRecord {
     /// The segment's first record.
     Header(SegmentHeader),
-    /// An entry; its version is one more than that of the entry before.
+    /// An entry. Its version is one more than that of the previous entry.
     Change {
         /// The entry's body.
         body: Vec<u8>,
         /// The entry's hash.
         hash: Hash,
     },
-    /// Everything up to this version is synced. The marker itself need not be.
+    /// A marker: everything up to this version is synced. The marker itself need not be synced.
     Synced {
         /// The last synced version.
         version: u64,
     },
 }
 
-/// What is wrong with a log. Nothing after that place is used, and nothing is written to the log.
+/// Damage to a log. Nothing after the damage is used, and nothing is written to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
-    /// The magic or the version number is none of ours.
-    #[error("not a log of changes")]
+    /// The magic or the format version is unknown.
+    #[error("not a log of the expected kind")]
     NotALog,
-    /// Written by a newer program, which can read it.
+    /// The file was written by a newer program. That program can read it.
     #[error("format version {0}, newer than {VERSION}")]
     NewerFormat(u16),
     /// The header is torn or damaged, or does not match the file's name.
-    #[error("no whole head")]
+    #[error("the header is torn, damaged or of another segment")]
     NoHeader,
-    /// The entry of this version does not carry the hash of the one before: an entry was left out, edited or moved.
-    #[error("the chain is broken at version {0}: its change does not follow on the one before")]
+    /// The hash of this version's entry does not match the previous entry: an entry was omitted, edited or
+    /// moved.
+    #[error("the hash chain is broken at version {0}: its hash does not match the version before")]
     BrokenChain(u64),
-    /// Bytes that are no record stand before whole records: damage, not a torn write.
-    #[error("bytes are damaged where version {0} should stand, and whole records follow")]
+    /// Bytes that are not a record are followed by complete records. This is damage and not a torn write.
+    #[error("the record of version {0} is damaged, and complete records follow it")]
     DamagedRecord(u64),
-    /// An entry or checkpoint is whole, but its content is invalid.
-    #[error("version {version} is wrong: {reason}")]
+    /// An entry or checkpoint was read completely, but its content is invalid.
+    #[error("version {version} is invalid: {reason}")]
     InvalidChange {
         /// The version of the entry or checkpoint.
         version: u64,
-        /// What is wrong, as the reader of the content words it.
+        /// The error of the decoder of the content.
         reason: String,
     },
-    /// Segments are missing; restore them from a copy of the folder.
+    /// Segments are missing. Restore them from a copy of the folder.
     #[error("versions {from} to {to} are missing")]
     Missing {
         /// The first missing version.
@@ -160,7 +163,7 @@
     },
 }
 
-/// Why a log cannot be read or written.
+/// An error of reading or writing a log.
 #[derive(Debug, thiserror::Error)]
 pub enum ChainError {
     /// A file of the log is damaged.
@@ -168,7 +171,7 @@
     Broken {
         /// Name of the file.
         file: String,
-        /// What is wrong with it.
+        /// The damage.
         reason: Corruption,
     },
     /// The file system failed.
--- a/crates/config-log/src/chain/reader.rs
+++ b/crates/config-log/src/chain/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a segment, whole or as its bytes are appended.
+//! Reads a segment, either completely or incrementally as bytes are appended.
 
 use std::io;
 
@@ -9,9 +9,10 @@
 use super::format::{ChainError, Corruption, Entry, FromEntry, LogFormat, LogRecord, SegmentHeader};
 use super::{Hash, chain_hash};
 
-/// Reads a segment as its bytes come; it stops where a record is not whole.
+/// Reads a segment incrementally. It stops at the first incomplete record.
 ///
-/// Invariant: everything counted by `bytes_read` is whole records whose hashes follow on one another.
+/// Invariant: the bytes counted by `bytes_read` are complete records, and the hash of each entry matches the
+/// previous entry.
 #[derive(Clone, Debug)]
 pub struct SegmentReader {
     /// The last version read.
@@ -20,34 +21,35 @@
     pub hash: Hash,
     /// The log is known to be synced up to this version.
     pub synced_version: u64,
-    /// Bytes from the segment's start up to the end of the last whole record.
+    /// Bytes from the start of the segment to the end of the last complete record.
     pub bytes_read: u64,
 }
 
 impl SegmentReader {
-    /// Reads what comes before the entries.
+    /// Reads the preamble and the header of a segment.
     ///
     /// # Errors
-    /// [`Corruption`] where the bytes do not begin with a whole header of this format.
+    /// [`Corruption`] if the bytes do not begin with a complete header of this format.
     pub fn open(format: &LogFormat, bytes: &[u8]) -> Result<(SegmentReader, SegmentHeader), Corruption> {
-        let mut rest = format.strip_opening(bytes)?;
+        let mut rest = format.strip_preamble(bytes)?;
         let Some(LogRecord::Header(header)) = next_record(&mut rest) else {
             return Err(Corruption::NoHeader);
         };
         let reader = SegmentReader {
             version: header.version,
             hash: header.hash,
-            // A segment gets its name only once its header is synced.
+            // A segment is renamed to its final name only after its header is synced.
             synced_version: header.version,
             bytes_read: (bytes.len() - rest.len()) as u64,
         };
         Ok((reader, header))
     }
 
-    /// Reads the bytes that follow those read before; the entries among their whole records.
+    /// Reads the bytes that follow those read before, and returns the entries among their complete records.
     ///
     /// # Errors
-    /// [`Corruption`] where a whole record does not follow on the one before or has an invalid content.
+    /// [`Corruption`] if the hash of a complete record does not match the previous entry, or its content is
+    /// invalid.
     pub fn feed<T: FromEntry>(&mut self, bytes: &[u8]) -> Result<Vec<T>, Corruption> {
         let mut rest = bytes;
         let mut entries = Vec::new();
@@ -76,23 +78,23 @@
     }
 }
 
-/// A whole segment as read.
+/// A completely read segment.
 pub struct Segment<T = Entry> {
     /// The segment's header.
     pub header: SegmentHeader,
-    /// The reader after the last whole record, from which the reading can go on.
+    /// The reader, positioned after the last complete record. It can read the bytes that are appended later.
     pub reader: SegmentReader,
-    /// The entries since the header.
+    /// The entries after the header.
     pub entries: Vec<T>,
-    /// Bytes after the last whole record.
+    /// Bytes after the last complete record.
     pub trailing_bytes: usize,
-    /// Bytes of the file.
+    /// Size of the file, bytes.
     pub(super) file_bytes: usize,
     /// Bytes before the first entry.
     pub(super) base_bytes: usize,
 }
 
-/// The segments of a folder, each by the version that it begins after, in order.
+/// Lists the segments of a folder in ascending order, each by the version that it begins after.
 ///
 /// # Errors
 /// Those of the file system.
@@ -106,7 +108,7 @@
 /// Reads the segment that begins after version `start`.
 ///
 /// # Errors
-/// [`ChainError::Broken`] where the segment is damaged other than by a torn write at its end.
+/// [`ChainError::Broken`] if the segment is damaged in any way other than a torn write at its end.
 pub fn read_segment<T: FromEntry>(
     storage: &dyn Storage,
     format: &LogFormat,
@@ -129,7 +131,7 @@
     let base_bytes = reader.bytes_read as usize;
     let entries = reader.feed(&bytes[base_bytes..])?;
     let trailing = &bytes[reader.bytes_read as usize..];
-    if contains_whole_record(trailing) {
+    if contains_complete_record(trailing) {
         return Err(Corruption::DamagedRecord(reader.version + 1));
     }
     Ok(Segment {
@@ -142,10 +144,12 @@
     })
 }
 
-/// Whether a whole record begins anywhere after the first of these bytes, which are no record themselves.
+/// Whether a complete record begins after the first of these bytes. The bytes do not begin with a record
+/// themselves.
 ///
-/// Hazard: bytes at the end that are no record may be a write that a crash cut off, or damage to one that was
-/// committed. A whole record after them shows that it is damage: cutting there would silently drop committed entries.
-fn contains_whole_record(trailing: &[u8]) -> bool {
+/// Hazard: trailing bytes that are not a record are either a write that a crash cut off, or a committed
+/// record that was damaged. A complete record after them shows that they are damage. Truncating the log there
+/// would silently drop committed entries.
+fn contains_complete_record(trailing: &[u8]) -> bool {
     (1..trailing.len()).any(|from| next_record::<LogRecord>(&mut &trailing[from..]).is_some())
 }
--- a/crates/config-log/src/chain/writer.rs
+++ b/crates/config-log/src/chain/writer.rs
@@ -1,4 +1,4 @@
-//! Writing a log: recovery of what was found, appending, and new segments.
+//! Writes a log: recovers the existing segment, appends entries and begins new segments.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,32 +10,33 @@
 use super::reader::{Segment, read_segment, segments};
 use super::{Hash, chain_hash};
 
-/// What a new segment begins with: the state before its first body, and the changes done lately, oldest first.
+/// The content of a new segment's header: the state before the segment's first body, and the recently
+/// committed changes, oldest first.
 pub type Checkpoint = (Vec<u8>, VecDeque<CompletedChange>);
 
-/// What a log held when it was opened: the newest segment.
+/// The newest segment of a log, as found when the log was opened.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenedLog<T = Entry> {
-    /// The state that the segment begins with.
+    /// The segment's header, which holds the state at its start.
     pub header: SegmentHeader,
-    /// The entries since.
+    /// The entries after the header.
     pub entries: Vec<T>,
 }
 
-/// What is known of the end of the newest segment.
+/// Whether the end of the newest segment is known to be synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndState {
-    /// As found when the log was opened, marked as synced up to this version.
+enum TailState {
+    /// The log was opened but not recovered yet. A marker states that it is synced up to this version.
     Unrecovered { synced_version: u64 },
-    /// All that was written is synced.
+    /// Everything that was written is synced.
     Clean,
-    /// A write failed: what is on the disk is unknown until the log is opened again.
+    /// A write failed. The content on the disk is unknown until the log is opened again.
     Unknown,
 }
 
-/// The one writer of a log.
+/// The only writer of a log.
 ///
-/// Invariant: nothing is appended unless everything before it is known to be synced (see `EndState`).
+/// Invariant: an entry is appended only if everything before it is known to be synced (see `TailState`).
 pub struct HashChain {
     storage: Box<dyn Storage>,
     format: &'static LogFormat,
@@ -46,17 +47,18 @@
     /// Bytes of the newest segment before its first entry.
     base_bytes: usize,
     max_segment_bytes: usize,
-    end: EndState,
+    tail: TailState,
     torn_bytes: usize,
 }
 
 impl HashChain {
-    /// Opens the newest segment of a folder that no other writer has; in a folder without one, the first is begun with
-    /// the checkpoint `empty`. Nothing that was found is written to before [`recover`](HashChain::recover). A segment grows
-    /// to `max_segment_bytes`, or to twice what it begins with if that is more.
+    /// Opens the newest segment of a folder that no other writer uses. In a folder without segments it begins
+    /// the first one with the checkpoint `empty`. An existing segment is not written to before
+    /// [`recover`](HashChain::recover). A segment grows to `max_segment_bytes`, or to twice the size of its
+    /// preamble and header if that is more.
     ///
     /// # Errors
-    /// [`ChainError`] where the segment is damaged, or a disk operation fails.
+    /// [`ChainError`] if the segment is damaged or a disk operation fails.
     pub fn open<T: FromEntry>(
         storage: Box<dyn Storage>,
         format: &'static LogFormat,
@@ -85,7 +87,7 @@
             segment_bytes: segment.file_bytes,
             base_bytes: segment.base_bytes,
             max_segment_bytes,
-            end: EndState::Unrecovered { synced_version: segment.reader.synced_version },
+            tail: TailState::Unrecovered { synced_version: segment.reader.synced_version },
             torn_bytes: segment.trailing_bytes,
         };
         Ok((chain, OpenedLog { header: segment.header, entries: segment.entries }))
@@ -106,7 +108,7 @@
             segment_bytes: 0,
             base_bytes: 0,
             max_segment_bytes,
-            end: EndState::Clean,
+            tail: TailState::Clean,
             torn_bytes: 0,
         };
         let header = chain.header((checkpoint, VecDeque::new()));
@@ -114,61 +116,66 @@
         Ok((chain, OpenedLog { header, entries: Vec::new() }))
     }
 
-    /// Syncs what was found, once the caller has replayed it and found it valid. Nothing is appended before. The
-    /// checkpoint, which is asked for where the end is torn, is the state after all entries.
+    /// Syncs the existing segment. The caller must have replayed and validated its entries. Nothing can be
+    /// appended before this call. If the last write was torn, a new segment is begun with `checkpoint`, which
+    /// returns the state after all entries.
     ///
     /// # Errors
     /// Those of the file system; the log must be opened again then.
     pub fn recover(&mut self, checkpoint: impl FnOnce() -> Checkpoint) -> io::Result<()> {
-        if let EndState::Unrecovered { synced_version } = self.end {
-            self.end = EndState::Unknown;
+        if let TailState::Unrecovered { synced_version } = self.tail {
+            self.tail = TailState::Unknown;
             if self.torn_bytes > 0 {
-                // Whether the last whole entry was synced is unknown; the new segment, which holds it, is.
+                // It is unknown whether the last complete entry is synced. The new segment is synced and its
+                // checkpoint includes that entry.
                 self.begin_segment(self.header(checkpoint()))?;
             } else if synced_version < self.version {
                 self.storage.sync(&self.segment_file())?;
                 self.mark_synced()?;
             }
-            self.end = EndState::Clean;
+            self.tail = TailState::Clean;
         }
         self.check_writable()
     }
 
-    /// Whether the log may be appended to.
+    /// Checks that the log may be appended to.
     ///
     /// # Errors
-    /// Before [`recover`](HashChain::recover), and after a write that failed: the log must be opened again then.
+    /// An error before [`recover`](HashChain::recover), and after a failed write; in the latter case the log
+    /// must be opened again.
     pub fn check_writable(&self) -> io::Result<()> {
-        match self.end {
-            EndState::Clean => Ok(()),
-            EndState::Unrecovered { .. } => {
-                Err(io::Error::other("what was found of the log is not settled yet"))
+        match self.tail {
+            TailState::Clean => Ok(()),
+            TailState::Unrecovered { .. } => {
+                Err(io::Error::other("the log has not been recovered since it was opened"))
             }
-            EndState::Unknown => Err(io::Error::other("an earlier write failed; open the log again")),
+            TailState::Unknown => Err(io::Error::other("an earlier write failed; open the log again")),
         }
     }
 
-    /// Commits one body: when this returns it is synced, and marked so unless the marker failed, which the next call
-    /// reports. The checkpoint, asked for where a new segment is begun first, is the state before this body.
+    /// Commits one body. When this returns, the body is synced and a marker states so. If writing the marker
+    /// failed, the next call reports an error. If a new segment is begun first, `checkpoint` must return the
+    /// state before this body.
     ///
     /// # Errors
-    /// Those of the file system. Whether the body is committed is unknown then; the log must be opened again.
+    /// Those of the file system. It is then unknown whether the body is committed, and the log must be opened
+    /// again.
     pub fn append(&mut self, body: Vec<u8>, checkpoint: impl FnOnce() -> Checkpoint) -> io::Result<Hash> {
         self.check_writable()?;
-        self.end = EndState::Unknown;
+        self.tail = TailState::Unknown;
         if self.segment_bytes > self.max_segment_bytes.max(2 * self.base_bytes) {
             self.begin_segment(self.header(checkpoint()))?;
         }
         self.hash = self.write_entry(body)?;
         self.version += 1;
-        // A marker that fails does not undo the commit.
+        // A failure to write the marker does not undo the commit.
         if self.mark_synced().is_ok() {
-            self.end = EndState::Clean;
+            self.tail = TailState::Clean;
         }
         Ok(self.hash)
     }
 
-    /// Begins a new segment with the state after all that was appended.
+    /// Begins a new segment with the state after everything that was appended.
     ///
     /// # Errors
     /// Those of the file system; the log must be opened again then.
@@ -176,7 +183,7 @@
         self.begin_segment_checked(self.header((checkpoint, completed)))
     }
 
-    /// Begins a new segment with a later state of the log that this one is a copy of.
+    /// Begins a new segment with a later state of the original log, for a log that is a copy.
     ///
     /// # Errors
     /// Those of the file system; the log must be opened again then.
@@ -188,10 +195,10 @@
         Ok(())
     }
 
-    /// Removes all segments but the newest, for a copy whose earlier versions are elsewhere.
+    /// Removes all segments but the newest, for a copy whose earlier versions are kept elsewhere.
     ///
     /// # Errors
-    /// Those of the file system; some segments may have been removed.
+    /// Those of the file system. Some segments may have been removed before the error.
     pub fn remove_earlier_segments(&mut self) -> io::Result<()> {
         for start in segments(&*self.storage, self.format)? {
             if start < self.segment_start {
@@ -211,7 +218,7 @@
         Ok(hash)
     }
 
-    /// Marks the log as synced up to its end, so that its followers act on it.
+    /// Writes a marker that the log is synced up to its end, so that followers apply the entries.
     fn mark_synced(&mut self) -> io::Result<()> {
         let record = encode(&LogRecord::Synced { version: self.version })?;
         self.segment_bytes += record.len();
@@ -224,15 +231,15 @@
 
     fn begin_segment_checked(&mut self, header: SegmentHeader) -> io::Result<()> {
         self.check_writable()?;
-        self.end = EndState::Unknown;
+        self.tail = TailState::Unknown;
         self.begin_segment(header)?;
-        self.end = EndState::Clean;
+        self.tail = TailState::Clean;
         Ok(())
     }
 
     fn begin_segment(&mut self, header: SegmentHeader) -> io::Result<()> {
         let start = header.version;
-        let bytes = self.format.encode_opening(header).ok_or(io::ErrorKind::FileTooLarge)?;
+        let bytes = self.format.encode_empty_segment(header).ok_or(io::ErrorKind::FileTooLarge)?;
         self.storage.put(self.format.temporary, &self.format.file_name(start), &bytes)?;
         self.segment_start = start;
         self.segment_bytes = bytes.len();
@@ -254,17 +261,18 @@
         self.hash
     }
 
-    /// The version that the newest segment begins after.
+    /// The version after which the newest segment begins.
     pub fn segment_start(&self) -> u64 {
         self.segment_start
     }
 
-    /// Bytes at the end that were no whole record when the log was opened: a write that was cut off.
+    /// Bytes of an incomplete record at the end of the log when it was opened: the remains of a write that
+    /// was cut off.
     pub fn torn_bytes(&self) -> usize {
         self.torn_bytes
     }
 
-    /// The folder, to read.
+    /// The storage of the log's folder, for reading.
     pub fn storage(&self) -> &dyn Storage {
         &*self.storage
     }
--- a/crates/config-log/src/change.rs
+++ b/crates/config-log/src/change.rs
@@ -1,4 +1,4 @@
-//! A change as a transaction, and what it conflicts with. No I/O, no clock.
+//! A change as a transaction, and the detection of conflicts. Free of I/O and of clocks.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,46 +18,48 @@
 /// A transaction on a version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Idempotency key: an author who does not know what became of a change sends it again under the same id, and it is
-    /// done once.
+    /// Idempotency key. An author who does not know whether a change was committed sends it again under the
+    /// same id; it is committed only once.
     pub id: String,
-    /// The version that its author saw.
+    /// The version that the change is based on.
     pub base: u64,
-    /// Who makes the change.
+    /// The author of the change.
     pub actor: String,
-    /// Why.
+    /// Why the change is made.
     pub reason: String,
-    /// Microseconds since 1970 by its author's clock. It is shown to people; no order depends on it.
+    /// Microseconds since 1970 by the author's clock. For display only; the order of changes does not depend
+    /// on it.
     pub at: u64,
-    /// What it changes.
+    /// The edits of the configuration.
     pub edits: Vec<Edit>,
-    /// The guards that its author overrides.
+    /// The guards that the author overrides.
     pub allow: Vec<Guard>,
 }
 
 impl Change {
-    /// Time since 1970 by its author's clock.
+    /// Time since 1970 by the author's clock.
     pub fn at(&self) -> Duration {
         Duration::from_micros(self.at)
     }
 }
 
-/// Two changes from one base that touch the same path.
+/// A committed edit and an edit of a rejected change that touch the same path. The change was committed after
+/// the base of the rejected one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Conflict {
-    /// The path, as the rejected change names it.
+    /// The path of the rejected change's edit.
     pub place: String,
-    /// What the rejected change makes of it.
+    /// The value that the rejected change sets.
     pub yours: String,
-    /// What the committed change made of it.
+    /// The value that the committed change set.
     pub theirs: String,
-    /// The version that the committed change made.
+    /// The version that the committed change created.
     pub version: u64,
-    /// Who made the committed change.
+    /// The author of the committed change.
     pub actor: String,
 }
 
-/// A text that every change has.
+/// A text that every change must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeText {
     /// [`Change::id`].
@@ -78,7 +80,7 @@
     }
 }
 
-/// Why a change was rejected. Nothing of it is done, except perhaps after [`ChangeRejected::Disk`].
+/// Why a change was rejected. No part of it was committed, except possibly after [`ChangeRejected::Disk`].
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeRejected {
     /// A text is empty.
@@ -87,10 +89,10 @@
     /// A text is too long.
     #[error("{0} is longer than {MAX_TEXT_BYTES} bytes")]
     TextTooLong(ChangeText),
-    /// The change must be split.
+    /// The change has too many edits and must be split.
     #[error("more than {MAX_EDITS} edits")]
     TooManyEdits,
-    /// The base is none of this log's versions.
+    /// The log has no version with the number of the base.
     #[error("the change's base is version {base}, the newest is {head}")]
     NoSuchBase {
         /// The change's base.
@@ -98,32 +100,32 @@
         /// The newest version.
         head: u64,
     },
-    /// Another change was committed under this id; send this one under an id of its own.
-    #[error("the id {id:?} is that of version {version}, another change")]
+    /// A different change was committed under this id. Send this one under a new id.
+    #[error("the id {id:?} was already used by another change, version {version}")]
     IdTaken {
         /// The id.
         id: String,
-        /// The version that the other change made.
+        /// The version that the other change created.
         version: u64,
     },
-    /// Changes since the base touched the same paths; make it again from the newest version.
-    #[error("{} of its places were changed meanwhile", .0.len())]
+    /// Changes committed since the base touch the same paths. Make the change again from the newest version.
+    #[error("{} conflicts with changes committed since its base version", .0.len())]
     Conflict(Vec<Conflict>),
-    /// The configuration that it leads to is invalid.
+    /// The resulting configuration is invalid.
     #[error("{0}")]
     Invalid(InvalidConfiguration),
-    /// It does what needs an explicit word.
+    /// The change has effects that its author must explicitly allow.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     Guarded(Vec<Guarded>),
-    /// Whether it is committed is unknown: send it again under the same id.
-    #[error("the log cannot be written: {0}; whether the change is done is not known, send it again")]
+    /// It is unknown whether the change is committed. Send it again under the same id.
+    #[error("the log cannot be written: {0}; it is unknown whether the change is committed, send it again")]
     Disk(#[from] std::io::Error),
 }
 
 /// Checks the parts of a change that do not depend on the configuration.
 ///
 /// # Errors
-/// [`ChangeRejected`] where a text is missing or too long, or there are too many edits.
+/// [`ChangeRejected`] if a text is missing or too long, or there are too many edits.
 pub fn validate(change: &Change) -> Result<(), ChangeRejected> {
     let texts = [
         (ChangeText::Id, &change.id),
@@ -144,9 +146,11 @@
     Ok(())
 }
 
-/// The conflicts of a change with those committed since its base, each with the version it made.
+/// The conflicts of a change with the changes committed since its base. `since_base` yields each of them with
+/// the version that it created.
 ///
-/// A committed change that wrote the same value conflicts too: the author did not know of it.
+/// A committed change that set the same value also counts as a conflict, because the author did not know of
+/// it.
 pub fn conflicts<'a>(change: &Change, since_base: impl Iterator<Item = (u64, &'a Change)>) -> Vec<Conflict> {
     let mut our_edits: HashMap<&Key, Vec<(Path, &Edit)>> = HashMap::new();
     for edit in &change.edits {
--- a/crates/config-log/src/follow/replica.rs
+++ b/crates/config-log/src/follow/replica.rs
@@ -1,4 +1,4 @@
-//! Applying updates, from wherever they came.
+//! Applies updates from any source.
 
 use super::Update;
 use crate::chain::{Entry, FromEntry, chain_hash};
@@ -6,12 +6,12 @@
 use crate::segment::{CommittedChange, Corruption, Hash, SegmentHeader};
 use crate::version::{SettingsChange, Version};
 
-/// A version and what a gateway does about it.
+/// A version and the settings changes that a gateway must apply for it.
 pub type AppliedVersion = (Version, Vec<SettingsChange>);
 
-/// A version of the configuration and its place in the chain.
+/// A version of the configuration and its position in the chain.
 ///
-/// Invariant: it only ever moves to a later version whose hash follows on this one's, or to a later checkpoint.
+/// Invariant: it only moves to the next version whose hash matches the current one, or to a later checkpoint.
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// The version.
@@ -21,20 +21,20 @@
 }
 
 impl Replica {
-    /// The version that a segment begins with.
+    /// The version of a segment's checkpoint.
     ///
     /// # Errors
-    /// [`Corruption`] where the checkpoint is invalid.
+    /// [`Corruption`] if the checkpoint is invalid.
     pub fn from_header(header: &SegmentHeader) -> Result<Replica, Corruption> {
         Ok(Replica { version: checkpoint(header)?, hash: header.hash })
     }
 
-    /// Applies the next update; `None` where it was known.
+    /// Applies the next update; `None` if it was applied before.
     ///
     /// # Errors
-    /// [`Corruption`] where it does not follow on this version or is invalid; nothing changes then.
+    /// [`Corruption`] if the update does not follow the current version or is invalid. Nothing changes then.
     pub fn apply(&mut self, update: &Update) -> Result<Option<AppliedVersion>, Corruption> {
-        if self.is_known(update)? {
+        if self.is_already_applied(update)? {
             return Ok(None);
         }
         let (version, steps) = match update {
@@ -46,8 +46,9 @@
         Ok(Some((version, steps)))
     }
 
-    /// Whether an update holds nothing new; an error where it contradicts the version that this replica has.
-    fn is_known(&self, update: &Update) -> Result<bool, Corruption> {
+    /// Whether an update is not newer than the current version. An error if it has the number of the current
+    /// version but a different hash.
+    fn is_already_applied(&self, update: &Update) -> Result<bool, Corruption> {
         let current = self.version.number;
         if update.version() != current {
             return Ok(update.version() < current);
@@ -63,7 +64,7 @@
         replay(&self.version, &CommittedChange::from_entry(entry.clone())?)
     }
 
-    /// The step to a state that is any number of changes ahead; indices of plans and volumes stay.
+    /// Advances to a checkpoint any number of changes ahead. The indices of plans and volumes do not change.
     fn advance_to(&self, header: &SegmentHeader) -> Result<AppliedVersion, Corruption> {
         let edits = self.version.configuration.diff(&checkpoint(header)?.configuration);
         let next = self.version.next(&edits);
--- a/crates/config-log/src/guard.rs
+++ b/crates/config-log/src/guard.rs
@@ -1,4 +1,4 @@
-//! What a change may not do unless its author explicitly allows it.
+//! Effects of a change that its author must explicitly allow.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,42 +12,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Guard {
-    /// More is reserved than the stores can do.
+    /// The reservations exceed the capacity of the stores.
     Reserve,
-    /// A plan loses more than half of a figure.
+    /// A plan's weight, rate, reserve or limit falls to less than half.
     Cut,
     /// A volume is removed.
     Removal,
-    /// A limited volume comes through fewer gateways: those that stay take larger parts of the limit while those that go
-    /// may still draw theirs (rule 7).
+    /// A volume with a limit is served by fewer gateways. The remaining gateways use larger parts of the
+    /// limit while the others may still use theirs (rule 7).
     Parts,
 }
 
-/// The guards and the words that allow them.
+/// The guards and the names by which they are allowed on the command line.
 pub const GUARDS: [(&str, Guard); 4] =
     [("reserve", Guard::Reserve), ("cut", Guard::Cut), ("removal", Guard::Removal), ("parts", Guard::Parts)];
 
-/// A plan's figure may fall to this part of itself without being guarded.
-const MAX_CUT: f64 = 0.5;
+/// A value of a plan may fall to this fraction of itself without being guarded.
+const MIN_UNGUARDED_RATIO: f64 = 0.5;
 
 /// An effect of a change that its author did not allow.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Guarded {
-    /// What must be allowed.
+    /// The guard that must be allowed.
     pub guard: Guard,
-    /// The effect, for people.
+    /// The effect, described for operators.
     #[serde(rename = "what")]
     pub effect: String,
 }
 
 impl fmt::Display for Guarded {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let word = GUARDS.iter().find(|(_, guard)| *guard == self.guard).map_or("", |(word, _)| word);
-        write!(f, "{} (to do it all the same: --allow {word})", self.effect)
+        let name = GUARDS.iter().find(|(_, guard)| *guard == self.guard).map_or("", |(name, _)| name);
+        write!(f, "{} (to do it all the same: --allow {name})", self.effect)
     }
 }
 
-/// The guarded effects of a step from one version to the next, reserves first, then plans, then volumes.
+/// The guarded effects of a step from one version to the next, in the order reserves, plans, volumes.
 pub fn guarded(from: &Version, to: &Version, steps: &[SettingsChange]) -> Vec<Guarded> {
     let mut effects = Vec::new();
     effects.extend(excess_reserve(from, to));
@@ -62,11 +62,11 @@
 fn excess_reserve(from: &Version, to: &Version) -> Option<Guarded> {
     let capacity = to.rules().capacity?;
     let reserved = to.reserved();
-    // A change that reserves no more than before is no danger, even above the capacity.
+    // A change that does not increase the reservations is harmless, even if they exceed the capacity.
     if reserved <= capacity.max(from.reserved()) {
         return None;
     }
-    let effect = format!("{reserved} units a second are reserved, of {capacity} that stores can do");
+    let effect = format!("{reserved} units a second are reserved, but the stores' capacity is {capacity}");
     Some(Guarded { guard: Guard::Reserve, effect })
 }
 
@@ -79,21 +79,21 @@
 
 fn plan_cuts(from: &Version, to: &Version, index: usize) -> Vec<Guarded> {
     let (Some(old), Some(new)) = (from.plan(index), to.plan(index)) else { return Vec::new() };
-    let figures = [
+    let values = [
         ("weight", old.weight, new.weight),
         ("rate", old.rate, new.rate),
         ("reserve", old.reserve, new.reserve),
         ("limit", limit_rate(old), limit_rate(new)),
     ];
-    let cuts = figures.into_iter().filter(|(_, before, after)| *after < before * MAX_CUT);
-    cuts.map(|(figure, before, after)| {
-        let effect = format!("plan {:?}: {figure} falls from {before} to {after}", new.name);
+    let cuts = values.into_iter().filter(|(_, before, after)| *after < before * MIN_UNGUARDED_RATIO);
+    cuts.map(|(field, before, after)| {
+        let effect = format!("plan {:?}: {field} falls from {before} to {after}", new.name);
         Guarded { guard: Guard::Cut, effect }
     })
     .collect()
 }
 
-/// Having no limit is more than any limit.
+/// The rate of a plan's limit. A plan without a limit counts as having an infinite one.
 fn limit_rate(plan: &Plan) -> f64 {
     plan.limit.as_ref().map_or(f64::INFINITY, |limit| limit.rate)
 }
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -1,10 +1,15 @@
-//! Configuration as versions: plans, volumes, op types and rules that change in service, each change on record.
+//! Versioned configuration: plans, volumes, op types and rules that change while gateways run. Every change
+//! is recorded in a log.
 //!
-//! [`model`] is the configuration as data and the paths into it; [`change`] a transaction on a version and what it
-//! conflicts with; [`guard`] the steps that need an explicit word; [`version`] a checked version and the step to the next.
-//! [`chain`] is a hash-chained log of opaque bodies, [`segment`] its use for changes, and [`log`] the log that changes are
-//! committed to. [`follow`] follows the log, from its folder or from updates; [`log_copy`] keeps a copy, and [`applied_version`] the
-//! version acted on last. docs/versions.md weighs the alternatives; docs/changing.md is the operators' page.
+//! [`model`] is the configuration as data and the paths into it. [`change`] is a transaction on a version and
+//! detects conflicts. [`guard`] finds the effects that a change's author must explicitly allow. [`version`]
+//! is a validated version and computes the next one from edits.
+//!
+//! [`chain`] is a hash-chained log of opaque bodies, [`segment`] the encoding of changes as such bodies, and
+//! [`log`] the log that changes are committed to. [`follow`] follows the log, from its folder or from
+//! updates. [`log_copy`] keeps a copy of the log, and [`applied_version`] stores the version applied last.
+//!
+//! docs/versions.md discusses the design and its alternatives; docs/changing.md is the page for operators.
 
 pub mod applied_version;
 pub mod chain;
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -1,4 +1,4 @@
-//! The log that changes are committed to, one after another. The commit point is the synced record.
+//! The log that changes are committed to, one at a time. A change is committed once its record is synced.
 
 mod history;
 
@@ -17,57 +17,59 @@
 pub(crate) use history::invalid_change;
 pub use history::{Segment, checkpoint, history, read_segment, replay, segments, verify, version};
 
-/// Size that a segment reaches before the next is begun, bytes, unless twice what it begins with is more.
+/// Size that a segment reaches before the next one is begun, bytes. If twice the size of its preamble and
+/// header is more, that applies instead.
 pub const SEGMENT_BYTES: usize = 1 << 20;
 
-/// How many changes are remembered by their ids, for recognising those sent again.
+/// How many committed changes are remembered by id, to recognise changes that are sent again.
 pub const MAX_COMPLETED: usize = 10_000;
 
-/// What became of a change.
+/// The result of committing a change.
 #[derive(Clone, Debug)]
 pub struct Committed {
-    /// The version that it made.
+    /// The version that the change created.
     pub version: u64,
-    /// It was sent again: it had been committed before under the same id.
+    /// Whether the change was sent again after it had been committed under the same id.
     pub was_committed_before: bool,
-    /// What a gateway does about it; empty where it was committed before.
+    /// The settings changes that a gateway must apply; empty if the change was committed before.
     pub steps: Vec<SettingsChange>,
 }
 
-/// What is remembered of a change by its id.
+/// The data remembered of a committed change under its id.
 #[derive(Clone, Copy)]
 struct CompletedId {
     version: u64,
     fingerprint: u64,
 }
 
-/// The one writer of the log.
+/// The only writer of the log.
 ///
-/// Invariant: `head`, `completed` and `by_id` are what the chain's entries lead to.
+/// Invariant: `head`, `completed` and `completed_by_id` equal the result of replaying the chain's entries.
 pub struct Log {
     chain: HashChain,
     head: Version,
-    /// The last changes, oldest first, at most [`MAX_COMPLETED`].
+    /// The last committed changes, oldest first, at most [`MAX_COMPLETED`].
     completed: VecDeque<CompletedChange>,
-    /// The same by their ids.
-    by_id: HashMap<String, CompletedId>,
-    /// Changes of the newest segment, in order.
-    recent: Vec<CommittedChange>,
-    /// Bytes at the end that were no whole record when the log was opened: a write that was cut off.
+    /// The same changes by id.
+    completed_by_id: HashMap<String, CompletedId>,
+    /// The changes of the newest segment, in order.
+    newest_segment_changes: Vec<CommittedChange>,
+    /// Bytes of an incomplete record at the end of the log when it was opened: the remains of a write that
+    /// was cut off.
     pub torn_bytes: usize,
 }
 
-/// What a segment begins with after a version.
+/// The content of the header of a segment that begins after the version `head`.
 fn encode_checkpoint(head: &Version, completed: &VecDeque<CompletedChange>) -> Checkpoint {
     (head.configuration.bytes(), completed.clone())
 }
 
 impl Log {
-    /// Opens the log of a folder that no other writer has; a folder without one has version 0. Segments grow to
-    /// `max_segment_bytes`.
+    /// Opens the log of a folder that no other writer uses. The log of an empty folder is at version 0.
+    /// Segments grow to `max_segment_bytes`.
     ///
     /// # Errors
-    /// [`LogError`] where the log is damaged or the file system fails.
+    /// [`LogError`] if the log is damaged or the file system fails.
     pub fn open(storage: Box<dyn Storage>, max_segment_bytes: usize) -> Result<Log, LogError> {
         let empty = || Version::empty().configuration.bytes();
         let opened = HashChain::open::<CommittedChange>(storage, &CHANGES, max_segment_bytes, empty)?;
@@ -80,14 +82,14 @@
             torn_bytes: chain.torn_bytes(),
             chain,
             head,
-            by_id: completed.iter().map(by_id_entry).collect(),
+            completed_by_id: completed.iter().map(completed_by_id_entry).collect(),
             completed,
-            recent: Vec::new(),
+            newest_segment_changes: Vec::new(),
         };
-        found.entries.iter().for_each(|committed| log.remember(completed_change(committed)));
-        log.recent = found.entries;
+        found.entries.iter().for_each(|committed| log.record_completed(completed_change(committed)));
+        log.newest_segment_changes = found.entries;
         log.chain.recover(|| encode_checkpoint(&log.head, &log.completed))?;
-        log.forget_before_segment(segment_start);
+        log.clear_changes_if_rolled(segment_start);
         Ok(log)
     }
 
@@ -96,7 +98,7 @@
         &self.head
     }
 
-    /// The folder, to read.
+    /// The storage of the log's folder, for reading.
     pub fn layer(&self) -> &dyn Storage {
         self.chain.storage()
     }
@@ -106,27 +108,28 @@
         self.chain.hash()
     }
 
-    /// Where a segment was begun since `segment_start`, changes before it are left to the older segments.
-    fn forget_before_segment(&mut self, segment_start: u64) {
+    /// Clears the changes held in memory if a new segment was begun after the one at `segment_start`. The
+    /// changes remain available in the older segments.
+    fn clear_changes_if_rolled(&mut self, segment_start: u64) {
         if self.chain.segment_start() > segment_start {
-            self.recent.clear();
+            self.newest_segment_changes.clear();
         }
     }
 
-    fn remember(&mut self, completed: CompletedChange) {
-        self.by_id.extend([by_id_entry(&completed)]);
+    fn record_completed(&mut self, completed: CompletedChange) {
+        self.completed_by_id.extend([completed_by_id_entry(&completed)]);
         self.completed.push_back(completed);
         if self.completed.len() > MAX_COMPLETED
             && let Some(oldest) = self.completed.pop_front()
         {
-            self.by_id.remove(&oldest.id);
+            self.completed_by_id.remove(&oldest.id);
         }
     }
 
-    /// What a change would lead to, without committing it.
+    /// Computes the version and the settings changes that a change would produce, without committing it.
     ///
     /// # Errors
-    /// [`ChangeRejected`] where it could not be committed.
+    /// [`ChangeRejected`] if the change could not be committed.
     pub fn plan(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
         validate(change)?;
         let head = self.head.number;
@@ -143,32 +146,33 @@
     fn check_conflicts(&self, change: &Change) -> Result<(), ChangeRejected> {
         let is_base_recent = change.base >= self.chain.segment_start();
         let older = if is_base_recent { None } else { Some(self.history(change.base)?) };
-        let committed = older.as_ref().unwrap_or(&self.recent);
+        let committed = older.as_ref().unwrap_or(&self.newest_segment_changes);
         let since_base = committed.iter().filter(|committed| committed.version > change.base);
         let conflicts = conflicts(change, since_base.map(|committed| (committed.version, &committed.change)));
         if conflicts.is_empty() { Ok(()) } else { Err(ChangeRejected::Conflict(conflicts)) }
     }
 
-    /// The version that a change was written from that was committed under this id, if it is remembered and its segment is
-    /// there.
+    /// The base version of the change that was committed under this id; `None` if the change is not
+    /// remembered or its segment no longer exists.
     ///
     /// # Errors
-    /// Those of the file system, and of a log that is damaged.
+    /// Those of the file system, and an error if the log is damaged.
     pub fn base_of(&self, id: &str) -> io::Result<Option<u64>> {
-        let Some(completed) = self.by_id.get(id) else { return Ok(None) };
+        let Some(completed) = self.completed_by_id.get(id) else { return Ok(None) };
         let since = self.history(completed.version - 1)?;
         let committed = since.into_iter().find(|committed| committed.version == completed.version);
         Ok(committed.map(|committed| committed.change.base))
     }
 
-    /// Commits a change on the newest version, or nothing of it. One that was committed before under its id is not
-    /// committed again.
+    /// Commits a change on top of the newest version, either completely or not at all. A change that was
+    /// committed before under the same id is not committed again.
     ///
     /// # Errors
-    /// [`ChangeRejected`]. After [`ChangeRejected::Disk`] the log must be opened again.
+    /// [`ChangeRejected`] if the change is rejected. After [`ChangeRejected::Disk`] the log must be opened
+    /// again.
     pub fn commit(&mut self, change: Change) -> Result<Committed, ChangeRejected> {
         self.chain.check_writable()?;
-        if let Some(completed) = self.by_id.get(&change.id) {
+        if let Some(completed) = self.completed_by_id.get(&change.id) {
             let version = completed.version;
             return if completed.fingerprint == segment::fingerprint(&change) {
                 Ok(Committed { version, was_committed_before: true, steps: Vec::new() })
@@ -177,26 +181,26 @@
             };
         }
         let (next, steps) = self.plan(&change)?;
-        let hash = self.write(&change)?;
+        let hash = self.append_to_chain(&change)?;
         let committed = CommittedChange { version: next.number, hash, change };
-        self.remember(completed_change(&committed));
-        self.recent.push(committed);
+        self.record_completed(completed_change(&committed));
+        self.newest_segment_changes.push(committed);
         self.head = next;
         Ok(Committed { version: self.head.number, was_committed_before: false, steps })
     }
 
-    fn write(&mut self, change: &Change) -> io::Result<Hash> {
+    fn append_to_chain(&mut self, change: &Change) -> io::Result<Hash> {
         let segment_start = self.chain.segment_start();
         let checkpoint = || encode_checkpoint(&self.head, &self.completed);
         let written = self.chain.append(segment::body(change), checkpoint);
-        self.forget_before_segment(segment_start);
+        self.clear_changes_if_rolled(segment_start);
         written
     }
 
-    /// The changes after a version, from all segments.
+    /// Reads the changes after a version from all segments.
     ///
     /// # Errors
-    /// Those of the file system, and of a log that is damaged.
+    /// Those of the file system, and an error if the log is damaged.
     pub fn history(&self, after: u64) -> io::Result<Vec<CommittedChange>> {
         history(self.layer(), after).map_err(|error| match error {
             LogError::Disk(error) => error,
@@ -205,7 +209,7 @@
     }
 }
 
-fn by_id_entry(completed: &CompletedChange) -> (String, CompletedId) {
+fn completed_by_id_entry(completed: &CompletedChange) -> (String, CompletedId) {
     let CompletedChange { id, version, fingerprint } = completed.clone();
     (id, CompletedId { version, fingerprint })
 }
--- a/crates/config-log/src/log/history.rs
+++ b/crates/config-log/src/log/history.rs
@@ -1,4 +1,4 @@
-//! Reading the log of a folder: its changes, any version, and the check of all of it.
+//! Reads the log of a folder: its changes, any of its versions, and the verification of the complete log.
 
 use std::io;
 
@@ -11,10 +11,10 @@
 use crate::segment::{CHANGES, CommittedChange, Corruption, Hash, SegmentHeader, file_name};
 use crate::version::{SettingsChange, Version};
 
-/// A segment of the log of changes as read.
+/// A completely read segment of the log of changes.
 pub type Segment = chain::Segment<CommittedChange>;
 
-/// The segments of a folder, each by the version that it begins after, in order.
+/// Lists the segments of a folder in ascending order, each by the version that it begins after.
 ///
 /// # Errors
 /// Those of the file system.
@@ -25,27 +25,28 @@
 /// Reads the segment that begins after version `start`.
 ///
 /// # Errors
-/// [`LogError`] where the segment is damaged or cannot be read.
+/// [`LogError`] if the segment is damaged or cannot be read.
 pub fn read_segment(storage: &dyn Storage, start: u64) -> Result<Segment, LogError> {
     chain::read_segment(storage, &CHANGES, start)
 }
 
-/// The version that a segment begins with.
+/// The version of a segment's checkpoint.
 ///
 /// # Errors
-/// [`Corruption::InvalidChange`] where its checkpoint is invalid.
+/// [`Corruption::InvalidChange`] if the checkpoint is invalid.
 pub fn checkpoint(header: &SegmentHeader) -> Result<Version, Corruption> {
-    let Some(configuration) = Configuration::of_bytes(&header.checkpoint) else {
-        let reason = "no checkpoint".into();
+    let Some(configuration) = Configuration::from_bytes(&header.checkpoint) else {
+        let reason = "its checkpoint cannot be decoded".into();
         return Err(Corruption::InvalidChange { version: header.version, reason });
     };
-    Version::read(header.version, &configuration).map_err(|invalid| invalid_change(header.version, &invalid))
+    Version::from_configuration(header.version, &configuration)
+        .map_err(|invalid| invalid_change(header.version, &invalid))
 }
 
-/// The next version as a committed change makes it.
+/// Applies a committed change to the version before it.
 ///
 /// # Errors
-/// [`Corruption::InvalidChange`] where the change is none of this version.
+/// [`Corruption::InvalidChange`] if the change is not valid for this version.
 pub fn replay(
     version: &Version,
     committed: &CommittedChange,
@@ -58,7 +59,7 @@
     Corruption::InvalidChange { version, reason: invalid.join("; ") }
 }
 
-/// The version that a segment's changes up to `last` lead to.
+/// Replays the changes of a segment up to the version `last`.
 pub(super) fn replay_segment(
     header: &SegmentHeader,
     changes: &[CommittedChange],
@@ -71,16 +72,16 @@
     Ok(version)
 }
 
-/// The end of a segment.
+/// The last version of a segment and its hash.
 struct SegmentEnd {
     version: u64,
     hash: Hash,
 }
 
-/// The changes after a version, in order, with no gap.
+/// Reads the changes after a version, in order and without a gap.
 ///
 /// # Errors
-/// [`LogError`] where a segment is damaged or missing, or cannot be read.
+/// [`LogError`] if a segment is damaged or missing, or cannot be read.
 pub fn history(storage: &dyn Storage, after: u64) -> Result<Vec<CommittedChange>, LogError> {
     let starts = segments(storage)?;
     let first = starts.partition_point(|start| *start <= after).saturating_sub(1);
@@ -91,7 +92,7 @@
         if let Some(previous) = &previous {
             check_continuity(previous, &segment.header)
                 .map_err(|reason| LogError::Broken { file: file_name(*start), reason })?;
-            // A segment may be followed by one that begins before its end: a crash left that end uncertain.
+            // The next segment may begin before the end of this one, because a crash left this end uncertain.
             changes.retain(|committed| committed.version <= *start);
         }
         previous = Some(SegmentEnd { version: segment.reader.version, hash: segment.reader.hash });
@@ -111,10 +112,10 @@
     Ok(())
 }
 
-/// The configuration of any version, rebuilt from the nearest checkpoint before it.
+/// Rebuilds any version from the nearest checkpoint before it.
 ///
 /// # Errors
-/// [`LogError`] where the version is not in the log, or the log is damaged or cannot be read.
+/// [`LogError`] if the version is not in the log, or the log is damaged or cannot be read.
 pub fn version(storage: &dyn Storage, number: u64) -> Result<Version, LogError> {
     let starts = segments(storage)?;
     let Some(start) = starts.into_iter().rev().find(|start| *start <= number) else {
@@ -130,11 +131,11 @@
     Ok(version)
 }
 
-/// Rebuilds every version from the oldest segment on and compares every checkpoint, byte for byte. Returns the newest
-/// version.
+/// Rebuilds every version from the oldest segment on and compares it with every checkpoint, byte for byte.
+/// Returns the newest version.
 ///
 /// # Errors
-/// [`LogError`] where the log is damaged or cannot be read.
+/// [`LogError`] if the log is damaged or cannot be read.
 pub fn verify(storage: &dyn Storage) -> Result<u64, LogError> {
     let starts = segments(storage)?;
     let Some((oldest, later)) = starts.split_first() else { return Ok(0) };
@@ -170,7 +171,7 @@
     if segment.header.checkpoint == rebuilt.configuration.bytes() {
         return Ok(());
     }
-    let reason = "its checkpoint is not what the changes before it make".into();
+    let reason = "its checkpoint differs from the state rebuilt from the changes before it".into();
     let reason = Corruption::InvalidChange { version: start, reason };
     Err(LogError::Broken { file: file_name(start), reason })
 }
--- a/crates/config-log/src/log_copy.rs
+++ b/crates/config-log/src/log_copy.rs
@@ -1,4 +1,5 @@
-//! A copy of the log in a folder of one's own, from updates: read and followed like the writer's.
+//! A copy of the log in a separate folder, written from updates. It can be read and followed like the
+//! original.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,18 +12,20 @@
 use crate::segment::{CHANGES, SegmentHeader, file_name};
 use crate::version::Version;
 
-/// The one writer of a copy.
+/// The only writer of a copy.
 ///
-/// Invariant: the folder holds a prefix of the log's history, or its state at one version and what follows.
+/// Invariant: the folder holds a prefix of the log's history, or the state at one version and the entries
+/// after it.
 pub struct LogCopy {
     chain: HashChain,
 }
 
 impl LogCopy {
-    /// Opens or begins a copy in a folder that no other writer has. Returns the state that it holds, if any.
+    /// Opens or creates a copy in a folder that no other writer uses. Returns the newest state in the copy,
+    /// if any.
     ///
     /// # Errors
-    /// [`LogError`] where the copy is damaged or the file system fails.
+    /// [`LogError`] if the copy is damaged or the file system fails.
     pub fn open(storage: Box<dyn Storage>) -> Result<(LogCopy, Option<Replica>), LogError> {
         let empty = || Version::empty().configuration.bytes();
         let (chain, opened) = HashChain::open::<Entry>(storage, &CHANGES, SEGMENT_BYTES, empty)?;
@@ -34,12 +37,12 @@
             state.apply(&Update::Entry(entry)).map_err(broken)?;
         }
         copy.chain.recover(|| checkpoint(&state))?;
-        let held = Some(state).filter(|state| state.version.number > 0);
-        Ok((copy, held))
+        let newest_state = Some(state).filter(|state| state.version.number > 0);
+        Ok((copy, newest_state))
     }
 
-    /// Writes the next update, synced when this returns. `state` is the one that the update follows on. An update that
-    /// is in the copy already, or follows on something that is not, is ignored.
+    /// Writes the next update. It is synced when this returns. `state` is the state before the update. An
+    /// update that is already in the copy, or whose predecessor is not, is ignored.
     ///
     /// # Errors
     /// Those of the file system; the copy must be opened again then.
--- a/crates/config-log/src/model.rs
+++ b/crates/config-log/src/model.rs
@@ -13,16 +13,17 @@
 pub use edit::{Edit, InvalidEdit, InvalidEditReason};
 pub use path::{InvalidPath, Path};
 
-/// A kind of entity, that is, of what can change in service. A gateway's own addresses, identity and bounds are in its
-/// script and need a restart.
+/// A kind of entity. Entities can change while gateways run. The addresses, identity and bounds of a single
+/// gateway are not entities: they are in its script, and changing them requires a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// A type of operation.
     OpType,
-    /// The rules that make requests operations of a type: a list whose order counts, so one entity.
+    /// The rules that assign op types to requests. They are one entity because they form a list whose order
+    /// matters.
     Requests,
-    /// A plan that volumes have.
+    /// A plan that volumes refer to.
     Plan,
     /// A volume.
     Volume,
@@ -44,7 +45,7 @@
         KINDS.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
     }
 
-    /// Whether there is exactly one entity of this kind, without a name.
+    /// Whether there is exactly one entity of this kind, which has no name.
     pub fn is_singleton(self) -> bool {
         matches!(self, Kind::Requests | Kind::Rules)
     }
@@ -55,7 +56,7 @@
 pub struct Key {
     /// The entity's kind.
     pub kind: Kind,
-    /// Empty where there is one of the kind only.
+    /// The entity's name; empty for a singleton.
     pub name: String,
 }
 
--- a/crates/config-log/src/model/configuration.rs
+++ b/crates/config-log/src/model/configuration.rs
@@ -1,4 +1,5 @@
-//! The whole configuration: from and to script calls and bytes, and what differs between two.
+//! The complete configuration: its conversion from and to script calls and bytes, and the difference of two
+//! configurations.
 
 use std::sync::Arc;
 
@@ -9,15 +10,16 @@
 
 use super::{Edit, Fields, Key, Kind, Path};
 
-/// The whole configuration. Copies share what they have in common.
+/// The complete configuration. Clones share unchanged entities.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Entities by key, in order; in a checked configuration every default is filled in.
+    /// Entities by key, in order. In a validated configuration every default is stated explicitly.
     pub entities: OrdMap<Key, Arc<Fields>>,
 }
 
 impl Configuration {
-    /// The configuration that a script's calls make; those that are a gateway's own are left out.
+    /// The configuration that a script's calls define. Calls that define settings of a single gateway are
+    /// ignored.
     pub fn of_calls(calls: &[FunctionCall]) -> Configuration {
         let mut entities = OrdMap::new();
         let mut request_rules = Vec::new();
@@ -41,12 +43,12 @@
         Configuration { entities }
     }
 
-    /// The script's calls that make this configuration.
+    /// The script calls that define this configuration.
     pub fn calls(&self) -> Vec<FunctionCall> {
         self.entities.iter().flat_map(|(key, fields)| calls(key, fields)).collect()
     }
 
-    /// The value at a path; a whole entity as an object of its fields.
+    /// The value at a path. The value of an entity is an object of its fields.
     pub fn field(&self, path: &Path) -> Option<Value> {
         let fields = self.entities.get(&path.key)?;
         match &path.field {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The edits that make `to` of this configuration, the fewest fields that differ.
+    /// The edits that turn this configuration into `to`. Only fields that differ are edited.
     pub fn diff(&self, to: &Configuration) -> Vec<Edit> {
         let mut edits = Vec::new();
         for item in self.entities.diff(&to.entities) {
@@ -72,19 +74,20 @@
         edits
     }
 
-    /// The configuration as bytes, the same wherever it is the same: a line of JSON for each entity, in order.
+    /// Encodes the configuration: a line of JSON for each entity, in order. Equal configurations have equal
+    /// bytes.
     pub fn bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         for entity in &self.entities {
-            // Strings and numbers cannot fail to be written to memory.
+            // Serializing strings and numbers to memory cannot fail.
             _ = serde_json::to_writer(&mut bytes, &entity);
             bytes.push(b'\n');
         }
         bytes
     }
 
-    /// The configuration of these bytes; `None` where they are none.
-    pub fn of_bytes(bytes: &[u8]) -> Option<Configuration> {
+    /// Decodes a configuration; `None` if the bytes are not one.
+    pub fn from_bytes(bytes: &[u8]) -> Option<Configuration> {
         let mut entities = OrdMap::new();
         for line in bytes.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
             let (key, fields): (Key, Fields) = serde_json::from_slice(line).ok()?;
@@ -94,7 +97,7 @@
     }
 }
 
-/// Edits of the fields that differ: removed ones, then new or changed ones.
+/// Edits of the fields that differ: first the removed fields, then the new and changed ones.
 fn field_edits(key: &Key, old: &Fields, new: &Fields) -> Vec<Edit> {
     let set = |field: &str, value: Value| Edit::Set { key: key.clone(), field: field.into(), value };
     let removed = old.keys().filter(|field| !new.contains_key(*field)).map(|field| set(field, Value::Null));
@@ -114,7 +117,8 @@
     Value::Object(rule)
 }
 
-/// The calls that make one entity; at least one, unless it is [`Kind::Requests`].
+/// The calls that define one entity: exactly one, except that [`Kind::Requests`] has a call for each rule and
+/// may have none.
 pub fn calls(key: &Key, fields: &Fields) -> Vec<FunctionCall> {
     match key.kind {
         Kind::Requests => request_calls(fields),
@@ -127,7 +131,7 @@
     FunctionCall { named, ..FunctionCall::synthetic(function, first, []) }
 }
 
-/// A call for each rule of the list; what is no rule is left out.
+/// A call for each rule of the list. Items that are not rules are ignored.
 fn request_calls(fields: &Fields) -> Vec<FunctionCall> {
     let rules = fields.get(RULES_FIELD).and_then(Value::as_array).into_iter().flatten();
     let rules = rules.filter_map(Value::as_object).cloned();
--- a/crates/config-log/src/model/edit.rs
+++ b/crates/config-log/src/model/edit.rs
@@ -5,11 +5,11 @@
 
 use super::{Fields, InvalidPath, Key, Path};
 
-/// A change of one path.
+/// A modification of one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
-    /// Sets one field; `null` resets it to its default, where it has one.
+    /// Sets one field. `null` resets the field to its default if it has one.
     Set {
         /// The entity.
         key: Key,
@@ -22,7 +22,7 @@
     Put {
         /// The entity.
         key: Key,
-        /// All its fields; absent ones have their defaults.
+        /// All fields of the entity. Absent fields have their defaults.
         fields: Fields,
     },
     /// Removes an entity.
@@ -32,7 +32,7 @@
     },
 }
 
-/// A text that is no edit; write it as KIND/NAME:FIELD=VALUE.
+/// A text that cannot be parsed as an edit. The format is `KIND/NAME:FIELD=VALUE`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?}: {reason}")]
 pub struct InvalidEdit {
@@ -40,25 +40,26 @@
     reason: InvalidEditReason,
 }
 
-/// What is wrong with the text of an edit.
+/// Why a text cannot be parsed as an edit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidEditReason {
-    /// It has no value.
+    /// The text has no value.
     #[error("no = in it")]
     NoValue,
-    /// What it edits is no path.
+    /// The text before `=` is not a path.
     #[error(transparent)]
     Path(#[from] InvalidPath),
-    /// Its path is a whole entity.
+    /// The path refers to an entity and not to a field.
     #[error("it names no field")]
     NoField,
 }
 
 impl Edit {
-    /// Parses an edit of one field as people write it: `KIND/NAME:FIELD=VALUE`, the value in JSON or a bare word.
+    /// Parses an edit of one field in the format `KIND/NAME:FIELD=VALUE`. A value that is not valid JSON is
+    /// taken as a string.
     ///
     /// # Errors
-    /// [`InvalidEdit`] with the text and what is wrong with it.
+    /// [`InvalidEdit`] with the text and the reason.
     pub fn set(text: &str) -> Result<Edit, InvalidEdit> {
         Edit::parse_set(text).map_err(|reason| InvalidEdit { text: text.into(), reason })
     }
@@ -71,14 +72,14 @@
         Ok(Edit::Set { key: path.key, field, value })
     }
 
-    /// The entity that it edits.
+    /// The key of the edited entity.
     pub fn key(&self) -> &Key {
         match self {
             Edit::Set { key, .. } | Edit::Put { key, .. } | Edit::Remove { key } => key,
         }
     }
 
-    /// The path that it edits.
+    /// The edited path.
     pub fn path(&self) -> Path {
         let field = match self {
             Edit::Set { field, .. } => Some(field.clone()),
@@ -87,7 +88,7 @@
         Path { key: self.key().clone(), field }
     }
 
-    /// What it makes of its path, for people to read.
+    /// The new value at the path, for display.
     pub fn value(&self) -> String {
         match self {
             Edit::Set { value, .. } => value.to_string(),
--- a/crates/config-log/src/model/path.rs
+++ b/crates/config-log/src/model/path.rs
@@ -1,4 +1,4 @@
-//! Paths into the configuration, as people write them.
+//! Paths into the configuration and their text form.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,12 +10,12 @@
 pub struct Path {
     /// The entity.
     pub key: Key,
-    /// The field; `None` for the whole entity.
+    /// The field; `None` if the path refers to the entity.
     pub field: Option<String>,
 }
 
 impl Path {
-    /// Whether the two share a field, that is, are equal or one is the whole entity of the other.
+    /// Whether the paths overlap: they are equal, or one is the entity that contains the field of the other.
     pub fn meets(&self, other: &Path) -> bool {
         self.key == other.key
             && match (&self.field, &other.field) {
@@ -35,10 +35,11 @@
     }
 }
 
-/// A text that is no [`Path`]; its message says how one is written.
+/// A text that cannot be parsed as a [`Path`]. The message states the format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "{0:?} is no place: write KIND/NAME or KIND/NAME:FIELD, where KIND is op_type, plan or volume, or requests or rules without a name"
+    "{0:?} is not a path: write KIND/NAME or KIND/NAME:FIELD, where KIND is op_type, plan or volume, \
+     or requests or rules without a name"
 )]
 pub struct InvalidPath(String);
 
--- a/crates/config-log/src/problem.rs
+++ b/crates/config-log/src/problem.rs
@@ -1,4 +1,4 @@
-//! What makes a configuration invalid; the messages are for operators.
+//! Errors of invalid configurations. The messages are for operators.
 
 use std::fmt;
 
@@ -6,43 +6,44 @@
 
 use crate::model::Path;
 
-/// One thing that is wrong with a configuration or with the edits that lead to it.
+/// A problem with a configuration or with the edits that produce it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationProblem {
-    /// An edit of something that the configuration does not have.
+    /// An edit refers to an entity that the configuration does not have.
     #[error("{0}: is not there")]
     NotFound(Path),
-    /// An edit removes what every configuration must have.
+    /// An edit removes an entity that every configuration must have.
     #[error("{0}: cannot be removed")]
     Required(Path),
-    /// An edit removes an op type. Ops of it may be in flight; leave it unused instead.
-    #[error("{0}: cannot be removed in service; no rule need name it")]
+    /// An edit removes an op type. Ops of this type may be in flight; leave it without request rules instead.
+    #[error("{0}: op types cannot be removed; remove the request rules that name it instead")]
     OpTypeRemoved(Path),
-    /// An edit removes a plan that volumes have.
+    /// An edit removes a plan that volumes still use.
     #[error("{plan}: still has {volumes} volumes")]
     PlanInUse {
         /// The plan.
         plan: Path,
-        /// How many volumes have it.
+        /// How many volumes use it.
         volumes: usize,
     },
     /// The configuration would lack volumes, request rules or rules.
-    #[error("no volume, no request rules or no rules would be there")]
+    #[error("the configuration would have no volume, no request rules or no rules")]
     Incomplete,
-    /// An entity's fields are wrong.
+    /// An entity has invalid fields.
     #[error("{path}: {}", problem.what)]
     InvalidEntity {
         /// The entity.
         path: Path,
-        /// What is wrong with it.
+        /// The problem with it.
         problem: Problem,
     },
-    /// The settings are wrong when they are read as a whole.
+    /// The complete settings are invalid, though each entity may be valid by itself.
     #[error("{0}")]
     InvalidSettings(Problem),
 }
 
-/// A configuration, or a step to one, that was not accepted; all problems at once.
+/// A configuration, or edits that would produce one, that was rejected. It holds all problems that were
+/// found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidConfiguration {
     /// At least one problem.
@@ -50,7 +51,7 @@
 }
 
 impl InvalidConfiguration {
-    /// The problems as one text.
+    /// The messages of all problems, joined by `separator`.
     pub fn join(&self, separator: &str) -> String {
         let problems: Vec<String> = self.problems.iter().map(ToString::to_string).collect();
         problems.join(separator)
--- a/crates/config-log/src/segment.rs
+++ b/crates/config-log/src/segment.rs
@@ -1,17 +1,18 @@
-//! The log of changes as bytes: its files' names, and a change as the body of an entry of the chain.
+//! The stored form of the log of changes: its file names, and the encoding of a change as the body of an
+//! entry.
 
 pub use crate::chain::{CompletedChange, Corruption, Hash, SegmentHeader, SegmentReader};
 use crate::chain::{Entry, FromEntry, LogFormat, chain_hash};
 use crate::change::Change;
 
-/// The files of the log of changes.
+/// The magic and the file names of the log of changes.
 pub const CHANGES: LogFormat =
     LogFormat { magic: b"UMBCHG", prefix: "changes-", suffix: ".log", temporary: "changes.new" };
 
-/// A change and its place in the history.
+/// A change and its position in the history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommittedChange {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: u64,
     /// The version's hash in the chain.
     pub hash: Hash,
@@ -27,18 +28,19 @@
     }
 }
 
-/// The file of the segment that begins after a version.
+/// The file name of the segment that begins after a version.
 pub fn file_name(version: u64) -> String {
     CHANGES.file_name(version)
 }
 
-/// A change as the body of an entry: JSON.
+/// Encodes a change as the body of an entry, in JSON.
 pub fn body(change: &Change) -> Vec<u8> {
-    // Strings and numbers cannot fail to be written to memory.
+    // Serializing strings and numbers to memory cannot fail.
     serde_json::to_vec(change).unwrap_or_default()
 }
 
-/// Distinguishes a change that is sent again, perhaps with another time, from another change under the same id.
+/// A hash of a change without its time. It distinguishes a change that is sent again, possibly with another
+/// time, from a different change under the same id.
 pub fn fingerprint(change: &Change) -> u64 {
     let without_time = body(&Change { at: 0, ..change.clone() });
     u64::from_le_bytes(*chain_hash(&[0; 32], &without_time).first_chunk().unwrap_or(&[0; 8]))
--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -1,8 +1,8 @@
-//! One version of the configuration, checked, as gateways act on it.
+//! A validated version of the configuration, as applied by gateways.
 //!
-//! Invariant: the index of a plan or volume never changes from one version to the next, whatever else is removed or
-//! added, so that what is open at a gateway keeps its meaning. Versions share what they have in common, so a step costs
-//! what it touches.
+//! Invariant: the index of a plan or volume never changes from one version to the next, even if other plans and
+//! volumes are added or removed, so that the indices that a gateway holds for what it has open stay valid.
+//! Versions share unchanged data, so the cost of a step depends only on the entities that it touches.
 
 mod step;
 
@@ -18,31 +18,32 @@
 use crate::model::Configuration;
 use crate::problem::InvalidConfiguration;
 
-/// A checked version of the configuration.
+/// A validated version of the configuration.
 ///
-/// Invariant: the tables hold what `configuration` says, and removed plans and volumes marked as such.
+/// Invariant: the tables hold the content of `configuration`, and also removed plans and volumes, marked as
+/// removed.
 #[derive(Clone, Debug)]
 pub struct Version {
-    /// Counts up from 0, the empty configuration.
+    /// The version number. Version 0 is the empty configuration.
     pub number: u64,
-    /// The configuration as data, every default filled in.
+    /// The configuration as data. Every default is stated explicitly.
     pub configuration: Configuration,
     op_types: Arc<Vec<OpType>>,
     type_rules: Arc<Vec<TypeRule>>,
     rules: Arc<Rules>,
     plans: Vector<Plan>,
     plan_indices: HashMap<String, usize>,
-    /// How many volumes have the plan of an index.
+    /// The number of volumes of each plan, by the index of the plan.
     volumes_per_plan: HashMap<usize, usize>,
     volumes: Vector<Volume>,
     volume_indices: HashMap<String, usize>,
-    /// Sum of all volumes' reserves, units a second.
+    /// Sum of the reserves of all volumes, units a second.
     reserved: f64,
 }
 
 impl Version {
-    /// Version 0, as a checked document has it.
-    pub fn first(document: &SettingsDocument) -> Version {
+    /// A version with number 0 and the content of a validated document.
+    pub fn from_document(document: &SettingsDocument) -> Version {
         let settings = &document.settings;
         let mut volumes_per_plan = HashMap::new();
         for volume in &settings.volumes {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Version 0, the empty configuration; not one to act on.
+    /// Version 0, the empty configuration. Gateways must not apply it.
     pub fn empty() -> Version {
         let rules = parse::rules(&FunctionCall::synthetic("rules", Value::Null, []), &mut Vec::new());
         Version {
@@ -81,16 +82,19 @@
         }
     }
 
-    /// The version of a stored configuration, which must be empty or whole.
+    /// Validates a stored configuration, which must be empty or complete.
     ///
     /// # Errors
-    /// [`InvalidConfiguration`] with all that is wrong with it.
-    pub fn read(number: u64, configuration: &Configuration) -> Result<Version, InvalidConfiguration> {
+    /// [`InvalidConfiguration`] with all problems of the configuration.
+    pub fn from_configuration(
+        number: u64,
+        configuration: &Configuration,
+    ) -> Result<Version, InvalidConfiguration> {
         if configuration.entities.is_empty() {
             return Ok(Version { number, ..Version::empty() });
         }
         let document = document(&configuration.calls(), &[])?;
-        Ok(Version { number, ..Version::first(&document) })
+        Ok(Version { number, ..Version::from_document(&document) })
     }
 
     /// The deployment's rules.
@@ -98,37 +102,37 @@
         &self.rules
     }
 
-    /// Sum of all volumes' reserves, units a second.
+    /// Sum of the reserves of all volumes, units a second.
     pub fn reserved(&self) -> f64 {
         self.reserved
     }
 
-    /// The plan of an index; `None` where it was removed.
+    /// The plan with an index; `None` if it was removed.
     pub fn plan(&self, index: usize) -> Option<&Plan> {
         self.plans.get(index).filter(|plan| !plan.is_removed)
     }
 
-    /// The plan of a name.
+    /// The plan with a name.
     pub fn plan_named(&self, name: &str) -> Option<&Plan> {
         self.plan(*self.plan_indices.get(name)?)
     }
 
-    /// The volume of an index; `None` where it was removed.
+    /// The volume with an index; `None` if it was removed.
     pub fn volume(&self, index: usize) -> Option<&Volume> {
         self.volumes.get(index).filter(|volume| !volume.is_removed)
     }
 
-    /// How many volumes have the plan of a name.
+    /// The number of volumes that use the plan with a name.
     pub fn volume_count(&self, plan: &str) -> usize {
         self.plan_indices.get(plan).map_or(0, |index| self.volumes_of_plan(*index))
     }
 
-    /// How many volumes there are.
+    /// The number of all volumes.
     pub fn total_volumes(&self) -> usize {
         self.volume_indices.len()
     }
 
-    /// The settings of a gateway that acts on this version; its own figures are those of `own`.
+    /// The settings of a gateway that applies this version. Settings that are not shared are those of `own`.
     pub fn settings(&self, own: &Settings) -> Settings {
         Settings {
             op_types: self.op_types.to_vec(),
@@ -147,10 +151,11 @@
     }
 }
 
-/// Checks the calls of the shared settings together with a gateway's own (those of a placeholder where there are none).
+/// Validates the calls of the shared settings together with a gateway's own calls. If `own` is empty, a
+/// placeholder gateway is used.
 ///
 /// # Errors
-/// [`InvalidConfiguration`] with all that is wrong with them.
+/// [`InvalidConfiguration`] with all problems of the calls.
 pub fn document(
     shared: &[FunctionCall],
     own: &[FunctionCall],
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -12,22 +12,22 @@
 use crate::model::{Configuration, Edit, Fields, Key, Kind, Path, calls};
 use crate::problem::{ConfigurationProblem, InvalidConfiguration};
 
-/// The order in which touched entities are checked: each kind refers to those before it only.
-const CHECK_ORDER: [Kind; 5] = [Kind::OpType, Kind::Requests, Kind::Rules, Kind::Plan, Kind::Volume];
+/// The order in which touched entities are updated. Each kind refers only to kinds before it.
+const UPDATE_ORDER: [Kind; 5] = [Kind::OpType, Kind::Requests, Kind::Rules, Kind::Plan, Kind::Volume];
 
 impl Version {
-    /// The next version, and what a gateway does about it.
+    /// Computes the next version, and the settings changes that a gateway must apply for it.
     ///
     /// # Errors
-    /// [`InvalidConfiguration`] with all that is wrong; nothing of the edits is done then.
+    /// [`InvalidConfiguration`] with all problems. None of the edits takes effect then.
     pub fn next(&self, edits: &[Edit]) -> Result<(Version, Vec<SettingsChange>), InvalidConfiguration> {
         let version = Version { number: self.number + 1, ..self.clone() };
         let mut step = Step { version, changes: Vec::new(), problems: Vec::new() };
-        edits.iter().for_each(|edit| step.edit(edit));
+        edits.iter().for_each(|edit| step.apply_edit(edit));
         let touched: BTreeSet<&Key> = edits.iter().map(Edit::key).collect();
-        for kind in CHECK_ORDER {
+        for kind in UPDATE_ORDER {
             for key in touched.iter().filter(|key| key.kind == kind) {
-                step.check_entity(key);
+                step.update_entity(key);
             }
         }
         for key in touched.iter().filter(|key| key.kind == Kind::Plan) {
@@ -42,7 +42,7 @@
     }
 }
 
-/// A step under way. It is discarded where there is any problem.
+/// A step that is being computed. It is discarded if there is any problem.
 struct Step {
     version: Version,
     changes: Vec<SettingsChange>,
@@ -54,8 +54,8 @@
 }
 
 impl Step {
-    /// Puts one edit into the entities, as it is written.
-    fn edit(&mut self, edit: &Edit) {
+    /// Applies one edit to the entities, without validating it.
+    fn apply_edit(&mut self, edit: &Edit) {
         let entities = &mut self.version.configuration.entities;
         match edit {
             Edit::Set { key, field, value } => match entities.get_mut(key) {
@@ -74,10 +74,11 @@
         }
     }
 
-    /// Checks one touched entity, takes it into the tables and writes it back with every default filled in.
-    fn check_entity(&mut self, key: &Key) {
+    /// Validates one touched entity, updates the tables and writes the entity back with every default stated
+    /// explicitly.
+    fn update_entity(&mut self, key: &Key) {
         let Some(fields) = self.version.configuration.entities.get(key).cloned() else {
-            return self.remove(key);
+            return self.mark_removed(key);
         };
         let calls = calls(key, &fields);
         let mut problems = Vec::new();
@@ -98,12 +99,12 @@
         let op_type = parse::op_type(call, problems);
         let canonical = canonical::op_type(&op_type).named;
         let op_types = Arc::make_mut(&mut self.version.op_types);
-        match op_types.iter_mut().find(|known| known.name == op_type.name) {
-            Some(known) if !has_same_retry_rules(known, &op_type) => {
-                let text = "repeats, dedup_span and in_order cannot change; name another op type";
-                problems.push(call.problem(text));
+        match op_types.iter_mut().find(|current| current.name == op_type.name) {
+            Some(current) if !has_same_retry_rules(current, &op_type) => {
+                let message = "repeats, dedup_span and in_order cannot change; add a new op type instead";
+                problems.push(call.problem(message));
             }
-            Some(known) => *known = op_type,
+            Some(current) => *current = op_type,
             None => op_types.push(op_type),
         }
         self.changes.push(SettingsChange::Figures);
@@ -151,9 +152,9 @@
         let volumes = version.volumes_of_plan(index) as f64;
         version.plan_indices.insert(plan.name.clone(), index);
         match version.plans.get_mut(index) {
-            Some(known) => {
-                version.reserved += volumes * (plan.reserve - known.reserve);
-                *known = plan;
+            Some(current) => {
+                version.reserved += volumes * (plan.reserve - current.reserve);
+                *current = plan;
             }
             None => version.plans.push_back(plan),
         }
@@ -170,11 +171,11 @@
         }
         let canonical = canonical::volume(&volume, &version.plans[volume.plan].name).named;
         let index = version.volume_indices.get(&volume.name).copied().unwrap_or(version.volumes.len());
-        if let Some(known) = version.volumes.get(index) {
-            problems.extend(check_size(call, known, &volume));
-            version.leave_plan(known.plan);
+        if let Some(current) = version.volumes.get(index) {
+            problems.extend(check_size(call, current, &volume));
+            version.remove_volume_from_plan(current.plan);
         }
-        version.join_plan(volume.plan);
+        version.add_volume_to_plan(volume.plan);
         version.volume_indices.insert(volume.name.clone(), index);
         if index == version.volumes.len() {
             version.volumes.push_back(volume);
@@ -185,13 +186,13 @@
         canonical
     }
 
-    /// Marks an entity that the edits removed; its index stays taken.
-    fn remove(&mut self, key: &Key) {
+    /// Marks an entity as removed. Its index is not reused.
+    fn mark_removed(&mut self, key: &Key) {
         let version = &mut self.version;
         match key.kind {
             Kind::Volume => {
                 let Some(index) = version.volume_indices.remove(&key.name) else { return };
-                version.leave_plan(version.volumes[index].plan);
+                version.remove_volume_from_plan(version.volumes[index].plan);
                 version.volumes[index].is_removed = true;
                 self.changes.push(SettingsChange::Removed(index));
             }
@@ -200,7 +201,8 @@
                 version.plans[index].is_removed = true;
                 self.changes.push(SettingsChange::Plan(index));
             }
-            // Ops of it may be in flight, and clients' requests yet to come: its index in the scheduler cannot go.
+            // Ops of this type may be in flight, and requests of clients may still arrive, so the scheduler
+            // must keep its index.
             Kind::OpType => {
                 self.problems.push(ConfigurationProblem::OpTypeRemoved(entity_path(key)));
             }
@@ -208,7 +210,7 @@
         }
     }
 
-    /// A removed plan has no volumes left.
+    /// Checks that no volume uses a removed plan.
     fn check_removed_plan(&mut self, key: &Key) {
         let version = &self.version;
         let volumes: usize = (0..version.plans.len())
@@ -230,13 +232,14 @@
 }
 
 impl Version {
-    /// Counts a volume in a plan. Must be matched by [`leave_plan`](Version::leave_plan).
-    fn join_plan(&mut self, plan: usize) {
+    /// Counts a volume of a plan and its reserve. To be undone by
+    /// [`remove_volume_from_plan`](Version::remove_volume_from_plan).
+    fn add_volume_to_plan(&mut self, plan: usize) {
         *self.volumes_per_plan.entry(plan).or_insert(0) += 1;
         self.reserved += self.plans[plan].reserve;
     }
 
-    fn leave_plan(&mut self, plan: usize) {
+    fn remove_volume_from_plan(&mut self, plan: usize) {
         if let Some(count) = self.volumes_per_plan.get_mut(&plan) {
             *count -= 1;
         }
@@ -252,15 +255,19 @@
     }
 }
 
-/// Hazard: rule 2. Ops taken under the former rules are in flight: whether their effects may happen twice cannot change.
-fn has_same_retry_rules(known: &OpType, op_type: &OpType) -> bool {
-    known.idempotency == op_type.idempotency && known.ordered_by_key == op_type.ordered_by_key
+/// Whether two definitions of an op type have the same rules for retries and ordering.
+///
+/// Hazard: rule 2. Ops that were accepted under the former rules may be in flight. Whether their effects may
+/// happen twice must not change.
+fn has_same_retry_rules(current: &OpType, new: &OpType) -> bool {
+    current.idempotency == new.idempotency && current.ordered_by_key == new.ordered_by_key
 }
 
-/// Clients know a size from their negotiation on: what lies beyond a smaller one would be lost to them.
-fn check_size(call: &FunctionCall, known: &Volume, volume: &Volume) -> Option<Problem> {
-    let has_fallen = volume.size < known.size;
-    has_fallen.then(|| call.problem(format!("size cannot fall, from {} to {}", known.size, volume.size)))
+/// Rejects a smaller size. Clients keep the size from their negotiation, so they would lose the data beyond
+/// the new size.
+fn check_size(call: &FunctionCall, current: &Volume, new: &Volume) -> Option<Problem> {
+    let has_fallen = new.size < current.size;
+    has_fallen.then(|| call.problem(format!("size cannot fall, from {} to {}", current.size, new.size)))
 }
 
 fn canonical_requests(rules: &[TypeRule], op_types: &[OpType]) -> Fields {
--- a/crates/config-log/tests/log/commits.rs
+++ b/crates/config-log/tests/log/commits.rs
@@ -1,4 +1,4 @@
-//! Changes that are rejected, retried or race.
+//! Commits of changes that are rejected, sent again or concurrent.
 
 use serde_json::json;
 use std::time::Duration;
@@ -17,20 +17,20 @@
     let mut log = Log::open(Box::new(SimulatedDisk::default()), 1 << 20).expect("a folder");
     import(&mut log);
     let edit = |weight: f64| vec![set(Kind::Plan, "p0", "weight", json!(weight))];
-    assert_eq!(log.commit(change("c", 1, edit(3.0))).expect("right").version, 2);
+    assert_eq!(log.commit(change("c", 1, edit(3.0))).expect("a valid change").version, 2);
     let again = log.commit(Change { at: 77, ..change("c", 1, edit(3.0)) }).expect("the same");
     assert!(again.was_committed_before && again.version == 2);
     assert!(matches!(log.commit(change("c", 1, edit(4.0))), Err(ChangeRejected::IdTaken { version: 2, .. })));
     for (actor, reason) in [("", "why"), ("who", " ")] {
-        let lacking = Change { actor: actor.into(), reason: reason.into(), ..change("d", 2, edit(5.0)) };
-        assert!(matches!(log.commit(lacking), Err(ChangeRejected::Missing(_))));
+        let incomplete = Change { actor: actor.into(), reason: reason.into(), ..change("d", 2, edit(5.0)) };
+        assert!(matches!(log.commit(incomplete), Err(ChangeRejected::Missing(_))));
     }
     assert!(matches!(
         log.commit(change("e", 9, edit(5.0))),
         Err(ChangeRejected::NoSuchBase { base: 9, head: 2 })
     ));
     let Err(ChangeRejected::Conflict(conflicts)) = log.commit(change("f", 1, edit(5.0))) else {
-        panic!("both from 1")
+        panic!("both are based on version 1")
     };
     assert_eq!(
         (conflicts[0].place.as_str(), conflicts[0].theirs.as_str(), conflicts[0].actor.as_str()),
@@ -44,7 +44,7 @@
     let mut log = Log::open(Box::new(SimulatedDisk::default()), 1 << 20).expect("a folder");
     import(&mut log);
     let capacity = change("c", 1, vec![set(Kind::Rules, "", "capacity", json!(100.0))]);
-    log.commit(capacity).expect("right");
+    log.commit(capacity).expect("a valid change");
     let cases = [
         (Guard::Cut, set(Kind::Plan, "p0", "rate", json!(49.0))),
         (Guard::Cut, set(Kind::Plan, "p0", "limit", json!(49.0))),
@@ -52,21 +52,22 @@
         (Guard::Removal, Edit::Remove { key: Key::new(Kind::Volume, "v3") }),
     ];
     let reserve = set(Kind::Volume, "v0", "plan", json!("p2"));
-    log.commit(change("r", 2, vec![reserve])).expect("80 of 100");
+    log.commit(change("r", 2, vec![reserve])).expect("80 of 100 units are reserved");
     for (n, (guard, edit)) in cases.into_iter().enumerate() {
         let base = log.head().number;
-        let unsaid = Change { allow: vec![], ..change(&format!("u{n}"), base, vec![edit.clone()]) };
-        let Err(ChangeRejected::Guarded(found)) = log.commit(unsaid) else { panic!("{guard:?}") };
+        let not_allowed = Change { allow: vec![], ..change(&format!("u{n}"), base, vec![edit.clone()]) };
+        let Err(ChangeRejected::Guarded(found)) = log.commit(not_allowed) else { panic!("{guard:?}") };
         assert_eq!(found.iter().map(|found| found.guard).collect::<Vec<_>>(), [guard], "{found:?}");
-        let said = Change { allow: vec![guard], ..change(&format!("s{n}"), base, vec![edit]) };
-        log.commit(said).expect("with its word");
+        let allowed = Change { allow: vec![guard], ..change(&format!("s{n}"), base, vec![edit]) };
+        log.commit(allowed).expect("the guard is allowed");
     }
-    let fewer = |n: u32| set(Kind::Volume, "v1", "gateways", json!(n));
+    let set_gateways = |n: u32| set(Kind::Volume, "v1", "gateways", json!(n));
     let base = log.head().number;
-    log.commit(Change { allow: vec![], ..change("more", base, vec![fewer(4)]) }).expect("more are no danger");
-    let parts = Change { allow: vec![], ..change("fewer", base + 1, vec![fewer(3)]) };
-    assert!(matches!(log.commit(parts), Err(ChangeRejected::Guarded(_))));
-    // What cannot be had is refused whatever is said.
+    log.commit(Change { allow: vec![], ..change("more", base, vec![set_gateways(4)]) })
+        .expect("more gateways are not guarded");
+    let fewer = Change { allow: vec![], ..change("fewer", base + 1, vec![set_gateways(3)]) };
+    assert!(matches!(log.commit(fewer), Err(ChangeRejected::Guarded(_))));
+    // Invalid changes are rejected even though all guards are allowed.
     for edit in [
         set(Kind::OpType, "get", "repeats", json!("once_only")),
         set(Kind::Volume, "v1", "size", json!(512)),
@@ -76,8 +77,8 @@
         set(Kind::Plan, "p1", "limit", json!("much")),
         Edit::Remove { key: Key::new(Kind::Rules, "") },
     ] {
-        let refused = log.commit(change("never", base + 1, vec![edit.clone()]));
-        assert!(matches!(refused, Err(ChangeRejected::Invalid(_))), "{edit:?}: {refused:?}");
+        let rejected = log.commit(change("never", base + 1, vec![edit.clone()]));
+        assert!(matches!(rejected, Err(ChangeRejected::Invalid(_))), "{edit:?}: {rejected:?}");
     }
 }
 
@@ -85,8 +86,8 @@
 fn racing_writers_lose_no_change() {
     let folder = TestFolder::create(env!("CARGO_TARGET_TMPDIR"), "racing").expect("a folder");
     let open = || {
-        let disk = Disk::open_waiting(&folder, Duration::from_secs(60)).expect("its turn");
-        Log::open(Box::new(disk), 4096).expect("whole")
+        let disk = Disk::open_waiting(&folder, Duration::from_secs(60)).expect("the lock");
+        Log::open(Box::new(disk), 4096).expect("an intact log")
     };
     import(&mut open());
     let results: Vec<(u32, bool)> = std::thread::scope(|scope| {
@@ -94,7 +95,8 @@
             .map(|n| {
                 let open = &open;
                 scope.spawn(move || {
-                    // Each fifth wants what another wants too; all saw version 1.
+                    // All changes are based on version 1, and every fifth one edits a field that others edit
+                    // too.
                     let (name, field) = (format!("p{}", n % 3), ["weight", "rate"][n as usize % 2]);
                     let edit = if n % 5 == 0 {
                         set(Kind::Plan, &name, field, json!(200.0 + f64::from(n)))
@@ -103,25 +105,26 @@
                         let fields = serde_json::from_value(fields).expect("an object");
                         Edit::Put { key: Key::new(Kind::Volume, &format!("new{n}")), fields }
                     };
-                    let done = open().commit(change(&format!("w{n}"), 1, vec![edit.clone()]));
-                    assert!(matches!(done, Ok(_) | Err(ChangeRejected::Conflict(_))), "{done:?}");
-                    // Sent again, it is the same.
+                    let result = open().commit(change(&format!("w{n}"), 1, vec![edit.clone()]));
+                    assert!(matches!(result, Ok(_) | Err(ChangeRejected::Conflict(_))), "{result:?}");
+                    // Sent again, the change has the same result.
                     let again = open().commit(change(&format!("w{n}"), 1, vec![edit]));
-                    assert_eq!(again.is_ok_and(|committed| committed.was_committed_before), done.is_ok());
-                    (n, done.is_ok())
+                    assert_eq!(again.is_ok_and(|committed| committed.was_committed_before), result.is_ok());
+                    (n, result.is_ok())
                 })
             })
             .collect();
-        writers.into_iter().map(|writer| writer.join().expect("it ends")).collect()
+        writers.into_iter().map(|writer| writer.join().expect("the writer does not panic")).collect()
     });
-    let done = results.iter().filter(|(_, done)| *done).count();
-    // Three plans and two fields: six of the forty that conflict, and all others.
-    assert_eq!(done, 160 + 6);
+    let committed = results.iter().filter(|(_, is_committed)| *is_committed).count();
+    // 40 changes edit one of six fields (three plans, two fields each): one per field is committed, and all
+    // others.
+    assert_eq!(committed, 160 + 6);
     let disk = Disk::read_only(&folder);
-    assert_eq!(log::verify(&disk).expect("whole"), 1 + done as u64);
-    let history = log::history(&disk, 1).expect("whole");
+    assert_eq!(log::verify(&disk).expect("an intact log"), 1 + committed as u64);
+    let history = log::history(&disk, 1).expect("an intact log");
     let mut ids: Vec<&str> = history.iter().map(|committed| committed.change.id.as_str()).collect();
     ids.sort_unstable();
     ids.dedup();
-    assert_eq!(ids.len(), done);
+    assert_eq!(ids.len(), committed);
 }
--- a/crates/config-log/tests/log/damage.rs
+++ b/crates/config-log/tests/log/damage.rs
@@ -1,10 +1,10 @@
-//! Logs that are damaged or edited.
+//! Opens logs that are damaged or edited.
 
 use umbertray_config_log::follow::{FollowError, Follower};
 use umbertray_config_log::log::{self, Log, LogError};
 use umbertray_config_log::segment::Corruption;
 
-use crate::{one_segment, with};
+use crate::{disk_with_segment, one_segment};
 
 #[test]
 fn edited_log_is_reported_and_torn_tail_is_cut() {
@@ -12,10 +12,10 @@
     for at in (0..good.len() - 1).step_by(3) {
         let mut flipped = good.clone();
         flipped[at] ^= 1 << (at % 8);
-        let disk = with(&flipped);
+        let disk = disk_with_segment(&flipped);
         match Log::open(Box::new(disk.clone()), 1 << 20) {
             Err(LogError::Broken { .. }) => {}
-            // Only the last change or the marker after it may be taken for a write that was cut off.
+            // Damage may be treated as a torn write only in the last change or the marker after it.
             Ok(log) => {
                 assert!(
                     log.head().number >= 9 && log.torn_bytes > 0,
@@ -27,14 +27,14 @@
         }
     }
     for cut in (0..good.len()).rev().step_by(7) {
-        let disk = with(&good[..cut]);
+        let disk = disk_with_segment(&good[..cut]);
         if let Ok(log) = Log::open(Box::new(disk.clone()), 1 << 20) {
             let head = log.head().number;
             drop(log);
-            assert_eq!(log::verify(&disk).expect("whole again"), head, "cut at {cut}");
-            // Whoever acted on more says so, and does not go back.
-            let acted = Some((10, [7; 32]));
-            let followed = Follower::open(&disk, acted).map(|follower| follower.replica.version.number);
+            assert_eq!(log::verify(&disk).expect("intact after recovery"), head, "cut at {cut}");
+            // A follower that applied a later version reports this and does not return to an older one.
+            let applied = Some((10, [7; 32]));
+            let followed = Follower::open(&disk, applied).map(|follower| follower.replica.version.number);
             assert!(
                 matches!(
                     followed,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The whole records of a segment, as bytes.
+/// The bytes of each record of a segment.
 fn records(bytes: &[u8]) -> Vec<Vec<u8>> {
     let mut rest = &bytes[8..];
     let mut all = Vec::new();
@@ -65,7 +65,7 @@
 fn records_left_out_swapped_or_repeated_break_the_chain() {
     let good = one_segment();
     let records = records(&good);
-    // A head, then a change and a marker each.
+    // A header, then a change and a marker for each version.
     assert_eq!(records.len(), 1 + 2 * 10);
     let joined = |order: &[usize]| {
         let mut bytes = good[..8].to_vec();
@@ -73,18 +73,18 @@
         bytes
     };
     let all: Vec<usize> = (0..records.len()).collect();
-    let mut left_out = all.clone();
-    left_out.remove(7);
+    let mut omitted = all.clone();
+    omitted.remove(7);
     let mut swapped = all.clone();
     swapped.swap(7, 9);
-    let mut twice = all.clone();
-    twice.insert(8, 7);
-    for order in [left_out, swapped, twice] {
-        let opened = Log::open(Box::new(with(&joined(&order))), 1 << 20);
+    let mut repeated = all.clone();
+    repeated.insert(8, 7);
+    for order in [omitted, swapped, repeated] {
+        let opened = Log::open(Box::new(disk_with_segment(&joined(&order))), 1 << 20);
         assert!(matches!(opened, Err(LogError::Broken { reason: Corruption::BrokenChain(_), .. })));
     }
     let mut newer = good.clone();
     newer[6] = 9;
-    let opened = Log::open(Box::new(with(&newer)), 1 << 20);
+    let opened = Log::open(Box::new(disk_with_segment(&newer)), 1 << 20);
     assert!(matches!(opened, Err(LogError::Broken { reason: Corruption::NewerFormat(9), .. })));
 }
--- a/crates/config-log/tests/log/main.rs
+++ b/crates/config-log/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! The log of changes: commits, crashes, damage and following.
+//! Tests of the log of changes: commits, crashes, damage and following.
 
 mod commits;
 mod crashes;
@@ -17,8 +17,9 @@
 use umbertray_snapshot::sim::SimulatedDisk;
 
 /// Every guard.
-const ALL: [Guard; 4] = [Guard::Reserve, Guard::Cut, Guard::Removal, Guard::Parts];
+const ALL_GUARDS: [Guard; 4] = [Guard::Reserve, Guard::Cut, Guard::Removal, Guard::Parts];
 
+/// The configuration that [`import`] commits as version 1.
 fn start() -> Configuration {
     let script = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1")
@@ -31,13 +32,13 @@
 plan("p2", rate = 100, reserve = 40)
 [volume("v%d" % n, size = 1 * MiB, plan = "p%d" % (n % 3)) for n in range(4)]
 "#;
-    let document = umbertray_config::read("start.star", script.into()).expect("right");
+    let document = umbertray_config::read("start.star", script.into()).expect("a valid script");
     Configuration::of_calls(&document.calls())
 }
 
 fn change(id: &str, base: u64, edits: Vec<Edit>) -> Change {
     let (actor, reason) = ("ann".to_string(), "to see".to_string());
-    Change { id: id.into(), base, actor, reason, at: 1_000_000 * base, edits, allow: ALL.to_vec() }
+    Change { id: id.into(), base, actor, reason, at: 1_000_000 * base, edits, allow: ALL_GUARDS.to_vec() }
 }
 
 fn import(log: &mut Log) {
@@ -49,22 +50,23 @@
     Edit::Set { key: Key::new(kind, name), field: field.into(), value }
 }
 
-/// A log of ten versions in one segment; its file's bytes.
+/// The bytes of the only segment of a log with ten versions.
 fn one_segment() -> Vec<u8> {
     let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 1 << 20).expect("a folder");
     import(&mut log);
     for n in 1..=9u32 {
         let edit = set(Kind::Plan, "p0", "weight", json!(f64::from(n)));
-        log.commit(change(&format!("c{n}"), u64::from(n), vec![edit])).expect("right");
+        log.commit(change(&format!("c{n}"), u64::from(n), vec![edit])).expect("a valid change");
     }
-    disk.read(&segment::file_name(0), 1 << 20).expect("there")
+    disk.read(&segment::file_name(0), 1 << 20).expect("readable")
 }
 
-fn with(bytes: &[u8]) -> SimulatedDisk {
+/// A disk that holds these bytes as the first segment.
+fn disk_with_segment(bytes: &[u8]) -> SimulatedDisk {
     let mut disk = SimulatedDisk::default();
-    disk.write(&segment::file_name(0), bytes).expect("no trouble");
-    disk.sync(&segment::file_name(0)).expect("no trouble");
-    disk.sync_folder().expect("no trouble");
+    disk.write(&segment::file_name(0), bytes).expect("no injected fault");
+    disk.sync(&segment::file_name(0)).expect("no injected fault");
+    disk.sync_folder().expect("no injected fault");
     disk
 }
--- a/crates/config-log/tests/sizes.rs
+++ b/crates/config-log/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! The bytes of a change and of a checkpoint that docs/CAPACITY.md counts with are those that the log writes.
+//! The sizes of a change and of a checkpoint in docs/CAPACITY.md must equal the bytes that the log writes.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// The figure in the second cell of the row of that name.
+/// The number in the second cell of the row with this name.
 fn documented(name: &str) -> usize {
     let row = PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
@@ -29,7 +29,7 @@
 [volume("volume-%d" % (10000 + n), size = 64 * GiB, plan = "basic", gateways = 3) for n in range({volumes})]
 "#
     );
-    let document = umbertray_config::read("start.star", script).expect("right");
+    let document = umbertray_config::read("start.star", script).expect("a valid script");
     Configuration::of_calls(&document.calls())
 }
 
@@ -39,17 +39,18 @@
 }
 
 fn written(disk: &SimulatedDisk) -> usize {
-    let names = disk.names().expect("there");
+    let names = disk.names().expect("readable");
     let logs = names.iter().filter(|name| name.ends_with(".log"));
-    logs.map(|name| disk.read(name, 1 << 30).expect("there").len()).sum()
+    logs.map(|name| disk.read(name, 1 << 30).expect("readable").len()).sum()
 }
 
-/// One field set, with an id as the command line generates it. What it costs does not depend on how much is configured.
+/// The change sets one field and has an id like those that the command line generates. Its size must not
+/// depend on the size of the configuration.
 #[test]
 fn change_of_one_field_has_documented_size() {
     for volumes in [1, 100] {
         let disk = SimulatedDisk::default();
-        let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("empty");
+        let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("an empty folder");
         let edits = log.head().configuration.diff(&configuration(volumes));
         log.commit(change("import", 0, edits)).expect("the first version");
         let before = written(&disk);
@@ -70,6 +71,6 @@
     let change =
         CompletedChange { id: "1800000000000000000-12345".into(), version: 4000, fingerprint: u64::MAX };
     let completed = VecDeque::from([change]);
-    let one = postcard::to_stdvec(&completed).expect("plain").len() - 1;
-    assert_eq!(one, documented("change done lately in a checkpoint"));
+    let change_bytes = postcard::to_stdvec(&completed).expect("serializable").len() - 1;
+    assert_eq!(change_bytes, documented("change done lately in a checkpoint"));
 }
