--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -1,8 +1,8 @@
 //! A validated version of the configuration, as applied by gateways.
 //!
-//! Invariant: the index of a plan or volume never changes from one version to the next, even if other plans and
-//! volumes are added or removed, so that the indices that a gateway holds for what it has open stay valid.
-//! Versions share unchanged data, so the cost of a step depends only on the entities that it touches.
+//! Invariant: the index of a plan or volume never changes from one version to the next, even if other plans
+//! and volumes are added or removed, so that the indices that a gateway holds for what it has open stay
+//! valid. Versions share unchanged data, so the cost of a step depends only on the entities that it touches.
 
 mod step;
 
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -1,6 +1,8 @@
-//! What of the state is written again: all of it once a file, then what a reader would otherwise get wrong.
+//! Selects the part of the state that is written: the complete state once per file, then deltas with the
+//! items that a reader of the file would otherwise have wrong.
 //!
-//! A delta renews everything that it does not name: the reserved tokens of the other volumes hold from its moment on.
+//! A delta also renews the items that it does not contain: the reserved tokens of all other volumes are
+//! promised again from the time of the delta on.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,12 +17,13 @@
 #[cfg(test)]
 mod tests;
 
-/// What differs from the state of the records before.
+/// The difference from the state of the previous records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotDelta {
     /// When the new state was taken.
     pub at: Stamp,
-    /// How long all reserved tokens hold from then on, those of volumes not named here too.
+    /// How long all reserved tokens are promised from then on, including those of volumes that are not in the
+    /// delta.
     pub promise_duration: Duration,
     /// Changed and removed stores.
     pub stores: DeltaPart<StoreRecord>,
@@ -31,15 +34,15 @@
 /// Changes of one kind of item.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DeltaPart<T> {
-    /// Items that are new or differ.
+    /// Items that are new or changed.
     pub set: Vec<T>,
-    /// Lasting ids of removed items.
+    /// Persistent ids of removed items.
     pub removed: Vec<u64>,
 }
 
-/// The state that a reader of the file has: the records so far, put together.
+/// The state that a reader of the file reconstructs from the records so far.
 ///
-/// Invariant (rule 7): a volume's reserved tokens here are never above those that the gateway keeps.
+/// Invariant (rule 7): a volume's reserved tokens in this state never exceed those that the gateway keeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CurrentSnapshot {
     at: Stamp,
@@ -48,19 +51,20 @@
     volumes: BTreeMap<u64, VolumeRecord>,
 }
 
-/// Figures that differ by less than this part count as the same.
+/// Values that differ by less than this fraction count as equal.
 const RELATIVE_TOLERANCE: f64 = 0.05;
 
-/// Rates that differ by less than this count as the same, units a second.
+/// Rates that differ by less than this count as equal, units a second.
 const RATE_TOLERANCE: f64 = 0.01;
 
-/// Reserved tokens are written again once they exceed those on record by this factor.
+/// Reserved tokens are written again once they exceed the recorded ones by this factor.
 const RESERVED_TOKENS_GROWTH: f64 = 1.1;
 
+/// An item of the state that is written separately from others.
 trait Item {
     fn id(&self) -> u64;
-    /// Whether a reader who has `earlier` need not be given this item.
-    fn covered_by(&self, earlier: &Self) -> bool;
+    /// Whether a reader that has `earlier` does not need this item.
+    fn is_covered_by(&self, earlier: &Self) -> bool;
 }
 
 fn is_near(one: f64, other: f64, absolute_tolerance: f64) -> bool {
@@ -73,8 +77,9 @@
         self.volume
     }
 
-    /// Hazard: rule 7. Reserved tokens on record above those kept now would be drawn by this run and the next.
-    fn covered_by(&self, earlier: &VolumeRecord) -> bool {
+    /// Hazard: rule 7. If the recorded reserved tokens exceeded those kept now, the excess would be used both
+    /// by this run and by the next one.
+    fn is_covered_by(&self, earlier: &VolumeRecord) -> bool {
         let covered_tokens = earlier.reserved_tokens..=earlier.reserved_tokens * RESERVED_TOKENS_GROWTH;
         covered_tokens.contains(&self.reserved_tokens)
             && is_near(self.rate, earlier.rate, RATE_TOLERANCE)
@@ -87,14 +92,14 @@
         self.store
     }
 
-    /// Identity and incarnation must be exact; learned figures need only be near.
-    fn covered_by(&self, earlier: &StoreRecord) -> bool {
+    /// Identity and incarnation must be equal. Learned values only need to be close.
+    fn is_covered_by(&self, earlier: &StoreRecord) -> bool {
         let has_same_identity = without_learned(self) == without_learned(earlier);
-        let has_near_figures = match (&self.learned, &earlier.learned) {
+        let has_close_learned_values = match (&self.learned, &earlier.learned) {
             (Some(one), Some(other)) => is_learned_near(one, other),
             (one, other) => one.is_none() && other.is_none(),
         };
-        has_same_identity && has_near_figures
+        has_same_identity && has_close_learned_values
     }
 }
 
@@ -112,11 +117,11 @@
     items.into_iter().map(|item| (item.id(), item)).collect()
 }
 
-/// What a reader of `earlier` must be given to have `now`.
+/// The changes that a reader of `earlier` needs to arrive at `now`.
 fn difference<T: Item>(earlier: &BTreeMap<u64, T>, now: Vec<T>) -> DeltaPart<T> {
     let now = by_id(now);
     let removed = earlier.keys().filter(|id| !now.contains_key(id)).copied().collect();
-    let is_covered = |item: &T| earlier.get(&item.id()).is_some_and(|earlier| item.covered_by(earlier));
+    let is_covered = |item: &T| earlier.get(&item.id()).is_some_and(|earlier| item.is_covered_by(earlier));
     let set = now.into_values().filter(|item| !is_covered(item)).collect();
     DeltaPart { set, removed }
 }
@@ -129,13 +134,13 @@
 }
 
 impl CurrentSnapshot {
-    /// The state of a file's first snapshot.
+    /// The state after a file's first snapshot.
     pub fn new(snapshot: StampedSnapshot) -> CurrentSnapshot {
         let StampedSnapshot { at, saved: Snapshot { stores, volumes, promise_duration } } = snapshot;
         CurrentSnapshot { at, promise_duration, stores: by_id(stores), volumes: by_id(volumes) }
     }
 
-    /// The delta that gives a reader of this state the one taken at `at`, or one near enough.
+    /// The delta that brings a reader of this state to `snapshot`, taken at `at`, or close enough to it.
     pub fn delta_to(&self, at: Stamp, snapshot: Snapshot) -> SnapshotDelta {
         SnapshotDelta {
             at,
@@ -161,7 +166,7 @@
         apply_part(delta.volumes, &mut self.volumes);
     }
 
-    /// The state as one snapshot, items in the order of their ids.
+    /// The state as one snapshot, with items in the order of their ids.
     pub fn into_stamped_snapshot(self) -> StampedSnapshot {
         let saved = Snapshot {
             stores: self.stores.into_values().collect(),
--- a/crates/snapshot/src/delta/tests.rs
+++ b/crates/snapshot/src/delta/tests.rs
@@ -1,4 +1,4 @@
-//! A reader of any sequence of deltas never holds more than was reserved.
+//! A reader of any sequence of deltas never has more reserved tokens than the gateway kept.
 
 use quickcheck::{Gen, QuickCheck};
 
@@ -8,22 +8,23 @@
     Stamp { wall: n, boot: 7, since_boot: n }
 }
 
-/// A few volumes and stores, some of them there, with figures generated from `word`.
+/// A snapshot of a few volumes and stores. Each word determines whether its volume and store are present, and
+/// their values.
 fn generated(words: &[u32]) -> Snapshot {
-    let figure = |word: u32| f64::from(word % 50) / 7.0;
+    let value = |word: u32| f64::from(word % 50) / 7.0;
     let is_present = |word: &u32| !word.is_multiple_of(3);
     let volumes =
         words.iter().zip(0..).filter(|(word, _)| is_present(word)).map(|(word, volume)| VolumeRecord {
             volume,
-            rate: figure(word >> 4),
-            reported_rate: figure(word >> 8),
-            reserved_tokens: figure(word >> 12),
+            rate: value(word >> 4),
+            reported_rate: value(word >> 8),
+            reserved_tokens: value(word >> 12),
         });
     let stores = words.iter().zip(0..).filter(|(word, _)| is_present(&(*word >> 3))).map(|(word, store)| {
         let learned = LearnedFigures {
-            latency: figure(word >> 16),
-            concurrency_limit: figure(word >> 20),
-            virtual_times: vec![(1, figure(word >> 24))],
+            latency: value(word >> 16),
+            concurrency_limit: value(word >> 20),
+            virtual_times: vec![(1, value(word >> 24))],
         };
         StoreRecord {
             store,
@@ -39,7 +40,8 @@
     Snapshot { stores, volumes: volumes.collect(), promise_duration: Duration::from_secs(2) }
 }
 
-/// However many deltas are applied, a reader reserves no more than was kept, and is near in all else.
+/// After any number of deltas, a reader has no more reserved tokens than were kept, and all other values are
+/// close.
 #[test]
 fn reader_of_deltas_never_reserves_more_and_stays_near() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over what it generates")]
@@ -51,25 +53,29 @@
             let now = generated(&words);
             current.apply(current.delta_to(stamp(n), now.clone()));
             let read = current.clone().into_stamped_snapshot();
-            let volumes = read.saved.volumes.iter().zip(&now.volumes).all(|(read, now)| {
-                let rates = is_near(read.rate, now.rate, RATE_TOLERANCE)
+            let volumes_match = read.saved.volumes.iter().zip(&now.volumes).all(|(read, now)| {
+                let rates_are_near = is_near(read.rate, now.rate, RATE_TOLERANCE)
                     && is_near(read.reported_rate, now.reported_rate, RATE_TOLERANCE);
                 read.volume == now.volume
-                    && rates
+                    && rates_are_near
                     && read.reserved_tokens <= now.reserved_tokens
                     && now.reserved_tokens <= read.reserved_tokens * RESERVED_TOKENS_GROWTH
             });
-            let stores = read.saved.stores.iter().zip(&now.stores).all(|(read, now)| {
-                let figures =
+            let stores_match = read.saved.stores.iter().zip(&now.stores).all(|(read, now)| {
+                let learned_values =
                     |store: &StoreRecord| store.learned.as_ref().map(|l| (l.latency, l.concurrency_limit));
-                let near = match (figures(read), figures(now)) {
+                let learned_is_near = match (learned_values(read), learned_values(now)) {
                     (Some(one), Some(other)) => is_near(one.0, other.0, 0.0) && is_near(one.1, other.1, 0.0),
                     (one, other) => one == other,
                 };
-                (read.store, read.state, read.incarnation) == (now.store, now.state, now.incarnation) && near
+                (read.store, read.state, read.incarnation) == (now.store, now.state, now.incarnation)
+                    && learned_is_near
             });
             let counts = (read.saved.volumes.len(), read.saved.stores.len());
-            read.at == stamp(n) && volumes && stores && counts == (now.volumes.len(), now.stores.len())
+            read.at == stamp(n)
+                && volumes_match
+                && stores_match
+                && counts == (now.volumes.len(), now.stores.len())
         })
     }
     QuickCheck::new()
--- a/crates/snapshot/src/folder.rs
+++ b/crates/snapshot/src/folder.rs
@@ -1,4 +1,4 @@
-//! A gateway's state folder: what is loaded at the start, and the files written from then on.
+//! A gateway's state folder: loads the saved state at startup and writes new files afterwards.
 
 use std::io;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::storage::Storage;
 use crate::write_policy::{WriteDecision, WritePolicy};
 
-/// Size that a gateway's file reaches before the next one is begun, bytes.
+/// Size that a gateway's state file reaches before the next one is begun, bytes.
 pub const FILE_BYTES: usize = 4 << 20;
 
-/// Files kept in the folder: the newest, and the one before it in case the newest is damaged.
+/// Number of files kept in the folder: the newest, and the previous one in case the newest is damaged.
 const KEPT_FILES: usize = 2;
 
 const PREFIX: &str = "state-";
@@ -28,19 +28,19 @@
 /// The state loaded from a folder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadResult {
-    /// The state. Its promise is void, of length zero, where its reserved tokens must not be used.
+    /// The state. Its promise duration is zero if its reserved tokens must not be used.
     pub snapshot: Snapshot,
-    /// How old it is.
+    /// The age of the state.
     pub age: Age,
 }
 
-/// The one writer of a state folder.
+/// The only writer of a state folder.
 ///
-/// Invariant: the promise of a save is given to one run only (see `claim_promise`).
+/// Invariant: only one run uses the promise of a save (see `claim_promise`).
 pub struct SnapshotStore {
     storage: Box<dyn Storage>,
     policy: WritePolicy,
-    /// The state that a reader of the present file would have; `None` where there is no file to append to.
+    /// The state that a reader of the current file would have; `None` if there is no file to append to.
     current: Option<CurrentSnapshot>,
 }
 
@@ -55,7 +55,7 @@
 /// Reads all state files of a folder, in no particular order.
 ///
 /// # Errors
-/// Those of the file system. What is wrong inside a file is part of the result.
+/// Those of the file system. Errors in the content of a file are part of the result.
 pub fn files(storage: &dyn Storage) -> io::Result<Vec<FoundFile>> {
     let mut found = Vec::new();
     for name in storage.names()? {
@@ -68,11 +68,11 @@
 }
 
 impl SnapshotStore {
-    /// Loads what is in a folder and takes the folder into use, for the gateway with this seed and digest of settings.
-    /// Files grow to `max_file_bytes`. The notes say what was found and not used.
+    /// Loads the state from a folder and opens the folder for writing, for the gateway with this seed and
+    /// settings digest. Files grow to `max_file_bytes`. The notes report what was found but not used.
     ///
     /// # Errors
-    /// [`FolderError`] where the folder must be left alone or cannot be read.
+    /// [`FolderError`] if the folder must be left unchanged or cannot be read.
     pub fn open(
         storage: Box<dyn Storage>,
         gateway: u64,
@@ -95,10 +95,13 @@
         Ok((store, Some(claimed), notes))
     }
 
-    /// Takes a loaded promise out of the folder, synced, before it is used; the promise is void where that fails.
+    /// Removes a loaded promise from the folder, synced, before it is used. The promise is void if that
+    /// fails.
     ///
-    /// Hazard: tokens promised to be left undrawn may be drawn by one run only. If a run that dies before its first
-    /// save left the promise in place, the next run would draw the same tokens again, and a restart loop would overspend.
+    /// Hazard: a save promises that its run leaves the reserved tokens unused, so that a later run may use
+    /// them, but only one run may do so. If a run that dies before its first save left the promise in place,
+    /// the next run would use the same tokens again, and a restart loop would spend more tokens than the
+    /// limits allow.
     fn claim_promise(&mut self, mut loaded: LoadResult, saved_at: Stamp) -> LoadResult {
         if loaded.snapshot.promise_duration > Duration::ZERO {
             let without_promise = Snapshot { promise_duration: Duration::ZERO, ..loaded.snapshot.clone() };
@@ -110,12 +113,13 @@
         loaded
     }
 
-    /// Saves the state taken at `at`, synced; `Ok(false)` where it is not yet time to write. `now` is by a steady clock.
+    /// Saves the state taken at `at`. It is synced when this returns `Ok(true)`; `Ok(false)` if it is not yet
+    /// time to write. `now` is the time of a monotonic clock.
     ///
     /// # Errors
-    /// Those of the file system. The next call that writes begins a new file.
+    /// Those of the file system. The next call that writes begins a new file then.
     pub fn save(&mut self, now: Duration, at: Stamp, saved: Snapshot) -> io::Result<bool> {
-        let decision = self.policy.next(now);
+        let decision = self.policy.decide(now);
         let written = match decision {
             WriteDecision::Wait => return Ok(false),
             WriteDecision::Append => self.append(at, saved),
@@ -123,17 +127,17 @@
         };
         match written {
             Ok(bytes) => {
-                self.policy.written(now, decision, bytes);
+                self.policy.record_success(now, decision, bytes);
                 Ok(true)
             }
             Err(error) => {
-                self.policy.failed(now);
+                self.policy.record_failure(now);
                 Err(error)
             }
         }
     }
 
-    /// Appends what differs from the present file; the bytes written.
+    /// Appends the difference from the state in the current file. Returns the number of bytes written.
     fn append(&mut self, at: Stamp, saved: Snapshot) -> io::Result<usize> {
         let mut current = self.current.take().ok_or(io::ErrorKind::NotFound)?;
         let record = FileRecord::Delta(current.delta_to(at, saved));
@@ -146,11 +150,12 @@
         Ok(bytes.len())
     }
 
-    /// Begins a new file with the whole state; the bytes written. Superseded files go once the new one is in place.
+    /// Begins a new file with the complete state. Returns the number of bytes written. Superseded files are
+    /// removed once the new one is in place.
     fn begin_file(&mut self, generation: u64, snapshot: StampedSnapshot) -> io::Result<usize> {
         self.current = None;
         let header = FileHeader { generation, ..self.policy.header().clone() };
-        let mut bytes = format::file_opening();
+        let mut bytes = format::file_preamble();
         bytes.extend(encode(&header)?);
         bytes.extend(encode(&FileRecord::Snapshot(snapshot.clone()))?);
         self.storage.put(TEMPORARY_FILE, &file_name(generation), &bytes)?;
@@ -177,7 +182,7 @@
     let age = age(file.entry.at, now);
     let mut snapshot = file.entry.saved;
     if file.head.digest != digest {
-        // The limits may be others now: tokens reserved under the former ones mean nothing.
+        // The limits may have changed, so tokens reserved under the former limits are meaningless.
         snapshot.promise_duration = Duration::ZERO;
     }
     LoadResult { snapshot, age }
@@ -187,7 +192,7 @@
     encode_record(value).ok_or_else(|| io::ErrorKind::FileTooLarge.into())
 }
 
-/// The present moment by this machine's clocks.
+/// The current time by this machine's clocks.
 pub fn current_stamp() -> Stamp {
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let boot_id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
@@ -195,7 +200,7 @@
     Stamp { wall: wall.as_micros() as u64, boot, since_boot: time_since_boot().as_micros() as u64 }
 }
 
-/// Time since this machine booted, by a clock that counts suspended time too.
+/// Time since this machine booted, including time in suspend.
 pub fn time_since_boot() -> Duration {
     use nix::time::{ClockId, clock_gettime};
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,7 +1,8 @@
-//! The bytes of a state file: a magic and version, then records, the first of which is the file's header.
+//! The format of a state file: a magic and a format version, then records. The first record is the file's
+//! header.
 //!
-//! Invariant: a file is read up to the first record that is not whole, because the last append may be torn; nothing
-//! after that record is used.
+//! Invariant: a file is read up to the first incomplete record, because the last append may be torn. Nothing
+//! after that point is used.
 
 use serde::{Deserialize, Serialize};
 use umbertray_routing::Snapshot;
@@ -14,27 +15,29 @@
 /// The first bytes of every state file.
 pub const MAGIC: &[u8; 6] = b"UMBSTA";
 
-/// The format version that is written. Version 1 is still read.
+/// The format version that is written. Version 1 can still be read.
 pub const VERSION: u16 = 2;
 
-/// Limit on what is read of one file, bytes.
+/// Limit on the bytes read from one file.
 pub const MAX_FILE_BYTES: usize = 256 << 20;
 
-/// The first record of a file: who wrote it, and when in the folder's history.
+/// The first record of a file: the gateway that wrote it, and its position in the folder's history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FileHeader {
     /// Seed of the gateway that wrote the file.
     pub gateway: u64,
-    /// Digest of the gateway's settings. Reserved tokens saved under other limits are void.
+    /// Digest of the gateway's settings. Reserved tokens that were saved under different settings are void,
+    /// because the limits may differ.
     pub digest: u64,
-    /// Number of the file in its folder, counting up; part of the file's name too.
+    /// Number of the file in its folder, counting up. It is also part of the file's name.
     pub generation: u64,
 }
 
-/// The saved state and the moment it was taken.
+/// A saved state and the time at which it was taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedSnapshot {
-    /// Taken before the scheduler was asked for the state, so that the state is never younger than this says.
+    /// The time before the scheduler returned the state. The state is therefore never older than this stamp
+    /// indicates.
     pub at: Stamp,
     /// The state.
     pub saved: Snapshot,
@@ -43,55 +46,55 @@
 /// A record after the header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FileRecord {
-    /// The whole state; the first record after the header.
+    /// The complete state. This is the first record after the header.
     Snapshot(StampedSnapshot),
-    /// What differs from the state of the records before.
+    /// The difference from the state of the previous records.
     Delta(SnapshotDelta),
 }
 
-/// Why a file is not used.
+/// Why a file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
-    /// The magic or the version number is none of ours.
+    /// The magic or the format version is unknown.
     #[error("not a state file")]
     NotASnapshot,
-    /// Written by a newer program, which can read it.
+    /// The file was written by a newer program. That program can read it.
     #[error("format version {0}, newer than {VERSION}")]
     NewerVersion(u16),
     /// The header is torn or damaged, or does not match the file's name.
-    #[error("no whole head")]
+    #[error("the header is torn, damaged or of another file")]
     NoHeader,
-    /// No whole snapshot follows the header.
-    #[error("no whole entry")]
+    /// No complete snapshot follows the header.
+    #[error("no complete snapshot follows the header")]
     Empty,
 }
 
-/// A file as read.
+/// A parsed file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedFile {
     /// The file's header.
     pub head: FileHeader,
-    /// The state after the last whole record.
+    /// The state after the last complete record.
     pub entry: StampedSnapshot,
-    /// Whole records after the header.
+    /// Number of complete records after the header.
     pub entries: usize,
-    /// Bytes after the last whole record.
+    /// Bytes after the last complete record.
     pub torn_bytes: usize,
 }
 
-/// The magic and the version, with which a new file begins.
-pub fn file_opening() -> Vec<u8> {
-    let mut opening = MAGIC.to_vec();
-    opening.extend(VERSION.to_le_bytes());
-    opening
+/// The preamble of a new file: the magic and the format version.
+pub fn file_preamble() -> Vec<u8> {
+    let mut preamble = MAGIC.to_vec();
+    preamble.extend(VERSION.to_le_bytes());
+    preamble
 }
 
-/// Reads a file of any known version.
+/// Parses a file of any known format version.
 ///
 /// # Errors
-/// [`FormatError`] where the file holds no state that could be used.
+/// [`FormatError`] if the file holds no usable state.
 pub fn parse_file(bytes: &[u8]) -> Result<ParsedFile, FormatError> {
-    let (version, mut bytes) = split_opening(bytes)?;
+    let (version, mut bytes) = split_preamble(bytes)?;
     let head: FileHeader = next_record(&mut bytes).ok_or(FormatError::NoHeader)?;
     let mut current: Option<CurrentSnapshot> = None;
     let mut entries = 0;
@@ -99,7 +102,7 @@
         match (record, &mut current) {
             (record, Some(current)) => current.apply_record(record),
             (FileRecord::Snapshot(snapshot), None) => current = Some(CurrentSnapshot::new(snapshot)),
-            // Without the snapshot that it refers to, a delta says nothing.
+            // A delta is meaningless without the snapshot that it refers to.
             (FileRecord::Delta(_), None) => return Err(FormatError::Empty),
         }
         entries += 1;
@@ -108,8 +111,8 @@
     Ok(ParsedFile { head, entry, entries, torn_bytes: bytes.len() })
 }
 
-/// Checks magic and version; the version and the bytes after it.
-fn split_opening(bytes: &[u8]) -> Result<(u16, &[u8]), FormatError> {
+/// Checks the magic and the format version. Returns the version and the bytes after it.
+fn split_preamble(bytes: &[u8]) -> Result<(u16, &[u8]), FormatError> {
     let rest = bytes.strip_prefix(MAGIC).ok_or(FormatError::NotASnapshot)?;
     let (version, rest) = rest.split_first_chunk::<2>().ok_or(FormatError::NoHeader)?;
     match u16::from_le_bytes(*version) {
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,10 +1,12 @@
-//! What survives a restart: a gateway's learned state in versioned, checksummed files that are never half written.
+//! Saves a gateway's learned state across restarts, in versioned, checksummed files. A file is never used
+//! half written.
 //!
-//! Free of I/O and of clocks: [`stamp`] (how old a saved state is), [`selection`] (which file of a folder is used),
-//! [`write_policy`] (when to append, begin a new file or back off) and [`delta`] (what differs from the state on
-//! disk). The bytes: [`record`] (checksummed records), [`mod@format`] (state files) and `previous_formats` (earlier
-//! versions). The disk: [`storage`] (the operations needed, on a real folder), [`sim`] (a simulated disk that
-//! crashes) and [`folder`], which puts all of these together. `docs/state.md` specifies the format.
+//! These modules are free of I/O and of clocks: [`stamp`] (the age of a saved state), [`selection`] (which
+//! file of a folder is used), [`write_policy`] (when to append, begin a new file or back off) and [`delta`]
+//! (the difference from the state on disk). These define the format: [`record`] (checksummed records),
+//! [`mod@format`] (state files) and `previous_formats` (earlier versions). These access the disk: [`storage`]
+//! (the required operations, and a folder on a real disk), [`sim`] (a simulated disk that crashes) and
+//! [`folder`], which combines all of the above. `docs/state.md` specifies the format.
 
 pub mod delta;
 pub mod folder;
@@ -17,7 +19,7 @@
 pub mod storage;
 pub mod write_policy;
 
-/// The decisions under one path, for callers outside this package.
+/// Re-exports of the decision functions and their types, for callers outside this package.
 pub mod decide {
     pub use crate::selection::{FoundFile, LoadNote};
     pub use crate::stamp::{Age, Stamp, age};
@@ -30,26 +32,27 @@
 pub use stamp::{Age, Stamp};
 pub use storage::{Disk, Storage};
 
-/// Why a state folder cannot be used. The gateway starts without saved state and leaves the folder untouched.
+/// Why a state folder cannot be used. The gateway then starts without saved state and leaves the folder
+/// untouched.
 #[derive(Debug, thiserror::Error)]
 pub enum FolderError {
-    /// Another process holds the folder's lock; each gateway needs a folder of its own.
-    #[error("another process works in the folder")]
+    /// Another process holds the folder's lock. Each gateway needs a separate folder.
+    #[error("another process holds the lock of the folder")]
     Locked,
-    /// A file in the folder belongs to another gateway; configure a different folder.
-    #[error("the folder is that of another gateway ({found:#x}, this one is {ours:#x})")]
+    /// A file in the folder belongs to another gateway. Configure a different folder.
+    #[error("the folder belongs to another gateway (seed {found:#x}, this gateway has seed {expected:#x})")]
     Foreign {
         /// Seed of the gateway that wrote the file.
         found: u64,
         /// Seed of the gateway that opened the folder.
-        ours: u64,
+        expected: u64,
     },
-    /// A file was written by a newer program; run that program or configure a different folder.
-    #[error("{file} is of format version {version}, newer than {VERSION}: it is left alone")]
+    /// A file was written by a newer program. Run that program or configure a different folder.
+    #[error("{file} has format version {version}, newer than {VERSION}; it is left unchanged")]
     Newer {
         /// Name of the file.
         file: String,
-        /// Format version that it states.
+        /// Format version of the file.
         version: u16,
     },
     /// The file system failed.
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -1,4 +1,4 @@
-//! Records of earlier format versions, and their conversion to the present ones.
+//! Records of earlier format versions, and their conversion to the current version.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use crate::format::StampedSnapshot;
 use crate::stamp::Stamp;
 
-/// Version 1: each record was the whole state, with the time since each store had started, which nothing used.
+/// A record of version 1. Each record was the complete state. It included the time since each store had
+/// started, which was never used.
 #[derive(Deserialize)]
 pub(crate) struct StampedSnapshotV1 {
     at: Stamp,
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -1,19 +1,19 @@
 //! Checksummed records, shared by state files and the configuration log.
 //!
-//! A record is the payload's length (u32, little-endian), a CRC-32C of the length's bytes and the payload (u32,
-//! little-endian), and the payload (postcard).
+//! A record consists of the payload's length (u32, little-endian), a CRC-32C of the length's bytes and the
+//! payload (u32, little-endian), and the payload (postcard).
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Limit on a record's payload, bytes. Nothing longer is written or read.
+/// Limit on a record's payload, bytes. Longer records are neither written nor read.
 pub const MAX_RECORD_BYTES: usize = 64 << 20;
 
 fn checksum(length: [u8; 4], payload: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&length), payload)
 }
 
-/// Encodes a record; `None` where the payload would exceed [`MAX_RECORD_BYTES`].
+/// Encodes a record; `None` if the payload would exceed [`MAX_RECORD_BYTES`].
 pub fn encode_record(value: &impl Serialize) -> Option<Vec<u8>> {
     let payload = postcard::to_stdvec(value).ok()?;
     if payload.len() > MAX_RECORD_BYTES {
@@ -28,7 +28,8 @@
 
 /// Decodes the record at the start of `bytes` and advances `bytes` past it.
 ///
-/// Returns `None`, with `bytes` unchanged, where no complete and valid record of this type is there.
+/// Returns `None`, with `bytes` unchanged, if they do not begin with a complete and valid record of this
+/// type.
 pub fn next_record<T: DeserializeOwned>(bytes: &mut &[u8]) -> Option<T> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (expected_checksum, rest) = rest.split_first_chunk::<4>()?;
--- a/crates/snapshot/src/selection.rs
+++ b/crates/snapshot/src/selection.rs
@@ -1,11 +1,11 @@
-//! Which of a folder's files is used. No I/O.
+//! Selects the file of a folder to load. Free of I/O.
 
 use std::cmp::Reverse;
 
 use crate::FolderError;
 use crate::format::{FormatError, ParsedFile};
 
-/// Something an operator should know about what was found in the folder.
+/// A finding in the folder that an operator should know about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadNote {
     /// The folder held no state file.
@@ -14,41 +14,42 @@
     Rejected {
         /// Name of the file.
         file: String,
-        /// What is wrong with it.
+        /// Why it was not used.
         reason: FormatError,
     },
-    /// The end of the file used is no whole record: it was being written when the process or the machine died.
+    /// The loaded file ends with an incomplete record: it was being written when the process or the machine
+    /// died.
     TornWrite {
         /// Name of the file.
         file: String,
-        /// Bytes after the last whole record.
+        /// Bytes after the last complete record.
         bytes: usize,
     },
-    /// The file was written under other settings; its reserved tokens are void.
+    /// The file was written under different settings. Its reserved tokens are void.
     OtherSettings,
-    /// The clocks cannot tell how old the state is.
+    /// The age of the state cannot be determined from the clocks.
     UnknownAge,
 }
 
 /// A file's name, its generation by that name, and its content.
 pub type FoundFile = (String, u64, Result<ParsedFile, FormatError>);
 
-/// What is used of a folder.
+/// The result of the selection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Selection {
-    /// The newest file that is whole.
+    /// The newest usable file.
     pub file: Option<ParsedFile>,
-    /// Generation of the next file to write: above all that were found.
+    /// Generation of the next file to write. It is higher than those of all files found.
     pub next_generation: u64,
-    /// What was found and not used, newest file first.
+    /// What was found but not used, newest file first.
     pub notes: Vec<LoadNote>,
 }
 
-/// Selects the newest whole file for the gateway with this seed and digest of settings.
+/// Selects the newest usable file for the gateway with this seed and settings digest.
 ///
 /// # Errors
-/// [`FolderError::Foreign`] and [`FolderError::Newer`] where any file is another gateway's or a newer program's: the
-/// folder must be left alone then.
+/// [`FolderError::Foreign`] if any file belongs to another gateway, [`FolderError::Newer`] if any file was
+/// written by a newer program. The folder must be left unchanged then.
 pub fn select_file(mut files: Vec<FoundFile>, gateway: u64, digest: u64) -> Result<Selection, FolderError> {
     files.sort_by_key(|(_, generation, _)| Reverse(*generation));
     let next_generation = files.first().map_or(1, |(_, generation, _)| generation + 1);
@@ -56,7 +57,8 @@
     let mut notes = Vec::new();
     for (file, generation, content) in files {
         match content {
-            // A file under another generation's name was put there by hand: its place in the history is not known.
+            // A file under the name of another generation was put there by hand. Its position in the history
+            // is unknown.
             Ok(parsed) if parsed.head.generation != generation => {
                 notes.push(LoadNote::Rejected { file, reason: FormatError::NoHeader });
             }
@@ -82,7 +84,7 @@
     for (file, _, content) in files {
         match content {
             Ok(parsed) if parsed.head.gateway != gateway => {
-                return Err(FolderError::Foreign { found: parsed.head.gateway, ours: gateway });
+                return Err(FolderError::Foreign { found: parsed.head.gateway, expected: gateway });
             }
             Err(FormatError::NewerVersion(version)) => {
                 return Err(FolderError::Newer { file: file.clone(), version: *version });
--- a/crates/snapshot/src/sim.rs
+++ b/crates/snapshot/src/sim.rs
@@ -1,7 +1,8 @@
-//! A simulated disk for tests: it fails or crashes at chosen steps.
+//! A simulated disk for tests that fails or crashes at chosen steps.
 //!
-//! After a crash, unsynced bytes are lost, torn, zero-filled, flipped or kept and unsynced names undone or kept, as drawn
-//! by a seed. The same seed and the same steps give the same disk.
+//! After a crash, unsynced bytes are lost, torn, zero-filled, flipped or kept, and unsynced changes of names
+//! are undone or kept. A seed determines the outcome: the same seed and the same steps result in the same
+//! disk.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,20 +15,20 @@
 struct File {
     /// Content that survives a crash.
     synced: Vec<u8>,
-    /// Content that processes see; what is not synced may survive a crash, wholly or in part.
+    /// Content that processes see. The unsynced part may survive a crash completely or in part.
     written: Vec<u8>,
 }
 
-/// What goes wrong at a step.
+/// A fault that is injected at a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageFault {
     /// The machine stops at this step.
     Crash,
-    /// The step fails, as on a full or read-only disk; for a sync, what was to be synced is dropped.
+    /// The step fails, as on a full or read-only disk. If the step is a sync, the unsynced data is dropped.
     Fail,
 }
 
-/// A name that was given to a file, or removed.
+/// A name that was assigned to a file or removed.
 #[derive(Clone, Debug)]
 struct NameChange {
     name: String,
@@ -43,16 +44,16 @@
     names: BTreeMap<String, usize>,
     /// Names that survive a crash.
     synced_names: BTreeMap<String, usize>,
-    /// Changes of names since the last sync of the folder, in order: each may or may not survive a crash.
+    /// Changes of names since the last sync of the folder, in order. Each may or may not survive a crash.
     unsynced_names: Vec<NameChange>,
     steps: u64,
     faults: BTreeMap<u64, StorageFault>,
     has_crashed: bool,
-    /// Content of each file, by index, that processes saw at the crash.
+    /// Content of each file that processes saw at the crash, by index.
     content_at_crash: Vec<Vec<u8>>,
 }
 
-/// A disk in memory. A clone is another handle of the same disk.
+/// A disk in memory. A clone is another handle to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
@@ -67,12 +68,12 @@
         SimulatedDisk { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Steps so far: each write, append, sync, rename and removal is one.
+    /// Number of steps so far. Each write, append, sync, rename and removal is one step.
     pub fn steps(&self) -> u64 {
         self.state().steps
     }
 
-    /// Makes a step, counted from 1, go wrong.
+    /// Injects a fault at a step, counted from 1.
     pub fn inject_fault(&self, step: u64, fault: StorageFault) {
         self.state().faults.insert(step, fault);
     }
@@ -82,7 +83,7 @@
         self.state().has_crashed
     }
 
-    /// A disk with what any process could read at the crash, synced or not.
+    /// A disk with the content that processes could read at the crash, whether synced or not.
     pub fn visible_at_crash(&self) -> SimulatedDisk {
         let state = self.state();
         let files = state.files.iter().enumerate().map(|(index, file)| {
@@ -93,7 +94,7 @@
         SimulatedDisk::from_state(State { files, names: state.names.clone(), ..State::default() })
     }
 
-    /// The disk as it is found after a crash; the seed draws what became of what was not synced.
+    /// The disk as found after a crash. The seed determines what happened to unsynced data and names.
     pub fn after_crash(&self, seed: u64) -> SimulatedDisk {
         let state = self.state();
         let draw = Draw { seed };
@@ -106,7 +107,7 @@
         SimulatedDisk::from_state(State { files, synced_names: names.clone(), names, ..State::default() })
     }
 
-    /// Counts a step; an error where it goes wrong or the disk has crashed before.
+    /// Counts a step. Returns an error if a fault is injected at this step or the disk has crashed before.
     fn step(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
         if state.has_crashed {
@@ -125,7 +126,7 @@
     }
 }
 
-/// The random choices of one crash: a hash of the seed, what is drawn, and an index.
+/// The random choices of one crash. Each is a hash of the seed, the purpose and an index.
 #[derive(Clone, Copy)]
 struct Draw {
     seed: u64,
@@ -140,7 +141,7 @@
 }
 
 impl File {
-    /// The synced content and a part of the rest.
+    /// The synced content followed by a part of the unsynced content.
     fn content_after_crash(&self, index: usize, draw: Draw) -> Vec<u8> {
         let mut bytes = self.synced.clone();
         let synced_bytes = bytes.len();
@@ -173,7 +174,7 @@
         self.unsynced_names.push(change);
     }
 
-    /// Changes of names may reach the disk in any order and part, but those of one name in their order.
+    /// Any subset of the unsynced changes of names may reach the disk, but changes of one name stay in order.
     fn names_after_crash(&self, draw: Draw) -> BTreeMap<String, usize> {
         let mut names = self.synced_names.clone();
         for (index, change) in self.unsynced_names.iter().enumerate() {
@@ -227,7 +228,8 @@
                 Ok(())
             }
             Err(error) => {
-                // As real disks do: what could not be written is dropped, and a later sync would report success.
+                // Like a real disk: data that could not be written is dropped, and a later sync would report
+                // success.
                 if let Ok(file) = self.state().file(name) {
                     file.written = file.synced.clone();
                 }
--- a/crates/snapshot/src/stamp.rs
+++ b/crates/snapshot/src/stamp.rs
@@ -1,4 +1,4 @@
-//! Moments by clocks that outlive a process, and how old a saved state is. Callers bring the clocks' readings.
+//! Timestamps of clocks that outlive a process, and the age of a saved state. Callers read the clocks.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 #[cfg(test)]
 mod tests;
 
-/// A moment, by clocks that outlive the process.
+/// A point in time, by clocks that outlive the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Microseconds since 1970 by the system's clock, which may be set.
+    /// Microseconds since 1970 by the system clock, which may be adjusted.
     pub wall: u64,
-    /// The machine's boot id; 0 where it is not known.
+    /// The machine's boot id; 0 if unknown.
     pub boot: u128,
-    /// Microseconds since that boot, suspended time included.
+    /// Microseconds since that boot, including time in suspend.
     pub since_boot: u64,
 }
 
-/// How old a saved state is.
+/// The age of a saved state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
-    /// Time that has passed since it was saved.
+    /// Time since the state was saved.
     Known(Duration),
-    /// The clocks cannot tell: to be treated as very old.
+    /// The age cannot be determined from the clocks. The state must be treated as very old.
     Unknown,
 }
 
 impl Age {
-    /// The age, where the clocks can tell it.
+    /// The age, if known.
     pub fn known(self) -> Option<Duration> {
         match self {
             Age::Known(age) => Some(age),
@@ -37,13 +37,13 @@
     }
 }
 
-/// The greatest age across two boots that the system's clock is trusted to tell.
+/// The greatest age that is accepted from the system clock if the machine has rebooted since.
 const MAX_AGE_ACROSS_BOOTS: Duration = Duration::from_secs(24 * 3600);
 
 /// The time from `then` to `now`.
 ///
-/// Within one boot the time since boot counts, which nobody can set. Across boots only the system's clock is left,
-/// which is not trusted where it went backwards or ahead by more than a day.
+/// Within one boot, the time since boot is used, because it cannot be adjusted. Across boots, only the system
+/// clock is available. It is not trusted if it went backwards, or forwards by more than a day.
 pub fn age(then: Stamp, now: Stamp) -> Age {
     let is_same_boot = then.boot == now.boot && now.boot != 0;
     let age = if is_same_boot {
--- a/crates/snapshot/src/stamp/tests.rs
+++ b/crates/snapshot/src/stamp/tests.rs
@@ -1,4 +1,4 @@
-//! Ages by the clock that can be trusted.
+//! Tests of which clock determines the age of a state.
 
 use super::*;
 
@@ -16,11 +16,15 @@
     assert_eq!(
         age_at(stamp(900 * HOUR, 1, HOUR + 5)),
         Age::Known(Duration::from_micros(5)),
-        "the wall jumped"
+        "the wall clock was adjusted"
     );
-    assert_eq!(age_at(stamp(101 * HOUR, 1, HOUR - 5)), Age::Unknown, "since boot went backwards");
+    assert_eq!(age_at(stamp(101 * HOUR, 1, HOUR - 5)), Age::Unknown, "the time since boot went backwards");
     assert_eq!(age_at(stamp(101 * HOUR, 2, 9)), Age::Known(Duration::from_micros(HOUR)));
-    assert_eq!(age_at(stamp(99 * HOUR, 2, 9)), Age::Unknown, "the wall went backwards");
-    assert_eq!(age_at(stamp(130 * HOUR, 2, 9)), Age::Unknown, "over a day on another boot");
-    assert_eq!(age(stamp(5, 0, 7), stamp(9, 0, 1)), Age::Known(Duration::from_micros(4)), "boot unknown");
+    assert_eq!(age_at(stamp(99 * HOUR, 2, 9)), Age::Unknown, "the wall clock went backwards");
+    assert_eq!(age_at(stamp(130 * HOUR, 2, 9)), Age::Unknown, "more than a day across boots");
+    assert_eq!(
+        age(stamp(5, 0, 7), stamp(9, 0, 1)),
+        Age::Known(Duration::from_micros(4)),
+        "the boot id is unknown"
+    );
 }
--- a/crates/snapshot/src/storage.rs
+++ b/crates/snapshot/src/storage.rs
@@ -1,4 +1,5 @@
-//! The few operations that are needed of a disk, and a folder on a real one.
+//! The storage operations that state files and logs require, and their implementation for a folder on a real
+//! disk.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -7,29 +8,29 @@
 
 /// A folder of small files.
 ///
-/// Invariant: nothing is certain to survive a crash before it is synced: bytes by `sync`, names by `sync_folder`.
-/// Names are those of files directly in the folder.
+/// Invariant: nothing is guaranteed to survive a crash before it is synced: content by `sync`, names by
+/// `sync_folder`. Names refer to files directly in the folder.
 pub trait Storage: Send {
-    /// Names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     /// Those of the file system.
     fn names(&self) -> io::Result<Vec<String>>;
-    /// The file's content, at most its first `max_bytes`.
+    /// Reads a file, at most its first `max_bytes`.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file; else those of the file system.
+    /// `NotFound` if there is no such file; otherwise those of the file system.
     fn read(&self, name: &str, max_bytes: usize) -> io::Result<Vec<u8>>;
-    /// At most `max_bytes` of the file from byte `from` on; fewer where the file ends.
+    /// Reads at most `max_bytes` of a file from byte `from` on; fewer if the file ends before.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file; else those of the file system.
+    /// `NotFound` if there is no such file; otherwise those of the file system.
     fn read_from(&self, name: &str, from: u64, max_bytes: usize) -> io::Result<Vec<u8>> {
         let from = from as usize;
         let bytes = self.read(name, from.saturating_add(max_bytes))?;
         Ok(bytes.get(from..).unwrap_or_default().to_vec())
     }
-    /// Writes a new file with this content, in place of one of that name.
+    /// Writes a new file with this content. It replaces an existing file of that name.
     ///
     /// # Errors
     /// Those of the file system.
@@ -37,35 +38,37 @@
     /// Appends to an existing file.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file; else those of the file system. A part of the bytes may have been written.
+    /// `NotFound` if there is no such file; otherwise those of the file system. Some of the bytes may have
+    /// been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes a file's content survive a crash.
+    /// Syncs a file, so that its content survives a crash.
     ///
     /// # Errors
-    /// Those of the file system. What of the file is on the disk is unknown then, and a later sync may report success for
-    /// data that was dropped: the file must not be appended to again.
+    /// Those of the file system. The content of the file on the disk is unknown then, and a later sync may
+    /// report success although data was dropped. The file must not be appended to again.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of the file that has it.
+    /// Renames a file. It replaces an existing file of the new name.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file; else those of the file system.
+    /// `NotFound` if there is no such file; otherwise those of the file system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// `NotFound` where there is no such file; else those of the file system.
+    /// `NotFound` if there is no such file; otherwise those of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes names created, changed and removed survive a crash.
+    /// Syncs the folder, so that created, changed and removed names survive a crash.
     ///
     /// # Errors
     /// Those of the file system.
     fn sync_folder(&mut self) -> io::Result<()>;
 
-    /// Puts a whole file in place, synced when this returns. It is written and synced under a temporary name first, so
-    /// that its own name never refers to half of it.
+    /// Writes a file atomically. It is synced when this returns. The file is first written and synced under a
+    /// temporary name, so that `name` never refers to an incomplete file.
     ///
     /// # Errors
-    /// Those of the file system. The file of this name is then the former or the new one, as a whole.
+    /// Those of the file system. `name` then refers to either the complete former file or the complete new
+    /// one.
     fn put(&mut self, temporary: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.write(temporary, bytes)?;
         self.sync(temporary)?;
@@ -74,7 +77,8 @@
     }
 }
 
-/// A folder on a real disk, locked against other processes while this value lives (unless opened read-only).
+/// A folder on a real disk. Unless opened read-only, it is locked against other processes until this value is
+/// dropped.
 pub struct Disk {
     folder: PathBuf,
     _lock: Option<File>,
@@ -83,14 +87,14 @@
 const LOCK_FILE: &str = "lock";
 const TEMPORARY_LOCK_FILE: &str = "lock.new";
 
-/// Time between two attempts to take a lock that is waited for.
+/// Time between two attempts to acquire a lock held by another process.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Disk {
-    /// Opens a folder for writing and creates it if need be.
+    /// Opens a folder for writing. The folder is created if it does not exist.
     ///
     /// # Errors
-    /// `WouldBlock` where another process holds the folder's lock; else those of the file system.
+    /// `WouldBlock` if another process holds the folder's lock; otherwise those of the file system.
     pub fn open(folder: &Path) -> io::Result<Disk> {
         fs::create_dir_all(folder)?;
         let lock =
@@ -99,21 +103,22 @@
         Ok(Disk { folder: folder.into(), _lock: Some(lock) })
     }
 
-    /// Opens a folder in place of the process that holds its lock: a new lock file replaces the former one, whose
-    /// holder then excludes nobody. The caller must know that the former holder is stopped and writes nothing more.
+    /// Opens a folder whose lock is held by another process. A new lock file replaces the former one, so that
+    /// the former holder no longer excludes other processes. The caller must ensure that the former holder is
+    /// stopped and writes nothing more.
     ///
     /// # Errors
-    /// `WouldBlock` where a third process took the new lock first; else those of the file system.
+    /// `WouldBlock` if a third process acquired the new lock first; otherwise those of the file system.
     pub fn open_over(folder: &Path) -> io::Result<Disk> {
         fs::write(folder.join(TEMPORARY_LOCK_FILE), [])?;
         fs::rename(folder.join(TEMPORARY_LOCK_FILE), folder.join(LOCK_FILE))?;
         Disk::open(folder)
     }
 
-    /// As [`open`](Disk::open), but waits up to `timeout` for the lock.
+    /// Like [`open`](Disk::open), but waits up to `timeout` for the lock.
     ///
     /// # Errors
-    /// `WouldBlock` where the lock is still held after `timeout`; else those of the file system.
+    /// `WouldBlock` if the lock is still held after `timeout`; otherwise those of the file system.
     pub fn open_waiting(folder: &Path, timeout: Duration) -> io::Result<Disk> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Opens a folder without its lock, to read while another process may write.
+    /// Opens a folder without acquiring its lock, to read it while another process may write.
     pub fn read_only(folder: &Path) -> Disk {
         Disk { folder: folder.into(), _lock: None }
     }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A crash at every step of generated histories, and files that are wrong.
+//! Tests of a crash at every step of generated histories, and of damaged, foreign and old files.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
 use umbertray_snapshot::{Age, Disk, FolderError, LoadNote, Stamp, Storage};
 
-/// So small that a history has several generations.
+/// Size of a file, bytes. Small, so that a history has several generations.
 const MAX_FILE_BYTES: usize = 1024;
 
 fn stamp(n: u64) -> Stamp {
     Stamp { wall: n, boot: 7, since_boot: n }
 }
 
-/// A state of its own for each `n`, with one volume more than `size`.
+/// A distinct state for each `n`, with `size + 1` volumes.
 fn saved(n: u64, size: usize) -> Snapshot {
     let volume =
         |volume| VolumeRecord { volume, rate: 1.0, reported_rate: 2.0, reserved_tokens: 1000.0 * n as f64 };
@@ -28,11 +28,14 @@
     Snapshot { stores: Vec::new(), volumes, promise_duration: Duration::from_secs(2) }
 }
 
-/// The `n` of a state; all of its volumes must agree.
+/// The `n` of a state. All its volumes must agree.
 fn number(saved: &Snapshot) -> u64 {
-    let floor = saved.volumes[0].reserved_tokens;
-    assert!(saved.volumes.iter().all(|volume| volume.reserved_tokens == floor), "of two states: {saved:?}");
-    (floor / 1000.0) as u64
+    let tokens = saved.volumes[0].reserved_tokens;
+    assert!(
+        saved.volumes.iter().all(|volume| volume.reserved_tokens == tokens),
+        "mix of two states: {saved:?}"
+    );
+    (tokens / 1000.0) as u64
 }
 
 fn open(disk: &SimulatedDisk) -> (SnapshotStore, u64, Vec<LoadNote>) {
@@ -43,23 +46,24 @@
     (folder, n, notes)
 }
 
-/// Saves states of these sizes, which begin a new file now and then; the last that was reported as saved.
+/// Saves states of these sizes, some of which begin a new file. Returns the `n` of the last state reported as
+/// saved.
 fn history(disk: &SimulatedDisk, sizes: &[u16], first: u64) -> u64 {
     let (mut folder, ..) = open(disk);
-    let (mut now, mut safe) = (Duration::ZERO, 0);
+    let (mut now, mut last_saved) = (Duration::ZERO, 0);
     for (n, size) in sizes.iter().enumerate() {
         now += Duration::from_secs(100);
         let n = first + n as u64;
         // Some states fill a file, so that the next begins a new generation.
         let size = if size % 4 == 0 { 60 } else { usize::from(*size % 10) };
-        if folder.save(now, stamp(n), saved(n, size)).is_ok_and(|done| done) {
-            safe = n;
+        if folder.save(now, stamp(n), saved(n, size)).is_ok_and(|is_saved| is_saved) {
+            last_saved = n;
         }
         if disk.has_crashed() {
             break;
         }
     }
-    safe
+    last_saved
 }
 
 #[test]
@@ -67,19 +71,19 @@
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over what it generates")]
     fn holds(sizes: Vec<u16>, seed: u64) -> bool {
         let sizes = &sizes[..sizes.len().min(8)];
-        let whole = SimulatedDisk::default();
-        history(&whole, sizes, 1);
-        (1..=whole.steps()).all(|step| {
+        let undisturbed = SimulatedDisk::default();
+        history(&undisturbed, sizes, 1);
+        (1..=undisturbed.steps()).all(|step| {
             let disk = SimulatedDisk::default();
             disk.inject_fault(step, StorageFault::Crash);
-            let safe = history(&disk, sizes, 1);
+            let last_saved = history(&disk, sizes, 1);
             let restarted = disk.after_crash(seed ^ step);
             let (_, n, _) = open(&restarted);
-            // The last that was reported as saved, or the one that was being written.
-            if !(n == safe || n == safe + 1) {
+            // Either the last state reported as saved, or the one that was being written.
+            if !(n == last_saved || n == last_saved + 1) {
                 return false;
             }
-            // Saving goes on from there, through another crash.
+            // Saving continues from there, through another crash.
             restarted.inject_fault(restarted.steps() + 1 + step % 4, StorageFault::Crash);
             let later = history(&restarted, &[1, 1], 100);
             let (_, again, _) = open(&restarted.after_crash(seed));
@@ -101,9 +105,9 @@
         let sizes = &sizes[..sizes.len().min(8)];
         let disk = SimulatedDisk::default();
         (0..3).for_each(|n| disk.inject_fault(u64::from(at % 20) + n * 5, StorageFault::Fail));
-        let safe = history(&disk, sizes, 1);
+        let last_saved = history(&disk, sizes, 1);
         let (_, n, _) = open(&disk.after_crash(seed));
-        n >= safe
+        n >= last_saved
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, 1))
@@ -126,8 +130,8 @@
     let age = Age::Known(Duration::from_micros(993));
     let disk = saved_disk();
     assert_eq!(load(&disk), Some((Duration::from_secs(2), age)));
-    assert_eq!(load(&disk), Some((Duration::ZERO, age)), "the run before may have drawn it");
-    // A claim has four steps; where any of them fails or the machine stops, the promise is void.
+    assert_eq!(load(&disk), Some((Duration::ZERO, age)), "the previous run may have used it");
+    // Claiming a promise takes four steps. If one of them fails or the machine crashes, the promise is void.
     for fault in [StorageFault::Fail, StorageFault::Crash] {
         for step in 1..=4 {
             let disk = saved_disk();
@@ -141,7 +145,7 @@
 }
 
 fn file(gateway: u64, digest: u64, generation: u64, n: u64) -> Vec<u8> {
-    let mut bytes = format::file_opening();
+    let mut bytes = format::file_preamble();
     bytes.extend(encode_record(&FileHeader { gateway, digest, generation }).expect("small"));
     bytes.extend(
         encode_record(&FileRecord::Snapshot(StampedSnapshot { at: stamp(n), saved: saved(n, 0) }))
@@ -151,7 +155,7 @@
 }
 
 fn put(disk: &mut SimulatedDisk, generation: u64, bytes: &[u8]) {
-    disk.write(&format!("state-{generation:020}.umb"), bytes).expect("no trouble");
+    disk.write(&format!("state-{generation:020}.umb"), bytes).expect("no injected fault");
 }
 
 #[test]
@@ -168,7 +172,7 @@
                 let n = loaded.map(|loaded| number(&loaded.snapshot));
                 assert!(n == Some(5) && !notes.is_empty(), "bit in byte {at}: {n:?} {notes:?}");
             }
-            // A flipped bit of the version makes it look newer: then it is left alone.
+            // A flipped bit in the version makes the file look newer. It is left unchanged then.
             Err(FolderError::Newer { .. }) => assert!((6..8).contains(&at)),
             Err(other) => panic!("{other}"),
         }
@@ -186,7 +190,7 @@
     let mut disk = SimulatedDisk::default();
     put(&mut disk, 1, &file(1, 2, 2, 9));
     put(&mut disk, 2, &file(1, 2, 1, 5));
-    assert_eq!(open(&disk).1, 0, "neither is under its own name");
+    assert_eq!(open(&disk).1, 0, "neither file has the name of its generation");
 }
 
 #[test]
@@ -194,14 +198,14 @@
     let mut disk = SimulatedDisk::default();
     put(&mut disk, 1, &file(8, 2, 1, 5));
     let opened = SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(9), MAX_FILE_BYTES);
-    assert!(matches!(opened.err(), Some(FolderError::Foreign { found: 8, ours: 1 })));
+    assert!(matches!(opened.err(), Some(FolderError::Foreign { found: 8, expected: 1 })));
     let mut disk = SimulatedDisk::default();
     let mut future = file(1, 2, 1, 5);
     future[6] = 3;
     put(&mut disk, 1, &future);
     let opened = SnapshotStore::open(Box::new(disk.clone()), 1, 2, stamp(9), MAX_FILE_BYTES);
     assert!(matches!(opened.err(), Some(FolderError::Newer { version: 3, .. })));
-    assert_eq!(disk.read("state-00000000000000000001.umb", 1 << 20).expect("there"), future);
+    assert_eq!(disk.read("state-00000000000000000001.umb", 1 << 20).expect("readable"), future);
 }
 
 #[test]
@@ -215,7 +219,7 @@
     assert_eq!((loaded.age, notes), (Age::Known(Duration::from_micros(4)), vec![LoadNote::OtherSettings]));
 }
 
-/// Recorded files of each version: later versions must go on reading them.
+/// Later versions of the program must be able to read the recorded files of each format version.
 #[test]
 fn files_of_every_version_are_readable() {
     let learned = LearnedFigures { latency: 0.25, concurrency_limit: 6.0, virtual_times: vec![(6, 1.5)] };
@@ -228,11 +232,11 @@
     let volumes = vec![VolumeRecord { volume: 6, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 }];
     let saved = Snapshot { stores, volumes, promise_duration: Duration::from_secs(2) };
     let head = FileHeader { gateway: 1, digest: 2, generation: 1 };
-    let read = |bytes| format::parse_file(bytes).expect("a whole file");
+    let read = |bytes| format::parse_file(bytes).expect("an intact file");
     let entry = StampedSnapshot { at: stamp(6), saved };
     let expected = ParsedFile { head: head.clone(), entry: entry.clone(), entries: 2, torn_bytes: 0 };
     assert_eq!(read(include_bytes!("version-1-stores.umb")), expected);
-    let mut bytes = format::file_opening();
+    let mut bytes = format::file_preamble();
     let mut current = CurrentSnapshot::new(StampedSnapshot { at: stamp(5), saved: Snapshot::default() });
     let delta = current.delta_to(stamp(6), entry.saved.clone());
     bytes.extend(encode_record(&head).expect("small"));
@@ -242,7 +246,11 @@
     bytes.extend(encode_record(&FileRecord::Delta(delta.clone())).expect("small"));
     current.apply(delta);
     assert_eq!(read(include_bytes!("version-2.umb")), expected);
-    assert_eq!(bytes[..], include_bytes!("version-2.umb")[..], "version 2 is written to the byte");
+    assert_eq!(
+        bytes[..],
+        include_bytes!("version-2.umb")[..],
+        "version 2 is written with the same bytes as recorded"
+    );
 }
 
 #[test]
@@ -269,7 +277,7 @@
     }
     drop(first);
     let disk = Disk::open(&folder).expect("unlocked again");
-    assert_eq!(disk.names().expect("there").len(), 3, "two generations and the lock");
+    assert_eq!(disk.names().expect("readable").len(), 3, "two generations and the lock");
     let (_, loaded, _) =
         SnapshotStore::open(Box::new(disk), 1, 2, stamp(9), MAX_FILE_BYTES).expect("a usable folder");
     assert_eq!(number(&loaded.expect("loaded").snapshot), 3);
