--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -232,7 +232,7 @@
 }
 
 impl Version {
-    /// Counts a volume of a plan and its reserve. To be undone by
+    /// Counts a volume of a plan and its reserve. Must be matched by a call of
     /// [`remove_volume_from_plan`](Version::remove_volume_from_plan).
     fn add_volume_to_plan(&mut self, plan: usize) {
         *self.volumes_per_plan.entry(plan).or_insert(0) += 1;
--- a/crates/config-log/tests/log/commits.rs
+++ b/crates/config-log/tests/log/commits.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn guarded_change_without_its_word_is_rejected() {
+fn guarded_change_without_allowance_is_rejected() {
     let mut log = Log::open(Box::new(SimulatedDisk::default()), 1 << 20).expect("a folder");
     import(&mut log);
     let capacity = change("c", 1, vec![set(Kind::Rules, "", "capacity", json!(100.0))]);
