--- a/crates/cli/src/config/error.rs
+++ b/crates/cli/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why `umbertray config` failed, and the exit status that says so to scripts.
+//! Why `umbertray config` failed, and the exit statuses by which scripts tell the kinds of failure apart.
 
 use std::io;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 const INVALID: u8 = 2;
 /// Another change was committed first.
 const CONFLICT: u8 = 3;
-/// The change has an effect that `--allow` must name.
+/// The change has a guarded effect that `--allow` does not name.
 const GUARDED: u8 = 4;
 /// The log is damaged.
 const DAMAGED: u8 = 5;
@@ -30,35 +30,35 @@
     Script(Problem),
     #[error("{}", .0.join("\n"))]
     Configuration(InvalidConfiguration),
-    /// The script names relays, which alone have its shared settings.
-    #[error("{file}: relays have its shared settings")]
+    /// The script names relays, so its shared settings are available only from them.
+    #[error("{file}: its shared settings are held by relays; use a script that contains the settings")]
     SettingsAtRelays { file: String },
-    #[error("{}: there is no log", folder.display())]
+    #[error("{}: there is no change log in this folder", folder.display())]
     NoLog { folder: PathBuf },
-    #[error("{}: there is a log already; apply changes it", folder.display())]
+    #[error("{}: there is already a change log in this folder; change it with `apply`", folder.display())]
     LogExists { folder: PathBuf },
-    #[error("there is no version {version}; they are 1 to {newest}")]
+    #[error("there is no version {version}; the versions are 1 to {newest}")]
     UnknownVersion { version: u64, newest: u64 },
-    #[error("{text:?} is neither a version nor a moment: {source}")]
+    #[error("{text:?} is neither a version number nor a time: {source}")]
     InvalidTime { text: String, source: humantime::TimestampError },
-    #[error("there was no version before {text}")]
+    #[error("no version had been committed by {text}")]
     NoVersionBefore { text: String },
-    #[error("version {version} cannot be undone; they are 2 to {newest}")]
+    #[error("version {version} cannot be reverted; versions 2 to {newest} can")]
     NotRevertible { version: u64, newest: u64 },
-    #[error("no change is about {0}")]
+    #[error("no change has affected {0}")]
     NeverChanged(Path),
     #[error("nothing would change")]
     NoEdits,
     #[error("{0}")]
     InvalidSet(String),
-    /// An edit on the command line, and what is wrong with it.
+    /// An invalid edit on the command line, and the reason.
     #[error("{argument:?}: {reason}")]
     InvalidEdit { argument: String, reason: String },
     #[error("{}", rejection(.0))]
     Rejected(#[from] ChangeRejected),
     #[error(transparent)]
     Log(#[from] LogError),
-    #[error("{}: another writer has it", folder.display())]
+    #[error("{}: another writer holds the lock of this folder", folder.display())]
     Locked { folder: PathBuf },
     #[error("{}: {source}", folder.display())]
     Folder { folder: PathBuf, source: io::Error },
@@ -79,7 +79,7 @@
     }
 }
 
-/// A conflict lists the other changes below it, a line each.
+/// The message of a rejection; for a conflict, followed by a line for each change that conflicts.
 fn rejection(rejected: &ChangeRejected) -> String {
     let mut text = rejected.to_string();
     if let ChangeRejected::Conflict(conflicts) = rejected {
--- a/crates/cli/src/config/mod.rs
+++ b/crates/cli/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `umbertray config`: checks settings, reads the log of their changes and commits new changes to it.
+//! `umbertray config`: checks settings, reads the change log and commits new changes to it.
 
 mod error;
 mod print;
@@ -16,9 +16,9 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Prints the settings as understood, or every error with file, line and column.
+    /// Prints the settings as they were parsed, or every error with its file, line and column.
     Check { file: PathBuf },
-    /// Begins a log with the plans, volumes, op types and rules of a script.
+    /// Creates a change log from the plans, volumes, op types and rules of a script.
     Import {
         file: PathBuf,
         #[command(flatten)]
@@ -33,7 +33,7 @@
         #[command(flatten)]
         log: LogArguments,
     },
-    /// Commits a change: gateways that follow the log apply it once it is durable.
+    /// Commits a change; gateways that follow the log apply it once it is durable.
     Apply {
         #[command(flatten)]
         change: ChangeArguments,
@@ -42,7 +42,7 @@
         #[command(flatten)]
         author: AuthorArguments,
     },
-    /// Lists changes: author, time, reason and edits.
+    /// Lists changes with their authors, times, reasons and edits.
     Log {
         #[command(flatten)]
         log: LogArguments,
@@ -53,28 +53,29 @@
         #[arg(long)]
         verify: bool,
     },
-    /// Prints the configuration of a version (the newest) as a script.
+    /// Prints the configuration of a version as a script; by default that of the newest version.
     Show {
         #[command(flatten)]
         log: LogArguments,
-        /// A version's number, or a time as 2026-12-01T09:30:00Z.
+        /// A version number, or a time such as 2026-12-01T09:30:00Z.
         #[arg(long)]
         at: Option<String>,
     },
-    /// Prints what differs between two versions.
+    /// Prints the differences between two versions.
     Diff {
         from: u64,
         to: u64,
         #[command(flatten)]
         log: LogArguments,
     },
-    /// Prints the last change of a place, such as plan/basic:limit.
+    /// Prints the last change of an entity or a field, such as plan/basic or plan/basic:limit.
     Blame {
-        place: Path,
+        #[arg(value_name = "PLACE")]
+        path: Path,
         #[command(flatten)]
         log: LogArguments,
     },
-    /// Undoes what a version changed, by committing a new version.
+    /// Undoes the changes of a version by committing a new version.
     Revert {
         version: u64,
         #[arg(long, value_enum)]
@@ -93,48 +94,50 @@
 
 #[derive(Args)]
 pub(crate) struct LogArguments {
-    /// The folder of the log of changes.
+    /// The folder of the change log.
     #[arg(long)]
     changes: PathBuf,
-    /// Prints JSON, one record a line.
+    /// Prints JSON, one record per line.
     #[arg(long)]
     json: bool,
 }
 
-/// Who commits a change and why; recorded with it.
+/// Who commits a change, and why; recorded in the log with the change.
 #[derive(Args)]
 pub(crate) struct AuthorArguments {
     #[arg(long)]
     actor: String,
     #[arg(long)]
     reason: String,
-    /// The change's idempotency key: a change sent again under it is committed once. Generated where it is not given.
+    /// The idempotency key of the change: a change that is sent again with the same key is committed only
+    /// once. Generated if it is not given.
     #[arg(long)]
     id: Option<String>,
 }
 
 #[derive(Args)]
 pub(crate) struct ChangeArguments {
-    /// A script whose plans, volumes, op types and rules replace all present ones.
+    /// A script whose plans, volumes, op types and rules replace all current ones.
     file: Option<PathBuf>,
-    /// KIND/NAME:FIELD=VALUE, the value in JSON or a word; null resets a field to its default.
+    /// Sets a field: KIND/NAME:FIELD=VALUE, where the value is JSON or a plain word; null resets the field to
+    /// its default.
     #[arg(long)]
     set: Vec<String>,
-    /// KIND/NAME=FIELDS, a new entity, its fields as a JSON object.
+    /// Adds an entity, or replaces the one of this name: KIND/NAME=FIELDS, with the fields as a JSON object.
     #[arg(long)]
     put: Vec<String>,
-    /// KIND/NAME
+    /// Removes an entity: KIND/NAME.
     #[arg(long)]
     remove: Vec<Path>,
-    /// The version that the change was made from; the newest where it is not given.
+    /// The version that the change is based on; by default the newest one.
     #[arg(long)]
     base: Option<u64>,
-    /// Guarded effects that are intended.
+    /// Guarded effects that the change may have.
     #[arg(long, value_enum)]
     allow: Vec<GuardName>,
 }
 
-/// A guard as the command line names it.
+/// The name of a guard on the command line.
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum GuardName {
     Reserve,
@@ -154,7 +157,7 @@
     }
 }
 
-/// Runs a sub-command; each kind of failure has an exit status of its own.
+/// Runs a sub-command; each kind of failure has its own exit status.
 pub(crate) fn run(command: Command) -> ExitCode {
     match execute(command) {
         Ok(()) => ExitCode::SUCCESS,
@@ -180,7 +183,7 @@
         Command::Show { log, at } => read::show(&log, at.as_deref()),
         Command::Export { log } => read::show(&log, None),
         Command::Diff { from, to, log } => read::diff(&log, from, to),
-        Command::Blame { place, log } => read::blame(&log, &place),
+        Command::Blame { path, log } => read::blame(&log, &path),
         Command::Revert { version, allow, log, author } => write::revert(version, &allow, &log, author),
     }
 }
--- a/crates/cli/src/config/print.rs
+++ b/crates/cli/src/config/print.rs
@@ -1,4 +1,4 @@
-//! What `umbertray config` prints, for people and as JSON.
+//! Output of `umbertray config`, as text for people and as JSON.
 
 use std::time::UNIX_EPOCH;
 
@@ -10,7 +10,7 @@
 use crate::output;
 use crate::serve::Document;
 
-/// Edits printed of one change of the log; the rest is counted.
+/// Largest number of edits printed for one change in the log; of the others only the number is printed.
 const MAX_EDITS_LISTED: usize = 20;
 
 pub(super) fn document(document: &Document) {
@@ -20,20 +20,21 @@
     }
 }
 
-/// One place, before and after, and how many volumes are on it where it is a plan.
+/// Prints the value of an edited entity or field before and after the edit, and the number of volumes on a
+/// plan.
 pub(super) fn edit(log: &LogArguments, edit: &Edit, before: &Configuration, version: &Version) {
-    let place = edit.path();
-    let before = before.field(&place);
-    let volumes = (place.key.kind == Kind::Plan).then(|| version.volume_count(&place.key.name));
+    let path = edit.path();
+    let before = before.field(&path);
+    let volumes = (path.key.kind == Kind::Plan).then(|| version.volume_count(&path.key.name));
     if log.json {
-        let place = place.to_string();
-        let row = json!({ "place": place, "before": before, "after": edit.value(), "volumes": volumes });
+        let path = path.to_string();
+        let row = json!({ "place": path, "before": before, "after": edit.value(), "volumes": volumes });
         output::print_json(&row);
         return;
     }
     let before = before.map_or("nothing".into(), |value| value.to_string());
     let affected = volumes.map_or(String::new(), |count| format!(" ({count} volumes)"));
-    output::print_line(&format!("{place}: {before} -> {}{affected}", edit.value()));
+    output::print_line(&format!("{path}: {before} -> {}{affected}", edit.value()));
 }
 
 pub(super) fn version(log: &LogArguments, version: &Version) {
@@ -69,7 +70,7 @@
     if log.json {
         output::print_json(&json!({ "version": version, "again": was_committed_before }));
     } else if was_committed_before {
-        output::print_line(&format!("version {version}, done before"));
+        output::print_line(&format!("version {version}, already committed"));
     } else {
         output::print_line(&format!("version {version}"));
     }
@@ -79,6 +80,6 @@
     if log.json {
         output::print_json(&json!({ "verified": versions }));
     } else {
-        output::print_line(&format!("all {versions} versions are rebuilt as they are kept"));
+        output::print_line(&format!("all {versions} versions were rebuilt and match the stored ones"));
     }
 }
--- a/crates/cli/src/config/read.rs
+++ b/crates/cli/src/config/read.rs
@@ -1,6 +1,6 @@
-//! Commands that read the log of changes; they take no lock and work beside a writer.
+//! Commands that read the change log; they take no lock and work while another process writes.
 
-use std::path::Path as File;
+use std::path::Path as FsPath;
 use std::time::UNIX_EPOCH;
 
 use umbertray_config_log::log::{self, CommittedChange, LogError};
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Prints a version, given by its number or a time; the newest where neither is given.
+/// Prints a version, given by its number or a time; the newest one if neither is given.
 pub(super) fn show(log: &LogArguments, at: Option<&str>) -> Result<(), ConfigError> {
     let number = at.map(|at| version_number(&log.changes, at)).transpose()?;
     print::version(log, &read_version(&log.changes, number)?);
@@ -41,25 +41,25 @@
     Ok(())
 }
 
-pub(super) fn blame(log: &LogArguments, place: &Path) -> Result<(), ConfigError> {
+pub(super) fn blame(log: &LogArguments, path: &Path) -> Result<(), ConfigError> {
     newest_version(&log.changes)?;
     let history = log::history(&Disk::read_only(&log.changes), 0)?;
-    let touches =
-        |committed: &&CommittedChange| committed.change.edits.iter().any(|edit| edit.path().meets(place));
-    let last = history.iter().rev().find(touches);
-    let last = last.ok_or_else(|| ConfigError::NeverChanged(place.clone()))?;
+    let affects_path =
+        |committed: &&CommittedChange| committed.change.edits.iter().any(|edit| edit.path().meets(path));
+    let last = history.iter().rev().find(affects_path);
+    let last = last.ok_or_else(|| ConfigError::NeverChanged(path.clone()))?;
     print::committed_change(log, last);
     Ok(())
 }
 
-fn newest_version(folder: &File) -> Result<u64, ConfigError> {
+fn newest_version(folder: &FsPath) -> Result<u64, ConfigError> {
     let disk = Disk::read_only(folder);
     let segments = log::segments(&disk).map_err(LogError::from)?;
     let last = segments.last().ok_or_else(|| ConfigError::NoLog { folder: folder.into() })?;
     Ok(log::read_segment(&disk, *last)?.reader.synced_version)
 }
 
-fn read_version(folder: &File, number: Option<u64>) -> Result<Version, ConfigError> {
+fn read_version(folder: &FsPath, number: Option<u64>) -> Result<Version, ConfigError> {
     let newest = newest_version(folder)?;
     let version = number.unwrap_or(newest);
     if version == 0 || version > newest {
@@ -68,8 +68,8 @@
     Ok(log::version(&Disk::read_only(folder), version)?)
 }
 
-/// The version of a number, or the last that was committed up to a time by its author's clock.
-fn version_number(folder: &File, at: &str) -> Result<u64, ConfigError> {
+/// Parses a version number, or finds the last version committed by a time, according to its author's clock.
+fn version_number(folder: &FsPath, at: &str) -> Result<u64, ConfigError> {
     if let Ok(number) = at.parse() {
         return Ok(number);
     }
--- a/crates/cli/src/config/write.rs
+++ b/crates/cli/src/config/write.rs
@@ -1,7 +1,7 @@
-//! Commands that change the log of changes, or say what a change would do; each takes the folder's lock.
+//! Commands that write to the change log, or show what a change would do; each takes the log folder's lock.
 
 use std::io;
-use std::path::Path as File;
+use std::path::Path as FsPath;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use umbertray_config_log::change::Change;
@@ -19,15 +19,15 @@
 /// How long a writer waits for another to release the folder's lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub(super) fn import(file: &File, log: &LogArguments, author: AuthorArguments) -> Result<(), ConfigError> {
+pub(super) fn import(file: &FsPath, log: &LogArguments, author: AuthorArguments) -> Result<(), ConfigError> {
     let wanted = read_script(file)?;
-    let mut opened = open(&log.changes)?;
-    let is_sent_again = former_base(&opened, &author)? == Some(0);
-    if opened.head().number > 0 && !is_sent_again {
+    let mut change_log = open_log(&log.changes)?;
+    let is_retry = committed_base(&change_log, &author)? == Some(0);
+    if change_log.head().number > 0 && !is_retry {
         return Err(ConfigError::LogExists { folder: log.changes.clone() });
     }
     let edits = Configuration::default().diff(&wanted);
-    commit(&mut opened, log, new_change(author, 0, edits, &[]))
+    commit(&mut change_log, log, new_change(author, 0, edits, &[]))
 }
 
 pub(super) fn apply(
@@ -35,27 +35,30 @@
     log: &LogArguments,
     author: AuthorArguments,
 ) -> Result<(), ConfigError> {
-    let mut opened = open(&log.changes)?;
-    // Hazard: without a base of its own a change that is sent again would be another one, written from a later version.
-    let base = arguments.base.map_or_else(|| former_base(&opened, &author), |base| Ok(Some(base)))?;
-    let edits = parse_edits(arguments, base, &opened)?;
-    let base = base.unwrap_or(opened.head().number);
-    commit(&mut opened, log, new_change(author, base, edits, &arguments.allow))
+    let mut change_log = open_log(&log.changes)?;
+    // Hazard: a change that is sent again without `--base` must keep the base that it was committed with.
+    // Based on the newest version, it would be a different change under the same id, and be rejected.
+    let base = arguments.base.map_or_else(|| committed_base(&change_log, &author), |base| Ok(Some(base)))?;
+    let edits = parse_edits(arguments, base, &change_log)?;
+    let base = base.unwrap_or(change_log.head().number);
+    commit(&mut change_log, log, new_change(author, base, edits, &arguments.allow))
 }
 
 pub(super) fn plan(arguments: &ChangeArguments, log: &LogArguments) -> Result<(), ConfigError> {
-    let opened = open(&log.changes)?;
-    let edits = parse_edits(arguments, arguments.base, &opened)?;
-    let head = opened.head();
+    let change_log = open_log(&log.changes)?;
+    let edits = parse_edits(arguments, arguments.base, &change_log)?;
+    let head = change_log.head();
     let base = arguments.base.unwrap_or(head.number);
     for edit in &edits {
         print::edit(log, edit, &head.configuration, head);
     }
-    let author = AuthorArguments { actor: "nobody".into(), reason: "to see".into(), id: None };
-    let (_, steps) = opened.plan(&new_change(author, base, edits, &arguments.allow))?;
+    let author = AuthorArguments { actor: "plan".into(), reason: "dry run".into(), id: None };
+    let (_, steps) = change_log.plan(&new_change(author, base, edits, &arguments.allow))?;
     if !log.json {
         let volumes = steps.iter().filter(|step| changes_a_volume(step)).count();
-        output::print_line(&format!("{volumes} volumes themselves change, and those of the plans above"));
+        output::print_line(&format!(
+            "{volumes} volumes change directly, and the volumes of the plans above with their plan"
+        ));
     }
     Ok(())
 }
@@ -64,25 +67,25 @@
     matches!(step, SettingsChange::Volume(_) | SettingsChange::Removed(_))
 }
 
-/// Commits the edits that undo one version, as far as nothing changed the same places since.
+/// Commits the edits that undo one version; they conflict with later changes to the same entities or fields.
 pub(super) fn revert(
     version: u64,
     allow: &[GuardName],
     log: &LogArguments,
     author: AuthorArguments,
 ) -> Result<(), ConfigError> {
-    let mut opened = open(&log.changes)?;
-    let newest = opened.head().number;
+    let mut change_log = open_log(&log.changes)?;
+    let newest = change_log.head().number;
     if version < 2 || version > newest {
         return Err(ConfigError::NotRevertible { version, newest });
     }
-    let before = log::version(opened.layer(), version - 1)?;
-    let after = log::version(opened.layer(), version)?;
+    let before = log::version(change_log.layer(), version - 1)?;
+    let after = log::version(change_log.layer(), version)?;
     let edits = after.configuration.diff(&before.configuration);
-    commit(&mut opened, log, new_change(author, version, edits, allow))
+    commit(&mut change_log, log, new_change(author, version, edits, allow))
 }
 
-fn open(folder: &File) -> Result<Log, ConfigError> {
+fn open_log(folder: &FsPath) -> Result<Log, ConfigError> {
     let disk = Disk::open_waiting(folder, LOCK_TIMEOUT).map_err(|source| match source.kind() {
         io::ErrorKind::WouldBlock => ConfigError::Locked { folder: folder.into() },
         _ => ConfigError::Folder { folder: folder.into(), source },
@@ -90,20 +93,20 @@
     Ok(Log::open(Box::new(disk), SEGMENT_BYTES)?)
 }
 
-/// The version that a change was written from that was committed under the author's id.
-fn former_base(opened: &Log, author: &AuthorArguments) -> Result<Option<u64>, ConfigError> {
-    let base = author.id.as_deref().map(|id| opened.base_of(id)).transpose();
+/// The base version of the change that is already committed under the author's id, if there is one.
+fn committed_base(change_log: &Log, author: &AuthorArguments) -> Result<Option<u64>, ConfigError> {
+    let base = author.id.as_deref().map(|id| change_log.base_of(id)).transpose();
     Ok(base.map_err(LogError::Disk)?.flatten())
 }
 
-fn commit(opened: &mut Log, log: &LogArguments, change: Change) -> Result<(), ConfigError> {
-    let committed = opened.commit(change)?;
+fn commit(change_log: &mut Log, log: &LogArguments, change: Change) -> Result<(), ConfigError> {
+    let committed = change_log.commit(change)?;
     print::commit(log, committed.version, committed.was_committed_before);
     Ok(())
 }
 
-/// The shared settings of a script; one without `gateway(...)`, as `show` prints it, is accepted too.
-fn read_script(file: &File) -> Result<Configuration, ConfigError> {
+/// Reads the shared settings of a script, also of one without `gateway(...)`, as `show` prints it.
+fn read_script(file: &FsPath) -> Result<Configuration, ConfigError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(CommandError::io(&name))?;
     let calls = umbertray_config::evaluate(&name, text).map_err(ConfigError::Script)?;
@@ -118,7 +121,7 @@
     Ok(Configuration::of_calls(&document.calls()))
 }
 
-/// The edits that the arguments describe, in the order script, set, put, remove.
+/// Parses the edits that the arguments describe, in the order script, set, put, remove.
 fn parse_edits(arguments: &ChangeArguments, base: Option<u64>, log: &Log) -> Result<Vec<Edit>, ConfigError> {
     let mut edits = Vec::new();
     if let Some(file) = &arguments.file {
@@ -130,14 +133,14 @@
     for argument in &arguments.put {
         edits.push(parse_put(argument)?);
     }
-    for place in &arguments.remove {
-        edits.push(parse_removal(place)?);
+    for path in &arguments.remove {
+        edits.push(parse_removal(path)?);
     }
     if edits.is_empty() { Err(ConfigError::NoEdits) } else { Ok(edits) }
 }
 
-/// What differs between a script and the version that it was written from.
-fn script_edits(file: &File, base: Option<u64>, log: &Log) -> Result<Vec<Edit>, ConfigError> {
+/// The differences between a script and the version that it is based on.
+fn script_edits(file: &FsPath, base: Option<u64>, log: &Log) -> Result<Vec<Edit>, ConfigError> {
     let wanted = read_script(file)?;
     let older_base = base.filter(|base| *base != log.head().number);
     let older_base = older_base.map(|base| log::version(log.layer(), base)).transpose()?;
@@ -146,19 +149,20 @@
 }
 
 fn parse_put(argument: &str) -> Result<Edit, ConfigError> {
-    let (place, fields) = argument.split_once('=').ok_or_else(|| invalid_edit(argument, "no = in it"))?;
-    let place = place.parse::<Path>().map_err(|error| invalid_edit(argument, error.to_string()))?;
+    let (path, fields) =
+        argument.split_once('=').ok_or_else(|| invalid_edit(argument, "the = is missing"))?;
+    let path = path.parse::<Path>().map_err(|error| invalid_edit(argument, error.to_string()))?;
     let fields: Fields =
         serde_json::from_str(fields).map_err(|error| invalid_edit(argument, error.to_string()))?;
-    Ok(Edit::Put { key: place.key, fields })
+    Ok(Edit::Put { key: path.key, fields })
 }
 
-fn parse_removal(place: &Path) -> Result<Edit, ConfigError> {
-    if place.field.is_some() {
-        let reason = "only whole entities are removed; set a field to null";
-        return Err(invalid_edit(&place.to_string(), reason));
+fn parse_removal(path: &Path) -> Result<Edit, ConfigError> {
+    if path.field.is_some() {
+        let reason = "only an entity can be removed; to reset a field, set it to null";
+        return Err(invalid_edit(&path.to_string(), reason));
     }
-    Ok(Edit::Remove { key: place.key.clone() })
+    Ok(Edit::Remove { key: path.key.clone() })
 }
 
 fn invalid_edit(argument: &str, reason: impl Into<String>) -> ConfigError {
@@ -167,7 +171,7 @@
 
 fn new_change(author: AuthorArguments, base: u64, edits: Vec<Edit>, allow: &[GuardName]) -> Change {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    // Two commands that start at the same nanosecond are two processes.
+    // The process id makes the ids of two commands distinct that start in the same nanosecond.
     let generated_id = || format!("{}-{}", now.as_nanos(), std::process::id());
     Change {
         id: author.id.unwrap_or_else(generated_id),
--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! `umbertray coordinator`: the process that holds the map of extents, and the requests that operators send to it.
+//! `umbertray coordinator`: runs the process that holds the extent map, or sends it an operator's request.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use crate::error::CommandError;
 use crate::{output, serve};
 
-/// How often a move is polled until it ends.
+/// Interval at which a move is polled until it has finished.
 const MOVE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(clap::Args)]
@@ -26,18 +26,19 @@
     /// Takes over from a coordinator whose process is stalled and still holds the folder's lock.
     #[arg(long)]
     take_over: bool,
-    /// Asks the coordinator that listens there to move extents: VOLUME:FROM..TO=SHARD, without TO itself. Waits for the end.
+    /// Requests a move of extents from the running coordinator of this script: VOLUME:FROM..TO=SHARD, where
+    /// TO is exclusive. Waits until the move has finished.
     #[arg(long, value_name = "MOVE", conflicts_with = "take_over")]
     r#move: Option<MoveRequest>,
-    /// Asks for the progress of a move.
+    /// Queries the progress of a move.
     #[arg(long, value_name = "NUMBER", conflicts_with_all = ["take_over", "move"])]
     moving: Option<u64>,
-    /// Abandons the move, unless it has come so far that it can only be completed.
+    /// Abandons the move, unless it has reached the stage from which it can only be completed.
     #[arg(long, requires = "moving")]
     give_up: bool,
 }
 
-/// A range of extents and the shard that they must move to.
+/// An extent range and the shard to move it to.
 #[derive(Clone, Debug, PartialEq)]
 struct MoveRequest {
     range: ExtentRange,
@@ -81,11 +82,11 @@
         return Ok(());
     }
     let takeover = if arguments.take_over { Takeover::FromStalled } else { Takeover::Never };
-    host(settings, takeover).await
+    run_coordinator(settings, takeover).await
 }
 
-/// Runs the coordinator until a signal or its end.
-async fn host(settings: CoordinatorSettings, takeover: Takeover) -> Result<(), CommandError> {
+/// Runs the coordinator until a stop signal or until it terminates by itself.
+async fn run_coordinator(settings: CoordinatorSettings, takeover: Takeover) -> Result<(), CommandError> {
     let options = CoordinatorOptions {
         listen: settings.listen,
         endpoint_list: settings.endpoint_list,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Starts a move and prints its progress until it ends.
+/// Starts a move and prints its progress until it has finished.
 async fn move_extents(coordinator: SocketAddr, request: MoveRequest) -> Result<(), CommandError> {
     let number = client::request_move(coordinator, request.range, request.shard).await?;
     while !print_move_status(coordinator, number, false).await? {
@@ -109,13 +110,13 @@
     Ok(())
 }
 
-/// Whether the move is over.
+/// Prints the state of a move; returns whether it has finished.
 async fn print_move_status(
     coordinator: SocketAddr,
     number: u64,
     abandon: bool,
 ) -> Result<bool, CommandError> {
-    let (state, is_over) = client::move_status(coordinator, number, abandon).await?;
-    output::print_json(&json!({ "move": number, "state": state, "over": is_over }));
-    Ok(is_over)
+    let (state, is_finished) = client::move_status(coordinator, number, abandon).await?;
+    output::print_json(&json!({ "move": number, "state": state, "over": is_finished }));
+    Ok(is_finished)
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `umbertray demo`: gateways, coordinator and fakes in one process, without a file.
+//! `umbertray demo`: runs gateways, a coordinator and fakes in one process, without a settings file.
 
 use std::path::PathBuf;
 
@@ -21,7 +21,7 @@
     stores: u32,
 }
 
-/// The settings that the demo and the measurements run on.
+/// Reads the built-in settings, which the demo and the measurements use.
 pub(crate) fn document(gateways: u32) -> Result<SettingsDocument, ScriptProblems> {
     let script = include_str!("demo.star").to_string();
     let mut document = umbertray_config::read("demo.star", script).map_err(ScriptProblems)?;
@@ -42,12 +42,12 @@
     let addresses: Vec<String> =
         gateways.iter().flat_map(|gateway| &gateway.addresses).map(ToString::to_string).collect();
     let exports: Vec<&String> = document.settings.volumes.iter().map(|volume| &volume.name).collect();
-    let keeper = coordinator.address.to_string();
-    output::print_json(&json!({ "nbd": addresses, "exports": exports, "keeper": keeper }));
+    let coordinator_address = coordinator.address.to_string();
+    output::print_json(&json!({ "nbd": addresses, "exports": exports, "keeper": coordinator_address }));
     serve::stop_signal().await?;
     stop_gateways(gateways).await?;
     drop(coordinator);
-    // The demo's map does not outlive it: the stores' data has gone too.
+    // The extent map is of no use after the demo: the fake stores lose their data with it.
     _ = std::fs::remove_dir_all(folder);
     Ok(())
 }
@@ -62,7 +62,7 @@
     Ok(umbertray_coordinator::start(options).await?)
 }
 
-/// Starts gateways that differ in their seed only.
+/// Starts gateways that differ only in their seed.
 async fn start_gateways(
     count: u32,
     document: &SettingsDocument,
@@ -80,7 +80,7 @@
     Ok(gateways)
 }
 
-/// Stops all at once, since each may drain for as long as its longest deadline.
+/// Stops all gateways concurrently, since each may drain for as long as its longest deadline.
 async fn stop_gateways(gateways: Vec<RunningGateway>) -> Result<(), CommandError> {
     let mut stopping = JoinSet::new();
     for gateway in gateways {
--- a/crates/cli/src/demo.star
+++ b/crates/cli/src/demo.star
@@ -1,4 +1,4 @@
-# What `umbertray demo` runs on: three volumes on two plans. Times are in seconds, sizes in bytes.
+# Settings of `umbertray demo`: three volumes on two plans. Times are in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 8)
 
 op_type("lookup", target_latency = 100 * ms, op_timeout = 1.0, utility = 3)
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,5 @@
-//! Why a command failed: one error type for all sub-commands but `config` and `scale`, whose exit statuses differ by kind.
+//! Why a command failed: one error type for all sub-commands except `config` and `scale`, whose exit statuses
+//! differ by the kind of error.
 
 use std::fmt::Display;
 use std::io;
@@ -14,19 +15,19 @@
 
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// An I/O error and the file, folder, address or step that it is of.
+    /// An I/O error, with the file, folder, address or step at which it occurred.
     #[error("{subject}: {source}")]
-    At { subject: String, source: io::Error },
+    IoAt { subject: String, source: io::Error },
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("{}", settings_problems(.0))]
     Settings(Vec<Problem>),
     #[error(transparent)]
     Script(#[from] ScriptProblems),
-    /// A gateway's own settings do not go with the log's.
+    /// A gateway's own settings are inconsistent with those of the change log.
     #[error("{}", .0.join("\n"))]
     Configuration(InvalidConfiguration),
-    #[error("neither --config nor ROUTER_CONFIG names a configuration")]
+    #[error("no configuration: name its file with --config or in ROUTER_CONFIG")]
     NoConfiguration,
     #[error("{folder}: {source}")]
     FollowFolder { folder: String, source: FollowError },
@@ -42,22 +43,22 @@
     Relay(#[from] umbertray_relay::RelayError),
     #[error(transparent)]
     RelayStatus(#[from] umbertray_relay::client::StatusError),
-    /// An NBD gateway or a scale worker ended; their packages report why as text.
+    /// An NBD gateway or a scale worker terminated with an error, which their packages report as text.
     #[error("{0}")]
     Ended(String),
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("the connection ended before the reply")]
+    #[error("the connection was closed before the reply")]
     NoReply,
     #[error("{errno:?}: {text}")]
     Reply { errno: Errno, text: String },
-    #[error("the reply does not cover the range")]
+    #[error("the reply does not cover the requested range")]
     IncompleteReply,
-    #[error("nothing in it would be believed")]
-    NoValidState,
-    #[error("{broken} of {files} files are not whole")]
+    #[error("{path}: no file holds state that a gateway would restore")]
+    NoValidState { path: String },
+    #[error("{broken} of {files} state files are damaged or incomplete")]
     DamagedState { broken: usize, files: usize },
     /// Fault-test runs that broke a rule.
     #[error("{broken} of {runs} runs broke a rule")]
@@ -70,9 +71,9 @@
 }
 
 impl CommandError {
-    /// Adds what an I/O error is of.
+    /// Adds the file, folder, address or step at which an I/O error occurred.
     pub(crate) fn io(subject: impl Display) -> impl FnOnce(io::Error) -> CommandError {
-        move |source| CommandError::At { subject: subject.to_string(), source }
+        move |source| CommandError::IoAt { subject: subject.to_string(), source }
     }
 }
 
@@ -82,7 +83,7 @@
     format!("{} problem{plural} in the settings\n{}", problems.len(), lines.join("\n"))
 }
 
-/// Problems of the demo's or a fault test's script, a line each.
+/// Problems in the script of the demo or of a fault test, one per line.
 #[derive(Debug, Error)]
 #[error("{}", .0.iter().map(|problem| format!("{problem}\n")).collect::<String>())]
 pub(crate) struct ScriptProblems(pub(crate) Vec<Problem>);
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -1,4 +1,4 @@
-//! `umbertray fake`: a scripted list or store in a process of its own.
+//! `umbertray fake`: runs a fake endpoint list or a fake store in its own process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +15,16 @@
 
 #[derive(clap::Subcommand)]
 pub(crate) enum Command {
-    /// The list of stores with the directory of extents.
+    /// The endpoint list with the directory of extents.
     List {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Stores to list, in order of their shards and ids from 1.
+        /// Address of a store to list; repeated for each store. Shards are numbered from 0 and ids from 1, in
+        /// this order.
         #[arg(long)]
         store: Vec<SocketAddr>,
     },
-    /// One store that is warmed up.
+    /// One store, which is already warm.
     Store {
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -1,4 +1,4 @@
-//! `umbertray fault-test`: a scripted fault scenario through real gateways, and its verdict.
+//! `umbertray fault-test`: runs a scripted fault scenario against real gateways and prints the verdict.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -13,22 +13,24 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Arguments {
-    /// The scenario, a script.
-    day: PathBuf,
-    /// Seed of all that is drawn at random; the first of the seeds.
+    /// The script of the scenario.
+    #[arg(value_name = "DAY")]
+    scenario: PathBuf,
+    /// Seed of all random draws; with --repeat, the first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Number of seeds, one after another.
+    /// Number of consecutive seeds to run, one after another.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Where the scenario, both sides' records and the verdict go, one folder for each seed.
+    /// Folder for the scenario, the records of clients and stores, and the verdict, with a sub-folder for
+    /// each seed.
     #[arg(long, default_value = "rehearsals")]
     out: PathBuf,
 }
 
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
-    let name = arguments.day.display().to_string();
-    let text = std::fs::read_to_string(&arguments.day).map_err(CommandError::io(&name))?;
+    let name = arguments.scenario.display().to_string();
+    let text = std::fs::read_to_string(&arguments.scenario).map_err(CommandError::io(&name))?;
     let scenario = Day::read(&name, text).map_err(ScriptProblems)?;
     let program = std::env::current_exe().map_err(CommandError::io("this program"))?;
     let mut broken = 0;
@@ -38,7 +40,7 @@
         print_verdict(seed, &verdict);
         if !verdict.kept {
             broken += 1;
-            output::print_line(&format!("  again: umbertray fault-test {name} --seed {seed}"));
+            output::print_line(&format!("  reproduce with: umbertray fault-test {name} --seed {seed}"));
         }
     }
     if broken > 0 {
@@ -77,7 +79,8 @@
     let service = &verdict.service;
     let all = &service.all;
     output::print_line(&format!(
-        "seed {seed}: {} - {} requests: {} acked ({} in target latency), {} throttled, {} aborted, {} lost; {}",
+        "seed {seed}: {} - {} requests: {} acked ({} in target latency), {} throttled, {} aborted, \
+         {} lost; {}",
         if verdict.kept { "kept" } else { "BROKEN" },
         all.asked,
         all.acked,
@@ -104,15 +107,15 @@
             step.late as f64 / 1e6
         ));
     }
-    print_after_return("10 s after a return", &service.after_return);
-    print_after_return("others then", &service.others_then);
+    print_after_return("10 s after a return to service", &service.after_return);
+    print_after_return("other gateways at that time", &service.others_then);
     print_recovery(service);
     for (name, count) in service.by_op_type.iter().chain(&service.by_plan) {
         output::print_line(&format!("  {name:32} asked {:6}  {}", count.asked, utility_served(count)));
     }
 }
 
-/// Requests in the seconds after a gateway's return, where there were any.
+/// Prints the requests in the seconds after gateways returned to service, if there were any.
 fn print_after_return(label: &str, count: &Count) {
     let Count { asked, throttled, .. } = count;
     if *asked > 0 {
@@ -121,7 +124,7 @@
     }
 }
 
-/// How long gateways took after their returns until they served as well as the others.
+/// Prints how long gateways took after their return to service until they served as well as the others.
 fn print_recovery(service: &Service) {
     if service.recovered.is_empty() {
         return;
@@ -130,12 +133,12 @@
     times.sort_unstable();
     let median_seconds = times[times.len() / 2] as f64 / 1e6;
     let never = service.recovered.iter().filter(|time| time.is_none()).count();
-    let label = format!("of {} returns", times.len());
+    let label = format!("of {} returns to service", times.len());
     output::print_line(&format!(
-        "  {label:32} as good as others after {median_seconds:.1} s (median); {never} never"
+        "  {label:32} served as well as the others after {median_seconds:.1} s (median); {never} never"
     ));
 }
 
 fn utility_served(count: &Count) -> String {
-    format!("utility in target latency {:.3} of what was asked", count.served())
+    format!("utility in target latency {:.3} of the requested utility", count.served())
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `umbertray`.
+//! The program `umbertray`: its arguments, its sub-commands and its exit status.
 
 mod config;
 mod coordinator;
@@ -24,14 +24,14 @@
 
 use error::CommandError;
 
-/// A storage gateway: NBD clients on one side, storage nodes on the other, and each volume kept to its plan.
+/// A storage gateway: serves clients over NBD or HTTP from storage nodes, and keeps each volume to its plan.
 #[derive(Parser)]
 #[command(name = "umbertray", version)]
 struct Arguments {
     /// The format of the log on standard error.
     #[arg(long, value_enum, default_value = "pretty", global = true)]
     log: LogFormat,
-    /// What is logged, such as "info" or "umbertray_nbd_gateway=debug".
+    /// The log filter: a level or targets with levels, such as "info" or "umbertray_nbd_gateway=debug".
     #[arg(long, default_value = "info", global = true)]
     log_level: String,
     #[command(subcommand)]
@@ -46,34 +46,38 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs one gateway until SIGTERM or SIGINT.
+    /// Runs one NBD gateway until SIGTERM or SIGINT.
     Serve(serve::Arguments),
-    /// Runs one gateway on the platform, over HTTP, until SIGTERM.
+    /// Runs one HTTP gateway on the platform until SIGTERM.
     Node(node::Arguments),
-    /// Runs the coordinator, which holds the map of extents to shards, until SIGTERM or SIGINT.
+    /// Runs the coordinator, which holds the extent map (extents to shards), until SIGTERM or SIGINT.
     #[command(alias = "keeper")]
     Coordinator(coordinator::Arguments),
-    /// Runs a relay, which carries the log of changes to gateways and other relays, until SIGTERM or SIGINT.
+    /// Runs a relay, which forwards the change log to gateways and other relays, until SIGTERM or SIGINT.
     Relay(relay::Arguments),
-    /// Runs gateways with fake stores and endpoint list on loopback; prints their addresses as one line of JSON.
+    /// Runs gateways, a coordinator, fake stores and a fake endpoint list on loopback; prints the addresses
+    /// of gateways and coordinator as one line of JSON.
     Demo(demo::Arguments),
-    /// Checks settings, and changes plans, volumes, op types and rules in service; each change is logged.
+    /// Checks settings, and changes plans, volumes, op types and rules while gateways run; logs each change.
     #[command(subcommand)]
     Config(config::Command),
-    /// Inspects a folder of state that is restored at a restart.
+    /// Inspects a folder or file of saved state, which a gateway restores when it restarts.
     #[command(subcommand)]
     State(state::Command),
-    /// Runs a scripted store or list, for trying a gateway by hand.
+    /// Runs a fake store or a fake endpoint list, for trying out a gateway by hand.
     #[command(subcommand, alias = "stand-in")]
     Fake(fake::Command),
-    /// Runs a scripted fault scenario through real gateways and judges it by what crossed the sockets.
+    /// Runs a scripted fault scenario against real gateways and judges it by the traffic at their sockets.
     #[command(alias = "rehearse")]
     FaultTest(fault_test::Arguments),
-    /// Injects randomized faults, drawn from a seed, into processes of `umbertray node`, and judges what crossed the sockets.
+    /// Injects randomized faults, drawn from a seed, into processes of `umbertray node`, and judges the
+    /// traffic at their sockets.
     Soak(soak::Arguments),
-    /// Measures the gateway against a pass-through of the same sockets and codecs, on loopback; a line of JSON for each case.
+    /// Measures the gateway against a pass-through with the same sockets and codecs, on loopback; prints a
+    /// line of JSON for each case.
     Measure(measure::Arguments),
-    /// Measures what a fleet's size costs each gateway, hollow ones beside real ones; a line of JSON for each point and role.
+    /// Measures how the cost of each gateway grows with the size of the fleet, which has hollow and real
+    /// gateways; prints a line of JSON for each point and role.
     Scale(scale::Arguments),
     /// A worker process of `umbertray scale`, controlled by it over standard input.
     #[command(hide = true)]
@@ -90,7 +94,7 @@
         return ExitCode::from(2);
     }
     match arguments.command {
-        // Builds a runtime of its own, of one thread.
+        // Builds its own single-threaded runtime.
         Command::Node(arguments) => exit_code(node::run(arguments)),
         Command::Config(command) => config::run(command),
         Command::State(command) => exit_code(state::run(command)),
@@ -116,10 +120,10 @@
 fn block_on(command: impl Future<Output = ExitCode>) -> ExitCode {
     let runtime = match Runtime::new() {
         Ok(runtime) => runtime,
-        Err(error) => return exit_code(Err(CommandError::io("no runtime")(error))),
+        Err(error) => return exit_code(Err(CommandError::io("cannot start the async runtime")(error))),
     };
     let exit_code = runtime.block_on(command);
-    // What still waits for a clock or a socket must not delay the exit.
+    // Tasks that still wait for a timer or a socket must not delay the exit.
     runtime.shutdown_background();
     exit_code
 }
--- a/crates/cli/src/measure/changes/long_log.rs
+++ b/crates/cli/src/measure/changes/long_log.rs
@@ -1,4 +1,4 @@
-//! What a long log costs: the time to open it, and the memory of versions that are held.
+//! Measures what a long change log costs: the time to open it, and the memory of versions that are kept.
 
 use std::io;
 use std::path::Path;
@@ -16,7 +16,8 @@
 use crate::measure::memory::resident_bytes;
 use crate::output;
 
-/// Versions held at once: so many that memory freed before does not hide their cost.
+/// Versions kept at once. With far fewer, they would fit into memory that was freed before, which would hide
+/// their cost.
 const VERSIONS_HELD: u64 = 100_000;
 
 /// Measures how long a writer and a gateway take to open a log of this many changes.
@@ -43,7 +44,7 @@
     Ok(())
 }
 
-/// Measures the memory of one more version while all are held.
+/// Measures the memory that each further version takes while all earlier ones are kept.
 pub(super) fn measure_versions_held() -> Result<(), MeasureError> {
     let log = new_log(Box::new(SimulatedDisk::default()), VOLUMES)?;
     let mut versions: Vec<Version> = vec![log.head().clone()];
@@ -59,7 +60,7 @@
     Ok(())
 }
 
-/// A disk whose syncs do nothing: long logs are made faster, and need not survive a crash.
+/// A disk whose syncs do nothing. Long logs are written faster with it, and need not survive a crash here.
 struct UnsyncedDisk(Disk);
 
 impl Storage for UnsyncedDisk {
--- a/crates/cli/src/measure/changes/mod.rs
+++ b/crates/cli/src/measure/changes/mod.rs
@@ -1,4 +1,5 @@
-//! What changes in service cost, and how soon they are applied, with a hundred thousand volumes.
+//! Measures, with a hundred thousand volumes, what configuration changes cost while requests are served, and
+//! how soon they are applied.
 
 mod long_log;
 mod stream;
@@ -18,19 +19,19 @@
 use umbertray_snapshot::Disk;
 
 use super::error::MeasureError;
-use super::load::{Figures, Workload, latency_histogram, run_load};
+use super::load::{Metrics, Workload, latency_histogram, run_load};
 use super::testbed::{MeasuredGateway, settings_document};
-use super::{Arguments, START_TIME};
+use super::{Arguments, WARM_UP_TIME};
 use crate::output;
 use stream::{ChangeStream, commit_edit, new_log, volume_fields, volume_key};
 
-/// Volumes in the log besides the demo's.
+/// Volumes in the log in addition to the demo's.
 const VOLUMES: u64 = 100_000;
-/// Changes a second that are asked for.
+/// Target rates in changes per second.
 const RATES: [u64; 3] = [0, 10, 1000];
 /// Volumes added to measure how soon a change is applied.
 const PROBES: u32 = 100;
-/// How often a probe looks whether its volume is there.
+/// Interval at which a probe checks whether its volume exists at the gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
 
 pub(super) async fn run(fleet: &Fleet, folder: &Path, arguments: &Arguments) -> Result<(), MeasureError> {
@@ -38,7 +39,7 @@
     let log = new_log(Box::new(Disk::open(&log_folder)?), VOLUMES)?;
     let log = Arc::new(Mutex::new(log));
     let gateway = start_following(fleet, &log_folder).await?;
-    tokio::time::sleep(START_TIME).await;
+    tokio::time::sleep(WARM_UP_TIME).await;
     gateway.fill().await?;
     measure_rates(&gateway, &log, arguments).await?;
     let latencies = measure_apply_latency(&gateway, &log).await?;
@@ -75,16 +76,16 @@
             output::print_json(&json!({
                 "volumes": VOLUMES, "changes_a_second_asked": rate,
                 "changes_a_second": measured.changes as f64 / arguments.seconds,
-                "gateway": measured.figures,
+                "gateway": measured.metrics,
             }));
         }
     }
     Ok(())
 }
 
-struct FiguresUnderChanges {
-    figures: Figures,
-    /// Changes committed meanwhile.
+struct MetricsUnderChanges {
+    metrics: Metrics,
+    /// Changes committed during the measurement.
     changes: u64,
 }
 
@@ -92,20 +93,20 @@
     gateway: &MeasuredGateway,
     stream: ChangeStream,
     duration: Duration,
-) -> Result<FiguresUnderChanges, MeasureError> {
-    let is_over = Arc::new(AtomicBool::new(false));
-    let writer_is_over = is_over.clone();
-    let writer = tokio::task::spawn_blocking(move || stream.commit_until(&writer_is_over));
+) -> Result<MetricsUnderChanges, MeasureError> {
+    let must_stop = Arc::new(AtomicBool::new(false));
+    let writer_must_stop = must_stop.clone();
+    let writer = tokio::task::spawn_blocking(move || stream.commit_until(&writer_must_stop));
     let busy_before = gateway.busy_nanos();
     let workload = Workload { command: Command::Read, depth: 1, clients: 16 };
     let result = run_load(gateway, workload, duration).await?;
-    is_over.store(true, Ordering::Relaxed);
+    must_stop.store(true, Ordering::Relaxed);
     let changes = writer.await??;
     let busy_nanos = gateway.busy_nanos() - busy_before;
-    Ok(FiguresUnderChanges { figures: result.figures(busy_nanos, duration.as_secs_f64()), changes })
+    Ok(MetricsUnderChanges { metrics: result.metrics(busy_nanos, duration.as_secs_f64()), changes })
 }
 
-/// From the commit of a new volume until a session on it opens, in microseconds.
+/// Measures the time from the commit of a new volume until a session on it can be opened, in microseconds.
 async fn measure_apply_latency(
     gateway: &MeasuredGateway,
     log: &Arc<Mutex<Log>>,
--- a/crates/cli/src/measure/changes/stream.rs
+++ b/crates/cli/src/measure/changes/stream.rs
@@ -14,22 +14,22 @@
 use crate::measure::error::MeasureError;
 use crate::measure::testbed::settings_document;
 
-/// How long the stream waits at most until it looks again whether it is over.
+/// Longest time that the stream sleeps before it checks again whether it must stop.
 const MAX_WAIT: Duration = Duration::from_millis(20);
 
-/// Starts a log whose first version is the demo's with this many volumes more.
+/// Creates a log whose first version is the demo's configuration with this many additional volumes.
 pub(super) fn new_log(storage: Box<dyn Storage>, volumes: u64) -> Result<Log, MeasureError> {
-    let mut first = Configuration::of_calls(&settings_document()?.calls());
+    let mut configuration = Configuration::of_calls(&settings_document()?.calls());
     for number in 0..volumes {
-        first.entities.insert(volume_key(&format!("v{number}")), Arc::new(volume_fields("basic")));
+        configuration.entities.insert(volume_key(&format!("v{number}")), Arc::new(volume_fields("basic")));
     }
     let mut log = Log::open(storage, SEGMENT_BYTES)?;
-    let edits = log.head().configuration.diff(&first);
+    let edits = log.head().configuration.diff(&configuration);
     log.commit(new_change("first".into(), 0, edits))?;
     Ok(log)
 }
 
-/// Commits one edit to the newest version.
+/// Commits one edit, based on the newest version.
 pub(super) fn commit_edit(log: &mut Log, id: String, edit: Edit) -> Result<(), MeasureError> {
     let base = log.head().number;
     log.commit(new_change(id, base, vec![edit]))?;
@@ -57,7 +57,8 @@
     serde_json::from_value(fields).unwrap_or_default()
 }
 
-/// An edit of the stream by its number: weights, volumes that change their plan, volumes that are added or replaced.
+/// The edit with this number in the stream: it sets a weight, moves a volume to another plan, or adds or
+/// replaces a volume.
 pub(super) fn stream_edit(number: u64) -> Edit {
     match number % 10 {
         0 => set(Key::new(Kind::Plan, "basic"), "weight", json!(1.0 + (number % 7) as f64 / 10.0)),
@@ -77,18 +78,18 @@
 /// Changes committed at a steady rate.
 pub(super) struct ChangeStream {
     pub(super) log: Arc<Mutex<Log>>,
-    /// Changes a second; the disk may allow fewer.
+    /// Changes per second; the disk may allow fewer.
     pub(super) rate: u64,
     /// Number of the stream's first edit.
     pub(super) first: u64,
 }
 
 impl ChangeStream {
-    /// Commits until the flag is set; returns how many were committed.
-    pub(super) fn commit_until(&self, is_over: &AtomicBool) -> Result<u64, MeasureError> {
+    /// Commits changes until the flag is set; returns how many were committed.
+    pub(super) fn commit_until(&self, must_stop: &AtomicBool) -> Result<u64, MeasureError> {
         let started = Instant::now();
         let mut committed = 0;
-        while !is_over.load(Ordering::Relaxed) && self.rate > 0 {
+        while !must_stop.load(Ordering::Relaxed) && self.rate > 0 {
             let due = Duration::from_secs_f64(committed as f64 / self.rate as f64);
             std::thread::sleep(due.saturating_sub(started.elapsed()).min(MAX_WAIT));
             if started.elapsed() < due {
--- a/crates/cli/src/measure/error.rs
+++ b/crates/cli/src/measure/error.rs
@@ -32,8 +32,8 @@
     Change(#[from] ChangeRejected),
     #[error(transparent)]
     Follow(#[from] FollowError),
-    /// A task that holds the log panicked.
-    #[error("poisoned lock: another task failed inside")]
+    /// A task panicked while it held the lock of the change log.
+    #[error("the lock of the change log is poisoned: a task panicked while holding it")]
     LogPoisoned,
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
@@ -41,12 +41,12 @@
     Latency(#[from] hdrhistogram::RecordError),
     #[error(transparent)]
     Latencies(#[from] hdrhistogram::AdditionError),
-    #[error("the core told nothing")]
+    #[error("the core produced no snapshot")]
     NoSnapshot,
-    #[error("nothing was recalled")]
+    #[error("no state was restored from the folder where it had been saved")]
     NothingRestored,
-    #[error("the gateway has ended")]
+    #[error("the gateway process has exited")]
     GatewayEnded,
-    #[error("statm has no second figure")]
+    #[error("the resident size, the second field of /proc/PID/statm, is missing or not a number")]
     NoResidentSize,
 }
--- a/crates/cli/src/measure/load.rs
+++ b/crates/cli/src/measure/load.rs
@@ -1,4 +1,4 @@
-//! The load of clients that each keep a number of requests in flight, and the figures of a gateway under it.
+//! The load of clients that each keep a number of requests in flight, and the metrics of a gateway under it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use super::error::MeasureError;
 use super::testbed::{BLOCK_BYTES, BLOCKS, MeasuredGateway};
 
-/// Digits of a latency that the histograms keep.
+/// Significant digits with which the histograms record latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Requests of one kind, from clients that each keep `depth` of them in flight.
@@ -24,9 +24,9 @@
     pub(super) clients: u32,
 }
 
-/// What the clients saw.
+/// The results of the clients' requests.
 pub(super) struct LoadResult {
-    /// Of requests that succeeded, in microseconds.
+    /// Latencies of the requests that succeeded, in microseconds.
     pub(super) latencies: Histogram<u64>,
     pub(super) failures: u64,
 }
@@ -42,10 +42,10 @@
         Ok(())
     }
 
-    /// The figures of this load on a gateway whose handler was busy for `busy_nanos` meanwhile.
-    pub(super) fn figures(&self, busy_nanos: u64, seconds: f64) -> Figures {
+    /// The metrics of a gateway whose handler was busy for `busy_nanos` during this load.
+    pub(super) fn metrics(&self, busy_nanos: u64, seconds: f64) -> Metrics {
         let succeeded = self.latencies.len();
-        Figures {
+        Metrics {
             per_second: succeeded as f64 / seconds,
             median_us: self.latencies.value_at_quantile(0.5),
             p99_us: self.latencies.value_at_quantile(0.99),
@@ -55,9 +55,9 @@
     }
 }
 
-/// The figures of one gateway; the fields' names are those of the JSON that is printed.
+/// The metrics of one gateway; the names of the fields are the keys of the JSON that is printed.
 #[derive(Serialize)]
-pub(super) struct Figures {
+pub(super) struct Metrics {
     pub(super) per_second: f64,
     pub(super) median_us: u64,
     pub(super) p99_us: u64,
@@ -69,7 +69,7 @@
     Histogram::new(SIGNIFICANT_DIGITS).expect("a histogram keeps 0 to 5 significant digits")
 }
 
-/// Puts a load on a gateway for a duration.
+/// Runs a workload on a gateway for a duration.
 pub(super) async fn run_load(
     gateway: &MeasuredGateway,
     workload: Workload,
@@ -83,7 +83,7 @@
     let end = Instant::now() + duration;
     for (client, connection) in connections.iter().enumerate() {
         for slot in 0..workload.depth {
-            // Distinct starts, so that the clients' blocks differ.
+            // Distinct starts, so that clients do not send their requests to the same blocks.
             let start = client as u64 * 7919 + u64::from(slot) * 104_729;
             tasks.spawn(send_requests(connection.clone(), workload.command, start, end));
         }
@@ -95,7 +95,7 @@
     Ok(all)
 }
 
-/// Sends one request after another until the end, to blocks spread over the volume.
+/// Sends one request after another until `end`, to blocks spread over the volume.
 async fn send_requests(
     connection: Arc<Connection>,
     command: Command,
--- a/crates/cli/src/measure/memory.rs
+++ b/crates/cli/src/measure/memory.rs
@@ -1,4 +1,4 @@
-//! The memory of a gateway in a process of its own: of each idle client, and what remains after a load.
+//! Measures the memory of a gateway in its own process: per idle client, and what remains after a load.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use super::testbed::{VOLUME, settings_document};
 use crate::output;
 
-/// Bytes that `/proc/PID/statm` counts as one.
+/// Bytes of a page, the unit of `/proc/PID/statm`.
 const PAGE_BYTES: u64 = 4096;
 /// Parts of the load after each of which memory is read.
 const QUARTERS: usize = 4;
@@ -24,7 +24,7 @@
 const WRITE_BYTES: u32 = 64 << 10;
 /// Writes of the load that are in flight together.
 const WRITES_IN_FLIGHT: u64 = 64;
-/// How long the gateway gets to stop.
+/// Time in which the gateway must stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(super) async fn measure(fleet: &Fleet, folder: &Path, arguments: &Arguments) -> Result<(), MeasureError> {
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// Resident bytes of a process.
+/// The resident memory of a process in bytes.
 pub(super) fn resident_bytes(process: u32) -> Result<u64, MeasureError> {
     let statm = std::fs::read_to_string(format!("/proc/{process}/statm"))?;
     let pages: Option<u64> = statm.split_whitespace().nth(1).and_then(|pages| pages.parse().ok());
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! `umbertray measure`: the gateway against a pass-through, side by side in one run on loopback.
+//! `umbertray measure`: compares the gateway with a pass-through, in one run on loopback.
 
 mod changes;
 mod error;
@@ -18,14 +18,14 @@
 
 use crate::error::CommandError;
 use crate::output;
-use load::{Figures, LoadResult, Workload, run_load};
+use load::{LoadResult, Metrics, Workload, run_load};
 use testbed::{BLOCK_BYTES, HandlerKind, MeasuredGateway};
 
 pub(crate) use error::MeasureError;
 
-/// How long the endpoint list and the connections to stores get before the load starts.
-const START_TIME: Duration = Duration::from_millis(500);
-/// The kinds of request that are measured, as they are printed.
+/// Time to receive the endpoint list and to connect to the stores before the load starts.
+const WARM_UP_TIME: Duration = Duration::from_millis(500);
+/// The kinds of requests that are measured, with their names in the output.
 const COMMANDS: [(&str, Command); 2] = [("read", Command::Read), ("write", Command::Write)];
 
 #[derive(clap::Args)]
@@ -33,16 +33,16 @@
     /// Seconds of each turn; gateway and pass-through are measured in turn.
     #[arg(long, default_value_t = 1.0)]
     seconds: f64,
-    /// Turns of each.
+    /// Number of turns of each.
     #[arg(long, default_value_t = 3)]
     turns: u32,
-    /// Idle clients whose memory is measured.
+    /// Number of idle clients whose memory is measured.
     #[arg(long, default_value_t = 2000)]
     idle: u32,
-    /// Measures only what changes in service cost.
+    /// Measures only the cost of configuration changes while requests are served.
     #[arg(long)]
     only_changes: bool,
-    /// Changes in the log whose opening is timed.
+    /// Number of changes in the log whose opening is timed.
     #[arg(long, default_value_t = 1_000_000)]
     changes: u64,
 }
@@ -68,15 +68,15 @@
 async fn measure_all(fleet: &Fleet, folder: &Path, arguments: &Arguments) -> Result<(), MeasureError> {
     let core = MeasuredGateway::start(HandlerKind::Core, fleet, None).await?;
     let pass_through = MeasuredGateway::start(HandlerKind::PassThrough, fleet, None).await?;
-    tokio::time::sleep(START_TIME).await;
+    tokio::time::sleep(WARM_UP_TIME).await;
     core.fill().await?;
     pass_through.fill().await?;
     for (name, command) in COMMANDS {
         for depth in [1, 32] {
             for clients in [1, 16, 256] {
                 let workload = Workload { command, depth, clients };
-                let figures = measure_in_turn(&core, &pass_through, workload, arguments).await?;
-                print_comparison(name, workload, &figures);
+                let comparison = measure_in_turn(&core, &pass_through, workload, arguments).await?;
+                print_comparison(name, workload, &comparison);
             }
         }
     }
@@ -87,13 +87,13 @@
     memory::measure(fleet, folder, arguments).await
 }
 
-/// The figures of a gateway and of the one that it is compared with.
+/// The metrics of a gateway and of the one that it is compared with.
 struct Comparison {
-    subject: Figures,
-    baseline: Figures,
+    subject: Metrics,
+    baseline: Metrics,
 }
 
-/// Puts the same load on both gateways in turn, so that a slow moment of the machine hits both.
+/// Runs the same workload on both gateways in turn, so that a slow phase of the machine affects both.
 async fn measure_in_turn(
     subject: &MeasuredGateway,
     baseline: &MeasuredGateway,
@@ -107,10 +107,10 @@
         baseline.measure(workload, arguments.turn_duration()).await?;
     }
     let seconds = arguments.seconds * f64::from(arguments.turns);
-    Ok(Comparison { subject: subject.figures(seconds), baseline: baseline.figures(seconds) })
+    Ok(Comparison { subject: subject.metrics(seconds), baseline: baseline.metrics(seconds) })
 }
 
-/// The sum of a gateway's turns.
+/// The sum over a gateway's turns.
 struct Total<'a> {
     gateway: &'a MeasuredGateway,
     result: LoadResult,
@@ -129,8 +129,8 @@
         self.result.add(&result)
     }
 
-    fn figures(&self, seconds: f64) -> Figures {
-        self.result.figures(self.busy_nanos, seconds)
+    fn metrics(&self, seconds: f64) -> Metrics {
+        self.result.metrics(self.busy_nanos, seconds)
     }
 }
 
--- a/crates/cli/src/measure/pass_through.rs
+++ b/crates/cli/src/measure/pass_through.rs
@@ -1,5 +1,6 @@
-//! The baseline: the same sockets, codecs and event loop, and no decisions. Each request is forwarded at once to the store
-//! that its first extent falls to by count, and the store's reply is passed back unchanged.
+//! The baseline: the same sockets, codecs and event loop, without scheduling. Each request is forwarded at
+//! once, to the store whose index is that of the request's first extent modulo the number of stores, and the
+//! store's reply is returned unchanged.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,7 +16,7 @@
     extent_bytes: u64,
     volumes: Vec<u64>,
     stores: Vec<StoreId>,
-    /// By the attempt's number.
+    /// Forwarded requests by the number of their attempt.
     forwarded: HashMap<u64, ForwardedRequest>,
     last_number: u64,
     is_started: bool,
@@ -25,7 +26,7 @@
 struct ForwardedRequest {
     id: RequestId,
     offset: u64,
-    hold: BufferGuard,
+    buffer_guard: BufferGuard,
 }
 
 impl PassThrough {
@@ -64,7 +65,7 @@
         let extent = request.offset / self.extent_bytes;
         let store = self.stores[extent as usize % self.stores.len()];
         let forwarded =
-            ForwardedRequest { id: request.id, offset: request.offset, hold: request.hold.clone() };
+            ForwardedRequest { id: request.id, offset: request.offset, buffer_guard: request.hold.clone() };
         self.forwarded.insert(number, forwarded);
         let message = ToStore::Attempt(Attempt {
             number,
@@ -84,10 +85,11 @@
         Output::ToStore { store, message, hold: Some(request.hold) }
     }
 
-    /// The store's message as part of the reply to its request; stores count offsets from the extent's start.
+    /// Converts a store's message to a part of the reply to its request. Stores count offsets from the
+    /// extent's start.
     fn reply(&mut self, message: FromStore) -> Option<Output> {
         let number = attempt_number(&message)?;
-        let ForwardedRequest { id, offset, hold } = self.forwarded.get(&number).cloned()?;
+        let ForwardedRequest { id, offset, buffer_guard } = self.forwarded.get(&number).cloned()?;
         let extent_start = offset - offset % self.extent_bytes;
         let part = match message {
             FromStore::Data { offset, data, .. } => {
@@ -104,11 +106,11 @@
                 return None;
             }
         };
-        Some(Output::Reply { id, part, hold })
+        Some(Output::Reply { id, part, hold: buffer_guard })
     }
 }
 
-/// The attempt that a message is about, if any.
+/// The number of the attempt that a message belongs to, if any.
 fn attempt_number(message: &FromStore) -> Option<u64> {
     match message {
         FromStore::Data { number, .. } | FromStore::Hole { number, .. } => Some(*number),
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -1,4 +1,4 @@
-//! What state that is kept over restarts costs, and how long the largest one takes to save and restore.
+//! Measures what saving state for restarts costs, and how long the largest state takes to save and restore.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -25,10 +25,10 @@
 const MAX_STORES: u64 = 1000;
 /// Volumes with a virtual time at each store.
 const VOLUMES_PER_STORE: u64 = 100;
-/// Of this many volumes and stores, one changes between two saves.
+/// One in this many volumes and stores changes between two saves.
 const CHANGED_ONE_IN: usize = 100;
 
-/// Compares a gateway that saves its state with the same one that does not.
+/// Compares a gateway that saves its state with the same gateway that does not.
 pub(super) async fn measure_cost(
     without: &MeasuredGateway,
     fleet: &Fleet,
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Measures how long a start takes that finds the largest state, and how large that is.
+/// Measures how long it takes to save the largest state and to open it at a start, and how large it is.
 pub(super) fn measure_largest(folder: &Path) -> Result<(), MeasureError> {
     let io_error = |source| MeasureError::FolderIo { folder: folder.into(), source };
     let TakenSnapshot { duration: snapshot_duration, snapshot } = take_snapshot(&largest_snapshot())?;
@@ -94,12 +94,12 @@
 }
 
 struct TakenSnapshot {
-    /// How long the core took, and the event loop with it.
+    /// How long the core took; the event loop is blocked meanwhile.
     duration: Duration,
     snapshot: Snapshot,
 }
 
-/// Restores a snapshot in a core and times how long it takes to hand out its own.
+/// Restores a snapshot in a core and times how long the core takes to produce its own snapshot.
 fn take_snapshot(saved: &Snapshot) -> Result<TakenSnapshot, MeasureError> {
     let mut settings = demo::document(1)?.settings;
     let volume = settings.volumes[0].clone();
@@ -112,15 +112,15 @@
     let mut core = Core::new(Arc::new(settings), 1, Duration::ZERO);
     let age = Some(Duration::from_millis(100));
     core.handle(Duration::ZERO, vec![Input::Restore { snapshot: saved.clone(), age }]);
-    let take = Input::TakeSnapshot { promise_duration: saved.promise_duration };
+    let request = Input::TakeSnapshot { promise_duration: saved.promise_duration };
     let started = Instant::now();
-    let outputs = core.handle(Duration::from_secs(1), vec![take]);
+    let outputs = core.handle(Duration::from_secs(1), vec![request]);
     let duration = started.elapsed();
     let taken = outputs.into_iter().find_map(|output| match output {
         Output::SaveSnapshot(snapshot) => Some(snapshot),
         _ => None,
     });
-    // Without an endpoint list the core has no stores of its own to save.
+    // Without an endpoint list the core knows no stores, so its snapshot has none.
     let snapshot = Snapshot { stores: saved.stores, ..taken.ok_or(MeasureError::NoSnapshot)? };
     Ok(TakenSnapshot { duration, snapshot })
 }
--- a/crates/cli/src/measure/testbed.rs
+++ b/crates/cli/src/measure/testbed.rs
@@ -1,4 +1,5 @@
-//! What is measured: a gateway on loopback, deciding or passing through, with stores too fast to limit it.
+//! The measured gateway: on loopback, with the core or the pass-through as its handler, and with stores so
+//! fast that they do not limit it.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -18,20 +19,20 @@
 use crate::demo;
 use crate::error::ScriptProblems;
 
-/// The volume that the load goes to.
+/// The volume that receives the load.
 pub(super) const VOLUME: &str = "central";
 /// Bytes of each request of the load.
 pub(super) const BLOCK_BYTES: u32 = 4096;
-/// Requests go to this many blocks of the volume, written beforehand.
+/// Number of blocks of the volume that receive requests; they are written beforehand.
 pub(super) const BLOCKS: u64 = 4096;
 /// Blocks written at once to fill the volume.
 const BLOCKS_PER_FILL: u64 = 16;
-/// Attempts of each write that fills the volume: those at the start are throttled.
+/// Attempts of each write that fills the volume: the first ones are throttled.
 const FILL_ATTEMPTS: u32 = 100;
-/// Both kinds of gateway draw from the same seed.
+/// Seed of the random draws, the same for both kinds of gateway.
 const SEED: u64 = 1;
 
-/// What decides in a measured gateway.
+/// The request handler of a measured gateway.
 pub(super) enum HandlerKind {
     Core,
     PassThrough,
@@ -44,7 +45,7 @@
 }
 
 impl MeasuredGateway {
-    /// Starts one on the demo's settings, with or without a state folder.
+    /// Starts a gateway with the demo's settings, with or without a state folder.
     pub(super) async fn start(
         kind: HandlerKind,
         fleet: &Fleet,
@@ -53,20 +54,20 @@
         let document = settings_document()?;
         let settings = Arc::new(document.settings.clone());
         let options = options(document, fleet, state, None);
-        MeasuredGateway::host(kind, settings, options).await
+        MeasuredGateway::start_with_handler(kind, settings, options).await
     }
 
-    /// Starts one that follows a log of changes.
+    /// Starts a gateway that follows a change log.
     pub(super) async fn start_following(
         fleet: &Fleet,
         settings: Arc<Settings>,
         changes: ChangeSource,
     ) -> Result<MeasuredGateway, MeasureError> {
         let options = options(settings_document()?, fleet, None, Some(changes));
-        MeasuredGateway::host(HandlerKind::Core, settings, options).await
+        MeasuredGateway::start_with_handler(HandlerKind::Core, settings, options).await
     }
 
-    async fn host(
+    async fn start_with_handler(
         kind: HandlerKind,
         settings: Arc<Settings>,
         options: GatewayOptions,
@@ -121,7 +122,7 @@
     Fleet::start(4, power, 1).await.map_err(MeasureError::Stores)
 }
 
-/// The demo's settings, with plans as large as the stores, so that their rates delay nothing.
+/// The demo's settings, with plan rates as high as the stores' capacity, so that plans delay no request.
 pub(super) fn settings_document() -> Result<SettingsDocument, ScriptProblems> {
     let mut document = demo::document(1)?;
     document.settings.bounds.bytes = 256 << 20;
--- a/crates/cli/src/measure/timed_handler.rs
+++ b/crates/cli/src/measure/timed_handler.rs
@@ -1,4 +1,4 @@
-//! A request handler that is timed from outside: how long it occupies the event loop.
+//! A wrapper that measures how long a request handler occupies the event loop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -1,4 +1,4 @@
-//! `umbertray nbd`: an NBD client on the project's own codec, for operators and tests.
+//! `umbertray nbd`: an NBD client with the project's own codec, for operators and tests.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::error::CommandError;
 use crate::output;
 
-/// In a block status reply: the extent is a hole (`NBD_STATE_HOLE` of `base:allocation`).
+/// Flag of an extent in a block status reply: the extent is a hole (`NBD_STATE_HOLE` of `base:allocation`).
 const STATE_HOLE: u32 = 1;
 
 #[derive(clap::Args)]
@@ -25,10 +25,10 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Range {
-    /// Bytes from the export's start.
+    /// Offset from the start of the export, in bytes.
     #[arg(long, default_value_t = 0)]
     offset: u64,
-    /// Bytes.
+    /// Length in bytes.
     #[arg(long)]
     length: u32,
 }
@@ -44,7 +44,7 @@
         #[command(flatten)]
         range: Range,
     },
-    /// Writes standard input at an offset.
+    /// Writes standard input to the export, starting at an offset.
     Write {
         #[command(flatten)]
         target: Target,
@@ -151,7 +151,7 @@
     connection.map_err(CommandError::io(format!("{address} {export}")))
 }
 
-/// The reply, where there is one and it is no error.
+/// Returns the reply; fails if there is none or if it is an error.
 fn check_reply(reply: Ended) -> Result<Whole, CommandError> {
     let reply = reply.ok_or(CommandError::NoReply)?;
     match reply.error {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,10 +1,10 @@
-//! Standard output, which a reader may close at any time.
+//! Printing to standard output, which its reader may close at any time.
 
 use std::io::Write;
 
 pub(crate) fn print(text: &str) {
     let mut out = std::io::stdout().lock();
-    // A reader that closes the pipe early, as `head` does, is no failure of the command.
+    // A reader that closes the pipe early, as `head` does, is not a failure of the command.
     _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
 
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,4 +1,4 @@
-//! `umbertray relay`: a process that carries the log of changes, and the status that operators ask it for.
+//! `umbertray relay`: runs a relay, which forwards the change log, or queries the status of running relays.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,11 +17,11 @@
     /// The relay's script: relay(listen = ..., changes = ...).
     #[arg(long)]
     config: PathBuf,
-    /// Asks the relay that listens there, or those at these addresses, for their version and for how many members have
-    /// applied the newest one.
+    /// Queries the running relay of this script, or the relays at these addresses, for their versions and for
+    /// how many members have applied the newest version.
     #[arg(long, value_name = "HOST:PORT", num_args = 0..)]
     status: Option<Vec<SocketAddr>>,
-    /// Asks how many members have applied this version instead of the newest.
+    /// Counts the members that have applied this version instead of the newest one.
     #[arg(long, value_name = "VERSION", requires = "status")]
     in_force: Option<u64>,
 }
@@ -33,12 +33,12 @@
     match arguments.status {
         Some(addresses) if addresses.is_empty() => status(&[settings.listen], arguments.in_force).await,
         Some(addresses) => status(&addresses, arguments.in_force).await,
-        None => host(settings).await,
+        None => run_relay(settings).await,
     }
 }
 
-/// Runs the relay until a signal or its end.
-async fn host(settings: RelaySettings) -> Result<(), CommandError> {
+/// Runs the relay until a stop signal or until it terminates by itself.
+async fn run_relay(settings: RelaySettings) -> Result<(), CommandError> {
     let RelaySettings { listen, name, zone, changes, folder } = settings;
     let seed = volume_id(&name);
     let options =
@@ -51,7 +51,7 @@
     }
 }
 
-/// Polls each relay once and prints a line for each, then the sum over them.
+/// Queries each relay once and prints a line for each, then a line with the sums over all.
 async fn status(addresses: &[SocketAddr], in_force: Option<u64>) -> Result<(), CommandError> {
     let mut statuses = Vec::new();
     for address in addresses {
@@ -59,7 +59,7 @@
         print_status(*address, &status);
         statuses.push(status);
     }
-    output::print_json(&sum(&statuses, in_force));
+    output::print_json(&summary(&statuses, in_force));
     Ok(())
 }
 
@@ -70,8 +70,8 @@
     }));
 }
 
-/// Members that have applied a version, the newest where none is given, and those that lag behind it.
-fn sum(statuses: &[Status], in_force: Option<u64>) -> Value {
+/// How many members have applied a version, the newest if none is given, and which members lag behind it.
+fn summary(statuses: &[Status], in_force: Option<u64>) -> Value {
     let newest = statuses.iter().map(|status| status.head.version).max().unwrap_or_default();
     let version = in_force.unwrap_or(newest);
     let topmost = topmost(statuses);
@@ -86,7 +86,8 @@
     })
 }
 
-/// The relays that have no other of them upstream: their sums include those below, so that each member counts once.
+/// The relays with none of the other relays upstream. The sums of a relay include those of the relays
+/// downstream, so that each member is counted once.
 fn topmost(statuses: &[Status]) -> Vec<&Status> {
     let is_downstream = |status: &Status| {
         statuses.iter().any(|other| other.name != status.name && status.path.contains(&other.name))
--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -9,54 +9,57 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Arguments {
-    /// Gateways in all; in a sweep, the most.
+    /// Total number of gateways; in a sweep, the largest number.
     #[arg(long, default_value_t = 100)]
     pub(super) gateways: u32,
-    /// Of them, gateways that run in processes of their own.
+    /// Number of these gateways that run in their own processes.
     #[arg(long, default_value_t = 1)]
     pub(super) real: u32,
-    /// Stores that the list names; in a sweep, the most.
+    /// Number of stores in the endpoint list; in a sweep, the largest number.
     #[arg(long, default_value_t = 400)]
     pub(super) stores: u32,
-    /// Stores that answer; nothing listens at the addresses of the others. As many as this machine has capacity for where it is not
-    /// given.
+    /// Number of stores that respond; nothing listens at the addresses of the others. By default, as many as
+    /// this machine has capacity for.
     #[arg(long)]
     pub(super) answering: Option<u32>,
     #[arg(long, default_value_t = 100)]
     pub(super) volumes: u32,
-    /// How long a fleet is measured.
+    /// Seconds for which a fleet is measured.
     #[arg(long, default_value_t = 10.0)]
     pub(super) seconds: f64,
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Changes of configuration a second while it is measured; without them a few are made afterwards.
+    /// Configuration changes per second during the measurement; with 0, a few are made after it.
     #[arg(long, default_value_t = 0.0)]
     pub(super) changes: f64,
-    /// Restarts of gateways an hour, in the whole fleet.
+    /// Gateway restarts per hour over the entire fleet.
     #[arg(long, default_value_t = 0.0)]
     pub(super) restarts: f64,
-    /// Relays in each of six zones, besides three that read the folder; without them gateways read the folder.
+    /// Relays in each of six zones, in addition to three that read the folder of the change log; with 0,
+    /// gateways read the folder.
     #[arg(long, default_value_t = 0)]
     pub(super) relays: u32,
-    /// The fault of one relay in each zone a third into the measured time: killed, or stopped for another third.
+    /// Fault of one relay in each zone after a third of the measured time: killed, or stopped for another
+    /// third.
     #[arg(long, requires = "relays", value_name = "killed|stopped")]
     pub(super) relay_fault: Option<Fault>,
     /// Factors to sweep one after another: stores, gateways, changes, restarts, volumes.
     #[arg(long, value_delimiter = ',')]
     pub(super) factors: Vec<Factor>,
-    /// Causes load spikes: all started at once, a zone lost and back, list and coordinator stopped or killed.
+    /// Measures load spikes: all gateways started at once, a zone lost and restored, endpoint list and
+    /// coordinator stopped or killed.
     #[arg(long, conflicts_with = "factors")]
     pub(super) moments: bool,
-    /// Number of measurements of each size of a sweep.
+    /// Number of measurements of each size in a sweep.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100))]
     pub(super) repeats: u32,
-    /// Runs nothing: computes fits and charts again from the lines in `--out`.
+    /// Runs no fleet; recomputes fits and charts from the lines in `--out`.
     #[arg(long, requires = "out", conflicts_with_all = ["factors", "moments"])]
     pub(super) refit: bool,
-    /// Fails where a change took longer than this to be in force at any gateway.
+    /// Fails if a change took longer than this to be in force at any gateway.
     #[arg(long, value_name = "SECONDS")]
     pub(super) most_in_force: Option<f64>,
-    /// Fails where an idle gateway uses more of a core than this.
+    /// Fails if an idle gateway uses more than this percentage of a core.
     #[arg(long, value_name = "PERCENT")]
     pub(super) most_core: Option<f64>,
     /// Folder for the lines, a description of the machine, fits and charts.
@@ -81,7 +84,7 @@
         }
     }
 
-    /// The budgets that a measured line exceeds, after what it reports as broken itself.
+    /// What a measured line itself reports as broken, then the budgets that it exceeds.
     pub(super) fn exceeded_budgets(&self, line: &Line) -> Vec<String> {
         let mut exceeded = line.broken.clone();
         exceeded.extend(self.exceeded_in_force(line));
@@ -100,6 +103,6 @@
         let used = line.idle_core_percent;
         let is_gateway = matches!(line.role, None | Some(Role::Gateway));
         (is_gateway && used > allowed)
-            .then(|| format!("a gateway takes {used}% of a core, {allowed} is allowed"))
+            .then(|| format!("a gateway uses {used}% of a core, {allowed} is allowed"))
     }
 }
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `umbertray scale`: what a fleet's size costs each of its members.
+//! `umbertray scale`: measures how the cost of each member of a fleet grows with the size of the fleet.
 
 mod arguments;
 
@@ -54,7 +54,7 @@
     umbertray_scale::worker::run(prepare).await.map_err(CommandError::Ended)
 }
 
-/// What a worker starts a gateway with, or why it cannot, as its protocol says it.
+/// The settings and options that a worker starts a gateway with, or the error as its protocol reports it.
 type Prepared = Pin<Box<dyn Future<Output = Result<(Arc<Settings>, GatewayOptions), String>> + Send>>;
 
 async fn prepare(file: PathBuf) -> Result<(Arc<Settings>, GatewayOptions), String> {
@@ -62,7 +62,7 @@
     Ok((prepared.settings, prepared.options))
 }
 
-/// Runs what the arguments ask for; returns the budgets that were exceeded.
+/// Runs the measurement that the arguments select; returns the budgets that were exceeded.
 async fn measure(arguments: &Arguments) -> Result<Vec<String>, ScaleError> {
     if let Some(folder) = arguments.out.as_deref().filter(|_| arguments.refit) {
         refit_lines(folder)?;
@@ -86,14 +86,14 @@
     result
 }
 
-/// Computes fits and charts again from the lines of earlier runs.
+/// Recomputes fits and charts from the lines of earlier runs.
 fn refit_lines(folder: &Path) -> Result<(), ScaleError> {
     let out = Out::open(folder)?;
     let lines = out.kept().map_err(io_error("--out"))?;
     out.slopes(&refit(&lines))
 }
 
-/// Rejects a plan, or any of a sweep, that this machine cannot run, before the first one starts.
+/// Rejects a plan, or any plan of a sweep, that this machine cannot run, before the first one starts.
 fn check_demand(arguments: &Arguments, plan: &Plan, limits: &Limits) -> Result<(), ScaleError> {
     if arguments.factors.is_empty() {
         demand(plan, limits)?;
@@ -137,7 +137,12 @@
     for slope in slopes.iter().filter(|slope| !slope.held_out.understood()) {
         let factor = slope.factor.name();
         let error = slope.held_out.error * 100.0;
-        tracing::warn!(factor, figure = slope.figure, error, "not understood");
+        tracing::warn!(
+            factor,
+            figure = slope.figure,
+            error,
+            "fit did not predict the measurement at the largest size"
+        );
     }
     recorder.out.as_ref().map_or(Ok(()), |out| out.slopes(&slopes))
 }
@@ -147,7 +152,7 @@
     arguments: &'a Arguments,
     out: Option<Out>,
     exceeded: Vec<String>,
-    /// The first error of the folder; the run goes on, since its lines are printed too.
+    /// The first error of writing to the folder. The run continues, since the lines are printed too.
     write_error: Option<io::Error>,
 }
 
@@ -176,7 +181,8 @@
     }
 }
 
-/// A folder for the logs of this run; removed with it, unless a failure is explained there.
+/// A folder for the logs of this run. It is removed at the end of the run, unless the logs may explain a
+/// failure.
 struct ScratchFolder(PathBuf);
 
 impl ScratchFolder {
@@ -186,7 +192,7 @@
 
     fn keep(mut self) {
         let folder = std::mem::take(&mut self.0);
-        tracing::warn!(folder = %folder.display(), "logs are kept there");
+        tracing::warn!(folder = %folder.display(), "logs of the run were kept");
     }
 }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,5 @@
-//! `umbertray serve`: one gateway process.
+//! `umbertray serve`: runs one NBD gateway process. Other commands read settings and start gateways through
+//! this module too.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -27,7 +28,7 @@
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let PreparedGateway { settings, options } = prepare(&arguments.config).await?;
     let gateway = umbertray_nbd_gateway::start(settings, options).await;
-    let mut gateway = gateway.map_err(CommandError::io("listen"))?;
+    let mut gateway = gateway.map_err(CommandError::io("cannot listen"))?;
     let addresses: Vec<String> = gateway.addresses.iter().map(ToString::to_string).collect();
     output::print_json(&json!({ "nbd": addresses, "exports": gateway.exports() }));
     tokio::select! {
@@ -37,15 +38,15 @@
     gateway.stop().await.map_err(CommandError::Ended)
 }
 
-/// A gateway's settings, as far as they are known without its relays.
+/// A gateway's settings, as far as they are known without a query to its relays.
 pub(crate) enum Document {
-    /// The script's, with those of the log of changes where it names a folder.
+    /// The script's settings, with the shared ones of the change log if the script names its folder.
     Complete(SettingsDocument),
-    /// The script's alone: relays have the shared settings.
+    /// Only the script's own settings: the shared ones must come from relays.
     OwnPart(SettingsDocument),
 }
 
-/// Reads a script and the log of changes in the folder that it names, if any. Relays are not asked.
+/// Reads a script and the change log in the folder that it names, if any. Relays are not queried.
 pub(crate) fn read_document(file: &Path) -> Result<Document, CommandError> {
     let script = Script::read(file)?;
     if !script.follows_log() {
@@ -68,7 +69,7 @@
 }
 
 impl PreparedGateway {
-    /// Takes the shared settings from the log of changes where the gateway follows one.
+    /// Uses the shared settings of the change log if the gateway follows one.
     fn new(document: SettingsDocument, changes: Option<ChangeSource>) -> PreparedGateway {
         let settings = match &changes {
             Some(changes) => changes.at().version.settings(&document.settings),
@@ -86,7 +87,8 @@
     }
 }
 
-/// Reads a script and, where it names one, the log of changes from the version that the gateway applied last.
+/// Reads a script and, if it names a change log, opens that log. The log in a folder is rejected if it ends
+/// before the version that the gateway applied last, or has another change as that version.
 pub(crate) async fn prepare(file: &Path) -> Result<PreparedGateway, CommandError> {
     let script = Script::read(file)?;
     if !script.follows_log() {
@@ -105,7 +107,7 @@
     changes: Option<ChangeSource>,
 ) -> Result<RunningGateway, CommandError> {
     let PreparedGateway { settings, options } = PreparedGateway::new(document, changes);
-    umbertray_nbd_gateway::start(settings, options).await.map_err(CommandError::io("listen"))
+    umbertray_nbd_gateway::start(settings, options).await.map_err(CommandError::io("cannot listen"))
 }
 
 /// Returns once the program receives SIGTERM or SIGINT.
@@ -120,7 +122,7 @@
 }
 
 fn listen_for(kind: SignalKind) -> Result<Signal, CommandError> {
-    signal(kind).map_err(CommandError::io("signals"))
+    signal(kind).map_err(CommandError::io("cannot register signal handlers"))
 }
 
 /// An evaluated settings script.
@@ -138,7 +140,7 @@
         Ok(Script { file: name, calls })
     }
 
-    /// Whether it names a log of changes, which then has the shared settings.
+    /// Whether the script names a change log, which then has the shared settings.
     fn follows_log(&self) -> bool {
         self.calls.iter().any(names_log)
     }
@@ -151,7 +153,7 @@
         umbertray_config::own_part(&self.file, &self.calls).map_err(CommandError::Settings)
     }
 
-    /// The script's own part with the shared settings of the log.
+    /// The script's own settings with the shared settings of the change log.
     fn with_log(&self, log: &Replica) -> Result<SettingsDocument, CommandError> {
         let shared = log.version.configuration.calls();
         umbertray_config_log::version::document(&shared, &self.calls).map_err(CommandError::Configuration)
@@ -168,7 +170,7 @@
     let source = match own.changes {
         Some(umbertray_config::ChangeSource::Folder(folder)) => {
             let applied = state.as_deref().map(umbertray_nbd_gateway::read_applied_version).transpose();
-            let applied = applied.map_err(CommandError::io("the version acted on"))?.flatten();
+            let applied = applied.map_err(CommandError::io("cannot read the applied version"))?.flatten();
             let follower = Box::new(open_follower(Path::new(&folder), applied)?);
             ChangeSource::Folder { folder: folder.into(), follower, state_folder: state }
         }
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `umbertray soak`: randomized faults on real gateways, and the rules that they broke.
+//! `umbertray soak`: injects randomized faults into real gateways and prints the rules that they broke.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -10,25 +10,26 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Arguments {
-    /// Seed of all that is drawn at random; the first of the seeds.
+    /// Seed of all random draws; with --repeat, the first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Number of seeds, one after another.
+    /// Number of consecutive seeds to run, one after another.
     #[arg(long, default_value_t = 1)]
     repeat: u64,
-    /// Processes of `umbertray node`, each with a proxy on every link.
+    /// Number of `umbertray node` processes, each with a proxy on every link.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=40))]
     gateways: u32,
-    /// For how long faults are injected.
+    /// Seconds for which faults are injected.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(4..=600))]
     seconds: u64,
-    /// System calls of the gateways are interrupted, short or fail for a moment now and then; needs a C compiler.
+    /// Injects faults into the gateways' system calls: some are interrupted, return short counts or fail
+    /// transiently. Needs a C compiler.
     #[arg(long)]
     failing_calls: bool,
-    /// The program whose `node` is run; this one where it is not given.
+    /// The program whose `node` command is run; by default this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where configurations and logs go, one folder for each seed.
+    /// Folder for configurations and logs, with a sub-folder for each seed.
     #[arg(long, default_value = "soaks")]
     out: PathBuf,
 }
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-/// Whether the gateways kept all rules.
+/// Runs one seed; returns whether the gateways kept all rules.
 async fn run_seed(arguments: &Arguments, seed: u64, program: &Path) -> Result<bool, CommandError> {
     let duration = Duration::from_secs(arguments.seconds);
     let drawn = Plan::draw(seed, arguments.gateways, duration);
@@ -62,7 +63,8 @@
 
 fn print_findings(seed: u64, plan: &Plan, record: &Record, findings: &[Finding]) {
     output::print_line(&format!(
-        "seed {seed}: {} requests, {} later than 0.7 s after SIGTERM, {} endings, {} attempts, {} stopped clients, {} faults, held up {} times; {} findings",
+        "seed {seed}: {} requests, {} later than 0.7 s after SIGTERM, {} process exits, {} attempts, \
+         {} stopped clients, {} faults, {} stalls of the test itself; {} findings",
         record.requests.len(),
         soak::oracle::late_requests(record),
         record.exits.len(),
@@ -76,6 +78,6 @@
         output::print_line(&format!("  {finding}"));
     }
     if !findings.is_empty() {
-        output::print_line(&format!("  again: {plan}"));
+        output::print_line(&format!("  reproduce with: {plan}"));
     }
 }
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -1,4 +1,4 @@
-//! `umbertray state`: what is in a state folder or file, and what a gateway would restore of it.
+//! `umbertray state`: shows what a state folder or file holds, and what a gateway would restore from it.
 
 use std::cmp::Reverse;
 use std::path::{Path, PathBuf};
@@ -14,11 +14,12 @@
 
 #[derive(clap::Subcommand)]
 pub(crate) enum Command {
-    /// Prints each file: its gateway, its age, how much is in it, and whether it is complete. A line of JSON each.
+    /// Prints a line of JSON for each file: its gateway, its age, how much is in it, and whether it is
+    /// complete.
     Show { path: PathBuf },
-    /// Like show; fails where a file would not be restored, or not completely.
+    /// Like show, but fails if any file would not be restored, or not completely.
     Verify { path: PathBuf },
-    /// Prints all that would be restored as JSON.
+    /// Prints as JSON the state that a gateway would restore.
     Export { path: PathBuf },
 }
 
@@ -30,12 +31,12 @@
             print_files(&found);
             verify(&found)?;
         }
-        Command::Export { path } => export(find_files(&path)?)?,
+        Command::Export { path } => export(&path)?,
     }
     Ok(())
 }
 
-/// The files of a folder, or the one file, by generation, newest first.
+/// Reads the files of a state folder, newest generation first, or a single file.
 fn find_files(path: &Path) -> Result<Vec<FoundFile>, CommandError> {
     if path.is_dir() {
         let mut found = files(&Disk::read_only(path)).map_err(CommandError::io(path.display()))?;
@@ -81,14 +82,14 @@
     }
 }
 
-/// Whether the file is read to its end and is of the generation that its name says.
+/// Whether the file can be read to its end and has the generation that its name states.
 fn is_complete((_, generation, parsed): &FoundFile) -> bool {
     parsed.as_ref().is_ok_and(|file| file.torn_bytes == 0 && file.head.generation == *generation)
 }
 
-fn export(found: Vec<FoundFile>) -> Result<(), CommandError> {
-    let newest = found.into_iter().find_map(|(_, _, parsed)| parsed.ok());
-    let newest = newest.ok_or(CommandError::NoValidState)?;
+fn export(path: &Path) -> Result<(), CommandError> {
+    let newest = find_files(path)?.into_iter().find_map(|(_, _, parsed)| parsed.ok());
+    let newest = newest.ok_or_else(|| CommandError::NoValidState { path: path.display().to_string() })?;
     output::print_line(&serde_json::to_string_pretty(&newest.entry)?);
     Ok(())
 }
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -1,4 +1,5 @@
-//! Plans, volumes and limits changed while ops flow, through gateways in processes of their own that follow a log.
+//! Changes of plans, volumes and limits while ops are in flight. The gateways run in their own processes and
+//! follow a change log.
 
 use std::path::{Path, PathBuf};
 use std::process::Output;
@@ -40,7 +41,7 @@
 
 const AUTHOR: [&str; 4] = ["--actor", "ann", "--reason", "to see"];
 
-/// Runs a command that must succeed.
+/// Runs a `config` command that must succeed.
 fn expect_success(arguments: &[&str], changes: &Path) {
     let done = run_config(arguments, changes);
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
@@ -50,11 +51,11 @@
     expect_success(&[&["apply"], arguments, &AUTHOR].concat(), changes);
 }
 
-/// A folder of this test's own and a log of changes in it, at version 1.
+/// Creates a folder for one test, with a change log at version 1 in it.
 pub(crate) fn new_log(name: &str) -> (TestFolder, PathBuf) {
     let folder = empty_folder(name);
     let (file, changes) = (folder.join("shared.star"), folder.join("changes"));
-    std::fs::write(&file, SHARED).expect("room");
+    std::fs::write(&file, SHARED).expect("the test folder is writable");
     let arguments = [&["import", file.to_str().expect("UTF-8")][..], &AUTHOR].concat();
     expect_success(&arguments, &changes);
     (folder, changes)
@@ -66,11 +67,11 @@
     changes: &Path,
     number: u64,
 ) -> std::io::Result<Gateway> {
-    start_follower_in(fleet, folder, changes, number, &[]).await
+    start_follower_with_environment(fleet, folder, changes, number, &[]).await
 }
 
-/// The same with environment variables of its own.
-pub(crate) async fn start_follower_in(
+/// Starts a gateway that follows the log, with additional environment variables.
+pub(crate) async fn start_follower_with_environment(
     fleet: &Fleet,
     folder: &Path,
     changes: &Path,
@@ -78,7 +79,8 @@
     environment: &[(&str, String)],
 ) -> std::io::Result<Gateway> {
     let script = format!(
-        "gateway(listen = [\"127.0.0.1:0\"], list = {:?}, seed = {number}, gateways = 2, extent = 256 * KiB, state = {:?}, changes = {:?})",
+        "gateway(listen = [\"127.0.0.1:0\"], list = {:?}, seed = {number}, gateways = 2, extent = 256 * KiB, \
+         state = {:?}, changes = {:?})",
         fleet.list.address.to_string(),
         folder.join(format!("state-{number}")),
         changes
@@ -102,30 +104,30 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    within(20, "acting on a version", waiting).await;
+    within(20, "the version to be applied", waiting).await;
 }
 
-/// What clients saw that write as fast as they are answered.
+/// Results of clients that write again as soon as they have a reply.
 #[derive(Default)]
 struct Load {
     acked: AtomicU32,
     throttled: AtomicU32,
     late: AtomicU32,
-    strays: AtomicU32,
-    over: AtomicBool,
+    unexpected_replies: AtomicU32,
+    must_stop: AtomicBool,
 }
 
 async fn write_in_a_loop(load: Arc<Load>, address: std::net::SocketAddr, volume: &'static str, block: u64) {
     let Ok(connection) = Connection::open(address, volume, true).await else { return };
-    while !load.over.load(Ordering::Relaxed) {
+    while !load.must_stop.load(Ordering::Relaxed) {
         let sent_at = Instant::now();
         let ended = connection.write(block * 4096, block_contents(block + 1, block, 1)).await;
         let late = sent_at.elapsed() > Duration::from_secs(1) + Duration::from_millis(250);
         load.late.fetch_add(u32::from(late), Ordering::Relaxed);
         let count = match &ended {
-            Some(whole) if whole.error.is_none() => &load.acked,
+            Some(reply) if reply.error.is_none() => &load.acked,
             ended if is_throttled(ended) => &load.throttled,
-            // Its volume was removed, and the session ends.
+            // The volume was removed, and the session is closed.
             _ => break,
         };
         count.fetch_add(1, Ordering::Relaxed);
@@ -134,7 +136,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
-    load.strays.fetch_add(connection.strays().len() as u32, Ordering::Relaxed);
+    load.unexpected_replies.fetch_add(connection.strays().len() as u32, Ordering::Relaxed);
 }
 
 fn spawn_writers(
@@ -145,14 +147,15 @@
 ) -> tokio::task::JoinSet<()> {
     let mut clients = tokio::task::JoinSet::new();
     for (n, gateway) in gateways.iter().enumerate() {
-        for place in 0..each {
-            clients.spawn(write_in_a_loop(load.clone(), gateway.address, volume, n as u64 * 64 + place));
+        for client in 0..each {
+            clients.spawn(write_in_a_loop(load.clone(), gateway.address, volume, n as u64 * 64 + client));
         }
     }
     clients
 }
 
-/// Writes acknowledged within a duration that begins now, and how many seconds that came to.
+/// Counts the writes that are acknowledged within a duration from now; returns the count and the seconds it
+/// really took.
 async fn acked_during(load: &Load, duration: Duration) -> (f64, f64) {
     let (before, began) = (load.acked.load(Ordering::Relaxed), Instant::now());
     tokio::time::sleep(duration).await;
@@ -160,7 +163,8 @@
     (f64::from(acked), began.elapsed().as_secs_f64())
 }
 
-/// 1. A weight, a limit lowered, a plan move, a volume added and one removed at the peak of a burst.
+/// 1. At the peak of a burst a weight is set, a limit is lowered, a volume is moved to another plan, a volume
+/// is added and one is removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_under_peak_load_drop_nothing_and_keep_limit() {
     let ((folder, changes), fleet) = (new_log("peak"), start_fleet(2).await);
@@ -201,35 +205,39 @@
     apply_change(&["--remove", "volume/vol", "--allow", "removal"], &changes);
     wait_until_applied(&folder, 1, 8).await;
     wait_until_applied(&folder, 2, 8).await;
-    // The sessions of the removed volume end by themselves; new ones find no such export.
-    within(5, "the sessions of the removed volume", async {
+    // The gateways close the sessions of the removed volume; new sessions find no such export.
+    within(5, "the end of the sessions on the removed volume", async {
         while vol_writers.join_next().await.is_some() {}
     })
     .await;
     assert!(Connection::open(gateways[0].address, "vol", true).await.is_err());
     let new = Connection::open(gateways[1].address, "new", true).await.expect("the new volume");
     expect_acked(&retry_throttled(async || new.write(0, block_contents(7, 0, 1)).await).await);
-    other.over.store(true, Ordering::Relaxed);
-    within(5, "the others", async { while other_writers.join_next().await.is_some() {} }).await;
+    other.must_stop.store(true, Ordering::Relaxed);
+    within(5, "the end of the other clients", async { while other_writers.join_next().await.is_some() {} })
+        .await;
     for load in [&vol, &other] {
-        let late = (load.late.load(Ordering::Relaxed), load.strays.load(Ordering::Relaxed));
-        assert_eq!(late, (0, 0), "late answers, and answers to nothing");
+        let late = (load.late.load(Ordering::Relaxed), load.unexpected_replies.load(Ordering::Relaxed));
+        assert_eq!(late, (0, 0), "late replies, and unexpected replies");
     }
     let (rejected, served) = (other.throttled.load(Ordering::Relaxed), other.acked.load(Ordering::Relaxed));
-    assert!(rejected * 20 <= served, "{rejected} of {served} turned away where nothing was lowered");
+    assert!(
+        rejected * 20 <= served,
+        "{rejected} rejected and {served} served, although no limit of this volume was lowered"
+    );
 }
 
-/// One gateway never learns of a lowered limit: the sum is that of the shares that each has applied. A log that was
-/// restored to an older copy is rejected.
+/// One gateway is never notified of a lowered limit: the total is the sum of the shares that each gateway has
+/// applied. A log that was restored to an older copy is rejected.
 #[tokio::test(flavor = "multi_thread")]
 async fn gateway_without_news_keeps_its_share_and_rejects_older_log() {
     let ((folder, changes), fleet) = (new_log("never"), start_fleet(2).await);
     let copy = folder.join("copy");
     let copy_log = || {
-        std::fs::create_dir_all(&copy).expect("room");
-        for file in std::fs::read_dir(&changes).expect("there") {
-            let file = file.expect("there");
-            std::fs::copy(file.path(), copy.join(file.file_name())).expect("room");
+        std::fs::create_dir_all(&copy).expect("the test folder is writable");
+        for file in std::fs::read_dir(&changes).expect("it exists") {
+            let file = file.expect("it exists");
+            std::fs::copy(file.path(), copy.join(file.file_name())).expect("the test folder is writable");
         }
     };
     copy_log();
@@ -246,29 +254,29 @@
     let mut clients = spawn_writers(&load, &gateways, "vol", 8);
     let (acked, seconds) = acked_during(&load, Duration::from_secs(1)).await;
     // Half of 40 and half of 400 a second, half of each burst, the slack and the writes in flight.
-    let most = (20.0 + 200.0) * (seconds + 0.5) + 20.0 + 200.0 + 40.0;
-    assert!(acked <= most, "{acked} of {most}");
-    load.over.store(true, Ordering::Relaxed);
+    let max_acked = (20.0 + 200.0) * (seconds + 0.5) + 20.0 + 200.0 + 40.0;
+    assert!(acked <= max_acked, "{acked} of {max_acked}");
+    load.must_stop.store(true, Ordering::Relaxed);
     within(5, "the clients", async { while clients.join_next().await.is_some() {} }).await;
     // The first gateway restarts on a copy from before the change.
     gateways[0].kill().await.expect("it runs");
-    let refused = start_follower(&fleet, &folder, &copy, 1).await;
-    assert!(refused.is_err());
+    let rejected = start_follower(&fleet, &folder, &copy, 1).await;
+    assert!(rejected.is_err());
     let log = std::fs::read_to_string(folder.join("g1.log")).expect("a log");
     assert!(log.contains("ends at version 1, this gateway has acted on version 2"), "{log}");
     // It accepts the current log.
     start_follower(&fleet, &folder, &changes, 1).await.expect("it starts");
 }
 
-/// Each kind of failure has its exit status, and a text that names what is wrong and where.
+/// Each kind of failure has its exit status, and a message that names what is wrong and where.
 #[test]
 fn config_commands_that_fail_report_status_and_reason() {
     let (folder, changes) = new_log("words");
-    let fails = |arguments: &[&str], status: i32, why: &str| {
+    let fails = |arguments: &[&str], status: i32, reason: &str| {
         let ended = run_config(arguments, &changes);
         let stderr = String::from_utf8_lossy(&ended.stderr);
         assert_eq!(ended.status.code(), Some(status), "{arguments:?}: {stderr}");
-        assert!(stderr.contains(why), "{arguments:?}: {stderr}");
+        assert!(stderr.contains(reason), "{arguments:?}: {stderr}");
     };
     let with_author = |arguments: &[&'static str]| [arguments, &AUTHOR].concat();
     apply_change(&["--set", "plan/free:weight=2", "--id", "one"], &changes);
@@ -299,35 +307,36 @@
     shows(&["show"], "plan(\"free\", rate = 1000.0, reserve = 0.0, weight = 1.0)");
     shows(&["show", "--at", "2"], "weight = 2.0");
     shows(&["show", "--at", "2100-01-01T00:00:00Z"], "# Version 3");
-    // An exported script can be applied: without edits it changes nothing.
+    // The exported script is accepted by `apply`, but has no edits.
     let exported = run_config(&["export"], &changes).stdout;
     let file = folder.join("exported.star");
-    std::fs::write(&file, exported).expect("room");
+    std::fs::write(&file, exported).expect("the test folder is writable");
     fails(
         &with_author(&["apply"]).into_iter().chain([file.to_str().expect("UTF-8")]).collect::<Vec<_>>(),
         2,
         "nothing would change",
     );
     let log =
-        std::fs::read_dir(&changes).expect("there").filter_map(|file| file.ok()).map(|file| file.path());
+        std::fs::read_dir(&changes).expect("it exists").filter_map(|file| file.ok()).map(|file| file.path());
     let log = log
         .filter(|path| path.extension().is_some_and(|extension| extension == "log"))
         .max()
         .expect("a segment");
-    let mut bytes = std::fs::read(&log).expect("there");
+    let mut bytes = std::fs::read(&log).expect("it exists");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
-    std::fs::write(&log, bytes).expect("room");
+    std::fs::write(&log, bytes).expect("the test folder is writable");
     fails(&with_author(&["apply", "--set", "plan/free:weight=3"]), 5, ".log:");
 }
 
-/// A change whose end is not known is sent again as it was typed: under its id it is done once. It was refused as another
-/// change, since the version that it is written from, where none is named, was the newest of each moment.
+/// A change with an unknown outcome is sent again with the same arguments: under its id it is committed once.
+/// Guards against its rejection as a different change: without `--base`, its base was the newest version at
+/// the time of each command.
 #[test]
 fn change_sent_again_under_its_id_is_done_once() {
     let folder = empty_folder("again");
     let changes = folder.join("changes");
-    let says = |arguments: &[&str], what: &str| {
+    let prints = |arguments: &[&str], what: &str| {
         let ended = run_config(&[arguments, &AUTHOR].concat(), &changes);
         let stdout = String::from_utf8_lossy(&ended.stdout).into_owned();
         let stderr = String::from_utf8_lossy(&ended.stderr);
@@ -335,38 +344,39 @@
     };
     let write = |name: &str, text: &str| {
         let file = folder.join(name);
-        std::fs::write(&file, text).expect("room");
+        std::fs::write(&file, text).expect("the test folder is writable");
         file.to_str().expect("UTF-8").to_string()
     };
     let shared = write("shared.star", SHARED);
     let import = ["import", &shared, "--id", "first"];
-    says(&import, "version 1");
-    says(&import, "version 1, done before");
+    prints(&import, "version 1");
+    prints(&import, "version 1, already committed");
     let set = ["apply", "--set", "plan/free:weight=2", "--id", "set"];
-    says(&set, "version 2");
-    says(&set, "version 2, done before");
+    prints(&set, "version 2");
+    prints(&set, "version 2, already committed");
     let heavier = write(
         "heavier.star",
         &SHARED.replace(r#"plan("free", rate = 1000)"#, r#"plan("free", rate = 1000, weight = 3)"#),
     );
     let script = ["apply", &heavier, "--id", "script"];
-    says(&script, "version 3");
-    // Another change comes in between.
-    says(&["apply", "--set", "plan/free:weight=4"], "version 4");
-    says(&script, "version 3, done before");
-    says(&set, "version 2, done before");
+    prints(&script, "version 3");
+    // Another change is committed in between.
+    prints(&["apply", "--set", "plan/free:weight=4"], "version 4");
+    prints(&script, "version 3, already committed");
+    prints(&set, "version 2, already committed");
     let ended = run_config(
         &[&["apply", "--set", "plan/free:weight=9", "--id", "set"][..], &AUTHOR].concat(),
         &changes,
     );
-    assert_eq!(ended.status.code(), Some(2), "another change under an id that is taken");
+    assert_eq!(ended.status.code(), Some(2), "a different change under an id that is in use");
 }
 
 /// Plans, weights and limits change at the peak of a burst and while gateways are down.
 ///
-/// This failed on rule 7, 12 to 13 units over, where a machine's syncs were slow (400 ms): a gateway wrote a change to its
-/// own disk, two syncs and a rename, before it acted on it and before it read the next one. The breach named the lowered
-/// limit and nothing else around it; a gateway whose syncs took 1 s acted 3.0 s after the commit. See `slow_disks`.
+/// This test failed on rule 7, by 12 to 13 units, on a machine with slow syncs (400 ms): a gateway wrote a
+/// change to its own disk, with two syncs and a rename, before it applied the change and before it read the
+/// next one. The breach named the lowered limit and no fault at that time; a gateway whose syncs took 1 s
+/// applied a change 3.0 s after its commit. See `slow_disks`.
 #[tokio::test(flavor = "multi_thread")]
 async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
@@ -376,7 +386,8 @@
     assert_mostly_acked(&verdict);
 }
 
-/// A drain used the op timeouts that the gateway had started with and closed open requests without a reply.
+/// Guards against a drain that uses the op timeouts with which the gateway was started: it closed open
+/// requests without a reply.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_after_change_uses_op_timeouts_in_force() {
     let ((folder, changes), fleet) = (new_log("drain"), start_fleet(1).await);
@@ -391,6 +402,6 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         gateway.signal(nix::sys::signal::Signal::SIGTERM).expect("it runs");
     });
-    assert!(reply.is_some(), "closed without an answer");
+    assert!(reply.is_some(), "closed without a reply");
     gateway.kill().await.ok();
 }
--- a/crates/cli/tests/sockets/slow_disks.rs
+++ b/crates/cli/tests/sockets/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Processes whose own folder is on a disk with slow syncs: no change and no op waits for it.
+//! Processes whose own folder is on a disk with slow syncs: no change and no op waits for these syncs.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,47 +14,51 @@
 use umbertray_store_protocol::orders::ExtentRange;
 use umbertray_store_protocol::volume_id;
 
-use crate::changes::{apply_change, new_log, start_follower_in, wait_until_applied};
+use crate::changes::{apply_change, new_log, start_follower_with_environment, wait_until_applied};
 use crate::common::{empty_folder, program_path, settings_document, start_fleet, start_gateway_with};
 use crate::relays::start_relay;
 
-/// How much longer each sync takes.
+/// Delay that is added to each sync.
 const SYNC_DELAY: Duration = Duration::from_millis(1000);
-/// The same for a coordinator that is kept busy: a lease lasts several of these.
+/// Delay that is added to each sync of a coordinator that is kept busy; a lease lasts several of these.
 const BUSY_SYNC_DELAY: Duration = Duration::from_millis(900);
 /// A coordinator is kept busy for longer than its lease of 3 s.
 const BUSY_TIME: Duration = Duration::from_secs(8);
-/// Between two first writes to extents that nobody knows yet: several come during each sync.
+/// Interval between first writes to new extents, so that several arrive during each sync.
 const WRITE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Tasks that ask a coordinator again and again: it always has something to do.
-const ASKING_TASKS: usize = 32;
+/// Tasks that send requests to a coordinator without pause, so that it always has requests to process.
+const REQUESTING_TASKS: usize = 32;
 
-/// The environment of a process whose syncs are slow.
+/// The environment variables of a process whose syncs are slow.
 fn slow_syncs(folder: &Path, delay: Duration) -> [(&'static str, String); 2] {
     let library = shim::build(folder).expect("a C compiler, as the linker of this build");
     let delay = delay.as_millis() as u32;
     CallFaults { sync_delay_ms: delay, sync_every: 1, ..CallFaults::default() }.environment(&library)
 }
 
-/// Lowers a limit three times; a gateway has to act on each before it could have synced anything.
-async fn assert_lowered_limits_act_at_once(folder: &Path, changes: &Path) {
-    let mut took = Vec::new();
+/// Lowers a limit three times; the gateway must apply each change before it could have completed any sync.
+async fn assert_lowered_limits_apply_at_once(folder: &Path, changes: &Path) {
+    let mut delays = Vec::new();
     for (version, limit) in [(2, 300), (3, 200), (4, 150)] {
         apply_change(&["--set", &format!("plan/limited:limit={limit}")], changes);
         let committed_at = Instant::now();
         wait_until_applied(folder, 1, version).await;
-        took.push(committed_at.elapsed());
+        delays.push(committed_at.elapsed());
     }
-    assert!(took.iter().all(|took| *took < SYNC_DELAY), "from the commit until it acted: {took:?}");
+    assert!(
+        delays.iter().all(|delay| *delay < SYNC_DELAY),
+        "from the commit until it was applied: {delays:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lowered_limit_in_a_folder_acts_before_the_gateways_own_disk_has_it() {
     let ((folder, changes), fleet) = (new_log("slow-own-disk"), start_fleet(1).await);
     let environment = slow_syncs(&folder, SYNC_DELAY);
-    let _gateway = start_follower_in(&fleet, &folder, &changes, 1, &environment).await.expect("it starts");
-    assert_lowered_limits_act_at_once(&folder, &changes).await;
+    let _gateway =
+        start_follower_with_environment(&fleet, &folder, &changes, 1, &environment).await.expect("it starts");
+    assert_lowered_limits_apply_at_once(&folder, &changes).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -66,7 +70,8 @@
     );
     let relay = start_relay(&folder, "r1", &relay_script).await;
     let script = format!(
-        "gateway(listen = [\"127.0.0.1:0\"], list = {:?}, seed = 1, gateways = 2, state = {:?}, zone = \"a\", changes = [{:?}])",
+        "gateway(listen = [\"127.0.0.1:0\"], list = {:?}, seed = 1, gateways = 2, state = {:?}, \
+         zone = \"a\", changes = [{:?}])",
         fleet.list.address.to_string(),
         folder.join("state-1"),
         format!("a/r1={}", relay.address),
@@ -74,10 +79,10 @@
     let environment = slow_syncs(&folder, SYNC_DELAY);
     let gateway = Gateway::start_in(program_path(), &folder, "g1", &script, &environment).await;
     let _gateway = gateway.expect("it starts");
-    assert_lowered_limits_act_at_once(&folder, &changes).await;
+    assert_lowered_limits_apply_at_once(&folder, &changes).await;
 }
 
-/// A coordinator whose syncs are slow, and where it listens.
+/// Starts a coordinator whose syncs are slow; returns it and its address.
 async fn start_slow_coordinator(
     fleet: &Fleet,
     folder: &Path,
@@ -91,18 +96,19 @@
     let environment = slow_syncs(folder, delay);
     let name = ("coordinator", "coordinator");
     let started = Process::start_in(program_path(), folder, name, &script, &[], &environment).await;
-    let (process, said) = started.expect("a coordinator starts");
-    let address = said["keeper"].as_str().and_then(|text| text.parse().ok());
+    let (process, output) = started.expect("a coordinator starts");
+    let address = output["keeper"].as_str().and_then(|text| text.parse().ok());
     (process, address.expect("an address"))
 }
 
-/// Whether a coordinator answers, be it that it rejects what is asked.
-async fn answers(coordinator: std::net::SocketAddr) -> bool {
-    let range = ExtentRange { volume: volume_id("nobody's"), start: 0, end: 1 };
+/// Whether a coordinator responds, even if it rejects the request.
+async fn responds(coordinator: std::net::SocketAddr) -> bool {
+    let range = ExtentRange { volume: volume_id("unknown"), start: 0, end: 1 };
     matches!(client::request_move(coordinator, range, 0).await, Ok(_) | Err(RequestError::Rejected(_)))
 }
 
-/// First writes to new extents come faster than the coordinator can sync their places, and operators ask all the time.
+/// First writes to new extents arrive faster than the coordinator can sync their locations, while operators
+/// send requests all the time.
 #[tokio::test(flavor = "multi_thread")]
 async fn coordinator_with_slow_syncs_that_is_always_asked_keeps_its_lease() {
     let (folder, fleet) = (empty_folder("slow-busy-coordinator"), start_fleet(2).await);
@@ -110,9 +116,9 @@
     let document = settings_document("volume(\"large\", size = 256 * MiB, plan = \"p\", gateways = 2)");
     let gateway = start_gateway_with(&fleet, 1, &document, Some(coordinator)).await;
     let connection = Connection::open(gateway.addresses[0], "large", true).await.expect("a session opens");
-    let mut asking = JoinSet::new();
-    for _ in 0..ASKING_TASKS {
-        asking.spawn(async move { while answers(coordinator).await {} });
+    let mut requesting = JoinSet::new();
+    for _ in 0..REQUESTING_TASKS {
+        requesting.spawn(async move { while responds(coordinator).await {} });
     }
     let (began, mut writes) = (Instant::now(), Vec::new());
     for extent in 0_u64.. {
@@ -123,14 +129,15 @@
         writes.push(connection.send(Command::Write, 0, extent * 262_144, 4096, data));
         tokio::time::sleep(WRITE_INTERVAL).await;
     }
-    asking.abort_all();
-    assert!(answers(coordinator).await, "the coordinator is gone");
+    requesting.abort_all();
+    assert!(responds(coordinator).await, "the coordinator does not respond");
 }
 
-/// The lease was taken at the start and not renewed before the log was open: five syncs.
+/// Guards against a lease that expires during the start: it was acquired at the beginning and not renewed
+/// before the log was open, which takes five syncs.
 #[tokio::test(flavor = "multi_thread")]
 async fn coordinator_with_syncs_of_a_second_keeps_its_lease_through_its_start() {
     let (folder, fleet) = (empty_folder("slow-start-coordinator"), start_fleet(1).await);
     let (_process, coordinator) = start_slow_coordinator(&fleet, &folder, SYNC_DELAY).await;
-    assert!(answers(coordinator).await, "the coordinator is gone");
+    assert!(responds(coordinator).await, "the coordinator does not respond");
 }
