--- a/crates/fault-tests/src/coordinator.rs
+++ b/crates/fault-tests/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator of a day: a process of its own, asked for moves as an operator would.
+//! The coordinator of a scenario: a separate process, which is sent move requests as an operator would send
+//! them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,76 +12,84 @@
 
 use crate::process::Process;
 
-/// A second coordinator has to take over within this time: the lease of the first has to run out.
+/// Time within which a second coordinator must take over; the lease of the first has to expire before that.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two attempts to take over.
+/// Time between two attempts to take over.
 const TAKEOVER_INTERVAL: Duration = Duration::from_millis(250);
-/// Between two questions for a move's status.
+/// Time between two polls of a move's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A coordinator in a process of its own.
+/// A coordinator in a separate process.
 pub struct CoordinatorProcess {
     program: PathBuf,
     folder: PathBuf,
-    list: SocketAddr,
+    list_service: SocketAddr,
     process: Process,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// The term of its run.
+    /// Term of the running coordinator.
     pub term: u64,
 }
 
 impl CoordinatorProcess {
-    /// Starts `program coordinator`, its log and script in `folder`.
+    /// Starts a coordinator with `program`; its log and script are in `folder`.
     ///
     /// # Errors
-    /// It cannot be started, or does not say where it listens in time.
-    pub async fn start(program: &Path, folder: &Path, list: SocketAddr) -> io::Result<CoordinatorProcess> {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (process, address, term) = run(program, folder, list, any, &[]).await?;
+    /// Fails when the process cannot be started, or does not report its address in time.
+    pub async fn start(
+        program: &Path,
+        folder: &Path,
+        list_service: SocketAddr,
+    ) -> io::Result<CoordinatorProcess> {
+        let (process, address, term) = start_process(program, folder, list_service, any_port(), &[]).await?;
         Ok(CoordinatorProcess {
             program: program.into(),
             folder: folder.into(),
-            list,
+            list_service,
             process,
             address,
             term,
         })
     }
 
-    /// Ends it as a crash would.
+    /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// The system's.
+    /// Fails when the process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.process.kill().await
     }
 
-    /// Starts it again where it was.
+    /// Starts it again on the same address.
     ///
     /// # Errors
     /// Those of [`CoordinatorProcess::start`].
     pub async fn again(&mut self) -> io::Result<()> {
-        let (process, address, term) = run(&self.program, &self.folder, self.list, self.address, &[]).await?;
+        let (process, address, term) =
+            start_process(&self.program, &self.folder, self.list_service, self.address, &[]).await?;
         (self.process, self.address, self.term) = (process, address, term);
         Ok(())
     }
 
-    /// A second one takes over while the first is stopped, which is returned: it goes on when its owner likes.
+    /// Stalls the coordinator with SIGSTOP and starts a second one that takes over. Returns the stalled first
+    /// process, which the caller can resume.
     ///
     /// # Errors
-    /// No second one could take over in time.
+    /// Fails when no second coordinator could take over in time.
     pub async fn second(&mut self) -> io::Result<Process> {
         self.process.signal(Signal::SIGSTOP)?;
-        let end = tokio::time::Instant::now() + TAKEOVER_TIMEOUT;
+        let deadline = tokio::time::Instant::now() + TAKEOVER_TIMEOUT;
         loop {
-            let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            match run(&self.program, &self.folder, self.list, any, &["--take-over"]).await {
+            let started =
+                start_process(&self.program, &self.folder, self.list_service, any_port(), &["--take-over"]);
+            match started.await {
                 Ok((process, address, term)) => {
                     (self.address, self.term) = (address, term);
                     return Ok(std::mem::replace(&mut self.process, process));
                 }
-                Err(_) if tokio::time::Instant::now() < end => tokio::time::sleep(TAKEOVER_INTERVAL).await,
+                Err(_) if tokio::time::Instant::now() < deadline => {
+                    tokio::time::sleep(TAKEOVER_INTERVAL).await;
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -89,48 +98,51 @@
     /// Sends a signal.
     ///
     /// # Errors
-    /// It has ended.
+    /// Fails when the process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         self.process.signal(signal)
     }
 
-    /// Asks for a move; its number, or why it cannot be.
+    /// Requests a move of a range to a shard. Returns the move's number, or the reason why it was rejected.
     ///
     /// # Errors
-    /// There is no answer.
-    pub async fn wish(&self, span: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
-        match client::request_move(self.address, span, shard).await {
+    /// Fails when the coordinator does not respond.
+    pub async fn wish(&self, range: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
+        match client::request_move(self.address, range, shard).await {
             Ok(number) => Ok(Ok(number)),
-            Err(RequestError::Rejected(why)) => Ok(Err(why)),
+            Err(RequestError::Rejected(reason)) => Ok(Err(reason)),
             Err(error) => Err(io::Error::other(error)),
         }
     }
 
-    /// How far a move is, in words, and whether it is over.
+    /// Status of a move as text, and whether it has finished. With `give_up`, the move is abandoned first, if
+    /// it still can be.
     ///
     /// # Errors
-    /// There is no answer.
+    /// Fails when the coordinator does not respond.
     pub async fn how_far(&self, number: u64, give_up: bool) -> io::Result<(String, bool)> {
         client::move_status(self.address, number, give_up).await.map_err(io::Error::other)
     }
 
-    /// Waits for a move's end, at most this long; how it ended.
+    /// Waits until a move has finished, for `timeout` at most; returns its final status.
     ///
     /// # Errors
-    /// The move is not over in time, or the coordinator does not answer then.
+    /// Fails when the move has not finished at the deadline, or the coordinator does not respond by then.
     pub async fn ended(&self, number: u64, timeout: Duration) -> io::Result<String> {
         await_move(self.address, number, timeout).await
     }
 }
 
-/// Waits for a move's end, at most this long; how it ended. The coordinator may be down for a while.
+/// Waits until a move has finished, for `timeout` at most; returns its final status. Polls on while the
+/// coordinator is down.
 pub(crate) async fn await_move(address: SocketAddr, number: u64, timeout: Duration) -> io::Result<String> {
     let deadline = tokio::time::Instant::now() + timeout;
     loop {
         match client::move_status(address, number, false).await {
             Ok((state, true)) => return Ok(state),
             Ok((state, false)) if tokio::time::Instant::now() > deadline => {
-                return Err(io::Error::other(format!("move {number} is not over: {state}")));
+                let message = format!("move {number} has not finished after {timeout:?}: {state}");
+                return Err(io::Error::other(message));
             }
             Err(error) if tokio::time::Instant::now() > deadline => return Err(io::Error::other(error)),
             _ => tokio::time::sleep(STATUS_INTERVAL).await,
@@ -138,22 +150,29 @@
     }
 }
 
-async fn run(
+fn any_port() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 0))
+}
+
+/// Starts a coordinator process; returns it with its address and its term.
+async fn start_process(
     program: &Path,
     folder: &Path,
-    list: SocketAddr,
+    list_service: SocketAddr,
     listen: SocketAddr,
-    more: &[&str],
+    arguments: &[&str],
 ) -> io::Result<(Process, SocketAddr, u64)> {
     let log = std::path::absolute(folder.join("keeper"))?;
     let script = format!(
         "keeper(listen = {:?}, list = {:?}, folder = {:?})\n",
         listen.to_string(),
-        list.to_string(),
+        list_service.to_string(),
         log
     );
-    let (process, said) = Process::start(program, folder, ("keeper", "keeper"), &script, more).await?;
-    let address = said["keeper"].as_str().and_then(|text| text.parse().ok());
-    let address = address.ok_or_else(|| io::Error::other("the keeper did not say where it listens"))?;
-    Ok((process, address, said["term"].as_u64().unwrap_or_default()))
+    let (process, startup) =
+        Process::start(program, folder, ("keeper", "keeper"), &script, arguments).await?;
+    let address = startup["keeper"].as_str().and_then(|text| text.parse().ok());
+    let address = address
+        .ok_or_else(|| io::Error::other("the coordinator did not report the address it listens on"))?;
+    Ok((process, address, startup["term"].as_u64().unwrap_or_default()))
 }
--- a/crates/fault-tests/src/judge/mod.rs
+++ b/crates/fault-tests/src/judge/mod.rs
@@ -1,31 +1,32 @@
-//! The verdict on a day, from what clients and stores saw and never from the gateways' own word.
+//! The verdict on a scenario, computed only from what clients and stores observed, never from what gateways
+//! report.
 
+mod concurrent_events;
 mod registers;
 mod rules;
 mod service;
-mod surroundings;
 
 use serde::Serialize;
 
-use crate::day::Day;
 use crate::record::{HeldUp, LateStep, Record};
+use crate::script::Day;
 
 pub use service::{Count, Service};
 
-/// What one rule came to.
+/// Result of checking one rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// How often it was looked at: a rule that was never tried says nothing.
+    /// Number of cases checked. A rule with no cases proves nothing.
     pub looked: u64,
-    /// Its figure, in the words of `unit`.
+    /// Value measured for the rule; `unit` says what it is.
     pub figure: f64,
-    /// What the figure counts.
+    /// What `figure` measures.
     pub unit: &'static str,
-    /// The first few breaches.
+    /// Descriptions of the first few breaches.
     pub breaches: Vec<String>,
-    /// How often it was broken.
+    /// Number of breaches.
     pub broken: u64,
 }
 
@@ -34,48 +35,49 @@
         Finding { rule, looked: 0, figure: 0.0, unit, breaches: Vec::new(), broken: 0 }
     }
 
-    pub(crate) fn breach(&mut self, what: impl FnOnce() -> String) {
+    pub(crate) fn breach(&mut self, describe: impl FnOnce() -> String) {
         self.broken += 1;
         if self.breaches.len() < 5 {
-            self.breaches.push(what());
+            self.breaches.push(describe());
         }
     }
 
-    pub(crate) fn at_most(&mut self, figure: f64) {
+    pub(crate) fn record_max(&mut self, figure: f64) {
         self.figure = self.figure.max(figure);
     }
 }
 
-/// What a scenario came to.
+/// Result of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// No rule was broken.
+    /// Whether all rules were kept.
     pub kept: bool,
-    /// What each rule came to.
+    /// Result of each rule.
     pub findings: Vec<Finding>,
-    /// What clients were served.
+    /// Service that clients received.
     pub service: Service,
-    /// Steps of faults that began later than the day's slack.
+    /// Steps of faults that began later than planned by more than the scenario's slack.
     pub late_steps: Vec<LateStep>,
-    /// Times in which the test itself was held up: timed rules are less sure of what falls into them.
+    /// Periods in which the test itself was held up. Findings of timed rules in these periods are less
+    /// certain.
     pub held_up: Vec<HeldUp>,
 }
 
-/// Judges a scenario by its record.
-pub fn judge(day: &Day, record: &Record) -> Verdict {
-    let seen = rules::Seen::new(day, record);
+/// Checks a scenario's record against all rules.
+pub fn judge(scenario: &Day, record: &Record) -> Verdict {
+    let indexed = rules::IndexedRecord::new(scenario, record);
     let findings = vec![
-        rules::one_answer(&seen),
-        rules::no_effect_twice(&seen),
-        rules::drains(&seen),
-        rules::cold_stores(&seen),
-        rules::order(&seen),
-        rules::budget(&seen),
-        rules::limits(&seen),
-        registers::registers(&seen),
+        rules::one_final_response(&indexed),
+        rules::at_most_one_effect(&indexed),
+        rules::drained_stores(&indexed),
+        rules::cold_stores(&indexed),
+        rules::order_by_key(&indexed),
+        rules::retry_budget(&indexed),
+        rules::volume_limits(&indexed),
+        registers::registers(&indexed),
     ];
     let kept = findings.iter().all(|finding| finding.broken == 0);
-    let service = service::service(day, record);
+    let service = service::service(scenario, record);
     let (late_steps, held_up) = (record.late_steps.clone(), record.held_up.clone());
     Verdict { kept, findings, service, late_steps, held_up }
 }
--- a/crates/fault-tests/src/judge/registers.rs
+++ b/crates/fault-tests/src/judge/registers.rs
@@ -1,26 +1,28 @@
-//! Each block as a register: no read returns anything but what a write left there that may still stand.
+//! Checks each block as a register: a read may return only a value that a write left there and that may not
+//! have been overwritten yet.
 //!
-//! Marks are unique, so a read names its write. A write with a final answer has run, if at all, by then: that holds
-//! for throttled and aborted ones too, since a gateway does not give a write's answer while a dispatch of it may
-//! still run. One without an answer may run at any time after. The checks are necessary conditions, so that nothing
-//! right is called wrong:
-//! - a read returns the mark of a write that had begun, or zeros;
-//! - not one that surely ended before another began that was seen, or acked, before the read began;
-//! - and no value comes back after another was read in between: each write takes effect once.
+//! Marks are unique, so a read identifies its write. A write with a final response has run by the time of the
+//! response if it runs at all. This holds for throttled and aborted writes too, since a gateway does not
+//! respond to a write while an attempt of it may still run. A write without a response may run at any later
+//! time. The checks are necessary conditions of correct behaviour, so that no correct record is rejected:
+//! - a read returns zeros or the mark of a write that had begun;
+//! - a read does not return the value of a write that certainly ran before another write began, if that other
+//!   write had been acked, or its value read, before the read began;
+//! - no value is read again after another value was read in between, since each write takes effect once.
 
 use std::collections::BTreeMap;
 
 use super::Finding;
-use super::rules::Seen;
+use super::rules::IndexedRecord;
 use crate::load::BLOCK;
-use crate::record::{Kind, Outcome};
+use crate::record::{Outcome, RequestKind};
 
 #[derive(Clone, Copy, Debug)]
 struct Write {
     began: u64,
-    /// Not after this has it run.
+    /// Latest time at which it can have run.
     ran_by: u64,
-    /// From this on it surely has: acked, or read.
+    /// Time from which it certainly has run, because it was acked or its value was read.
     seen_by: u64,
 }
 
@@ -37,29 +39,29 @@
     reads: Vec<Read>,
 }
 
-pub(crate) fn registers(seen: &Seen) -> Finding {
+pub(crate) fn registers(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("reads return what stands", "most writes a block had");
     let mut registers: BTreeMap<(usize, u64), Register> = BTreeMap::new();
-    for asked in &seen.record.asked {
-        let first = asked.offset / u64::from(BLOCK);
-        for i in 0..u64::from(asked.length / BLOCK) {
-            let register = registers.entry((asked.volume, first + i)).or_default();
-            match asked.kind {
-                Kind::Write => {
-                    let lost = matches!(asked.outcome, Outcome::Lost | Outcome::Silent);
-                    let ran_by = if lost { u64::MAX } else { asked.ended };
-                    let seen_by = if asked.outcome == Outcome::Acked { asked.ended } else { u64::MAX };
-                    register.writes.insert(asked.mark, Write { began: asked.sent, ran_by, seen_by });
+    for request in &indexed.record.asked {
+        let first = request.offset / u64::from(BLOCK);
+        for i in 0..u64::from(request.length / BLOCK) {
+            let register = registers.entry((request.volume, first + i)).or_default();
+            match request.kind {
+                RequestKind::Write => {
+                    let lost = matches!(request.outcome, Outcome::Lost | Outcome::Silent);
+                    let ran_by = if lost { u64::MAX } else { request.ended };
+                    let seen_by = if request.outcome == Outcome::Acked { request.ended } else { u64::MAX };
+                    register.writes.insert(request.mark, Write { began: request.sent, ran_by, seen_by });
                 }
-                Kind::Read if asked.outcome == Outcome::Acked => {
-                    match asked.found.get(i as usize).copied().flatten() {
+                RequestKind::Read if request.outcome == Outcome::Acked => {
+                    match request.found.get(i as usize).copied().flatten() {
                         Some(mark) => {
-                            register.reads.push(Read { mark, began: asked.sent, ended: asked.ended });
-                        }
-                        None => {
-                            finding
-                                .breach(|| format!("block {} is torn or no write's: {asked:?}", first + i));
+                            register.reads.push(Read { mark, began: request.sent, ended: request.ended });
                         }
+                        None => finding.breach(|| {
+                            let block = first + i;
+                            format!("block {block} is torn or holds data that no client wrote: {request:?}")
+                        }),
                     }
                 }
                 _ => {}
@@ -68,49 +70,52 @@
     }
     for ((volume, block), register) in registers {
         finding.looked += register.reads.len() as u64;
-        finding.at_most(register.writes.len() as f64);
-        if let Some(why) = register.wrong() {
-            finding.breach(|| format!("volume {volume} block {block}: {why}"));
+        finding.record_max(register.writes.len() as f64);
+        if let Some(violation) = register.violation() {
+            finding.breach(|| format!("volume {volume} block {block}: {violation}"));
         }
     }
     finding
 }
 
 impl Register {
-    fn wrong(mut self) -> Option<String> {
-        // Zeros stood before all.
+    /// The first violation of the conditions above, as text.
+    fn violation(mut self) -> Option<String> {
+        // A block holds zeros before its first write.
         self.writes.insert(0, Write { began: 0, ran_by: 0, seen_by: 0 });
         for read in &self.reads {
             let Some(write) = self.writes.get_mut(&read.mark).filter(|write| write.began <= read.ended)
             else {
-                return Some(format!("{read:?} returns what nobody had begun to write"));
+                return Some(format!("{read:?} returns a value whose write had not begun"));
             };
             write.seen_by = write.seen_by.min(read.ended);
         }
         for read in &self.reads {
             let write = self.writes[&read.mark];
-            let over = |other: &Write| write.ran_by < other.began && other.seen_by < read.began;
-            if let Some((mark, other)) = self.writes.iter().find(|(_, other)| over(other)) {
-                return Some(format!("{read:?} of {write:?} after {mark} stood: {other:?}"));
+            let overwritten_by = |other: &Write| write.ran_by < other.began && other.seen_by < read.began;
+            if let Some((mark, other)) = self.writes.iter().find(|(_, other)| overwritten_by(other)) {
+                return Some(format!(
+                    "{read:?} returns {write:?}, which write {mark} had overwritten: {other:?}"
+                ));
             }
         }
-        self.came_back()
+        self.reappeared_value()
     }
 
-    /// A value read, then another surely after it, then the first surely after that.
-    fn came_back(&mut self) -> Option<String> {
+    /// Finds a value that was read, then certainly replaced by another that was read, then read again.
+    fn reappeared_value(&mut self) -> Option<String> {
         self.reads.sort_by_key(|read| read.began);
-        let mut first_end: BTreeMap<u64, u64> = BTreeMap::new();
+        let mut first_ended: BTreeMap<u64, u64> = BTreeMap::new();
         for read in &self.reads {
-            let end = first_end.entry(read.mark).or_insert(read.ended);
-            *end = (*end).min(read.ended);
+            let ended = first_ended.entry(read.mark).or_insert(read.ended);
+            *ended = (*ended).min(read.ended);
         }
         for read in &self.reads {
-            let first = first_end[&read.mark];
+            let first = first_ended[&read.mark];
             let between =
                 |other: &&Read| other.mark != read.mark && other.began > first && other.ended < read.began;
             if let Some(other) = self.reads.iter().find(between) {
-                return Some(format!("{read:?} comes back after {other:?}"));
+                return Some(format!("{read:?} returns an earlier value after {other:?}"));
             }
         }
         None
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -1,4 +1,5 @@
-//! The seven rules, each over the whole record.
+//! The seven rules, each checked against the complete record. Rule names and findings call an attempt a
+//! dispatch.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -8,12 +9,13 @@
 use umbertray_store_protocol::volume_id;
 
 use super::Finding;
-use super::surroundings::surroundings;
-use crate::day::Day;
-use crate::record::{Asked, Deed, Kind, Outcome, Record};
+use super::concurrent_events::concurrent_events;
+use crate::record::{Asked, Deed, Outcome, Record, RequestKind};
+use crate::script::Day;
 
-/// A dispatch as its store saw it.
-pub(crate) struct Arrived {
+/// An attempt as its store saw it.
+pub(crate) struct Attempt {
+    /// When it arrived, in microseconds since the record began.
     pub at: u64,
     pub store: u64,
     pub run: u64,
@@ -23,41 +25,41 @@
     pub extent: u64,
     pub units: f64,
     pub mark: u64,
-    pub ran: Option<u64>,
-    /// When and with what it was answered.
-    pub answered: Option<(u64, String)>,
+    pub ran_at: Option<u64>,
+    /// Time and result code of the store's response.
+    pub response: Option<(u64, String)>,
 }
 
-/// The record, put together.
-pub(crate) struct Seen<'a> {
-    pub day: &'a Day,
+/// The record with indexes over its attempts, writes and gateways.
+pub(crate) struct IndexedRecord<'a> {
+    pub scenario: &'a Day,
     pub record: &'a Record,
     pub settings: &'a Settings,
     pub slack: u64,
-    /// In the order of arrival.
-    pub arrived: Vec<Arrived>,
-    /// Each write by its mark.
+    /// In order of arrival.
+    pub attempts: Vec<Attempt>,
+    /// Write requests by mark.
     pub writes: HashMap<u64, &'a Asked>,
-    /// Which gateway a run is of, as far as its writes' marks tell.
-    pub runs: HashMap<u64, usize>,
+    /// Gateway of each run, where the mark of one of its writes identifies it.
+    pub gateways_by_run: HashMap<u64, usize>,
 }
 
-/// What happened in this time before a plan's limit was passed goes into the breach, microseconds.
-const LIMIT_SURROUNDINGS: u64 = 1_000_000;
+/// A breach of a plan's limit lists the events of this time before it, in microseconds.
+const LIMIT_CONTEXT_MICROS: u64 = 1_000_000;
 
-pub(crate) fn micros(span: std::time::Duration) -> u64 {
-    span.as_micros() as u64
+pub(crate) fn micros(duration: std::time::Duration) -> u64 {
+    duration.as_micros() as u64
 }
 
-impl<'a> Seen<'a> {
-    pub(super) fn new(day: &'a Day, record: &'a Record) -> Seen<'a> {
-        let mut arrived: Vec<Arrived> = Vec::new();
+impl<'a> IndexedRecord<'a> {
+    pub(super) fn new(scenario: &'a Day, record: &'a Record) -> IndexedRecord<'a> {
+        let mut attempts: Vec<Attempt> = Vec::new();
         let mut index: HashMap<(u64, u64), usize> = HashMap::new();
         for entry in &record.stores {
             match &entry.seen {
                 book::Seen::Received { run, number, op, volume, extent, units, mark, .. } => {
-                    index.insert((*run, *number), arrived.len());
-                    arrived.push(Arrived {
+                    index.insert((*run, *number), attempts.len());
+                    attempts.push(Attempt {
                         at: entry.at,
                         store: entry.store,
                         run: *run,
@@ -67,38 +69,47 @@
                         extent: *extent,
                         units: *units,
                         mark: *mark,
-                        ran: None,
-                        answered: None,
+                        ran_at: None,
+                        response: None,
                     });
                 }
                 book::Seen::Ran { run, number } => {
                     if let Some(i) = index.get(&(*run, *number)) {
-                        arrived[*i].ran = arrived[*i].ran.or(Some(entry.at));
+                        attempts[*i].ran_at = attempts[*i].ran_at.or(Some(entry.at));
                     }
                 }
                 book::Seen::Answered { run, number, code } => {
                     if let Some(i) = index.get(&(*run, *number)) {
-                        arrived[*i].answered = Some((entry.at, code.clone()));
+                        attempts[*i].response = Some((entry.at, code.clone()));
                     }
                 }
                 book::Seen::Up { .. } | book::Seen::Down | book::Seen::Fell | book::Seen::Ordered { .. } => {}
             }
         }
-        let of_kind = |kind: Kind| record.asked.iter().filter(move |asked| asked.kind == kind);
-        let writes: HashMap<u64, &Asked> = of_kind(Kind::Write).map(|asked| (asked.mark, asked)).collect();
-        let marked = arrived.iter().filter_map(|a| Some((a.run, writes.get(&a.mark)?.gateway)));
-        let runs = marked.collect();
-        let slack = micros(day.slack);
-        Seen { day, record, settings: &day.document.settings, slack, arrived, writes, runs }
+        let of_kind = |kind: RequestKind| record.asked.iter().filter(move |request| request.kind == kind);
+        let writes: HashMap<u64, &Asked> =
+            of_kind(RequestKind::Write).map(|request| (request.mark, request)).collect();
+        let marked = attempts.iter().filter_map(|a| Some((a.run, writes.get(&a.mark)?.gateway)));
+        let gateways_by_run = marked.collect();
+        let slack = micros(scenario.slack);
+        IndexedRecord {
+            scenario,
+            record,
+            settings: &scenario.document.settings,
+            slack,
+            attempts,
+            writes,
+            gateways_by_run,
+        }
     }
 
-    pub(super) fn op_type(&self, asked: &Asked) -> usize {
-        self.settings.op_type(asked.kind.work(), asked.length)
+    pub(super) fn op_type(&self, request: &Asked) -> usize {
+        self.settings.op_type(request.kind.operation_kind(), request.length)
     }
 
-    /// The end of a stand-still of the gateway that covers this moment.
-    fn stalled(&self, gateway: usize, at: u64) -> Option<u64> {
-        let stalls = self.record.deeds.iter().filter_map(|(from, deed)| match deed {
+    /// End of the stall of the gateway that covers the time `at`.
+    fn stalled_until(&self, gateway: usize, at: u64) -> Option<u64> {
+        let stalls = self.record.deeds.iter().filter_map(|(from, event)| match event {
             Deed::Stalled { gateway: g, until } if *g == gateway => Some((*from, *until)),
             _ => None,
         });
@@ -106,115 +117,123 @@
     }
 }
 
-/// Rule 1: one final answer, in time; and nothing new reaches a store for a write after its client has its answer.
-pub(crate) fn one_answer(seen: &Seen) -> Finding {
+/// Rule 1: each request has one final response, in time; and no attempt of a write reaches a store after the
+/// client has received the final response.
+pub(crate) fn one_final_response(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("1 one final answer", "largest part of an op timeout used");
-    for stray in &seen.record.strays {
-        finding.breach(|| format!("a reply to nothing: {stray}"));
+    for stray in &indexed.record.strays {
+        finding.breach(|| format!("reply without a pending request: {stray}"));
     }
-    for asked in &seen.record.asked {
+    for request in &indexed.record.asked {
         finding.looked += 1;
-        let timeout = micros(seen.settings.op_types[seen.op_type(asked)].op_timeout);
-        if asked.outcome == Outcome::Silent {
-            finding.breach(|| format!("no answer: {asked:?}"));
+        let timeout = micros(indexed.settings.op_types[indexed.op_type(request)].op_timeout);
+        if request.outcome == Outcome::Silent {
+            finding.breach(|| format!("no response: {request:?}"));
         }
-        if matches!(asked.outcome, Outcome::Lost | Outcome::Silent) {
+        if matches!(request.outcome, Outcome::Lost | Outcome::Silent) {
             continue;
         }
-        // What is sent to a gateway that stands still lies in the system's buffers, and no process can see for how long:
-        // its time counts from where the gateway goes on. One that stands still when an answer is due must give
-        // it as soon as it goes on.
-        let began = seen.stalled(asked.gateway, asked.sent).unwrap_or(asked.sent);
+        // A request sent to a stalled gateway waits in the operating system's buffers, and no process can see
+        // for how long: its timeout counts from when the gateway resumes. A gateway that is stalled when a
+        // response is due must send it as soon as it resumes.
+        let began = indexed.stalled_until(request.gateway, request.sent).unwrap_or(request.sent);
         let due = began + timeout;
-        let due = seen.stalled(asked.gateway, due).unwrap_or(due);
-        if asked.ended > due + seen.slack {
+        let due = indexed.stalled_until(request.gateway, due).unwrap_or(due);
+        if request.ended > due + indexed.slack {
             finding.breach(|| {
-                let around = surroundings(seen.record, asked.gateway, asked.sent, asked.ended);
-                format!("answered {} ms late: {asked:?}; {around}", (asked.ended - due) / 1000)
+                let events = concurrent_events(indexed.record, request.gateway, request.sent, request.ended);
+                format!("response {} ms late: {request:?}; {events}", (request.ended - due) / 1000)
             });
         }
-        finding.at_most((asked.ended - asked.sent) as f64 / timeout as f64);
+        finding.record_max((request.ended - request.sent) as f64 / timeout as f64);
     }
-    for arrived in &seen.arrived {
-        let Some(asked) = seen.writes.get(&arrived.mark).filter(|asked| asked.outcome != Outcome::Lost)
+    for attempt in &indexed.attempts {
+        let Some(request) =
+            indexed.writes.get(&attempt.mark).filter(|request| request.outcome != Outcome::Lost)
         else {
             continue;
         };
-        if arrived.at > asked.ended + seen.slack {
+        if attempt.at > request.ended + indexed.slack {
             finding.breach(|| {
-                format!("dispatch {} at {} after the answer: {asked:?}", arrived.number, arrived.at)
+                let Attempt { number, at, .. } = attempt;
+                format!(
+                    "dispatch {number} reached its store at {at} us, after the final response: {request:?}"
+                )
             });
         }
     }
     finding
 }
 
-/// Rule 2: a write runs once at most, and a once-only one is sent again only if it surely has not run.
-pub(crate) fn no_effect_twice(seen: &Seen) -> Finding {
+/// Rule 2: a write runs at most once, and a once-only write is retried only if it certainly has not run.
+pub(crate) fn at_most_one_effect(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("2 no effect twice", "most dispatches of a write");
-    // By the client's own mark, not by the gateway's word for the op.
-    let mut writes: BTreeMap<(u64, u64), Vec<&Arrived>> = BTreeMap::new();
-    for arrived in seen.arrived.iter().filter(|arrived| seen.writes.contains_key(&arrived.mark)) {
-        writes.entry((arrived.mark, arrived.extent)).or_default().push(arrived);
+    // Attempts are grouped by the client's mark, not by the op number that the gateway reports.
+    let mut writes: BTreeMap<(u64, u64), Vec<&Attempt>> = BTreeMap::new();
+    for attempt in indexed.attempts.iter().filter(|attempt| indexed.writes.contains_key(&attempt.mark)) {
+        writes.entry((attempt.mark, attempt.extent)).or_default().push(attempt);
     }
     for ((mark, extent), dispatches) in writes {
         finding.looked += 1;
-        finding.at_most(dispatches.len() as f64);
-        let ran = dispatches.iter().filter(|arrived| arrived.ran.is_some()).count();
+        finding.record_max(dispatches.len() as f64);
+        let ran = dispatches.iter().filter(|attempt| attempt.ran_at.is_some()).count();
         if ran > 1 {
             finding.breach(|| format!("write {mark} ran {ran} times in extent {extent}"));
         }
-        let asked = seen.writes[&mark];
-        if seen.settings.op_types[seen.op_type(asked)].idempotency != Idempotency::NotIdempotent {
+        let request = indexed.writes[&mark];
+        if indexed.settings.op_types[indexed.op_type(request)].idempotency != Idempotency::NotIdempotent {
             continue;
         }
-        let proven = |arrived: &&&Arrived| {
-            let answered = arrived.answered.as_ref();
-            answered
+        let proven = |attempt: &&&Attempt| {
+            let response = attempt.response.as_ref();
+            response
                 .is_some_and(|(_, code)| matches!(code.as_str(), "Full" | "Fenced" | "Elsewhere" | "Stale"))
         };
-        let unproven = dispatches.iter().filter(|arrived| !proven(arrived)).count();
+        let unproven = dispatches.iter().filter(|attempt| !proven(attempt)).count();
         if unproven > 1 {
             finding.breach(|| format!("once-only write {mark}: {unproven} dispatches may have run"));
         }
-        if asked.outcome == Outcome::Throttled && unproven > 0 {
+        if request.outcome == Outcome::Throttled && unproven > 0 {
             finding.breach(|| format!("once-only write {mark} may have run and was throttled"));
         }
     }
     finding
 }
 
-/// Rule 3: nothing new to a store draining or gone after the grace.
-pub(crate) fn drains(seen: &Seen) -> Finding {
+/// Rule 3: no new attempt is sent to a draining or gone store after the drain grace.
+pub(crate) fn drained_stores(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("3 drains are kept", "ms after the list told of the last new dispatch");
-    let grace = micros(seen.settings.rules.drain_grace);
+    let grace = micros(indexed.settings.rules.drain_grace);
     let mut delay = 0;
-    let mut barred: Vec<(u64, u64, u64)> = Vec::new();
-    for (at, deed) in &seen.record.deeds {
-        match deed {
+    // Store, start and end of each drain. The start includes the delay of the list service.
+    let mut drains: Vec<(u64, u64, u64)> = Vec::new();
+    for (at, event) in &indexed.record.deeds {
+        match event {
             Deed::ListDelay { delay: now } => delay = *now,
-            Deed::Barred { store } => barred.push((*store, *at + delay, u64::MAX)),
+            Deed::Barred { store } => drains.push((*store, *at + delay, u64::MAX)),
             Deed::Ready { store } => {
-                barred.iter_mut().filter(|(s, _, to)| s == store && *to == u64::MAX).for_each(|b| b.2 = *at);
+                let open = drains.iter_mut().filter(|(s, _, to)| s == store && *to == u64::MAX);
+                open.for_each(|(_, _, to)| *to = *at);
             }
             _ => {}
         }
     }
-    for (store, from, to) in barred {
+    for (store, from, to) in drains {
         finding.looked += 1;
-        for arrived in seen.arrived.iter().filter(|a| a.store == store && (from..to).contains(&a.at)) {
-            // A gateway that stood still learned of it when it went on.
-            let gateway = seen.runs.get(&arrived.run).copied();
-            let told = gateway.and_then(|g| seen.stalled(g, from)).unwrap_or(from).max(from);
-            let after = arrived.at.saturating_sub(told);
-            finding.at_most(after as f64 / 1000.0);
-            if after > grace + seen.slack {
+        for attempt in indexed.attempts.iter().filter(|a| a.store == store && (from..to).contains(&a.at)) {
+            // A stalled gateway learned of the drain when it resumed.
+            let gateway = indexed.gateways_by_run.get(&attempt.run).copied();
+            let notified = gateway.and_then(|g| indexed.stalled_until(g, from)).unwrap_or(from).max(from);
+            let after = attempt.at.saturating_sub(notified);
+            finding.record_max(after as f64 / 1000.0);
+            if after > grace + indexed.slack {
                 finding.breach(|| {
-                    let around = gateway.map(|gateway| surroundings(seen.record, gateway, from, arrived.at));
-                    let around = around.unwrap_or_default();
+                    let events =
+                        gateway.map(|gateway| concurrent_events(indexed.record, gateway, from, attempt.at));
+                    let events = events.unwrap_or_default();
                     format!(
-                        "dispatch {} to store {store}, {} ms after; {around}",
-                        arrived.number,
+                        "dispatch {} reached store {store} {} ms after its drain was announced; {events}",
+                        attempt.number,
                         after / 1000
                     )
                 });
@@ -224,24 +243,28 @@
     finding
 }
 
-/// Rule 4: no cold store is pushed over.
-pub(crate) fn cold_stores(seen: &Seen) -> Finding {
+/// Rule 4: no cold store is overloaded. A cold store crashes when the load that arrives within a window
+/// exceeds a multiple of its current capacity.
+pub(crate) fn cold_stores(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("4 no cold store pushed over", "largest part of what a cold store bears");
-    let power = &seen.day.power;
+    let power = &indexed.scenario.store_power;
     let window = (power.fall_s * 1e6) as u64;
-    let mut ups: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
+    let mut cold_starts: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut recent: BTreeMap<u64, VecDeque<(u64, f64)>> = BTreeMap::new();
-    for entry in &seen.record.stores {
+    for entry in &indexed.record.stores {
         match &entry.seen {
             book::Seen::Up { units_a_second, cold: true } => {
                 finding.looked += 1;
-                ups.insert(entry.store, (entry.at, *units_a_second));
+                cold_starts.insert(entry.store, (entry.at, *units_a_second));
                 recent.remove(&entry.store);
             }
-            book::Seen::Fell => finding.breach(|| format!("store {} at {} fell", entry.store, entry.at)),
+            book::Seen::Fell => finding.breach(|| {
+                let (store, at) = (entry.store, entry.at);
+                format!("store {store} crashed at {at} us under more load than a cold store can take")
+            }),
             book::Seen::Received { units, .. } => {
-                let Some((up, units_a_second)) = ups.get(&entry.store) else { continue };
-                let age = (entry.at - up) as f64 / 1e6 / power.cold_s;
+                let Some((started, units_a_second)) = cold_starts.get(&entry.store) else { continue };
+                let age = (entry.at - started) as f64 / 1e6 / power.cold_s;
                 if age >= 1.0 {
                     continue;
                 }
@@ -252,78 +275,87 @@
                 }
                 let sent: f64 = sent.iter().map(|(_, units)| units).sum();
                 let warmth = power.cold_from + (1.0 - power.cold_from) * age;
-                finding.at_most(sent / (power.fall_multiple * units_a_second * warmth * power.fall_s));
+                finding.record_max(sent / (power.fall_multiple * units_a_second * warmth * power.fall_s));
             }
             _ => {}
         }
     }
     if finding.figure > 1.0 {
         let figure = finding.figure;
-        finding.breach(|| format!("a cold store was sent {figure:.2} times what it bears"));
+        finding.breach(|| format!("a cold store was sent {figure:.2} times the load that it can take"));
     }
     finding
 }
 
-/// Rule 5: for op types in order, nothing of a key goes out while an earlier op's dispatch is out, or rests.
-pub(crate) fn order(seen: &Seen) -> Finding {
+/// Rule 5: for ordered op types, no attempt of a key is sent while an attempt of an earlier op is pending, or
+/// before the order pause after an unknown outcome has passed.
+pub(crate) fn order_by_key(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("5 order by key", "ms of the shortest wait after an unknown outcome");
-    let pause = micros(seen.settings.rules.order_pause);
-    let mut open: HashMap<(u64, u64, u64), Vec<&Arrived>> = HashMap::new();
+    let pause = micros(indexed.settings.rules.order_pause);
+    let mut by_key: HashMap<(u64, u64, u64), Vec<&Attempt>> = HashMap::new();
     let mut shortest = f64::INFINITY;
-    for arrived in &seen.arrived {
-        let Some(asked) = seen.writes.get(&arrived.mark) else { continue };
-        if !seen.settings.op_types[seen.op_type(asked)].ordered_by_key {
+    for attempt in &indexed.attempts {
+        let Some(request) = indexed.writes.get(&attempt.mark) else { continue };
+        if !indexed.settings.op_types[indexed.op_type(request)].ordered_by_key {
             continue;
         }
-        let earlier = open.entry((arrived.run, arrived.volume, arrived.extent)).or_default();
-        for other in earlier.iter().filter(|other| other.op != arrived.op) {
+        let earlier = by_key.entry((attempt.run, attempt.volume, attempt.extent)).or_default();
+        for other in earlier.iter().filter(|other| other.op != attempt.op) {
             finding.looked += 1;
-            // The store's books are written before the answer leaves: an answered one was surely not out, unless its
-            // answer was lost on the way, and then the pause has passed as well.
-            if other.answered.as_ref().is_some_and(|(at, _)| *at <= arrived.at) {
+            // A store records its response before sending it, so an attempt with a recorded response was no
+            // longer pending, unless the response was lost on the way; in that case the pause has passed as
+            // well.
+            if other.response.as_ref().is_some_and(|(at, _)| *at <= attempt.at) {
                 continue;
             }
-            let waited = arrived.at - other.at;
+            let waited = attempt.at - other.at;
             shortest = shortest.min(waited as f64 / 1000.0);
             if waited < pause {
-                let (a, b) = (arrived.number, other.number);
-                finding
-                    .breach(|| format!("dispatch {a} of run {} while {b} of its key was out", arrived.run));
+                let (a, b) = (attempt.number, other.number);
+                finding.breach(|| {
+                    format!(
+                        "dispatch {a} of run {} arrived while {b} of the same key was pending",
+                        attempt.run
+                    )
+                });
             }
         }
-        earlier.push(arrived);
+        earlier.push(attempt);
     }
     finding.figure = if shortest.is_finite() { shortest } else { 0.0 };
     finding
 }
 
-/// Rule 6: a run's further dispatches stay within the budget in any span.
-pub(crate) fn budget(seen: &Seen) -> Finding {
+/// Rule 6: the further attempts of a gateway's run stay within the retry budget in any window.
+pub(crate) fn retry_budget(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("6 budget of further dispatches", "largest part of the budget used");
-    let Some(rule) = &seen.settings.rules.retry_budget else { return finding };
-    let span = micros(rule.window);
-    let mut firsts: HashSet<(u64, u64)> = HashSet::new();
+    let Some(rule) = &indexed.settings.rules.retry_budget else { return finding };
+    let window = micros(rule.window);
+    let mut first_attempts: HashSet<(u64, u64)> = HashSet::new();
     let mut further: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-    // What was turned away since its range had moved never ran and is no dispatch in vain.
-    let stale = |arrived: &&Arrived| arrived.answered.as_ref().is_some_and(|(_, code)| code == "Stale");
-    for arrived in seen.arrived.iter().filter(|arrived| !stale(arrived)) {
-        if !firsts.insert((arrived.run, arrived.op)) {
-            further.entry(arrived.run).or_default().push(arrived.at);
+    // An attempt rejected as stale, because its range had moved, never ran and does not count against the
+    // budget.
+    let stale = |attempt: &&Attempt| attempt.response.as_ref().is_some_and(|(_, code)| code == "Stale");
+    for attempt in indexed.attempts.iter().filter(|attempt| !stale(attempt)) {
+        if !first_attempts.insert((attempt.run, attempt.op)) {
+            further.entry(attempt.run).or_default().push(attempt.at);
         }
     }
     for (run, times) in further {
-        let Some(gateway) = seen.runs.get(&run) else { continue };
+        let Some(gateway) = indexed.gateways_by_run.get(&run) else { continue };
         for (i, at) in times.iter().enumerate() {
             finding.looked += 1;
-            let from = at.saturating_sub(span);
+            let from = at.saturating_sub(window);
             let made = times[..=i].iter().filter(|time| **time >= from).count() as f64;
-            // What a gateway took came from its clients within the span; the slack lets in a little more, never less.
-            let taken = seen.record.asked.iter().filter(|asked| {
-                asked.gateway == *gateway && (from.saturating_sub(seen.slack)..=*at).contains(&asked.sent)
+            // The operations that a gateway received within the window were sent by its clients in that time.
+            // The slack can only add requests, so the allowed number is never too low.
+            let received = indexed.record.asked.iter().filter(|request| {
+                request.gateway == *gateway
+                    && (from.saturating_sub(indexed.slack)..=*at).contains(&request.sent)
             });
-            let taken: u64 = taken.map(|asked| pieces(seen, asked)).sum();
-            let allowed = rule.reserve + rule.ratio * taken as f64;
-            finding.at_most(made / allowed.max(f64::MIN_POSITIVE));
+            let received: u64 = received.map(|request| max_operations(indexed, request)).sum();
+            let allowed = rule.reserve + rule.ratio * received as f64;
+            finding.record_max(made / allowed.max(f64::MIN_POSITIVE));
             if made > allowed {
                 finding.breach(|| {
                     format!("run {run}: {made} further dispatches where {allowed:.1} are allowed")
@@ -334,57 +366,63 @@
     finding
 }
 
-/// How many ops a request is at most.
-fn pieces(seen: &Seen, asked: &Asked) -> u64 {
-    let size = u64::from(seen.settings.extent_bytes);
-    match asked.kind {
-        Kind::Flush => u64::from(seen.day.stores),
-        _ => (asked.offset + u64::from(asked.length) - 1) / size - asked.offset / size + 1,
+/// Most ops that a request can be split into: one per extent, and one per store for a flush.
+fn max_operations(indexed: &IndexedRecord, request: &Asked) -> u64 {
+    let size = u64::from(indexed.settings.extent_bytes);
+    match request.kind {
+        RequestKind::Flush => u64::from(indexed.scenario.stores),
+        _ => (request.offset + u64::from(request.length) - 1) / size - request.offset / size + 1,
     }
 }
 
-/// When a plan's limit is in force as what: a raised one from where its commit began, since gateways may read it before the
-/// writer hears of its end; a lowered one when every gateway has had time to hear of it, counted from the commit's synced end.
-fn limit_changes(seen: &Seen, plan: &str) -> Vec<(u64, f64, f64)> {
+/// Changes of a plan's limit: when each applies, its rate and its burst. A raised limit applies from the
+/// start of its commit, since gateways may read it before the writer learns that the commit has finished. A
+/// lowered limit applies once every gateway has had time to learn of it, counted from when the commit was
+/// synced.
+fn limit_changes(indexed: &IndexedRecord, plan: &str) -> Vec<(u64, f64, f64)> {
     let mut changes = Vec::new();
-    for (at, deed) in &seen.record.deeds {
-        let Deed::Limit { plan: of, rate, burst, began } = deed else { continue };
-        if of == plan {
+    for (at, event) in &indexed.record.deeds {
+        let Deed::Limit { plan: changed_plan, rate, burst, began } = event else { continue };
+        if changed_plan == plan {
             let lowered = changes.last().is_some_and(|(_, before, _)| rate < before);
-            changes.push((if lowered { at + seen.slack } else { *began }, *rate, *burst));
+            changes.push((if lowered { at + indexed.slack } else { *began }, *rate, *burst));
         }
     }
     changes
 }
 
-/// Rule 7: a volume's first dispatches through all gateways stay within its plan's limit.
-pub(crate) fn limits(seen: &Seen) -> Finding {
+/// Rule 7: the first attempts of a volume's ops, through all gateways together, stay within the plan's limit.
+pub(crate) fn volume_limits(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("7 limits are kept", "units left at the least, below 0 within the slack");
     let mut least = f64::INFINITY;
-    for volume in &seen.settings.volumes {
-        let Some(limit) = &seen.settings.plans[volume.plan].limit else { continue };
-        let (id, mut left, mut last) = (volume_id(&volume.name), limit.burst, 0);
-        let mut changes = limit_changes(seen, &seen.settings.plans[volume.plan].name).into_iter().peekable();
+    for volume in &indexed.settings.volumes {
+        let Some(limit) = &indexed.settings.plans[volume.plan].limit else { continue };
+        let (id, mut units_left, mut updated_at) = (volume_id(&volume.name), limit.burst, 0);
+        let mut changes =
+            limit_changes(indexed, &indexed.settings.plans[volume.plan].name).into_iter().peekable();
         let (mut rate, mut burst) = (limit.rate, limit.burst);
-        let mut known = HashSet::new();
-        for arrived in seen.arrived.iter().filter(|arrived| arrived.volume == id) {
-            if !known.insert((arrived.run, arrived.op)) {
+        let mut counted = HashSet::new();
+        for attempt in indexed.attempts.iter().filter(|attempt| attempt.volume == id) {
+            if !counted.insert((attempt.run, attempt.op)) {
                 continue;
             }
             finding.looked += 1;
-            while let Some((at, now, most)) = changes.next_if(|(at, ..)| *at <= arrived.at) {
-                left = (left + rate * at.saturating_sub(last) as f64 / 1e6).min(burst).min(most);
-                (rate, burst, last) = (now, most, last.max(at));
+            while let Some((at, new_rate, new_burst)) = changes.next_if(|(at, ..)| *at <= attempt.at) {
+                let refill = rate * at.saturating_sub(updated_at) as f64 / 1e6;
+                units_left = (units_left + refill).min(burst).min(new_burst);
+                (rate, burst, updated_at) = (new_rate, new_burst, updated_at.max(at));
             }
-            left = (left + rate * (arrived.at - last) as f64 / 1e6).min(burst) - arrived.units;
-            last = arrived.at;
-            least = least.min(left);
-            if left < -limit.slack {
+            let refill = rate * (attempt.at - updated_at) as f64 / 1e6;
+            units_left = (units_left + refill).min(burst) - attempt.units;
+            updated_at = attempt.at;
+            least = least.min(units_left);
+            if units_left < -limit.slack {
                 finding.breach(|| {
-                    let gateway = seen.runs.get(&arrived.run).copied().unwrap_or(usize::MAX);
-                    let from = arrived.at.saturating_sub(LIMIT_SURROUNDINGS);
-                    let around = surroundings(seen.record, gateway, from, arrived.at);
-                    format!("volume {}: {left:.1} units left at {}; {around}", volume.name, arrived.at)
+                    let gateway = indexed.gateways_by_run.get(&attempt.run).copied().unwrap_or(usize::MAX);
+                    let from = attempt.at.saturating_sub(LIMIT_CONTEXT_MICROS);
+                    let events = concurrent_events(indexed.record, gateway, from, attempt.at);
+                    let (name, at) = (&volume.name, attempt.at);
+                    format!("volume {name}: {units_left:.1} units left at {at} us; {events}")
                 });
             }
         }
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -1,16 +1,17 @@
-//! Utility acked within target latency, over time, by op type and by plan.
+//! The service that clients received: utility acked within the target latency, over time, by op type and by
+//! plan.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::day::Day;
 use crate::record::{Asked, Deed, Outcome, Record};
+use crate::script::Day;
 
-/// Requests by how they ended.
+/// Counts of requests by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// All.
+    /// All requests.
     pub asked: u64,
     /// Acknowledged.
     pub acked: u64,
@@ -18,53 +19,54 @@
     pub in_target: u64,
     /// Throttled.
     pub throttled: u64,
-    /// Aborted.
+    /// Aborted, also because of a gateway's shutdown.
     pub aborted: u64,
-    /// Without an answer.
+    /// Without a response.
     pub lost: u64,
-    /// Utility asked for, and acked within the target latency.
+    /// Utility of all requests: the sum of their priority weights.
     pub utility: f64,
-    /// See `utility`.
+    /// Utility of the requests acked within the target latency.
     pub utility_in_target: f64,
 }
 
-/// What clients were served.
+/// The service that clients received.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
     /// All requests.
     pub all: Count,
-    /// By op type.
+    /// Requests by op type.
     pub by_op_type: BTreeMap<String, Count>,
-    /// By plan.
+    /// Requests by plan.
     pub by_plan: BTreeMap<String, Count>,
-    /// Of requests to a gateway within ten seconds after it came back from its death.
+    /// Requests to a gateway within ten seconds after it was started again after a kill.
     pub after_return: Count,
-    /// Of requests in those seconds to gateways that had not lately died.
+    /// Requests in those seconds to gateways that had not been killed recently.
     pub others_then: Count,
-    /// How long after a return a gateway's service, counted by half seconds, was first as good as that of the others, or
-    /// as its own before it died where there are none. Microseconds, one a return; absent: not within that time.
+    /// For each return of a gateway, the time in microseconds until its service, counted in steps of half a
+    /// second, first matched that of the other gateways, or its own before the kill where there are no
+    /// others. Absent where that did not happen within the ten seconds.
     pub recovered: Vec<Option<u64>>,
-    /// By second of the day.
+    /// Requests by second of the scenario.
     pub by_second: BTreeMap<u64, Count>,
 }
 
-/// How long after a gateway's return its requests count as those after it, microseconds.
-const RETURN: u64 = 10_000_000;
+/// Time after a gateway's return in which its requests count towards `after_return`, in microseconds.
+const RETURN_WINDOW_MICROS: u64 = 10_000_000;
 
-/// Recovery is looked for by steps of this length.
-const STEP: u64 = 500_000;
+/// Length of the steps in which recovery is checked, in microseconds.
+const RECOVERY_STEP_MICROS: u64 = 500_000;
 
-/// Service is as good as that of the others when it is so great a part of theirs.
-const AS_GOOD: f64 = 0.95;
+/// A gateway has recovered when it serves this fraction of the utility that the others serve.
+const RECOVERED_RATIO: f64 = 0.95;
 
 impl Count {
-    fn add(&mut self, asked: &Asked, utility: f64, in_time: bool) {
+    fn add(&mut self, request: &Asked, utility: f64, is_in_target: bool) {
         self.asked += 1;
         self.utility += utility;
-        match asked.outcome {
+        match request.outcome {
             Outcome::Acked => {
                 self.acked += 1;
-                if in_time {
+                if is_in_target {
                     self.in_target += 1;
                     self.utility_in_target += utility;
                 }
@@ -75,39 +77,41 @@
         }
     }
 
-    /// Utility acked in target latency, as a part of what was asked for.
+    /// Utility acked within the target latency, as a fraction of the utility requested.
     pub fn served(&self) -> f64 {
         self.utility_in_target / self.utility.max(1e-9)
     }
 }
 
-/// One return of a gateway: from when to when its requests count as those after it.
-struct Return {
+/// One return of a gateway after a kill; its requests between `from` and `until` count towards
+/// `after_return`.
+struct GatewayReturn {
     gateway: usize,
-    died: u64,
+    killed_at: u64,
     from: u64,
     until: u64,
 }
 
-impl Return {
-    fn covers(&self, asked: &Asked) -> bool {
-        asked.gateway == self.gateway && (self.from..self.until).contains(&asked.sent)
+impl GatewayReturn {
+    fn covers(&self, request: &Asked) -> bool {
+        request.gateway == self.gateway && (self.from..self.until).contains(&request.sent)
     }
 }
 
-fn returns(record: &Record) -> Vec<Return> {
-    let mut died = BTreeMap::new();
-    let mut returns: Vec<Return> = Vec::new();
-    for (at, deed) in &record.deeds {
-        match deed {
+fn returns(record: &Record) -> Vec<GatewayReturn> {
+    let mut killed = BTreeMap::new();
+    let mut returns: Vec<GatewayReturn> = Vec::new();
+    for (at, event) in &record.deeds {
+        match event {
             Deed::Killed { gateway } => {
-                died.insert(*gateway, *at);
-                let before = returns.iter_mut().filter(|r| r.gateway == *gateway);
-                before.for_each(|r| r.until = r.until.min(*at));
+                killed.insert(*gateway, *at);
+                let earlier = returns.iter_mut().filter(|r| r.gateway == *gateway);
+                earlier.for_each(|r| r.until = r.until.min(*at));
             }
             Deed::Returned { gateway } => {
-                let died = died.get(gateway).copied().unwrap_or(*at);
-                returns.push(Return { gateway: *gateway, died, from: *at, until: at + RETURN });
+                let killed_at = killed.get(gateway).copied().unwrap_or(*at);
+                let (gateway, from, until) = (*gateway, *at, at + RETURN_WINDOW_MICROS);
+                returns.push(GatewayReturn { gateway, killed_at, from, until });
             }
             _ => {}
         }
@@ -115,51 +119,59 @@
     returns
 }
 
-pub(crate) fn service(day: &Day, record: &Record) -> Service {
-    let settings = &day.document.settings;
+pub(crate) fn service(scenario: &Day, record: &Record) -> Service {
+    let settings = &scenario.document.settings;
     let mut service = Service::default();
     let returns = returns(record);
-    // Of each return and each step after it: this gateway's, and that of those that had not lately died.
+    // For each return and each step after it: requests to this gateway, and to those not recently killed.
     let mut steps: Vec<BTreeMap<u64, [Count; 2]>> = returns.iter().map(|_| BTreeMap::new()).collect();
     let mut before = vec![Count::default(); returns.len()];
-    for asked in &record.asked {
-        let op_type = &settings.op_types[settings.op_type(asked.kind.work(), asked.length)];
-        let plan = &settings.plans[settings.volumes[asked.volume].plan].name;
-        let in_time = asked.ended - asked.sent <= op_type.target_latency.as_micros() as u64;
-        let returned = returns.iter().any(|r| r.covers(asked));
+    for request in &record.asked {
+        let op_type = &settings.op_types[settings.op_type(request.kind.operation_kind(), request.length)];
+        let plan = &settings.plans[settings.volumes[request.volume].plan].name;
+        let is_in_target = request.ended - request.sent <= op_type.target_latency.as_micros() as u64;
+        let after_return = returns.iter().any(|r| r.covers(request));
         for (i, r) in returns.iter().enumerate() {
-            if (r.from..r.until).contains(&asked.sent) && (asked.gateway == r.gateway || !returned) {
-                let step = steps[i].entry((asked.sent - r.from) / STEP).or_default();
-                step[usize::from(asked.gateway != r.gateway)].add(asked, op_type.priority_weight, in_time);
+            if (r.from..r.until).contains(&request.sent) && (request.gateway == r.gateway || !after_return) {
+                let step = steps[i].entry((request.sent - r.from) / RECOVERY_STEP_MICROS).or_default();
+                step[usize::from(request.gateway != r.gateway)].add(
+                    request,
+                    op_type.priority_weight,
+                    is_in_target,
+                );
             }
-            if asked.gateway == r.gateway && (r.died.saturating_sub(4 * STEP)..r.died).contains(&asked.sent) {
-                before[i].add(asked, op_type.priority_weight, in_time);
+            if request.gateway == r.gateway
+                && (r.killed_at.saturating_sub(4 * RECOVERY_STEP_MICROS)..r.killed_at).contains(&request.sent)
+            {
+                before[i].add(request, op_type.priority_weight, is_in_target);
             }
         }
-        let then = returns.iter().any(|r| (r.from..r.until).contains(&asked.sent));
-        let mut other = Count::default();
+        let during_other_return = returns.iter().any(|r| (r.from..r.until).contains(&request.sent));
+        let mut ignored = Count::default();
         let counts = [
-            match (returned, then) {
+            match (after_return, during_other_return) {
                 (true, _) => &mut service.after_return,
                 (false, true) => &mut service.others_then,
-                (false, false) => &mut other,
+                (false, false) => &mut ignored,
             },
             &mut service.all,
             service.by_op_type.entry(op_type.name.clone()).or_default(),
             service.by_plan.entry(plan.clone()).or_default(),
-            service.by_second.entry(asked.sent / 1_000_000).or_default(),
+            service.by_second.entry(request.sent / 1_000_000).or_default(),
         ];
-        counts.into_iter().for_each(|count| count.add(asked, op_type.priority_weight, in_time));
+        counts.into_iter().for_each(|count| count.add(request, op_type.priority_weight, is_in_target));
     }
-    service.recovered = steps.iter().zip(&before).map(|(steps, before)| recovered(steps, before)).collect();
+    service.recovered =
+        steps.iter().zip(&before).map(|(steps, before)| recovery_time(steps, before)).collect();
     service
 }
 
-/// When the service after a return was first as good as that of the others, or as the gateway's own before.
-fn recovered(steps: &BTreeMap<u64, [Count; 2]>, before: &Count) -> Option<u64> {
-    let good = |(_, [own, others]): &(&u64, &[Count; 2])| {
-        let wanted = if others.asked > 0 { others.served() } else { before.served() };
-        own.asked > 0 && own.served() >= AS_GOOD * wanted
+/// Time until the service after a return first matched that of the other gateways, or, where there are none,
+/// the gateway's own service before the kill.
+fn recovery_time(steps: &BTreeMap<u64, [Count; 2]>, before: &Count) -> Option<u64> {
+    let has_recovered = |(_, [own, others]): &(&u64, &[Count; 2])| {
+        let expected = if others.asked > 0 { others.served() } else { before.served() };
+        own.asked > 0 && own.served() >= RECOVERED_RATIO * expected
     };
-    steps.iter().find(good).map(|(step, _)| step * STEP)
+    steps.iter().find(has_recovered).map(|(step, _)| step * RECOVERY_STEP_MICROS)
 }
--- a/crates/fault-tests/src/judge/tests.rs
+++ b/crates/fault-tests/src/judge/tests.rs
@@ -1,13 +1,14 @@
-//! A small right record, and one altered for each rule: the judge must tell them apart.
+//! Tests of the judge: a small correct record breaks no rule, and an altered copy of it breaks the rule that
+//! the alteration violates.
 
 use umbertray_fakes::book::{Entry, Seen};
 use umbertray_store_protocol::volume_id;
 
 use super::judge;
-use crate::day::Day;
-use crate::record::{Asked, Deed, Kind, Outcome, Record};
+use crate::record::{Asked, Deed, Outcome, Record, RequestKind};
+use crate::script::Day;
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB)
 op_type("get", target_latency = 0.1, op_timeout = 1.0, utility = 3)
 op_type("put", target_latency = 0.1, op_timeout = 1.0, utility = 2, repeats = "once_only", in_order = True)
@@ -20,9 +21,9 @@
 clients("v", count = 1)
 "#;
 
-fn asked(kind: Kind, mark: u64, sent: u64) -> Asked {
-    let found = if kind == Kind::Read { vec![Some(mark)] } else { Vec::new() };
-    let mark = if kind == Kind::Read { 0 } else { mark };
+fn request(kind: RequestKind, mark: u64, sent: u64) -> Asked {
+    let found = if kind == RequestKind::Read { vec![Some(mark)] } else { Vec::new() };
+    let mark = if kind == RequestKind::Read { 0 } else { mark };
     Asked {
         client: 0,
         gateway: 0,
@@ -49,15 +50,15 @@
     Entry { at, store: 1, seen }
 }
 
-/// Two writes through one gateway to one store, each sent once, and reads between.
-fn right() -> Record {
+/// Two writes through one gateway to one store, each with one attempt, and a read after each write.
+fn correct_record() -> Record {
     let answered = |number| Seen::Answered { run: 9, number, code: "Acked".into() };
     Record {
         asked: vec![
-            asked(Kind::Write, 1, 1_000_000),
-            asked(Kind::Read, 1, 1_100_000),
-            asked(Kind::Write, 2, 1_200_000),
-            asked(Kind::Read, 2, 1_300_000),
+            request(RequestKind::Write, 1, 1_000_000),
+            request(RequestKind::Read, 1, 1_100_000),
+            request(RequestKind::Write, 2, 1_200_000),
+            request(RequestKind::Read, 2, 1_300_000),
         ],
         stores: vec![
             entry(0, Seen::Up { units_a_second: 10.0, cold: true }),
@@ -73,29 +74,29 @@
     }
 }
 
-fn broken(change: impl FnOnce(&mut Record)) -> Vec<&'static str> {
-    let day = Day::read("test.star", DAY.into()).expect("the day is well written");
-    let mut record = right();
-    change(&mut record);
-    let verdict = judge(&day, &record);
+fn broken_rules(alter: impl FnOnce(&mut Record)) -> Vec<&'static str> {
+    let scenario = Day::read("test.star", SCENARIO.into()).expect("the scenario is valid");
+    let mut record = correct_record();
+    alter(&mut record);
+    let verdict = judge(&scenario, &record);
     verdict.findings.into_iter().filter(|finding| finding.broken > 0).map(|finding| finding.rule).collect()
 }
 
 #[test]
-fn a_right_record_breaks_nothing() {
-    assert_eq!(broken(|_| {}), [""; 0]);
+fn a_correct_record_breaks_no_rule() {
+    assert_eq!(broken_rules(|_| {}), [""; 0]);
 }
 
 #[test]
 fn a_late_a_missing_and_a_doubled_answer_break_rule_1() {
-    assert_eq!(broken(|record| record.asked[1].ended += 1_100_000), ["1 one final answer"]);
-    assert_eq!(broken(|record| record.asked[1].outcome = Outcome::Silent), ["1 one final answer"]);
-    assert_eq!(broken(|record| record.strays.push("cookie 7".into())), ["1 one final answer"]);
+    assert_eq!(broken_rules(|record| record.asked[1].ended += 1_100_000), ["1 one final answer"]);
+    assert_eq!(broken_rules(|record| record.asked[1].outcome = Outcome::Silent), ["1 one final answer"]);
+    assert_eq!(broken_rules(|record| record.strays.push("cookie 7".into())), ["1 one final answer"]);
 }
 
 #[test]
 fn a_dispatch_after_the_answer_breaks_rule_1() {
-    let after = broken(|record| {
+    let after = broken_rules(|record| {
         record.asked[2].ended = 1_201_000;
         record.stores[4].at = 1_290_000;
     });
@@ -103,57 +104,60 @@
 }
 
 #[test]
-fn a_stand_still_excuses_a_late_answer_only_while_it_lasts() {
+fn a_stall_excuses_a_late_response_only_while_it_lasts() {
     let stall = |from, until| {
         move |record: &mut Record| {
             record.asked[3].ended = 3_000_000;
             record.deeds.push((from, Deed::Stalled { gateway: 0, until }));
         }
     };
-    // The answer was due while the gateway stood still.
-    assert_eq!(broken(stall(1_310_000, 2_990_000)), [""; 0]);
-    assert_eq!(broken(stall(1_310_000, 2_500_000)), ["1 one final answer"]);
-    // The request came while it did: its time counts from the end of that.
-    assert_eq!(broken(stall(1_200_000, 2_100_000)), [""; 0]);
-    assert_eq!(broken(stall(1_200_000, 1_900_000)), ["1 one final answer"]);
+    // The response was due while the gateway was stalled.
+    assert_eq!(broken_rules(stall(1_310_000, 2_990_000)), [""; 0]);
+    assert_eq!(broken_rules(stall(1_310_000, 2_500_000)), ["1 one final answer"]);
+    // The request was sent during the stall: its timeout counts from the end of the stall.
+    assert_eq!(broken_rules(stall(1_200_000, 2_100_000)), [""; 0]);
+    assert_eq!(broken_rules(stall(1_200_000, 1_900_000)), ["1 one final answer"]);
 }
 
 #[test]
 fn a_write_that_runs_twice_breaks_rule_2() {
-    let twice = broken(|record| {
+    let twice = broken_rules(|record| {
         record.stores.push(received(1_225_000, 3, 2, 2, 1.0));
         record.stores.push(entry(1_226_000, Seen::Ran { run: 9, number: 3 }));
     });
     assert!(twice.contains(&"2 no effect twice"), "{twice:?}");
-    let throttled = broken(|record| record.asked[2].outcome = Outcome::Throttled);
+    let throttled = broken_rules(|record| record.asked[2].outcome = Outcome::Throttled);
     assert!(throttled.contains(&"2 no effect twice"), "once-only, may have run: {throttled:?}");
 }
 
 #[test]
 fn a_dispatch_to_a_drained_store_breaks_rule_3() {
-    assert_eq!(broken(|r| r.deeds.push((100_000, Deed::Barred { store: 1 }))), ["3 drains are kept"]);
-    assert_eq!(broken(|r| r.deeds.push((1_000_000, Deed::Barred { store: 1 }))), [""; 0]);
+    assert_eq!(broken_rules(|r| r.deeds.push((100_000, Deed::Barred { store: 1 }))), ["3 drains are kept"]);
+    assert_eq!(broken_rules(|r| r.deeds.push((1_000_000, Deed::Barred { store: 1 }))), [""; 0]);
 }
 
 #[test]
-fn a_fallen_store_or_one_sent_too_much_breaks_rule_4() {
-    assert_eq!(broken(|r| r.stores.push(entry(1_300_000, Seen::Fell))), ["4 no cold store pushed over"]);
-    let heavy = broken(|r| r.stores[1] = received(1_010_000, 1, 1, 1, 21.0));
+fn a_crashed_or_overloaded_cold_store_breaks_rule_4() {
+    assert_eq!(
+        broken_rules(|r| r.stores.push(entry(1_300_000, Seen::Fell))),
+        ["4 no cold store pushed over"]
+    );
+    let heavy = broken_rules(|r| r.stores[1] = received(1_010_000, 1, 1, 1, 21.0));
     assert!(heavy.contains(&"4 no cold store pushed over"), "{heavy:?}");
 }
 
 #[test]
-fn a_key_whose_earlier_op_is_out_breaks_rule_5() {
-    let out = broken(|record| {
+fn an_attempt_while_an_earlier_op_of_its_key_is_pending_breaks_rule_5() {
+    let pending = broken_rules(|record| {
         record.stores.remove(3);
         record.stores[1].at = 1_100_000;
     });
-    assert_eq!(out, ["5 order by key"]);
+    assert_eq!(pending, ["5 order by key"]);
 }
 
 #[test]
 fn too_many_further_dispatches_break_rule_6() {
-    let more = broken(|record| {
+    let more = broken_rules(|record| {
         for number in 3..5 {
             record.stores.push(received(1_221_000, number, 2, 2, 0.0));
             let code = "Full".into();
@@ -165,7 +169,7 @@
 
 #[test]
 fn a_volume_past_its_limit_breaks_rule_7() {
-    let past = broken(|r| {
+    let past = broken_rules(|r| {
         r.stores[0] = entry(0, Seen::Up { units_a_second: 1e6, cold: true });
         r.stores[1] = received(1_010_000, 1, 1, 1, 23.0);
     });
@@ -173,20 +177,25 @@
 }
 
 #[test]
-fn a_stale_an_unwritten_a_torn_and_a_returning_value_are_found() {
+fn a_read_of_a_stale_unwritten_torn_or_reappearing_value_is_found() {
     let rule = ["reads return what stands"];
-    assert_eq!(broken(|record| record.asked[3].found = vec![Some(1)]), rule, "an older write");
-    assert_eq!(broken(|record| record.asked[3].found = vec![Some(0)]), rule, "zeros again");
-    assert_eq!(broken(|record| record.asked[1].found = vec![Some(2)]), rule, "not begun");
-    assert_eq!(broken(|record| record.asked[1].found = vec![None]), rule, "torn");
-    // Two writes at once may stand in either order, but not 1, then 2, then 1.
-    let returns = broken(|record| {
+    assert_eq!(broken_rules(|record| record.asked[3].found = vec![Some(1)]), rule, "an overwritten value");
+    assert_eq!(broken_rules(|record| record.asked[3].found = vec![Some(0)]), rule, "zeros after a write");
+    assert_eq!(
+        broken_rules(|record| record.asked[1].found = vec![Some(2)]),
+        rule,
+        "a write that has not begun"
+    );
+    assert_eq!(broken_rules(|record| record.asked[1].found = vec![None]), rule, "a torn block");
+    // Two concurrent writes may take effect in either order, but reads must not return 1, then 2, then 1.
+    let returns = broken_rules(|record| {
         record.asked[0].ended = 1_900_000;
         record.asked[2].ended = 1_900_000;
-        record.asked.push(asked(Kind::Read, 1, 1_400_000));
+        record.asked.push(request(RequestKind::Read, 1, 1_400_000));
     });
     assert_eq!(returns, rule);
-    // A throttled write has run, if at all, when its answer comes; one without an answer may run later.
+    // A throttled or aborted write that runs has run by the time of its response; one without a response may
+    // run later.
     let late = |outcome| {
         move |record: &mut Record| {
             record.asked[0].outcome = outcome;
@@ -194,6 +203,6 @@
             record.asked[2].found = vec![Some(1)];
         }
     };
-    assert!(broken(late(Outcome::Aborted)).contains(&rule[0]));
-    assert!(!broken(late(Outcome::Lost)).contains(&rule[0]));
+    assert!(broken_rules(late(Outcome::Aborted)).contains(&rule[0]));
+    assert!(!broken_rules(late(Outcome::Lost)).contains(&rule[0]));
 }
--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -1,16 +1,16 @@
-//! Scripted days on real sockets: gateways in processes of their own, stand-in stores and clients around them, and a judge
-//! that reads only what clients and stores saw.
+//! Fault tests on real sockets. Gateways run as separate processes between stand-in stores and clients,
+//! faults are injected, and a judge checks the rules using only what clients and stores recorded.
 
 pub mod coordinator;
-pub mod day;
 pub mod judge;
 pub mod load;
 pub mod process;
 pub mod record;
 mod scenario;
+pub mod script;
 pub mod soak;
 
-pub use day::Day;
 pub use judge::{Verdict, judge};
 pub use record::Record;
 pub use scenario::run_scenario;
+pub use script::Day;
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -1,4 +1,5 @@
-//! Clients: each draws its requests from a seed, marks what it writes, and records what became of them.
+//! Clients of a scenario. Each draws its requests from a seed, marks the data that it writes, and records how
+//! each request ended.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,72 +15,79 @@
 use umbertray_fakes::client::{Connection, Ended, Whole};
 use umbertray_nbd::{Command, Errno};
 
-use crate::day::Load;
-use crate::record::{Asked, Kind, Outcome, Record};
+use crate::record::{Asked, Outcome, Record, RequestKind};
+use crate::script::ClientLoad;
 
-/// Size of a block, bytes.
+/// Size of a block in bytes.
 pub const BLOCK: u32 = 4096;
 
-/// What the day does to clients at the moment.
+/// Faults that affect clients at present.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Weather {
-    /// Requests come so many times as often, by volume.
-    pub rate: Vec<f64>,
-    /// All requests of the volume go to one block; or through the whole volume, reading.
-    pub hot: Vec<bool>,
-    /// Requests read through the whole volume, by volume.
+pub struct ClientFaults {
+    /// Factor of the request rate, by volume.
+    pub rate_factors: Vec<f64>,
+    /// Whether all requests go to the first block, by volume.
+    pub hot_key: Vec<bool>,
+    /// Whether all requests read sequentially through the volume, by volume.
     pub scan: Vec<bool>,
-    /// Counts the moments at which a part of the clients drop their connections.
-    pub drops: u64,
-    /// The part of the clients that drop their connections.
-    pub drop_part: f64,
-    /// The scenario is over.
-    pub over: bool,
+    /// Number of disconnect faults so far; each makes clients drop their connections.
+    pub disconnects: u64,
+    /// Fraction of the clients that drop their connections.
+    pub disconnect_fraction: f64,
+    /// Whether the scenario has finished.
+    pub finished: bool,
 }
 
-impl Weather {
-    /// Nothing is done to clients.
-    pub fn fair(volumes: usize) -> Weather {
-        let (rate, no) = (vec![1.0; volumes], vec![false; volumes]);
-        Weather { rate, hot: no.clone(), scan: no, drops: 0, drop_part: 0.0, over: false }
+impl ClientFaults {
+    /// No faults, for this number of volumes.
+    pub fn none(volumes: usize) -> ClientFaults {
+        ClientFaults {
+            rate_factors: vec![1.0; volumes],
+            hot_key: vec![false; volumes],
+            scan: vec![false; volumes],
+            disconnects: 0,
+            disconnect_fraction: 0.0,
+            finished: false,
+        }
     }
 }
 
-/// What all clients share.
-pub struct Shared {
-    /// The record of the stores, and the clock.
-    pub book: Book,
-    /// What is done to clients now.
-    pub weather: watch::Receiver<Weather>,
-    /// What is recorded.
+/// State shared by all clients.
+pub struct ClientContext {
+    /// Record of the stores, which is also the clock of the test.
+    pub store_record: Book,
+    /// Faults that affect clients at present.
+    pub faults: watch::Receiver<ClientFaults>,
+    /// Record that the judge reads.
     pub record: Mutex<Record>,
-    /// The next mark of a write.
-    pub marks: AtomicU64,
-    /// Where each gateway listens now.
-    pub gateways: Mutex<Vec<SocketAddr>>,
-    /// How long a client waits for an answer before it records that none came.
-    pub patience: Duration,
+    /// Mark of the next write.
+    pub next_mark: AtomicU64,
+    /// Current address of each gateway.
+    pub gateway_addresses: Mutex<Vec<SocketAddr>>,
+    /// Time that a client waits for a response before it records that there was none.
+    pub response_timeout: Duration,
 }
 
-/// One client.
+/// A client.
 pub struct Client {
-    /// Its number.
+    /// Number of the client.
     pub number: u32,
     /// Index of its gateway.
     pub gateway: usize,
-    /// What it asks for.
-    pub load: Load,
+    /// Load that it generates.
+    pub load: ClientLoad,
     /// Name of its volume.
     pub volume_name: String,
-    /// Size of its volume, bytes.
+    /// Size of its volume in bytes.
     pub volume_bytes: u64,
-    /// Seed of what it draws.
+    /// Seed of its random draws.
     pub seed: u64,
-    /// What all clients share.
-    pub shared: Arc<Shared>,
+    /// State shared by all clients.
+    pub context: Arc<ClientContext>,
 }
 
-/// The content of a block that a write of this mark leaves: the mark, then bytes that follow from it.
+/// Content of a block after a write with this mark: the mark, followed by words derived from the mark and the
+/// block.
 pub fn content(mark: u64, block: u64) -> [u8; BLOCK as usize] {
     let mut bytes = [0; BLOCK as usize];
     for (i, chunk) in bytes.chunks_exact_mut(8).enumerate() {
@@ -89,42 +97,49 @@
     bytes
 }
 
-/// The mark of a block's content; nothing where it is no write's.
+/// Mark of the write that left this content in a block, 0 for zeros. Absent where no single write can have
+/// left it.
 pub fn mark(bytes: &[u8], block: u64) -> Option<u64> {
     let mark = u64::from_be_bytes(*bytes.first_chunk()?);
-    let whole = if mark == 0 { bytes.iter().all(|byte| *byte == 0) } else { bytes == content(mark, block) };
-    whole.then_some(mark)
+    let is_complete =
+        if mark == 0 { bytes.iter().all(|byte| *byte == 0) } else { bytes == content(mark, block) };
+    is_complete.then_some(mark)
 }
 
 impl Client {
-    /// Asks until the day is over, from `depth` places at once, over one connection at a time.
+    /// Sends requests until the scenario has finished, with `depth` concurrent workers over one connection at
+    /// a time.
     pub async fn run(self) {
-        let mut weather = self.shared.weather.clone();
+        let mut faults = self.context.faults.clone();
         let client = Arc::new(self);
         let mut round = 0;
-        while !weather.borrow().over {
+        while !faults.borrow().finished {
             round += 1;
-            let address = client.shared.gateways.lock().map(|all| all[client.gateway]).ok();
+            let address = client.context.gateway_addresses.lock().map(|all| all[client.gateway]).ok();
             let Some(address) = address else { return };
-            // Half the clients take structured replies.
+            // Half of the clients negotiate structured replies.
             let structured = client.number.is_multiple_of(2);
             let opening = Connection::open(address, &client.volume_name, structured);
             let Ok(Ok(connection)) = tokio::time::timeout(Duration::from_secs(2), opening).await else {
-                // A gateway that is down is tried again soon.
+                // The gateway may be down: retry soon.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
             let connection = Arc::new(connection);
             let mut workers = tokio::task::JoinSet::new();
-            for place in 0..client.load.depth {
-                let seed = client.seed ^ (round << 40) ^ (u64::from(place) << 20);
-                workers.spawn(client.clone().work(connection.clone(), seed));
+            for worker in 0..client.load.depth {
+                let seed = client.seed ^ (round << 40) ^ (u64::from(worker) << 20);
+                workers.spawn(client.clone().run_worker(connection.clone(), seed));
             }
-            let drops = weather.borrow().drops;
-            let mut draw = StdRng::seed_from_u64(client.seed ^ drops);
+            let disconnects = faults.borrow().disconnects;
+            let mut rng = StdRng::seed_from_u64(client.seed ^ disconnects);
             let dropped = async {
-                while weather.wait_for(|now| now.over || now.drops > drops).await.is_ok_and(|now| !now.over) {
-                    if draw.random_bool(weather.borrow().drop_part) {
+                while faults
+                    .wait_for(|now| now.finished || now.disconnects > disconnects)
+                    .await
+                    .is_ok_and(|now| !now.finished)
+                {
+                    if rng.random_bool(faults.borrow().disconnect_fraction) {
                         return;
                     }
                 }
@@ -134,83 +149,101 @@
                 () = dropped => {}
                 _ = async { while workers.join_next().await.is_some() {} } => {}
             }
-            // The connection goes with its last holder: those still waiting learn that it ended.
+            // Workers still hold the connection; cutting it ends their pending requests.
             connection.cut();
             while workers.join_next().await.is_some() {}
-            if let Ok(mut record) = client.shared.record.lock() {
+            if let Ok(mut record) = client.context.record.lock() {
                 record.strays.extend(connection.strays());
             }
         }
     }
 
-    async fn work(self: Arc<Client>, connection: Arc<Connection>, seed: u64) {
-        let mut draw = StdRng::seed_from_u64(seed);
+    async fn run_worker(self: Arc<Client>, connection: Arc<Connection>, seed: u64) {
+        let mut rng = StdRng::seed_from_u64(seed);
         let mut scanned = 0;
         loop {
-            let weather = self.shared.weather.borrow().clone();
-            if weather.over {
+            let faults = self.context.faults.borrow().clone();
+            if faults.finished {
                 return;
             }
-            let rate = self.load.rate * weather.rate[self.load.volume] / f64::from(self.load.depth);
-            let pause = Exp::new(rate).map_or(1.0, |pauses| pauses.sample(&mut draw));
+            let rate = self.load.rate * faults.rate_factors[self.load.volume] / f64::from(self.load.depth);
+            let pause = Exp::new(rate).map_or(1.0, |pauses| pauses.sample(&mut rng));
             tokio::time::sleep(Duration::from_secs_f64(pause.min(1.0))).await;
-            let (kind, block, blocks) = self.draw(&mut draw, &weather, &mut scanned);
-            if !self.ask(&connection, kind, block, blocks).await {
+            let (kind, block, blocks) = self.draw_request(&mut rng, &faults, &mut scanned);
+            if !self.send_request(&connection, kind, block, blocks).await {
                 return;
             }
         }
     }
 
-    fn draw(&self, draw: &mut StdRng, weather: &Weather, scanned: &mut u64) -> (Kind, u64, u32) {
-        let most = (self.load.length / BLOCK).max(1);
-        let all = self.volume_bytes / u64::from(BLOCK);
-        if weather.scan[self.load.volume] {
-            *scanned += u64::from(most);
-            return (Kind::Read, (*scanned + u64::from(self.number) * 997) % (all - u64::from(most)), most);
+    fn draw_request(
+        &self,
+        rng: &mut StdRng,
+        faults: &ClientFaults,
+        scanned: &mut u64,
+    ) -> (RequestKind, u64, u32) {
+        let max_blocks = (self.load.max_length / BLOCK).max(1);
+        let volume_blocks = self.volume_bytes / u64::from(BLOCK);
+        if faults.scan[self.load.volume] {
+            *scanned += u64::from(max_blocks);
+            // Clients start at different blocks.
+            let position = *scanned + u64::from(self.number) * 997;
+            return (RequestKind::Read, position % (volume_blocks - u64::from(max_blocks)), max_blocks);
         }
-        let chance: f64 = draw.random();
+        let chance: f64 = rng.random();
         let kind = match chance {
-            c if c < self.load.reads => Kind::Read,
-            c if c < self.load.reads + self.load.flushes => Kind::Flush,
-            _ => Kind::Write,
+            c if c < self.load.read_fraction => RequestKind::Read,
+            c if c < self.load.read_fraction + self.load.flush_fraction => RequestKind::Flush,
+            _ => RequestKind::Write,
         };
-        if kind == Kind::Flush {
+        if kind == RequestKind::Flush {
             return (kind, 0, 0);
         }
-        if weather.hot[self.load.volume] {
+        if faults.hot_key[self.load.volume] {
             return (kind, 0, 1);
         }
-        let blocks = draw.random_range(1..=most);
-        // Spread over the volume, so that the blocks lie in several extents.
-        let choice = u64::from(draw.random_range(0..self.load.blocks));
-        let step = (all / u64::from(self.load.blocks)).max(1);
-        (kind, (choice * step).min(all - u64::from(blocks)), blocks)
+        let blocks = rng.random_range(1..=max_blocks);
+        // The blocks are spread over the volume, so that they lie in several extents.
+        let choice = u64::from(rng.random_range(0..self.load.block_count));
+        let step = (volume_blocks / u64::from(self.load.block_count)).max(1);
+        (kind, (choice * step).min(volume_blocks - u64::from(blocks)), blocks)
     }
 
-    /// Asks once and records it; false where the connection has ended.
-    async fn ask(&self, connection: &Connection, kind: Kind, block: u64, blocks: u32) -> bool {
+    /// Sends one request and records how it ended. Returns false if the connection has ended or there was no
+    /// response.
+    async fn send_request(
+        &self,
+        connection: &Connection,
+        kind: RequestKind,
+        block: u64,
+        blocks: u32,
+    ) -> bool {
         let (offset, length) = (block * u64::from(BLOCK), blocks * BLOCK);
-        let mark = if kind == Kind::Write { self.shared.marks.fetch_add(1, Ordering::Relaxed) } else { 0 };
+        let mark = if kind == RequestKind::Write {
+            self.context.next_mark.fetch_add(1, Ordering::Relaxed)
+        } else {
+            0
+        };
         let mut data = BytesMut::new();
-        if kind == Kind::Write {
+        if kind == RequestKind::Write {
             (block..block + u64::from(blocks)).for_each(|block| data.put_slice(&content(mark, block)));
         }
         let command = match kind {
-            Kind::Read => Command::Read,
-            Kind::Write => Command::Write,
-            Kind::Flush => Command::Flush,
+            RequestKind::Read => Command::Read,
+            RequestKind::Write => Command::Write,
+            RequestKind::Flush => Command::Flush,
         };
-        let sent = self.shared.book.now();
+        let sent = self.context.store_record.now();
         let reply = connection.send(command, 0, offset, length, data.freeze());
         let ended: Result<Ended, _> =
-            tokio::time::timeout(self.shared.patience, async { reply.await.ok().flatten() }).await;
-        let now = self.shared.book.now();
+            tokio::time::timeout(self.context.response_timeout, async { reply.await.ok().flatten() }).await;
+        let now = self.context.store_record.now();
         let (outcome, found) = match &ended {
             Err(_) => (Outcome::Silent, Vec::new()),
             Ok(None) => (Outcome::Lost, Vec::new()),
-            Ok(Some(whole)) => read(whole, kind, block, blocks),
+            Ok(Some(reply)) => outcome_of(reply, kind, block, blocks),
         };
-        let asked = Asked {
+        let request = Asked {
             client: self.number,
             gateway: self.gateway,
             volume: self.load.volume,
@@ -223,25 +256,26 @@
             outcome,
             found,
         };
-        if let Ok(mut record) = self.shared.record.lock() {
-            record.asked.push(asked);
+        if let Ok(mut record) = self.context.record.lock() {
+            record.asked.push(request);
         }
         !matches!(outcome, Outcome::Lost | Outcome::Silent)
     }
 }
 
-fn read(whole: &Whole, kind: Kind, block: u64, blocks: u32) -> (Outcome, Vec<Option<u64>>) {
-    let outcome = match &whole.error {
+/// Outcome of a request, and the marks that an acked read found in its blocks.
+fn outcome_of(reply: &Whole, kind: RequestKind, block: u64, blocks: u32) -> (Outcome, Vec<Option<u64>>) {
+    let outcome = match &reply.error {
         None => Outcome::Acked,
         Some((Errno::NoMem, _)) => Outcome::Throttled,
         Some((Errno::Shutdown, _)) => Outcome::Shutdown,
         Some(_) => Outcome::Aborted,
     };
-    if kind != Kind::Read || outcome != Outcome::Acked {
+    if kind != RequestKind::Read || outcome != Outcome::Acked {
         return (outcome, Vec::new());
     }
-    // A reply that does not cover its range has nothing to be found in.
-    let bytes: Bytes = whole.bytes(block * u64::from(BLOCK), blocks * BLOCK).unwrap_or_default().into();
+    // Nothing is found in a reply that does not cover the requested range: its blocks count as torn.
+    let bytes: Bytes = reply.bytes(block * u64::from(BLOCK), blocks * BLOCK).unwrap_or_default().into();
     let found = (0..blocks).map(|i| {
         let at = (i * BLOCK) as usize;
         mark(bytes.get(at..at + BLOCK as usize)?, block + u64::from(i))
--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes of the program: started on a script, signalled, and ended with their handle.
+//! Child processes of the program under test: started with a script, signalled, and killed when their handle
+//! is dropped.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,19 +12,20 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// How long a process may take to say where it listens.
+/// Time within which a process must report its address, or a superseded coordinator must exit.
 pub(crate) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One process of the program; ended when dropped.
+/// A process of the program under test; killed when dropped.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a sub-command, under a name of its own, on a script written into `folder`; what it says first.
+    /// Starts a subcommand with a script that is written into `folder`; script and log are named `name`.
+    /// Returns the process and its startup line, a JSON object.
     ///
     /// # Errors
-    /// It cannot be started, or does not say where it listens in time.
+    /// Fails when the process cannot be started, or does not print its startup line in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -34,7 +36,7 @@
         Process::start_in(program, folder, (command, name), script, arguments, &[]).await
     }
 
-    /// The same with environment variables of its own.
+    /// Same as [`Process::start`], with additional environment variables.
     ///
     /// # Errors
     /// Those of [`Process::start`].
@@ -60,70 +62,74 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
-        let mut lines = BufReader::new(out).lines();
+        let output = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other(format!("the standard output of {name} is not piped")))?;
+        let mut lines = BufReader::new(output).lines();
         let line = tokio::time::timeout(START_TIMEOUT, lines.next_line()).await??;
-        let said: serde_json::Value = serde_json::from_str(&line.unwrap_or_default())?;
-        Ok((Process { child }, said))
+        let startup: serde_json::Value = serde_json::from_str(&line.unwrap_or_default())?;
+        Ok((Process { child }, startup))
     }
 
     /// Sends a signal.
     ///
     /// # Errors
-    /// It has ended.
+    /// Fails when the process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = self.child.id().ok_or(io::ErrorKind::NotFound)?;
         kill(Pid::from_raw(id as i32), signal).map_err(io::Error::from)
     }
 
-    /// The process's id, while it runs.
+    /// Process id; absent once the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Ends it as a crash would.
+    /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// The system's.
+    /// Fails when the process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// Asks it to stop, and says how long that took and whether it ended well.
+    /// Sends SIGTERM and waits for the exit. Returns how long that took, and whether the exit status was
+    /// success.
     ///
     /// # Errors
-    /// It does not end in time.
-    pub async fn stop(mut self, patience: Duration) -> io::Result<(Duration, bool)> {
+    /// Fails when the process does not exit within `timeout`.
+    pub async fn stop(mut self, timeout: Duration) -> io::Result<(Duration, bool)> {
         let began = std::time::Instant::now();
         self.signal(Signal::SIGTERM)?;
-        let status = tokio::time::timeout(patience, self.child.wait()).await??;
+        let status = tokio::time::timeout(timeout, self.child.wait()).await??;
         Ok((began.elapsed(), status.success()))
     }
 
-    /// The same for one that its owner keeps; whether it ended well.
+    /// Same as [`Process::stop`], without consuming the handle. Returns whether the exit status was success.
     pub(crate) async fn stop_in_place(&mut self, timeout: Duration) -> io::Result<bool> {
         self.signal(Signal::SIGTERM)?;
         self.ended(timeout).await
     }
 
-    /// Waits for its end; whether it ended well.
+    /// Waits for the exit. Returns whether the exit status was success.
     ///
     /// # Errors
-    /// It does not end in time.
-    pub async fn ended(&mut self, patience: Duration) -> io::Result<bool> {
-        Ok(tokio::time::timeout(patience, self.child.wait()).await??.success())
+    /// Fails when the process does not exit within `timeout`.
+    pub async fn ended(&mut self, timeout: Duration) -> io::Result<bool> {
+        Ok(tokio::time::timeout(timeout, self.child.wait()).await??.success())
     }
 }
 
-/// One gateway in a process of its own.
+/// A gateway in a separate process.
 pub struct Gateway {
     process: Process,
-    /// Where it serves NBD.
+    /// Address that it serves NBD on.
     pub address: SocketAddr,
 }
 
 impl Gateway {
-    /// Starts `program serve` on a settings file written into `folder`.
+    /// Starts `program serve` with a settings script that is written into `folder`.
     ///
     /// # Errors
     /// Those of [`Process::start`].
@@ -131,7 +137,7 @@
         Gateway::start_in(program, folder, name, settings, &[]).await
     }
 
-    /// The same with environment variables of its own.
+    /// Same as [`Gateway::start`], with additional environment variables.
     ///
     /// # Errors
     /// Those of [`Process::start`].
@@ -142,44 +148,45 @@
         settings: &str,
         environment: &[(&str, String)],
     ) -> io::Result<Gateway> {
-        let (process, said) =
+        let (process, startup) =
             Process::start_in(program, folder, ("serve", name), settings, &[], environment).await?;
-        let address = said["nbd"][0].as_str().and_then(|text| text.parse().ok());
-        let address =
-            address.ok_or_else(|| io::Error::other(format!("{name} did not say where it listens")))?;
+        let address = startup["nbd"][0].as_str().and_then(|text| text.parse().ok());
+        let address = address
+            .ok_or_else(|| io::Error::other(format!("{name} did not report the address it listens on")))?;
         Ok(Gateway { process, address })
     }
 
     /// Sends a signal.
     ///
     /// # Errors
-    /// It has ended.
+    /// Fails when the process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         self.process.signal(signal)
     }
 
-    /// The process's id, while it runs.
+    /// Process id; absent once the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.process.id()
     }
 
-    /// Ends it as a crash would.
+    /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// The system's.
+    /// Fails when the process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.process.kill().await
     }
 
-    /// Asks it to stop, and says how long that took and whether it ended well.
+    /// Sends SIGTERM and waits for the exit. Returns how long that took, and whether the exit status was
+    /// success.
     ///
     /// # Errors
-    /// It does not end in time.
-    pub async fn stop(self, patience: Duration) -> io::Result<(Duration, bool)> {
-        self.process.stop(patience).await
+    /// Fails when the process does not exit within `timeout`.
+    pub async fn stop(self, timeout: Duration) -> io::Result<(Duration, bool)> {
+        self.process.stop(timeout).await
     }
 
-    /// The same for one that its owner keeps; whether it ended well.
+    /// Same as [`Gateway::stop`], without consuming the handle. Returns whether the exit status was success.
     pub(crate) async fn stop_in_place(&mut self, timeout: Duration) -> io::Result<bool> {
         self.process.stop_in_place(timeout).await
     }
--- a/crates/fault-tests/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -1,27 +1,27 @@
-//! What a rehearsal leaves for the judge.
+//! The record of a scenario that the judge reads.
 
 use serde::{Deserialize, Serialize};
 use umbertray_fakes::book::Entry;
 use umbertray_store_protocol::store::OperationKind;
 
-/// What a request asks for.
+/// Kind of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    /// To read.
+pub enum RequestKind {
+    /// Reads data.
     Read,
-    /// To write.
+    /// Writes data.
     Write,
-    /// To make writes durable.
+    /// Makes earlier writes durable.
     Flush,
 }
 
-impl Kind {
-    /// The same as stores name it.
-    pub fn work(self) -> OperationKind {
+impl RequestKind {
+    /// The kind of operation that stores execute for this request.
+    pub fn operation_kind(self) -> OperationKind {
         match self {
-            Kind::Read => OperationKind::Read,
-            Kind::Write => OperationKind::Write,
-            Kind::Flush => OperationKind::Flush,
+            RequestKind::Read => OperationKind::Read,
+            RequestKind::Write => OperationKind::Write,
+            RequestKind::Flush => OperationKind::Flush,
         }
     }
 }
@@ -31,19 +31,19 @@
 pub enum Outcome {
     /// Acknowledged.
     Acked,
-    /// Refused without an effect.
+    /// Rejected without an effect.
     Throttled,
     /// Failed.
     Aborted,
-    /// Refused while the gateway shut down.
+    /// Rejected because the gateway was shutting down.
     Shutdown,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Lost,
-    /// No answer had come long after the client's time was up.
+    /// No response arrived before the client's response timeout, which is well beyond the op timeout.
     Silent,
 }
 
-/// One request, as its client saw it. Times are microseconds since the rehearsal began.
+/// One request, as its client saw it. Times are in microseconds since the record began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
     /// Number of the client.
@@ -52,13 +52,13 @@
     pub gateway: usize,
     /// Index of the volume.
     pub volume: usize,
-    /// What was asked for.
-    pub kind: Kind,
-    /// Where in the volume, bytes.
+    /// Kind of request.
+    pub kind: RequestKind,
+    /// Offset in the volume, in bytes.
     pub offset: u64,
     /// Length in bytes.
     pub length: u32,
-    /// What a write wrote; unique.
+    /// Unique mark that a write stores in each of its blocks; 0 for other kinds.
     pub mark: u64,
     /// When it was sent.
     pub sent: u64,
@@ -66,14 +66,16 @@
     pub ended: u64,
     /// How it ended.
     pub outcome: Outcome,
-    /// What an acked read found in each block: a write's mark, 0 for zeros, or nothing where the block is torn.
+    /// What an acked read found in each block: a write's mark, 0 for zeros, or `None` where the block is
+    /// torn.
     pub found: Vec<Option<u64>>,
 }
 
-/// What was done to gateways and the list, which the rules' figures count from.
+/// An injected fault or other event that the judge's limits count from: what was done to gateways, the
+/// coordinator, the list service and the shared settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Deed {
-    /// The list named a store draining or gone, or ready again.
+    /// The endpoint list began to report the store as draining or gone.
     Barred {
         /// The store's id.
         store: u64,
@@ -83,7 +85,7 @@
         /// The store's id.
         store: u64,
     },
-    /// SIGSTOP was sent to a gateway; until then, when SIGCONT was.
+    /// A gateway was stalled: SIGSTOP was sent at the event's time, SIGCONT at `until`.
     Stalled {
         /// Index of the gateway.
         gateway: usize,
@@ -95,73 +97,74 @@
         /// Index of the gateway.
         gateway: usize,
     },
-    /// Started again after it was killed, and heard.
+    /// A gateway was started again after it was killed, and reported the address that it listens on.
     Returned {
         /// Index of the gateway.
         gateway: usize,
     },
-    /// A plan's limit is another from now on, safely committed; gateways that follow the log act on it a little later.
+    /// A change of a plan's limit was committed and synced. Gateways that follow the change log apply it a
+    /// little later.
     Limit {
         /// The plan's name.
         plan: String,
-        /// Units a second.
+        /// New rate, in units per second.
         rate: f64,
-        /// Units at once.
+        /// New burst, in units.
         burst: f64,
-        /// When its commit began; the deed's own time is the commit's synced end.
+        /// When the commit began; the event's own time is when the commit was synced.
         began: u64,
     },
     /// The coordinator was killed.
     CoordinatorKilled,
-    /// The coordinator was stopped until then.
+    /// The coordinator was stalled from the event's time (SIGSTOP) to `until`.
     CoordinatorStalled {
         /// When SIGCONT was sent.
         until: u64,
     },
-    /// A coordinator said that it is at work.
+    /// A coordinator reported that it has started.
     CoordinatorStarted {
         /// The term of its run.
         term: u64,
     },
-    /// The list answers later by so much, microseconds.
+    /// The list service delays its responses by this much from now on.
     ListDelay {
-        /// Microseconds.
+        /// Delay in microseconds.
         delay: u64,
     },
 }
 
-/// This process itself was held up between these times, microseconds: what it did or measured then is late.
+/// A period in which the test process itself was held up: actions and measurements of that period are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldUp {
-    /// Since the record began.
+    /// Start, in microseconds since the record began.
     pub from: u64,
-    /// Since the record began.
+    /// End, in microseconds since the record began.
     pub to: u64,
 }
 
-/// A step of a fault that began later than the day's slack, microseconds.
+/// A step of a fault that began later than planned by more than the scenario's slack.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LateStep {
-    /// Name of the fault.
+    /// Kind of the fault.
     pub fault: String,
-    /// Since the day's faults began to be played.
+    /// Planned time, in microseconds since fault injection began.
     pub planned: u64,
-    /// How much later it began.
+    /// How much later the step began, in microseconds.
     pub late: u64,
 }
 
-/// All that was seen of a scenario.
+/// Everything that was observed in a scenario.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Requests, by when they were sent.
+    /// Client requests, ordered by send time.
     pub asked: Vec<Asked>,
-    /// What stores saw.
+    /// Events at the stores.
     pub stores: Vec<Entry>,
-    /// What was done, each with its time.
+    /// Injected faults and other events, each with its time in microseconds since the record began.
     pub deeds: Vec<(u64, Deed)>,
-    /// Replies that belonged to no open request, and bytes that were no replies.
+    /// Replies that matched no pending request, and bytes that were not valid replies.
     pub strays: Vec<String>,
-    /// When the test itself was held up.
+    /// Periods in which the test process itself was held up.
     pub held_up: Vec<HeldUp>,
     /// Steps of faults that began late.
     pub late_steps: Vec<LateStep>,
--- a/crates/fault-tests/src/scenario/change_log.rs
+++ b/crates/fault-tests/src/scenario/change_log.rs
@@ -1,4 +1,4 @@
-//! Changes of the shared settings, committed to the log that the gateways follow.
+//! Changes of the shared settings, committed to the change log that the gateways follow.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,17 +8,17 @@
 use umbertray_config_log::{Change, Edit, Log, Version};
 use umbertray_snapshot::Disk;
 
-use super::stage::Stage;
+use super::testbed::Testbed;
 use crate::record::Deed;
 
-impl Stage {
+impl Testbed {
     pub(super) fn log_folder(&self) -> PathBuf {
         self.folder.join("changes")
     }
 
-    /// Commits edits of the shared settings; which limits are others from then on is on record.
+    /// Commits edits of the shared settings, and records the plan limits that they change.
     pub(super) async fn commit(&self, edits: Vec<Edit>) -> io::Result<()> {
-        let _writer = self.change_log.lock().await;
+        let _writer = self.commit_lock.lock().await;
         tokio::task::block_in_place(|| self.commit_blocking(edits))
     }
 
@@ -31,19 +31,19 @@
             base: before.number,
             actor: "the day".into(),
             reason: "its script says so".into(),
-            at: self.shared.book.now(),
+            at: self.client_context.store_record.now(),
             edits,
             allow: GUARDS.iter().map(|(_, guard)| *guard).collect(),
         };
-        let began = self.shared.book.now();
+        let began = self.client_context.store_record.now();
         log.commit(change).map_err(io::Error::other)?;
         let limit =
             |version: &Version, name: &str| version.plan_named(name).and_then(|plan| plan.limit.clone());
-        for plan in &self.day.document.settings.plans {
-            let now = limit(log.head(), &plan.name);
-            if let Some(now) = now.filter(|now| limit(&before, &plan.name).as_ref() != Some(now)) {
-                let (rate, burst) = (now.rate, now.burst);
-                self.note(Deed::Limit { plan: plan.name.clone(), rate, burst, began });
+        for plan in &self.scenario.document.settings.plans {
+            let new = limit(log.head(), &plan.name);
+            if let Some(new) = new.filter(|new| limit(&before, &plan.name).as_ref() != Some(new)) {
+                let (rate, burst) = (new.rate, new.burst);
+                self.record_event(Deed::Limit { plan: plan.name.clone(), rate, burst, began });
             }
         }
         Ok(())
--- a/crates/fault-tests/src/scenario/mod.rs
+++ b/crates/fault-tests/src/scenario/mod.rs
@@ -1,14 +1,15 @@
-//! Playing a scenario: gateways as child processes, stores and clients here, faults at their times.
+//! Runs a scenario: gateways are child processes, stores and clients run in this process, and faults are
+//! injected at their planned times.
 //!
-//! One task owns one fault from its beginning to its end, so that no fault waits for another. What is recorded is when
-//! things happened, never when they were planned.
+//! Each fault has its own task from beginning to end, so that no fault waits for another. The record holds
+//! the times at which events happened, never the planned times.
 
 mod change_log;
 mod faults;
 mod gateways;
 mod moves;
-mod own_clock;
-mod stage;
+mod pause_detector;
+mod testbed;
 
 use std::io;
 use std::path::Path;
@@ -21,73 +22,79 @@
 use tokio::task::JoinSet;
 use umbertray_fakes::fleet::Fleet;
 
-use crate::day::Day;
-use crate::load::{Client, Shared, Weather};
+use crate::load::{Client, ClientContext, ClientFaults};
 use crate::record::Record;
-use stage::Stage;
+use crate::script::Day;
+use testbed::Testbed;
 
-/// A client waits this much longer than twice the longest op timeout before it records that no answer came.
+/// A client waits this much longer than twice the longest op timeout before it records that there was no
+/// response.
 const CLIENT_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 
-/// Plays a day with gateways of `program`, their settings and logs in `folder`.
+/// Runs a scenario with gateways of `program`; their settings and logs are in `folder`.
 ///
 /// # Errors
-/// A process does not start or does not end well, or a move does not end.
-pub async fn run_scenario(day: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
-    let fleet = Fleet::start(day.stores, day.power.clone(), seed).await?;
-    let (weather, watched) = watch::channel(Weather::fair(day.document.settings.volumes.len()));
-    let longest = day.document.settings.op_types.iter().map(|op_type| op_type.op_timeout).max();
-    let shared = Arc::new(Shared {
-        book: fleet.book.clone(),
-        weather: watched,
+/// Fails when a process does not start or exits with an error, or when a move does not finish.
+pub async fn run_scenario(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
+    let fleet = Fleet::start(scenario.stores, scenario.store_power.clone(), seed).await?;
+    let (client_faults, faults) =
+        watch::channel(ClientFaults::none(scenario.document.settings.volumes.len()));
+    let longest_timeout = scenario.document.settings.op_types.iter().map(|op_type| op_type.op_timeout).max();
+    let client_context = Arc::new(ClientContext {
+        store_record: fleet.book.clone(),
+        faults,
         record: Mutex::default(),
-        marks: AtomicU64::new(1),
-        gateways: Mutex::default(),
-        patience: 2 * longest.unwrap_or_default() + CLIENT_TIMEOUT_MARGIN,
+        next_mark: AtomicU64::new(1),
+        gateway_addresses: Mutex::default(),
+        response_timeout: 2 * longest_timeout.unwrap_or_default() + CLIENT_TIMEOUT_MARGIN,
     });
-    let stage = Arc::new(Stage::start(day, seed, (program, folder), fleet, shared, weather).await?);
-    let mut clients = start_clients(&stage);
-    play(&stage).await?;
-    // Ranges move under load: clients go on until the last move is over, however slow the coordinator's disk is.
-    stage.await_moves().await?;
-    stage.weather.send_modify(|weather| weather.over = true);
+    let testbed = Arc::new(
+        Testbed::start(scenario, seed, (program, folder), fleet, client_context, client_faults).await?,
+    );
+    let mut clients = start_clients(&testbed);
+    inject_faults(&testbed).await?;
+    // Ranges must move under load, so clients continue until the last move has finished, however slow the
+    // coordinator's disk is.
+    testbed.await_moves().await?;
+    testbed.client_faults.send_modify(|faults| faults.finished = true);
     while clients.join_next().await.is_some() {}
-    stage.stop_gateways().await?;
-    stage.take_record().await
+    testbed.stop_gateways().await?;
+    testbed.take_record().await
 }
 
-fn start_clients(stage: &Arc<Stage>) -> JoinSet<()> {
+fn start_clients(testbed: &Arc<Testbed>) -> JoinSet<()> {
     let mut clients = JoinSet::new();
-    let volumes = &stage.day.document.settings.volumes;
-    let loads = stage.day.loads.iter().flat_map(|load| (0..load.clients).map(move |_| load));
+    let volumes = &testbed.scenario.document.settings.volumes;
+    let loads = testbed.scenario.client_loads.iter().flat_map(|load| (0..load.clients).map(move |_| load));
     for (number, load) in (0..).zip(loads) {
         let client = Client {
             number,
-            gateway: number as usize % stage.day.gateways as usize,
+            gateway: number as usize % testbed.scenario.gateways as usize,
             load: load.clone(),
             volume_name: volumes[load.volume].name.clone(),
             volume_bytes: volumes[load.volume].size,
-            seed: stage.seed ^ (u64::from(number) + 1).wrapping_mul(0x2545_f491_4f6c_dd1d),
-            shared: stage.shared.clone(),
+            seed: testbed.seed ^ (u64::from(number) + 1).wrapping_mul(0x2545_f491_4f6c_dd1d),
+            context: testbed.client_context.clone(),
         };
         clients.spawn(client.run());
     }
     clients
 }
 
-/// Plays all faults of the day, each in a task of its own; returns once the day and all of them are over.
-async fn play(stage: &Arc<Stage>) -> io::Result<()> {
+/// Runs all faults of the scenario, each in its own task. Returns when the scenario's duration has passed and
+/// all faults have finished.
+async fn inject_faults(testbed: &Arc<Testbed>) -> io::Result<()> {
     let began = tokio::time::Instant::now();
-    let own_clock = tokio::spawn(own_clock::watch(stage.shared.clone()));
+    let pause_detector = tokio::spawn(pause_detector::record_pauses(testbed.client_context.clone()));
     let mut faults = JoinSet::new();
-    for index in 0..stage.day.troubles.len() {
-        let fault = faults::PlayedFault::new(stage.clone(), index, began);
-        faults.spawn(fault.play());
+    for index in 0..testbed.scenario.faults.len() {
+        let fault = faults::FaultTask::new(testbed.clone(), index, began);
+        faults.spawn(fault.run());
     }
-    while let Some(ended) = faults.join_next().await {
-        ended.map_err(io::Error::other)??;
+    while let Some(result) = faults.join_next().await {
+        result.map_err(io::Error::other)??;
     }
-    tokio::time::sleep_until(began + stage.day.length).await;
-    own_clock.abort();
+    tokio::time::sleep_until(began + testbed.scenario.duration).await;
+    pause_detector.abort();
     Ok(())
 }
