--- a/crates/fault-tests/src/soak/client.rs
+++ b/crates/fault-tests/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak: good ones, one request at a time on a connection that they keep; and such that stop in the middle
-//! of a request and stay.
+//! Clients of a soak. Well-behaved clients send one request at a time on a persistent connection. Others stop
+//! in the middle of a request and keep the connection open.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,65 +17,67 @@
 use umbertray_http::client::{self, Response, ResponseReader};
 
 use crate::soak::plan::SHARDS;
-use crate::soak::process::LONGEST_ONCE;
-use crate::soak::record::{Book, Effect, End, Request, Stopped};
+use crate::soak::process::MAX_ONCE_DEADLINE;
+use crate::soak::record::{Effect, Outcome, Request, SharedRecord, StoppedClient};
 
-/// What an answer holds at most.
+/// Size limits of a response, in bytes.
 const LIMITS: Limits = Limits { head: 8192, body: 1 << 16 };
-/// Beyond a request's time its client waits so long for a word.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// A client that stopped stays for so long.
-const STAYS: Duration = Duration::from_secs(6);
-/// Between two requests, at most.
-const THINKS: u64 = 60;
-/// A client that repeats has this much of its time left at least, in milliseconds.
-const LEAST_LEFT: u64 = 50;
-/// One request in so many is cancelled by its client, or has less time left; one connection in so many stops in the middle of a request.
-const CANCELS: u32 = 20;
-const REPEATS: u32 = 10;
-const STOPS: u32 = 25;
+/// Time that a client waits for a response beyond the request's time left.
+const RESPONSE_TIMEOUT_MARGIN: Duration = Duration::from_secs(4);
+/// Time that a client which stopped in the middle of a request keeps its connection open.
+const STOPPED_CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Longest pause between two requests, in milliseconds.
+const MAX_THINK_TIME_MS: u64 = 60;
+/// Shortest time left of a client's retry, in milliseconds.
+const MIN_TIME_LEFT_MS: u64 = 50;
+/// One request in this many is cancelled by its client.
+const CANCEL_ONE_IN: u32 = 20;
+/// One request in this many has less time left, as a client's retry has.
+const RETRY_ONE_IN: u32 = 10;
+/// One request in this many is sent only in part, after which the client stops.
+const STOP_ONE_IN: u32 = 25;
 
-/// One client of a gateway.
+/// A client of a gateway.
 pub struct Client {
     /// Number of the gateway.
     pub gateway: u32,
-    /// Where the gateway's clients connect.
+    /// Address that the gateway's clients connect to.
     pub address: SocketAddr,
-    /// Where it records what it saw.
-    pub book: Arc<Book>,
-    /// The longest deadline of the gateway's configuration, in milliseconds.
-    pub deadline: Arc<AtomicU64>,
-    /// The next id of all clients.
-    pub ids: Arc<AtomicU64>,
-    /// Turns true once the soak is over.
-    pub over: watch::Receiver<bool>,
-    /// Seed of what it draws.
+    /// Record of what the client observes.
+    pub record: Arc<SharedRecord>,
+    /// The longest deadline in the gateway's configuration, in milliseconds.
+    pub longest_deadline_ms: Arc<AtomicU64>,
+    /// Next request id, shared by all clients.
+    pub next_request_id: Arc<AtomicU64>,
+    /// Becomes true when the soak has finished.
+    pub finished: watch::Receiver<bool>,
+    /// Seed of its random draws.
     pub seed: u64,
 }
 
-/// A connection that is kept, and how many requests went over it.
-struct Kept {
+/// A persistent connection, and the number of requests sent over it.
+struct KeptConnection {
     stream: TcpStream,
-    answers: ResponseReader,
+    responses: ResponseReader,
     requests: u32,
 }
 
-/// A request as it is drawn.
-struct Drawn {
+/// A request before it is sent.
+struct DrawnRequest {
     id: u64,
     effect: Effect,
-    left: Duration,
+    time_left: Duration,
     bytes: Vec<u8>,
 }
 
-/// The bytes of a request. The body of its answer is its id.
-pub fn request(effect: Effect, shard: u32, id: u64, left: Duration) -> Vec<u8> {
-    let (id, left) = (format!("{id:016x}"), left.as_millis().to_string());
+/// The bytes of a request. Stores respond with the request's id as the body.
+pub fn request(effect: Effect, shard: u32, id: u64, time_left: Duration) -> Vec<u8> {
+    let (id, time_left) = (format!("{id:016x}"), time_left.as_millis().to_string());
     let placement = format!("units=1,shard={shard},hosts=1");
     let fields: [(&str, &[u8]); 4] = [
         ("X-Correlation-Id", id.as_bytes()),
         ("X-Qos-Policy", b"basic"),
-        ("X-Time-Left-Ms", left.as_bytes()),
+        ("X-Time-Left-Ms", time_left.as_bytes()),
         ("X-Placement", placement.as_bytes()),
     ];
     let (method, name, body): (_, _, &[u8]) = match effect {
@@ -86,12 +88,12 @@
 }
 
 impl Client {
-    /// Asks until the soak is over.
+    /// Sends requests until the soak has finished.
     pub async fn run(self) {
-        let mut draw = StdRng::seed_from_u64(self.seed);
+        let mut rng = StdRng::seed_from_u64(self.seed);
         let mut kept = None;
-        while !*self.over.borrow() {
-            sleep(Duration::from_millis(draw.random_range(0..THINKS))).await;
+        while !*self.finished.borrow() {
+            sleep(Duration::from_millis(rng.random_range(0..MAX_THINK_TIME_MS))).await;
             let connection = match kept.take() {
                 Some(connection) => connection,
                 None => match self.connect().await {
@@ -99,99 +101,113 @@
                     Err(_) => continue,
                 },
             };
-            let request = self.draw(&mut draw);
-            if draw.random_ratio(1, STOPS) {
-                self.stop(connection, &request.bytes, &mut draw).await;
+            let request = self.draw_request(&mut rng);
+            if rng.random_ratio(1, STOP_ONE_IN) {
+                self.send_partial_request(connection, &request.bytes, &mut rng).await;
             } else {
-                kept = self.ask(connection, request, &mut draw).await;
+                kept = self.send_request(connection, request, &mut rng).await;
             }
         }
     }
 
-    async fn connect(&self) -> io::Result<Kept> {
+    async fn connect(&self) -> io::Result<KeptConnection> {
         let stream = timeout(Duration::from_secs(1), TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
-        Ok(Kept { stream, answers: ResponseReader::new(LIMITS), requests: 0 })
+        Ok(KeptConnection { stream, responses: ResponseReader::new(LIMITS), requests: 0 })
     }
 
-    fn draw(&self, draw: &mut StdRng) -> Drawn {
-        let id = self.ids.fetch_add(1, Ordering::Relaxed);
-        let effect = if draw.random() { Effect::Free } else { Effect::Once };
-        let longest = self.deadline.load(Ordering::Relaxed);
-        let longest = match effect {
-            Effect::Free => longest,
-            Effect::Once => longest.min(LONGEST_ONCE.as_millis() as u64),
+    fn draw_request(&self, rng: &mut StdRng) -> DrawnRequest {
+        let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+        let effect = if rng.random() { Effect::Free } else { Effect::Once };
+        let longest_ms = self.longest_deadline_ms.load(Ordering::Relaxed);
+        let longest_ms = match effect {
+            Effect::Free => longest_ms,
+            Effect::Once => longest_ms.min(MAX_ONCE_DEADLINE.as_millis() as u64),
         };
-        // A repeat by its client has less of its time left.
-        let is_repeat = draw.random_ratio(1, REPEATS);
-        let left = if is_repeat { draw.random_range(LEAST_LEFT..longest) } else { longest };
-        let left = Duration::from_millis(left);
-        let bytes = request(effect, draw.random_range(0..SHARDS), id, left);
-        Drawn { id, effect, left, bytes }
+        // A client's retry has less time left than its first request.
+        let is_retry = rng.random_ratio(1, RETRY_ONE_IN);
+        let time_left = if is_retry { rng.random_range(MIN_TIME_LEFT_MS..longest_ms) } else { longest_ms };
+        let time_left = Duration::from_millis(time_left);
+        let bytes = request(effect, rng.random_range(0..SHARDS), id, time_left);
+        DrawnRequest { id, effect, time_left, bytes }
     }
 
-    /// Sends part of a request, and sees when it gets a word or a close.
-    async fn stop(&self, mut kept: Kept, bytes: &[u8], draw: &mut StdRng) {
-        let part = draw.random_range(1..bytes.len());
+    /// Sends part of a request, and records when it receives a response or the connection is closed.
+    async fn send_partial_request(&self, mut kept: KeptConnection, bytes: &[u8], rng: &mut StdRng) {
+        let part = rng.random_range(1..bytes.len());
         if kept.stream.write_all(&bytes[..part]).await.is_err() {
             return;
         }
-        let stopped = self.book.now();
-        let word = timeout(STAYS, kept.stream.read(&mut [0; 512])).await;
-        let ended = word.is_ok().then(|| self.book.now());
-        // Cut short by the end of the soak, it says nothing.
-        if ended.is_some() || !*self.over.borrow() {
-            self.book.write(|record| {
-                record.stopped.push(Stopped { gateway: self.gateway, stopped, ended });
+        let stopped_at = self.record.now();
+        let response = timeout(STOPPED_CLIENT_TIMEOUT, kept.stream.read(&mut [0; 512])).await;
+        let ended_at = response.is_ok().then(|| self.record.now());
+        // A wait that outlasts the soak without an error or a close proves nothing.
+        if ended_at.is_some() || !*self.finished.borrow() {
+            self.record.update(|record| {
+                record.stopped.push(StoppedClient { gateway: self.gateway, stopped_at, ended_at });
             });
         }
     }
 
-    /// Sends a request whole and waits for its end. The connection, if it can be used again.
-    async fn ask(&self, mut kept: Kept, request: Drawn, draw: &mut StdRng) -> Option<Kept> {
-        let first_byte = self.book.now();
-        let halves = request.bytes.split_at(draw.random_range(0..request.bytes.len()));
-        kept.stream.write_all(halves.0).await.ok()?;
-        if draw.random_ratio(1, 4) {
-            sleep(Duration::from_millis(draw.random_range(1..20))).await;
+    /// Sends a complete request and waits until it has ended. Returns the connection if it can be used again.
+    async fn send_request(
+        &self,
+        mut kept: KeptConnection,
+        request: DrawnRequest,
+        rng: &mut StdRng,
+    ) -> Option<KeptConnection> {
+        let first_byte = self.record.now();
+        let (first_part, second_part) = request.bytes.split_at(rng.random_range(0..request.bytes.len()));
+        kept.stream.write_all(first_part).await.ok()?;
+        if rng.random_ratio(1, 4) {
+            sleep(Duration::from_millis(rng.random_range(1..20))).await;
         }
-        kept.stream.write_all(halves.1).await.ok()?;
-        let last_byte = self.book.now();
-        let fresh = kept.requests == 0;
-        let patience = if draw.random_ratio(1, CANCELS) {
-            Duration::from_millis(draw.random_range(0..100))
+        kept.stream.write_all(second_part).await.ok()?;
+        let last_byte = self.record.now();
+        let is_first_on_connection = kept.requests == 0;
+        let response_timeout = if rng.random_ratio(1, CANCEL_ONE_IN) {
+            Duration::from_millis(rng.random_range(0..100))
         } else {
-            request.left + PATIENCE
+            request.time_left + RESPONSE_TIMEOUT_MARGIN
         };
-        let cancels = patience < PATIENCE;
-        let answer = timeout(patience, answer(&mut kept)).await;
-        let ended = self.book.now();
-        let (end, again) = match answer {
-            Ok(Some(answer)) => {
-                let own = answer.body == format!("{:016x}", request.id).as_bytes();
-                let end = End::Answered { status: answer.head.status, own };
-                (end, answer.head.persists)
+        let is_cancelled = response_timeout < RESPONSE_TIMEOUT_MARGIN;
+        let response = timeout(response_timeout, read_response(&mut kept)).await;
+        let ended_at = self.record.now();
+        let (outcome, is_reusable) = match response {
+            Ok(Some(response)) => {
+                let is_own = response.body == format!("{:016x}", request.id).as_bytes();
+                let outcome = Outcome::Responded { status: response.head.status, is_own };
+                (outcome, response.head.persists)
             }
-            Ok(None) => (End::Closed, false),
-            Err(_) if cancels => (End::Cancelled, false),
-            Err(_) => (End::Silent, false),
+            Ok(None) => (Outcome::Closed, false),
+            Err(_) if is_cancelled => (Outcome::Cancelled, false),
+            Err(_) => (Outcome::Silent, false),
         };
-        let Drawn { id, effect, left, .. } = request;
-        let seen =
-            Request { gateway: self.gateway, id, effect, left, first_byte, last_byte, fresh, end, ended };
-        self.book.write(|record| record.requests.push(seen));
+        let DrawnRequest { id, effect, time_left, .. } = request;
+        let observed = Request {
+            gateway: self.gateway,
+            id,
+            effect,
+            time_left,
+            first_byte,
+            last_byte,
+            is_first_on_connection,
+            outcome,
+            ended_at,
+        };
+        self.record.update(|record| record.requests.push(observed));
         kept.requests += 1;
-        again.then_some(kept)
+        is_reusable.then_some(kept)
     }
 }
 
-/// The next whole answer; nothing once the connection has ended.
-async fn answer(kept: &mut Kept) -> Option<Response> {
+/// The next complete response; absent when the connection has ended or the response is malformed.
+async fn read_response(kept: &mut KeptConnection) -> Option<Response> {
     loop {
-        if let Some(answer) = kept.answers.response().ok()? {
-            return Some(answer);
+        if let Some(response) = kept.responses.response().ok()? {
+            return Some(response);
         }
-        if !matches!(kept.stream.read_buf(&mut kept.answers.bytes).await, Ok(1..)) {
+        if !matches!(kept.stream.read_buf(&mut kept.responses.bytes).await, Ok(1..)) {
             return None;
         }
     }
--- a/crates/fault-tests/src/soak/mod.rs
+++ b/crates/fault-tests/src/soak/mod.rs
@@ -1,17 +1,18 @@
-//! A randomized fault soak of `umbertray node`: real processes, a proxy on each link, signals, faults that overlap in
-//! time, and an oracle that reads only what clients, stores, discovery and the proxies saw.
+//! A randomized fault soak of `umbertray node`: real processes with a proxy on each link, signals, and faults
+//! that overlap in time. An oracle checks the rules using only what clients, stores, discovery and the
+//! proxies observed.
 //!
-//! [`Plan`] is drawn from a seed and has one line that replays it; [`run`] plays it; [`oracle::judge`] computes what was
-//! broken.
+//! A [`Plan`] is drawn from a seed and prints the command that replays it; [`run`] executes it;
+//! [`oracle::judge`] lists the rules that were broken.
 
 pub mod client;
 pub mod oracle;
 pub mod plan;
 pub mod process;
 pub mod record;
-mod stage;
+mod testbed;
 
 pub use oracle::{Finding, judge};
 pub use plan::Plan;
 pub use record::Record;
-pub use stage::run;
+pub use testbed::run;
--- a/crates/fault-tests/src/soak/process.rs
+++ b/crates/fault-tests/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! One `umbertray node` in a process of its own, and its configuration.
+//! An `umbertray node` in a separate process, and its configuration.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,10 +13,11 @@
 
 use crate::soak::plan::SHARDS;
 
-/// How long a process may take to say where it listens.
-const START: Duration = Duration::from_secs(10);
+/// Time within which a process must report the address that it listens on.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest deadlines, shorter and longer than what SIGKILL waits for at most.
+/// Longest deadlines of the configurations, some shorter and some longer than the 3 s that SIGKILL waits for
+/// at most.
 const DEADLINES: [Duration; 8] = [
     Duration::from_millis(300),
     Duration::from_secs(3),
@@ -27,34 +28,36 @@
     Duration::from_secs(2),
     Duration::from_secs(12),
 ];
-/// The deadline of ops that run once is this at most.
-pub const LONGEST_ONCE: Duration = Duration::from_secs(3);
-/// The latency objective is this at most, or half of the deadline.
-const LONGEST_OBJECTIVE_S: f64 = 0.4;
+/// Longest deadline of ops that may run at most once.
+pub const MAX_ONCE_DEADLINE: Duration = Duration::from_secs(3);
+/// Longest latency objective in seconds; half of the deadline if that is shorter.
+const MAX_OBJECTIVE_SECONDS: f64 = 0.4;
 
-/// The longest deadline of the configuration of this number.
-pub fn deadline(number: u32) -> Duration {
+/// The longest deadline in the configuration with this number.
+pub fn longest_deadline(number: u32) -> Duration {
     DEADLINES[number as usize % DEADLINES.len()]
 }
 
-/// Whether [`reconfiguration`] of this number can be read.
-pub fn is_right(number: u32) -> bool {
+/// Whether the [`reconfiguration`] with this number is valid.
+pub fn is_valid(number: u32) -> bool {
     number % 5 < 3
 }
 
-/// The configuration of this number: each has other deadlines and idle times.
+/// The configuration with this number. Configurations differ in deadlines and in the idle timeout.
 pub fn configuration(name: &str, listen: SocketAddr, discovery: SocketAddr, number: u32) -> String {
-    let deadline = deadline(number).as_secs_f64();
-    let once = deadline.min(LONGEST_ONCE.as_secs_f64());
-    let objective = LONGEST_OBJECTIVE_S.min(deadline / 2.0);
+    let deadline = longest_deadline(number).as_secs_f64();
+    let once = deadline.min(MAX_ONCE_DEADLINE.as_secs_f64());
+    let objective = MAX_OBJECTIVE_SECONDS.min(deadline / 2.0);
     let idle = [20.0, 2.0, 6.0][number as usize % 3];
     format!(
         r#"{{"name":"{name}","listen":"{listen}","discovery":"{discovery}","seed":"0f",
         "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{{"rev":0,"all":true,"targets":[]}},
         "settings":{{"discovery":"automatic","failureDomains":["a"],"groupSize":1,
-        "familyInfo":{{"coldUnits":400.0,"maxUnits":6,"meanUnits":2.0,"slotsTotal":{SHARDS},"writes":[false,true]}},
+        "familyInfo":{{"coldUnits":400.0,"maxUnits":6,"meanUnits":2.0,"slotsTotal":{SHARDS},
+        "writes":[false,true]}},
         "limits":{{"connIdleS":{idle:.1},"dialTimeoutS":0.25,"maxAttempts":3,"maxRetryAfterS":1.0}},
-        "profiles":[{{"name":"look","promiseS":{objective},"deadlineS":{deadline:.1},"effect":"free","gain":3.0}},
+        "profiles":[
+        {{"name":"look","promiseS":{objective},"deadlineS":{deadline:.1},"effect":"free","gain":3.0}},
         {{"name":"order","promiseS":{objective},"deadlineS":{once:.1},"effect":"single_shot","gain":3.0}}],
         "contracts":[{{"name":"basic","rate":5000.0,"weight":1.0}}],
         "rules":{{"coldFrom":0.5,"coldS":1.0,"drainGraceS":1.0,"fallS":1.0,"tipMultiple":2.0}},
@@ -62,7 +65,8 @@
     )
 }
 
-/// The same, and some of them wrong: as a writer that was interrupted leaves it, or with settings that cannot be read.
+/// Same as [`configuration`], but invalid for some numbers: truncated, as an interrupted writer leaves it, or
+/// with a setting of the wrong type.
 pub fn reconfiguration(name: &str, listen: SocketAddr, discovery: SocketAddr, number: u32) -> String {
     let text = configuration(name, listen, discovery, number);
     match number % 5 {
@@ -72,9 +76,9 @@
     }
 }
 
-/// One running process; dropped, it is killed.
+/// A running process; killed when dropped.
 pub struct Process {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     child: Child,
     config: PathBuf,
@@ -82,10 +86,10 @@
 }
 
 impl Process {
-    /// Starts one with the configuration of this number.
+    /// Starts a process with the configuration of this number.
     ///
     /// # Errors
-    /// It cannot be started, or does not say where it listens in time.
+    /// Fails when the process cannot be started, or does not report its address in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -106,52 +110,56 @@
             .stderr(errors)
             .kill_on_drop(true)
             .spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
+        let output = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other(format!("the standard output of {name} is not piped")))?;
         let mut line = String::new();
-        tokio::time::timeout(START, BufReader::new(out).read_line(&mut line)).await??;
-        let said: serde_json::Value = serde_json::from_str(&line)?;
-        let address = said["http"][0].as_str().and_then(|text| text.parse().ok());
-        let address =
-            address.ok_or_else(|| io::Error::other(format!("{name} did not say where it listens")))?;
+        tokio::time::timeout(START_TIMEOUT, BufReader::new(output).read_line(&mut line)).await??;
+        let startup: serde_json::Value = serde_json::from_str(&line)?;
+        let address = startup["http"][0].as_str().and_then(|text| text.parse().ok());
+        let address = address
+            .ok_or_else(|| io::Error::other(format!("{name} did not report the address it listens on")))?;
         Ok(Process { address, child, config, log })
     }
 
-    /// Writes another configuration; a signal tells of it.
+    /// Replaces the configuration file. The process reads it at the next SIGHUP.
     ///
     /// # Errors
-    /// The file cannot be written.
+    /// Fails when the file cannot be written.
     pub fn configure(&self, text: &str) -> io::Result<()> {
         std::fs::write(&self.config, text)
     }
 
-    /// Sends a signal; nothing where it has ended.
+    /// Sends a signal. Does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.child.id() {
             _ = kill(Pid::from_raw(id as i32), signal);
         }
     }
 
-    /// Waits for its end, for so long; whether it ended well.
-    pub async fn ended(&mut self, within: Duration) -> Option<bool> {
-        let status = tokio::time::timeout(within, self.child.wait()).await.ok()?;
+    /// Waits for the exit. Returns whether the exit status was success, or nothing after the timeout.
+    pub async fn await_exit(&mut self, timeout: Duration) -> Option<bool> {
+        let status = tokio::time::timeout(timeout, self.child.wait()).await.ok()?;
         Some(status.is_ok_and(|status| status.success()))
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub async fn kill(&mut self) {
         _ = self.child.kill().await;
     }
 
-    /// It has ended unasked, with this status.
-    pub fn crashed(&mut self) -> Option<String> {
+    /// Exit status of a process that has exited unexpectedly.
+    pub fn unexpected_exit(&mut self) -> Option<String> {
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// Lines of its log that tell of a panic or of a rule of order that was not kept.
-    pub fn complaints(&self) -> Vec<String> {
+    /// The first few log lines that report a panic or a violated rule of order: a connection closed, or the
+    /// process exited, with a response pending.
+    pub fn error_lines(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
-        let complains = |line: &&str| line.contains("panicked at") || line.contains("owing_response");
-        let complaints = text.lines().filter(complains).take(5);
-        complaints.map(|line| format!("{}: {line}", self.log.display())).collect()
+        let is_error = |line: &&str| line.contains("panicked at") || line.contains("owing_response");
+        let error_lines = text.lines().filter(is_error).take(5);
+        error_lines.map(|line| format!("{}: {line}", self.log.display())).collect()
     }
 }
--- a/crates/fault-tests/src/soak/record.rs
+++ b/crates/fault-tests/src/soak/record.rs
@@ -1,4 +1,5 @@
-//! What clients, stores, discovery and proxies saw in a soak. Times are spans since its beginning.
+//! The record of what clients, stores, discovery and proxies observed in a soak. Times count from the start
+//! of the record.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -8,29 +9,29 @@
 pub enum Effect {
     /// Any number of times.
     Free,
-    /// Once at most.
+    /// At most once.
     Once,
 }
 
-/// How a client's request ended, by what its client saw.
+/// How a request ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A whole answer came.
-    Answered {
-        /// Its status.
+pub enum Outcome {
+    /// A complete response arrived.
+    Responded {
+        /// Status of the response.
         status: u16,
-        /// Whether its body is the one that stores give to this request.
-        own: bool,
+        /// Whether the body is the one that stores send for this request.
+        is_own: bool,
     },
-    /// The gateway closed the connection, with no whole answer.
+    /// The gateway closed the connection without a complete response.
     Closed,
     /// The client closed its connection.
     Cancelled,
-    /// Nothing came for as long as the client waited, well beyond its time.
+    /// Neither a response nor a close arrived while the client waited, well beyond the request's time left.
     Silent,
 }
 
-/// A request of a good client, written whole.
+/// A request of a well-behaved client, sent completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Number of the gateway.
@@ -39,29 +40,29 @@
     pub id: u64,
     /// How often its op may run.
     pub effect: Effect,
-    /// How long its client said that it waits.
-    pub left: Duration,
+    /// Time left that the client sent with the request.
+    pub time_left: Duration,
     /// When its first byte was written.
     pub first_byte: Duration,
     /// When its last byte was written.
     pub last_byte: Duration,
-    /// It was the first of its connection.
-    pub fresh: bool,
+    /// Whether it was the first request of its connection.
+    pub is_first_on_connection: bool,
     /// How it ended.
-    pub end: End,
+    pub outcome: Outcome,
     /// When it ended.
-    pub ended: Duration,
+    pub ended_at: Duration,
 }
 
 /// A client that stopped in the middle of a request.
 #[derive(Clone, Debug)]
-pub struct Stopped {
+pub struct StoppedClient {
     /// Number of the gateway.
     pub gateway: u32,
     /// When it stopped.
-    pub stopped: Duration,
-    /// When it had an error or a close.
-    pub ended: Option<Duration>,
+    pub stopped_at: Duration,
+    /// When it received an error or a close.
+    pub ended_at: Option<Duration>,
 }
 
 /// The head of an attempt as it left a gateway.
@@ -73,131 +74,132 @@
     pub store: u32,
     /// The request's id.
     pub id: u64,
-    /// When it left.
+    /// When it left the gateway.
     pub at: Duration,
-    /// The time that it told its store.
-    pub told: Duration,
+    /// Time left that the gateway sent to the store.
+    pub time_left: Duration,
 }
 
-/// An attempt that came whole to a store.
+/// An attempt that arrived completely at a store.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Number of the store.
     pub store: u32,
     /// The request's id.
     pub id: u64,
-    /// When it came.
+    /// When it arrived.
     pub at: Duration,
-    /// It was not turned away unrun.
+    /// Whether it ran; false if the store rejected it without running it.
     pub ran: bool,
 }
 
-/// A store that began to drain, and until when the list said so.
+/// A period in which discovery listed a store as draining or gone.
 #[derive(Clone, Debug)]
-pub struct Drained {
+pub struct StoreDrain {
     /// Number of the store.
     pub store: u32,
-    /// When the list began to say so.
+    /// When discovery began to list it so.
     pub from: Duration,
-    /// When the list no longer said so.
+    /// When discovery listed it as ready again.
     pub to: Duration,
 }
 
-/// What disturbed a gateway, so that some rules are not asked of it for the time.
+/// A disturbance of a gateway, during which some rules are not checked for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Its link to its clients, the process or the machine of this test was disturbed.
+    /// The link to its clients, the process itself or the test's machine was disturbed.
     Clients,
-    /// Its link to discovery was.
+    /// The link to discovery was disturbed.
     Discovery,
-    /// It drained, from SIGTERM until it was ready again.
+    /// The gateway was terminated and restarted: from SIGTERM until it was ready again.
     Drain,
-    /// It was killed, until it was ready again.
+    /// The gateway was killed and restarted: from SIGKILL until it was ready again.
     Killed,
-    /// A crowd of clients filled its descriptors: new connections may be shut unread.
+    /// A crowd of clients used up its file descriptors: it may close new connections without reading from
+    /// them.
     Crowd,
 }
 
-/// A disturbance in its time.
+/// A disturbance with its time.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct DisturbanceWindow {
     /// Number of the gateway.
     pub gateway: u32,
-    /// What it was.
+    /// The disturbance.
     pub disturbance: Disturbance,
     /// When it began.
     pub from: Duration,
-    /// When it was over.
+    /// When it ended.
     pub to: Duration,
 }
 
-/// How a process ended that was told to.
+/// How a process ended after SIGTERM.
 #[derive(Clone, Debug)]
 pub struct Exit {
     /// Number of the gateway.
     pub gateway: u32,
     /// When SIGTERM was sent.
-    pub told: Duration,
-    /// SIGKILL came so long after SIGTERM, if it had not ended by then.
+    pub sigterm_at: Duration,
+    /// Time from SIGTERM to SIGKILL, which is sent if the process has not exited by then.
     pub kill_after: Duration,
-    /// It was stopped around SIGTERM, as a process may be held up.
+    /// Whether it was stalled around SIGTERM, for no longer than a gateway must tolerate.
     pub held_up: bool,
-    /// Nothing: it had not within the time to SIGKILL.
-    pub ended: Option<Duration>,
-    /// It ended with success.
+    /// When it exited; absent if it had not by the time of SIGKILL.
+    pub ended_at: Option<Duration>,
+    /// Whether the exit status was success.
     pub success: bool,
 }
 
-/// All that was seen.
+/// Everything that was observed in a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// Requests of good clients.
+    /// Requests of well-behaved clients.
     pub requests: Vec<Request>,
     /// Clients that stopped in the middle of a request.
-    pub stopped: Vec<Stopped>,
+    pub stopped: Vec<StoppedClient>,
     /// Attempts as they left gateways.
     pub attempts: Vec<Attempt>,
-    /// Attempts as they came to stores.
+    /// Attempts as they arrived at stores.
     pub arrivals: Vec<Arrival>,
-    /// Stores that drained.
-    pub drains: Vec<Drained>,
-    /// What disturbed gateways.
-    pub windows: Vec<Window>,
-    /// Processes that were told to end.
+    /// Drains of stores.
+    pub drains: Vec<StoreDrain>,
+    /// Disturbances of gateways.
+    pub windows: Vec<DisturbanceWindow>,
+    /// Exits of processes after SIGTERM.
     pub exits: Vec<Exit>,
-    /// Processes that ended unasked, and panics that processes wrote to standard error.
+    /// Processes that failed to start or exited unexpectedly, and error lines in their logs.
     pub crashes: Vec<String>,
-    /// Gateways that served nothing after the last fault.
-    pub unserving: Vec<u32>,
-    /// When this test itself was held up, and for how long.
+    /// Gateways that served no request after the last fault.
+    pub unresponsive: Vec<u32>,
+    /// Times at which this test itself had been held up, and for how long.
     pub stalls: Vec<(Duration, Duration)>,
 }
 
-/// A record that is being written.
-pub struct Book {
+/// A record that several tasks write to.
+pub struct SharedRecord {
     began: Instant,
     record: Mutex<Record>,
 }
 
-impl Book {
-    /// An empty one; its clock begins now.
-    pub fn open() -> Book {
-        Book { began: Instant::now(), record: Mutex::default() }
+impl SharedRecord {
+    /// An empty record whose clock starts now.
+    pub fn start() -> SharedRecord {
+        SharedRecord { began: Instant::now(), record: Mutex::default() }
     }
 
-    /// The span since its beginning.
+    /// Time since the start of the record.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// Writes into it.
-    pub fn write(&self, write: impl FnOnce(&mut Record)) {
+    /// Changes the record.
+    pub fn update(&self, update: impl FnOnce(&mut Record)) {
         let mut record = self.record.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        write(&mut record);
+        update(&mut record);
     }
 
-    /// A copy of all that was written.
-    pub fn read(&self) -> Record {
+    /// A copy of the record.
+    pub fn snapshot(&self) -> Record {
         self.record.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone()
     }
 }
