--- a/days/bursts.star
+++ b/days/bursts.star
@@ -1,4 +1,6 @@
-# All gateways die now and then, and a limited volume asks for its burst right after: what the promises of limits are worth. Also played with state = False. Seconds and bytes.
+# All gateways are killed twice, and each time a limited volume requests its full burst right afterwards.
+# Shows what the promises of a limit's tokens are worth. Also run with state = False. Times in seconds, sizes
+# in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/changes.star
+++ b/days/changes.star
@@ -1,4 +1,5 @@
-# Plans, weights and limits change at the peak of a burst, and again while gateways die. Seconds and bytes.
+# Plans, weights and limits change at the peak of a burst, and again while gateways are killed. Times in
+# seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/ci.star
+++ b/days/ci.star
@@ -1,4 +1,5 @@
-# The bad day that CI plays: eight seconds, three gateways, six stores, a dozen kinds of trouble. Seconds and bytes.
+# The fault scenario that CI runs: eight seconds, three gateways, six stores, more than a dozen kinds of
+# faults. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/clients.star
+++ b/days/clients.star
@@ -1,4 +1,5 @@
-# Two hundred clients over three gateways and six stores, no trouble but their number. Seconds and bytes.
+# Two hundred clients over three gateways and six stores. Their number is the only stress; there are no
+# faults. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 op_type("lookup", target_latency = 300 * ms, op_timeout = 2.0, utility = 3)
 op_type("booking", target_latency = 400 * ms, op_timeout = 2.0, utility = 2, in_order = True)
--- a/days/cold.star
+++ b/days/cold.star
@@ -1,4 +1,4 @@
-# A day on which cold stores bear very little: a twentieth at first. Otherwise the bad day of ci.star.
+# Cold stores can take very little load: a twentieth of their capacity at first. Otherwise as in ci.star.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/down.star
+++ b/days/down.star
@@ -1,4 +1,5 @@
-# Gateways are down while the world changes: all stores restart, all are replaced under new ids, half the gateways die while stores are cold. Seconds and bytes.
+# Gateways are down while the fleet changes: all stores restart, then all are replaced under new ids, then
+# half of the gateways are killed while the stores are cold. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
@@ -26,13 +27,13 @@
 clients("logs", count = 8, rate = 15, reads = 0.2, blocks = 16)
 clients("central", count = 12, rate = 15, depth = 3, length = 64 * KiB, blocks = 48)
 
-# All stores restart while a gateway is down.
+# All stores restart while one gateway is down.
 trouble("gateway_down", at = 1.5, lasts = 0.9, part = 0.25)
 trouble("crash", at = 1.8, lasts = 0.2, part = 1)
-# All stores are replaced under new ids while two are.
+# All stores are replaced under new ids while two gateways are down.
 trouble("gateway_down", at = 4, lasts = 1.6, part = 0.5)
 trouble("deploy", at = 4.2, lasts = 0.6, part = 1)
-# Half the gateways die together while the stores are cold, and again at once.
+# Half of the gateways are killed together while the stores are cold, then again, and then all go down.
 trouble("preempt", at = 7, lasts = 0.3, part = 1)
 trouble("gateway_crash", at = 7.4, part = 0.5)
 trouble("gateway_crash", at = 7.8, part = 0.5)
--- a/days/fences.star
+++ b/days/fences.star
@@ -1,4 +1,5 @@
-# Ranges move back and forth under load, while keeper, stores and gateways die, stand still and come back. Seconds and bytes.
+# Ranges move back and forth between shards under load, while the coordinator, stores and gateways are killed,
+# stalled and restarted. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 64 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/long.star
+++ b/days/long.star
@@ -1,4 +1,5 @@
-# A longer bad day: half a minute, four gateways, eight stores, each kind of trouble once or more. Seconds and bytes.
+# A longer fault scenario: half a minute, four gateways, eight stores. Each kind of fault occurs at least
+# once, except gateway_down, change, move and those of the coordinator. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/restarts.star
+++ b/days/restarts.star
@@ -1,4 +1,5 @@
-# Gateways die again and again, with state kept; stores restart among them. Seconds and bytes.
+# Gateways are killed repeatedly and keep their state across restarts; stores restart in between. Times in
+# seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
--- a/days/return.star
+++ b/days/return.star
@@ -1,4 +1,5 @@
-# Gateways die now and then and nothing else: what keeping state is worth. Also played with state = False. Seconds and bytes.
+# One gateway after another is killed and restarted, and there are no other faults. Shows what keeping state
+# across restarts is worth. Also run with state = False. Times in seconds, sizes in bytes.
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB, unit = 16 * KiB, most_units = 4)
 
 op_type("lookup", target_latency = 200 * ms, op_timeout = 1.0, utility = 3)
