--- a/crates/fakes/src/book.rs
+++ b/crates/fakes/src/book.rs
@@ -1,4 +1,5 @@
-//! The record of what stores saw: every attempt and what became of it, on one clock for the whole test.
+//! Record of the events at all stores of a test: every attempt and its outcome, with timestamps of one clock
+//! for the complete test.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -9,27 +10,27 @@
 /// One event at a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Microseconds since the record began.
+    /// When it happened, in microseconds since the record was started.
     pub at: u64,
-    /// Id of the store that saw it.
+    /// Id of the store at which it happened.
     pub store: u64,
-    /// What it saw.
+    /// What happened.
     pub seen: Seen,
 }
 
 /// An event at a store. The names of its variants and fields are part of the recorded JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Seen {
-    /// The store began to serve.
+    /// The store started to serve.
     Up {
-        /// Units of work a second when warm.
+        /// Units of work that it serves in a second when warm.
         units_a_second: f64,
-        /// Whether it started cold.
+        /// Whether it started cold, at reduced speed.
         cold: bool,
     },
-    /// The store ended.
+    /// The store's process ended.
     Down,
-    /// The store crashed under more work than a cold store bears, and stays down.
+    /// The store crashed because more work arrived than a cold store can handle; it stays down.
     Fell,
     /// An attempt arrived.
     Received {
@@ -37,13 +38,13 @@
         run: u64,
         /// Number of the attempt, unique within the run.
         number: u64,
-        /// Operation that it is an attempt of.
+        /// Operation that it belongs to.
         op: u64,
-        /// Volume addressed.
+        /// Volume that it addresses.
         volume: u64,
         /// Extent within the volume.
         extent: u64,
-        /// Recorded name of the kind of operation.
+        /// Name of the kind of operation, as it is recorded.
         work: String,
         /// Offset within the extent, in bytes.
         offset: u32,
@@ -51,10 +52,11 @@
         length: u32,
         /// Estimated cost, in units of work.
         units: f64,
-        /// The first eight bytes of a write's data: clients mark what they write.
+        /// The first eight bytes of the data as a big-endian number, by which test clients tell their writes
+        /// apart; 0 if there are fewer bytes.
         mark: u64,
     },
-    /// An attempt took effect, or its data was read.
+    /// An attempt was executed: its change took effect, or its data was read.
     Ran {
         /// Run of the gateway that sent it.
         run: u64,
@@ -69,72 +71,72 @@
         number: u64,
         /// Name of the order.
         order: String,
-        /// Whether the store took it.
+        /// Whether the store executed it.
         done: bool,
     },
-    /// An attempt was answered, whether or not the answer arrived.
+    /// The store responded to an attempt. An injected fault may still drop the response.
     Answered {
         /// Run of the gateway that sent it.
         run: u64,
         /// Number of the attempt.
         number: u64,
-        /// Recorded name of the result code.
+        /// Name of the result code, as it is recorded.
         code: String,
     },
 }
 
-/// A record of events; its clones share it.
+/// A record of events. All clones of it share the same entries.
 #[derive(Clone)]
 pub struct Book {
-    began: Instant,
+    started_at: Instant,
     entries: Arc<Mutex<Vec<Entry>>>,
-    written: Arc<Notify>,
+    entry_added: Arc<Notify>,
 }
 
 impl Default for Book {
     fn default() -> Book {
-        Book { began: Instant::now(), entries: Arc::default(), written: Arc::default() }
+        Book { started_at: Instant::now(), entries: Arc::default(), entry_added: Arc::default() }
     }
 }
 
 impl Book {
-    /// Microseconds since the record began.
+    /// Microseconds since the record was started.
     pub fn now(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
-    /// Time since the record began.
+    /// Time since the record was started.
     pub fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// When the record began.
-    pub fn began(&self) -> Instant {
-        self.began
+    /// When the record was started.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
     }
 
-    /// Appends an event of a store, stamped with the present time.
+    /// Appends an event of a store with the current time.
     pub fn write(&self, store: u64, seen: Seen) {
         let at = self.now();
         if let Ok(mut entries) = self.entries.lock() {
             entries.push(Entry { at, store, seen });
         }
-        self.written.notify_waiters();
+        self.entry_added.notify_waiters();
     }
 
-    /// Waits until `count` entries match; the last of these.
+    /// Waits until `count` entries match, and returns the last of these.
     pub async fn until(&self, count: usize, matches: impl Fn(&Entry) -> bool) -> Entry {
         loop {
-            let written = self.written.notified();
+            let entry_added = self.entry_added.notified();
             let found = self.entries().into_iter().filter(&matches).nth(count.saturating_sub(1));
             match found {
                 Some(entry) => return entry,
-                None => written.await,
+                None => entry_added.await,
             }
         }
     }
 
-    /// All that was written so far, in order.
+    /// All entries so far, in the order in which they were added.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().map(|entries| entries.clone()).unwrap_or_default()
     }
--- a/crates/fakes/src/client/mod.rs
+++ b/crates/fakes/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! A small NBD client on tokio, of this project's own codec: one connection, requests in any number at once.
+//! A small NBD client on tokio that uses this project's own codec: one connection, on which any number of
+//! requests can be pending.
 
 mod reply;
 
@@ -18,17 +19,17 @@
 pub use self::reply::{Ended, Whole};
 use self::reply::{SharedRequests, lock};
 
-/// Room made for each read from the socket, in bytes.
+/// Buffer space reserved for each read from the socket, in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
-/// A session; dropping it closes the connection.
+/// An NBD session. Dropping it closes the connection.
 pub struct Connection {
-    /// What the server said of the export.
+    /// Properties of the export that the server reported.
     pub export: Export,
     to_writer: mpsc::UnboundedSender<Request>,
     pending: SharedRequests,
     next_cookie: AtomicU64,
-    /// Writing and reading.
+    /// The task that writes requests and the task that reads replies.
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -38,14 +39,14 @@
     }
 }
 
-/// Negotiates over a new connection, until an export is ready or the names are listed.
+/// Opens a connection and negotiates until the export is ready or the server has listed its exports.
 async fn negotiate(
     address: SocketAddr,
-    wish: Negotiation,
+    negotiation: Negotiation,
 ) -> io::Result<(TcpStream, Client, BytesMut, ClientEvent)> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let (mut client, mut input) = (Client::new(wish), BytesMut::new());
+    let (mut client, mut input) = (Client::new(negotiation), BytesMut::new());
     loop {
         let event = client.receive(&mut input).map_err(io::Error::other)?;
         stream.write_all(&client.output().split()).await?;
@@ -59,7 +60,7 @@
     }
 }
 
-/// The names of a server's exports.
+/// Lists the names of a server's exports.
 ///
 /// # Errors
 /// Fails when the connection fails, the negotiation is malformed, or the server does not list its exports.
@@ -71,17 +72,22 @@
 }
 
 impl Connection {
-    /// Connects to the server at `address` and negotiates the export `name`, with structured replies if wished.
+    /// Connects to the server at `address` and negotiates the export `name`, with structured replies if
+    /// `structured` is set.
     ///
     /// # Errors
-    /// Fails when the connection fails, the negotiation is malformed, or the server does not offer the export.
+    /// Fails when the connection fails, the negotiation is malformed, or the server does not offer the
+    /// export.
     pub async fn open(address: SocketAddr, name: &str, structured: bool) -> io::Result<Connection> {
-        let wish = Negotiation::Export { name: name.into(), structured };
-        let (stream, client, input, event) = negotiate(address, wish).await?;
-        let ClientEvent::Ready(export) = event else { return Err(io::Error::other("no export")) };
+        let negotiation = Negotiation::Export { name: name.into(), structured };
+        let (stream, client, input, event) = negotiate(address, negotiation).await?;
+        let ClientEvent::Ready(export) = event else {
+            return Err(io::Error::other(format!("the server did not offer the export {name:?}")));
+        };
         let (reader, writer) = stream.into_split();
         let (to_writer, requests) = mpsc::unbounded_channel();
-        // Simple read replies cannot be told apart without the request: the reading side learns of it first.
+        // Whether a simple reply carries data, and how much, is known only from its request. So the reading
+        // task receives each request before it is sent.
         let (to_reader, sent) = mpsc::unbounded_channel();
         let pending = SharedRequests::default();
         let writing = tokio::spawn(write_requests(writer, requests, to_reader));
@@ -95,7 +101,7 @@
         })
     }
 
-    /// Sends a request; the receiver gets its reply.
+    /// Sends a request; the returned receiver gets its reply.
     pub fn send(
         &self,
         command: Command,
@@ -122,23 +128,23 @@
         self.send(Command::Write, 0, offset, data.len() as u32, data).await.ok().flatten()
     }
 
-    /// Flushes writes that were acknowledged.
+    /// Flushes all acknowledged writes.
     pub async fn flush(&self) -> Ended {
         self.send(Command::Flush, 0, 0, 0, Bytes::new()).await.ok().flatten()
     }
 
-    /// Replies that answered nothing: doubled or unasked for.
+    /// Messages about replies that matched no pending request, such as duplicates, and about malformed data.
     pub fn strays(&self) -> Vec<String> {
-        lock(&self.pending).strays().to_vec()
+        lock(&self.pending).unmatched_replies().to_vec()
     }
 
-    /// Drops the connection without a disconnect request; all that wait learn that it has ended.
+    /// Closes the connection without a disconnect request. Every pending request ends without a reply.
     pub fn cut(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
         lock(&self.pending).close();
     }
 
-    /// Sends a disconnect request and closes.
+    /// Sends a disconnect request, on which the server closes the connection.
     pub fn disconnect(&self) {
         _ = self.to_writer.send(Request {
             cookie: 0,
@@ -198,7 +204,9 @@
                     return;
                 }
             }
-            Err(error) => return lock(pending).add_stray(format!("malformed: {error}")),
+            Err(error) => {
+                return lock(pending).add_unmatched_reply(format!("malformed data from the server: {error}"));
+            }
         }
     }
 }
--- a/crates/fakes/src/client/reply.rs
+++ b/crates/fakes/src/client/reply.rs
@@ -1,4 +1,4 @@
-//! Replies to requests: put together from their parts, and handed to those who wait.
+//! Replies to requests: assembled from their chunks, and passed to the callers that wait for them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -7,55 +7,58 @@
 use tokio::sync::oneshot;
 use umbertray_nbd::{Chunk, Errno, Extent, Reply};
 
-/// Stands for the request's own offset, which a simple reply does not repeat.
-const REQUEST_OFFSET: u64 = u64::MAX;
+/// Represents the offset of the request, which a simple reply does not contain.
+const IMPLIED_OFFSET: u64 = u64::MAX;
 
-/// A whole reply, put together.
+/// A complete reply, assembled from all its chunks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Whole {
-    /// Error that the server reported, with its message.
+    /// Error that the server reported, with its message; a simple reply has none.
     pub error: Option<(Errno, String)>,
-    /// A read's data by offset; holes have none. A simple reply does not say its offset: it has [`u64::MAX`].
+    /// Data of a read, with the offset of each part. The offset is [`u64::MAX`] for data of a simple reply,
+    /// which does not contain it.
     pub data: Vec<(u64, Bytes)>,
     /// Holes of a read: offset and length in bytes.
     pub holes: Vec<(u64, u32)>,
     /// Extents of a block status reply.
     pub extents: Vec<Extent>,
-    /// Chunks that came, the last included.
+    /// Number of chunks in the reply; 1 for a simple reply.
     pub chunks: u32,
 }
 
 impl Whole {
-    /// A read's data in one buffer, zeros where there are holes; absent where parts are missing or overlap.
+    /// A read's data in one buffer, with zeros in place of holes. `None` if parts are missing or overlap, so
+    /// that their lengths do not add up to `length`, or if one lies outside the range.
     pub fn bytes(&self, offset: u64, length: u32) -> Option<Vec<u8>> {
-        let mut whole = vec![0; length as usize];
+        let mut buffer = vec![0; length as usize];
         let mut covered = 0;
-        for (at, data) in &self.data {
-            let at = if *at == REQUEST_OFFSET { offset } else { *at };
-            let from = usize::try_from(at.checked_sub(offset)?).ok()?;
-            whole.get_mut(from..from + data.len())?.copy_from_slice(data);
+        for (data_offset, data) in &self.data {
+            let data_offset = if *data_offset == IMPLIED_OFFSET { offset } else { *data_offset };
+            let from = usize::try_from(data_offset.checked_sub(offset)?).ok()?;
+            buffer.get_mut(from..from + data.len())?.copy_from_slice(data);
             covered += data.len() as u64;
         }
         covered += self.holes.iter().map(|(_, length)| u64::from(*length)).sum::<u64>();
-        (covered == u64::from(length)).then_some(whole)
+        (covered == u64::from(length)).then_some(buffer)
     }
 }
 
-/// How a request ended for the client: the reply, or none since the connection ended.
+/// How a request ended: with its complete reply, or `None` because the connection ended first.
 pub type Ended = Option<Whole>;
 
-/// A request without its whole reply yet.
+/// A request whose reply is not complete yet.
 struct PendingRequest {
-    whole: Whole,
+    reply: Whole,
     sender: oneshot::Sender<Ended>,
 }
 
-/// The requests of a connection that have no whole reply yet, by their cookies.
+/// The pending requests of a connection.
 #[derive(Default)]
 pub(super) struct PendingRequests {
+    /// Requests whose reply is not complete yet, by their cookie.
     by_cookie: HashMap<u64, PendingRequest>,
-    strays: Vec<String>,
-    closed: bool,
+    unmatched_replies: Vec<String>,
+    is_closed: bool,
 }
 
 pub(super) type SharedRequests = Arc<Mutex<PendingRequests>>;
@@ -65,48 +68,52 @@
 }
 
 impl PendingRequests {
-    /// Adds a request; once the connection has ended, its sender gets that at once and the request is not to be sent.
+    /// Adds a request, and returns whether it is to be sent. Once the connection has ended it is not:
+    /// `sender` receives `None` immediately.
     pub(super) fn add(&mut self, cookie: u64, sender: oneshot::Sender<Ended>) -> bool {
-        if self.closed {
+        if self.is_closed {
             _ = sender.send(None);
             return false;
         }
-        self.by_cookie.insert(cookie, PendingRequest { whole: Whole::default(), sender });
+        self.by_cookie.insert(cookie, PendingRequest { reply: Whole::default(), sender });
         true
     }
 
-    /// Tells all that wait that the connection has ended; replies that still come in are ignored.
+    /// Ends all pending requests without a reply, because the connection has ended. Later replies are
+    /// ignored.
     pub(super) fn close(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
         for (_, request) in self.by_cookie.drain() {
             _ = request.sender.send(None);
         }
     }
 
-    /// Replies that answered nothing.
-    pub(super) fn strays(&self) -> &[String] {
-        &self.strays
+    /// Messages about replies that matched no pending request, and about malformed data.
+    pub(super) fn unmatched_replies(&self) -> &[String] {
+        &self.unmatched_replies
     }
 
-    pub(super) fn add_stray(&mut self, stray: String) {
-        self.strays.push(stray);
+    pub(super) fn add_unmatched_reply(&mut self, message: String) {
+        self.unmatched_replies.push(message);
     }
 
-    /// Takes a simple reply or a chunk in, and hands over a reply that is whole with it.
+    /// Adds a simple reply or a chunk to the pending request's reply; once that is complete, passes it to the
+    /// caller.
     pub(super) fn receive(&mut self, reply: Reply) {
-        if self.closed {
+        if self.is_closed {
             return;
         }
-        let (cookie, done) = match &reply {
+        let (cookie, is_last) = match &reply {
             Reply::Simple { cookie, .. } => (*cookie, true),
             Reply::Chunk { cookie, done, .. } => (*cookie, *done),
         };
         let Some(request) = self.by_cookie.get_mut(&cookie) else {
-            return self.add_stray(format!("reply to cookie {cookie}, which is not open"));
+            return self
+                .add_unmatched_reply(format!("reply to cookie {cookie}, which has no pending request"));
         };
-        request.whole.add(reply);
-        if done && let Some(PendingRequest { whole, sender }) = self.by_cookie.remove(&cookie) {
-            _ = sender.send(Some(whole));
+        request.reply.add(reply);
+        if is_last && let Some(PendingRequest { reply, sender }) = self.by_cookie.remove(&cookie) {
+            _ = sender.send(Some(reply));
         }
     }
 }
@@ -117,7 +124,7 @@
         match reply {
             Reply::Simple { error, data, .. } => {
                 self.error = error.map(|errno| (errno, String::new()));
-                self.data = if data.is_empty() { Vec::new() } else { vec![(REQUEST_OFFSET, data)] };
+                self.data = if data.is_empty() { Vec::new() } else { vec![(IMPLIED_OFFSET, data)] };
             }
             Reply::Chunk { chunk, .. } => self.add_chunk(chunk),
         }
--- a/crates/fakes/src/disk/mod.rs
+++ b/crates/fakes/src/disk/mod.rs
@@ -1,4 +1,5 @@
-//! A shard's data in memory, which outlives the stores that serve it, and what keeps late attempts from it.
+//! A shard's data in memory, and the fences that protect it from late attempts. Both outlive the stores that
+//! serve the shard.
 
 mod moves;
 mod pages;
@@ -12,10 +13,11 @@
 use self::pages::Page;
 pub(crate) use self::pages::{Content, ReadPart};
 
-/// How long superseded attempts and executed operations are remembered after their time limit, in microseconds.
+/// How long superseded attempts and executed operations are remembered after the attempt's time limit, in
+/// microseconds.
 const RETENTION_US: u64 = 10_000_000;
 
-/// A volume and an extent of it.
+/// A volume and an extent within it.
 type ExtentKey = (u64, u64);
 /// A gateway's run, and the number of an attempt or operation in it.
 type RunKey = (u64, u64);
@@ -23,24 +25,25 @@
 /// Data of one shard in memory, with the fences that protect it from late attempts.
 #[derive(Default)]
 pub struct InMemoryDisk {
-    /// Pages by their number within the extent.
+    /// Pages that hold data, by their number within the extent.
     pages: HashMap<ExtentKey, BTreeMap<u32, Page>>,
-    /// Attempts that must not run.
+    /// Attempts that must not be executed.
     superseded: HashSet<RunKey>,
-    /// Operations that have run.
+    /// Operations that have been executed.
     executed: HashMap<RunKey, ExecutedAt>,
-    /// What is forgotten once the store's clock has passed a time.
+    /// Entries to forget once the store's clock has passed the time in the key.
     expiries: BTreeMap<u64, Vec<Expiry>>,
     fences: Fences,
-    /// What is to be copied for moves from here, by their number.
+    /// Ranges that are being moved away from this disk, by the number of the move.
     tracked: BTreeMap<u64, TrackedRange>,
-    /// How often anything has changed.
-    changes: u64,
-    /// Each extent's last change; while a range is incoming, that of its source.
+    /// Counter of changes, over all extents.
+    change_count: u64,
+    /// The value of `change_count` at each extent's last change; for an extent that was copied from the
+    /// source of a move, the value at the source.
     change_counts: HashMap<ExtentKey, u64>,
 }
 
-/// Where an operation was executed, and until when that is remembered.
+/// Extent on which an operation was executed, and until when this is remembered.
 #[derive(Clone, Copy)]
 struct ExecutedAt {
     volume: u64,
@@ -53,24 +56,24 @@
     Executed(RunKey),
 }
 
-/// What applying an attempt came to.
+/// Outcome of applying an attempt.
 pub(crate) enum Applied {
     Read(Vec<ReadPart>),
-    /// Which parts of the range hold data.
+    /// Which parts of the range hold data and which are holes.
     Status(Vec<DataRange>),
     Done,
-    /// The operation was executed before, by another attempt: a repeat changes nothing.
-    Repeat,
-    /// It is superseded, or past its time limit.
+    /// Another attempt has already executed the operation; this one changed nothing.
+    AlreadyExecuted,
+    /// It was superseded, or its time limit has passed.
     Fenced,
-    /// The range has moved, and has this epoch.
-    Stale(u64),
-    /// The gateway knows of a move of which the coordinator's order has not come yet.
-    Early,
+    /// The range has been moved and now has this epoch.
+    StaleEpoch(u64),
+    /// The gateway already knows of a move for which this store has not received the coordinator's order.
+    NotActiveYet,
 }
 
 impl InMemoryDisk {
-    /// Marks the attempts that this one supersedes, on its arrival.
+    /// Records the attempts that an arriving attempt supersedes.
     pub(crate) fn supersede(&mut self, run: u64, attempt: &Attempt) {
         for number in &attempt.supersedes {
             let key = (run, *number);
@@ -80,25 +83,27 @@
         }
     }
 
-    /// Whether an attempt may no longer run: past its time limit, or superseded.
-    pub(crate) fn fenced(&self, clock: u64, run: u64, attempt: &Attempt) -> bool {
+    /// Whether an attempt may no longer be executed: its time limit has passed, or it was superseded.
+    pub(crate) fn is_fenced(&self, clock: u64, run: u64, attempt: &Attempt) -> bool {
         clock > attempt.not_after || self.superseded.contains(&(run, attempt.number))
     }
 
-    /// Applies an attempt at the store's time `clock`, unless it is fenced off.
+    /// Applies an attempt at the store's time `clock`, unless it is fenced.
     pub(crate) fn apply(&mut self, clock: u64, run: u64, attempt: &Attempt) -> Applied {
         self.expire(clock);
-        if self.fenced(clock, run, attempt) {
+        if self.is_fenced(clock, run, attempt) {
             return Applied::Fenced;
         }
-        if let Some(refusal) = self.check_epoch(attempt) {
-            return refusal;
+        if let Some(rejection) = self.check_epoch(attempt) {
+            return rejection;
         }
         match attempt.kind {
             OperationKind::Read => Applied::Read(self.read(attempt)),
-            OperationKind::Status => Applied::Status(self.status(attempt)),
+            OperationKind::Status => Applied::Status(self.data_ranges(attempt)),
             OperationKind::Flush => Applied::Done,
-            OperationKind::Write | OperationKind::Zero | OperationKind::Trim => self.change(run, attempt),
+            OperationKind::Write | OperationKind::Zero | OperationKind::Trim => {
+                self.execute_change(run, attempt)
+            }
         }
     }
 
@@ -108,7 +113,7 @@
                 match expiry {
                     Expiry::Superseded(key) => _ = self.superseded.remove(&key),
                     Expiry::Executed(key) => {
-                        // A later record of the same operation keeps it for longer.
+                        // The operation was recorded again later, which extended its expiry.
                         if self.executed.get(&key).is_some_and(|executed| executed.until < clock) {
                             self.executed.remove(&key);
                         }
@@ -118,22 +123,23 @@
         }
     }
 
-    /// Why the epoch of an attempt's range forbids it; a flush addresses no range.
+    /// The outcome of an attempt whose epoch is not the current one of its range; `None` if the attempt may
+    /// run. A flush addresses no range.
     fn check_epoch(&self, attempt: &Attempt) -> Option<Applied> {
         if attempt.kind == OperationKind::Flush {
             return None;
         }
         match self.fences.check(attempt.volume, attempt.extent, attempt.epoch) {
             EpochCheck::Current => None,
-            EpochCheck::Stale(epoch) => Some(Applied::Stale(epoch)),
-            EpochCheck::NotActiveYet => Some(Applied::Early),
+            EpochCheck::Stale(epoch) => Some(Applied::StaleEpoch(epoch)),
+            EpochCheck::NotActiveYet => Some(Applied::NotActiveYet),
         }
     }
 
-    fn change(&mut self, run: u64, attempt: &Attempt) -> Applied {
+    fn execute_change(&mut self, run: u64, attempt: &Attempt) -> Applied {
         let key = (run, attempt.op);
         if self.executed.contains_key(&key) {
-            return Applied::Repeat;
+            return Applied::AlreadyExecuted;
         }
         let (volume, extent) = (attempt.volume, attempt.extent);
         let until = attempt.not_after + RETENTION_US;
--- a/crates/fakes/src/disk/moves.rs
+++ b/crates/fakes/src/disk/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of extent ranges between disks, as the coordinator orders them.
+//! Moves of extent ranges between disks, by orders of the coordinator.
 
 use std::collections::BTreeSet;
 
@@ -15,8 +15,8 @@
 }
 
 impl InMemoryDisk {
-    /// Takes a coordinator's order for the move of this number.
-    pub(crate) fn order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
+    /// Executes a coordinator's order for the move `number`.
+    pub(crate) fn execute_order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
         let check = match self.fences.take(term, number, order) {
             Ok(check) => check,
             Err(reply) => return reply,
@@ -29,8 +29,8 @@
             Order::FetchNext { copied, .. } => return self.fetch_next(number, &range, *copied),
             Order::Put { content, .. } => self.put(&range, content),
             Order::Fence { .. } => {
-                let left = self.tracked.get(&number).map_or(0, |tracked| tracked.dirty.len());
-                return OrderReply::ExtentsLeft(left as u64);
+                let remaining = self.tracked.get(&number).map_or(0, |tracked| tracked.dirty.len());
+                return OrderReply::ExtentsLeft(remaining as u64);
             }
             Order::FetchExecuted { .. } => return OrderReply::ExecutedOps(self.executed_ops(clock, &range)),
             Order::RecordExecuted { marks, .. } => self.record_executed(clock, range.volume, marks),
@@ -45,16 +45,16 @@
         OrderReply::Done
     }
 
-    /// Bytes of a range that lie here, in whole pages.
-    pub fn holds(&self, span: &ExtentRange) -> usize {
-        let held = self.pages.iter().filter(|((volume, extent), _)| span.contains(*volume, *extent));
+    /// Number of bytes that this disk holds of a range, counted in full pages.
+    pub fn holds(&self, range: &ExtentRange) -> usize {
+        let held = self.pages.iter().filter(|((volume, extent), _)| range.contains(*volume, *extent));
         held.map(|(_, pages)| pages.len() * PAGE).sum()
     }
 
-    /// Counts a change of an extent, which moves that track it have to copy again.
+    /// Counts a change of an extent, and marks the extent to be copied again by each move that tracks it.
     pub(super) fn count_change(&mut self, volume: u64, extent: u64) {
-        self.changes += 1;
-        self.change_counts.insert((volume, extent), self.changes);
+        self.change_count += 1;
+        self.change_counts.insert((volume, extent), self.change_count);
         for tracked in self.tracked.values_mut().filter(|tracked| tracked.range.contains(volume, extent)) {
             tracked.dirty.insert(extent);
         }
@@ -65,10 +65,12 @@
         self.change_counts.retain(|(volume, extent), _| !range.contains(*volume, *extent));
     }
 
-    /// Starts to track a range, with all that it holds to be copied; how many extents that are.
+    /// Starts to track the changes of a range, and marks all of its extents that hold data to be copied.
+    /// Returns the number of extents to copy.
     ///
-    /// Hazard: a move begun anew copies again what it copied before; what was emptied since the first copy must not be
-    /// left out, or the target would keep it. So nothing is struck off that is still to be copied.
+    /// Hazard: a restarted move copies everything again. An extent that was emptied after its first copy must
+    /// be copied again too, or the target would keep its old data. Therefore extents that are already marked
+    /// to be copied stay marked.
     fn track(&mut self, number: u64, range: ExtentRange) -> u64 {
         let held = self.pages.keys().filter(|(volume, extent)| range.contains(*volume, *extent));
         let held: Vec<u64> = held.map(|(_, extent)| *extent).collect();
@@ -77,7 +79,8 @@
         tracked.dirty.len() as u64
     }
 
-    /// The next extent to copy; `copied` names the last one with its change count, which is done unless it changed.
+    /// Returns the next extent to copy. `copied` is the extent that was copied last and its change count
+    /// then; it is done unless it has changed since.
     fn fetch_next(&mut self, number: u64, range: &ExtentRange, copied: Option<(u64, u64)>) -> OrderReply {
         let Some(tracked) = self.tracked.get_mut(&number) else { return OrderReply::WrongState };
         let counts = &self.change_counts;
@@ -85,7 +88,8 @@
         if let Some((extent, _)) = copied.filter(|(extent, copied)| change_count(*extent) == *copied) {
             tracked.dirty.remove(&extent);
         }
-        // The one after what was copied last, so that a hot extent does not keep the others waiting.
+        // Continues after the extent that was copied last, so that an extent that changes all the time does
+        // not delay the others.
         let after = copied.map_or(0, |(extent, _)| extent + 1);
         let next = tracked.dirty.range(after..).next().or(tracked.dirty.first()).copied();
         OrderReply::NextExtent(next.map(|extent| {
@@ -97,7 +101,7 @@
 
     /// Stores a copy of an extent.
     ///
-    /// Hazard: an older copy that was delayed must not undo a newer one.
+    /// Hazard: a delayed older copy must not overwrite a newer one.
     fn put(&mut self, range: &ExtentRange, content: &ExtentContent) {
         let key = (range.volume, content.extent);
         if self.change_counts.get(&key).is_some_and(|held| *held > content.change_count) {
@@ -110,19 +114,19 @@
         };
         self.pages.insert(key, content.pages.iter().map(page).collect());
         self.change_counts.insert(key, content.change_count);
-        // Its own changes are counted on from there, so that no count comes twice.
-        self.changes = self.changes.max(content.change_count);
+        // This disk's own counts continue above the copied one, so that no count is used twice.
+        self.change_count = self.change_count.max(content.change_count);
     }
 
     fn executed_ops(&self, clock: u64, range: &ExtentRange) -> Vec<ExecutedOp> {
-        let here = self.executed.iter().filter(|(_, at)| range.contains(at.volume, at.extent));
+        let in_range = self.executed.iter().filter(|(_, at)| range.contains(at.volume, at.extent));
         let executed_op = |((run, op), at): (&RunKey, &ExecutedAt)| ExecutedOp {
             gateway_run: *run,
             op: *op,
             extent: at.extent,
             remembered_for: at.until.saturating_sub(clock),
         };
-        here.map(executed_op).collect()
+        in_range.map(executed_op).collect()
     }
 
     /// Remembers operations that were executed at the source of a move.
--- a/crates/fakes/src/disk/pages.rs
+++ b/crates/fakes/src/disk/pages.rs
@@ -1,4 +1,4 @@
-//! Pages of extents: reads and changes of byte ranges.
+//! The pages of extents: reads and changes of byte ranges.
 
 use std::ops::Range;
 
@@ -17,7 +17,7 @@
     pub(crate) content: Content,
 }
 
-/// Data, or a hole of so many bytes.
+/// Data, or a hole with its length in bytes.
 pub(crate) enum Content {
     Data(BytesMut),
     Hole(u32),
@@ -27,8 +27,8 @@
     /// Writes the data of an attempt, or zeros its range.
     pub(super) fn change_pages(&mut self, attempt: &Attempt) {
         let pages = self.pages.entry((attempt.volume, attempt.extent)).or_default();
-        for PageSlice { page, start, bytes } in page_slices(attempt.offset, attempt.length) {
-            let within = start..start + bytes.len();
+        for PageSlice { page, offset_in_page, bytes } in page_slices(attempt.offset, attempt.length) {
+            let within = offset_in_page..offset_in_page + bytes.len();
             if attempt.kind == OperationKind::Write {
                 let page = pages.entry(page).or_insert_with(|| Box::new([0; PAGE]));
                 page[within].copy_from_slice(&attempt.data[bytes]);
@@ -40,14 +40,15 @@
         }
     }
 
-    /// Reads a range; adjacent data is one part, and so are adjacent holes.
+    /// Reads a range. Adjacent data is merged into one part, and so are adjacent holes.
     pub(super) fn read(&self, attempt: &Attempt) -> Vec<ReadPart> {
         let pages = self.pages.get(&(attempt.volume, attempt.extent));
         let mut parts: Vec<ReadPart> = Vec::new();
-        for PageSlice { page, start, bytes } in page_slices(attempt.offset, attempt.length) {
+        for PageSlice { page, offset_in_page, bytes } in page_slices(attempt.offset, attempt.length) {
             let offset = attempt.offset + bytes.start as u32;
             let length = bytes.len();
-            let found = pages.and_then(|pages| pages.get(&page)).map(|page| &page[start..start + length]);
+            let page = pages.and_then(|pages| pages.get(&page));
+            let found = page.map(|page| &page[offset_in_page..offset_in_page + length]);
             match (found, parts.last_mut().map(|part| &mut part.content)) {
                 (Some(data), Some(Content::Data(last))) => last.extend_from_slice(data),
                 (None, Some(Content::Hole(last))) => *last += length as u32,
@@ -58,8 +59,8 @@
         parts
     }
 
-    /// Which parts of a range hold data.
-    pub(super) fn status(&self, attempt: &Attempt) -> Vec<DataRange> {
+    /// The parts of a range that hold data, and the holes between them.
+    pub(super) fn data_ranges(&self, attempt: &Attempt) -> Vec<DataRange> {
         let data_range = |part: ReadPart| match part.content {
             Content::Data(data) => DataRange { length: data.len() as u32, has_data: true },
             Content::Hole(length) => DataRange { length, has_data: false },
@@ -72,9 +73,9 @@
 struct PageSlice {
     /// Number of the page within the extent.
     page: u32,
-    /// Where the part starts within the page.
-    start: usize,
-    /// Which bytes of the range it covers.
+    /// Offset of the part within the page.
+    offset_in_page: usize,
+    /// Bytes of the range that the part covers.
     bytes: Range<usize>,
 }
 
@@ -82,11 +83,11 @@
     let (offset, length) = (offset as usize, length as usize);
     let mut position = 0;
     std::iter::from_fn(move || {
-        let start = (offset + position) % PAGE;
-        let size = (PAGE - start).min(length - position);
+        let offset_in_page = (offset + position) % PAGE;
+        let size = (PAGE - offset_in_page).min(length - position);
         let page = ((offset + position) / PAGE) as u32;
         let bytes = position..position + size;
         position += size;
-        (size > 0).then_some(PageSlice { page, start, bytes })
+        (size > 0).then_some(PageSlice { page, offset_in_page, bytes })
     })
 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A cluster of scripted stores with their list service: started, killed, replaced and listed as a test says.
+//! A cluster of scripted stores with their list service, which a test can start, kill, replace and list.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,28 +13,28 @@
 use crate::model::{Fault, Power};
 use crate::store::{self, Identity};
 
-/// A loopback address whose port the system chooses.
+/// A loopback address with port 0, for which the system chooses a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Scripted stores, the list service that names them, and the shared record of what they saw.
+/// Scripted stores, the list service that lists them, and the shared record of their events.
 pub struct Fleet {
     /// The list service.
     pub list: list::Running,
-    /// Events seen by all stores.
+    /// Record of the events at all stores.
     pub book: Book,
     disks: Vec<Arc<Mutex<InMemoryDisk>>>,
     power: Power,
     stores: BTreeMap<u64, store::Running>,
-    /// Where each store listened last.
+    /// The last address of each store.
     addresses: BTreeMap<u64, SocketAddr>,
     next_id: u64,
     seed: u64,
 }
 
 impl Fleet {
-    /// Starts so many warm stores, each with a shard of its own, and lists them.
+    /// Starts `count` warm stores, each with its own shard, and lists them.
     ///
     /// # Errors
     /// Fails when no port can be bound.
@@ -55,13 +55,13 @@
         Ok(fleet)
     }
 
-    /// Starts and lists a new store of a shard; its id.
+    /// Starts and lists a new store of a shard, and returns its id.
     ///
     /// # Errors
     /// Fails when no port can be bound.
     ///
     /// # Panics
-    /// When the fleet was not started with this shard.
+    /// If the fleet was started without this shard.
     pub async fn add(&mut self, shard: u32, cold: bool) -> io::Result<u64> {
         let id = self.next_id;
         self.next_id += 1;
@@ -104,12 +104,12 @@
         self.stores.get(&id).map(|running| running.identity().shard)
     }
 
-    /// The store that serves a shard, the latest started if there are two.
+    /// The store that serves a shard; if there are several, the latest one, which has the highest id.
     pub fn of_shard(&self, shard: u32) -> Option<u64> {
         self.stores.iter().rev().find(|(_, running)| running.identity().shard == shard).map(|(id, _)| *id)
     }
 
-    /// Ends a store's process at once, without notice to the list; what is needed to start it again.
+    /// Kills a store's process without notifying the list; returns the identity with which to restart it.
     pub async fn kill(&mut self, id: u64) -> Option<Identity> {
         match self.stores.remove(&id) {
             Some(running) => Some(running.kill().await),
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Starts a killed store again, cold, where it listened before, and notifies the list.
+    /// Restarts a killed store, cold and if possible at its previous address, and updates the list.
     ///
     /// # Errors
     /// Fails when no port can be bound.
     pub async fn restart(&mut self, identity: Identity) -> io::Result<()> {
         let id = identity.store;
         let address = self.addresses.get(&id).copied().unwrap_or_else(any_port);
-        // A connection of another process on this machine may have taken the port in the meantime.
+        // A connection of another process on this machine may be using the port now.
         let running = match store::start(identity.clone(), address, true).await {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 store::start(identity, any_port(), true).await?
@@ -137,15 +137,15 @@
         Ok(())
     }
 
-    /// Sets the fault of a store.
+    /// Replaces the injected faults of a store.
     pub fn fault(&self, id: u64, fault: Fault) {
         if let Some(running) = self.stores.get(&id) {
             running.fault(fault);
         }
     }
 
-    /// Stores that crashed or ended by their script.
-    pub fn fallen(&self) -> Vec<u64> {
+    /// Ids of the stores that have crashed or were ended in the middle of a read.
+    pub fn crashed_stores(&self) -> Vec<u64> {
         self.stores.iter().filter(|(_, running)| running.is_down()).map(|(id, _)| *id).collect()
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,5 +1,7 @@
-//! Test doubles that work: scripted stores, the list service with its directory, discovery, clients and a proxy with
-//! faults. Gateways are tested against them. No product package uses them; they listen and connect on loopback only.
+//! Working test doubles for tests of gateways: scripted stores, the list service with its directory,
+//! discovery, clients, and a proxy that injects faults.
+//!
+//! No product package uses them. They listen and connect on loopback only.
 
 pub mod book;
 pub mod client;
--- a/crates/fakes/src/list/connection.rs
+++ b/crates/fakes/src/list/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the list service: calls and their answers, and a watch's changes.
+//! One connection of the list service: requests and their responses, and the changes that a watch receives.
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -12,13 +12,14 @@
 use umbertray_store_protocol::list::{FromList, ToList};
 use umbertray_store_protocol::{Message, next_frame};
 
-use super::directory::{Directory, lock, published};
+use super::directory::{Directory, lock, published_entry};
 use crate::traffic::Traffic;
 
-/// An answer, and when it is due: a late list is late with each, not with one after another.
-struct ScheduledAnswer {
+/// A response and the time at which to send it. Each response is delayed on its own, so that the delays of
+/// several do not add up.
+struct ScheduledResponse {
     due: Instant,
-    answer: FromList,
+    response: FromList,
 }
 
 pub(super) async fn serve(
@@ -29,21 +30,21 @@
 ) {
     _ = stream.set_nodelay(true);
     let (mut reader, writer) = stream.into_split();
-    let (to_writer, answers) = mpsc::unbounded_channel();
+    let (to_writer, responses) = mpsc::unbounded_channel();
     tokio::select! {
-        () = write_answers(writer, answers, &traffic) => {}
-        () = read_calls(&mut reader, &directory, &mut changes, &to_writer, &traffic) => {}
+        () = write_responses(writer, responses, &traffic) => {}
+        () = read_requests(&mut reader, &directory, &mut changes, &to_writer, &traffic) => {}
     }
 }
 
-async fn write_answers(
+async fn write_responses(
     mut writer: OwnedWriteHalf,
-    mut answers: mpsc::UnboundedReceiver<ScheduledAnswer>,
+    mut responses: mpsc::UnboundedReceiver<ScheduledResponse>,
     traffic: &Traffic,
 ) {
-    while let Some(ScheduledAnswer { due, answer }) = answers.recv().await {
+    while let Some(ScheduledResponse { due, response }) = responses.recv().await {
         tokio::time::sleep_until(due.into()).await;
-        let frame = answer.frame();
+        let frame = response.frame();
         if writer.write_all(&frame).await.is_err() {
             return;
         }
@@ -51,11 +52,11 @@
     }
 }
 
-async fn read_calls(
+async fn read_requests(
     reader: &mut OwnedReadHalf,
     directory: &Mutex<Directory>,
     changes: &mut broadcast::Receiver<u64>,
-    to_writer: &mpsc::UnboundedSender<ScheduledAnswer>,
+    to_writer: &mpsc::UnboundedSender<ScheduledResponse>,
     traffic: &Traffic,
 ) {
     let mut input = BytesMut::new();
@@ -65,48 +66,49 @@
             read = reader.read_buf(&mut input) => {
                 let Some(count) = read.ok().filter(|count| *count > 0) else { return };
                 traffic.count_read(count);
-                while let Ok(Some(call)) = next_frame::<ToList>(&mut input) {
-                    watching |= call == ToList::Watch;
-                    answer_call(&call, directory, to_writer);
+                while let Ok(Some(request)) = next_frame::<ToList>(&mut input) {
+                    watching |= request == ToList::Watch;
+                    respond(&request, directory, to_writer);
                 }
             }
             changed = changes.recv(), if watching => {
                 if changed == Err(RecvError::Closed) {
                     return;
                 }
-                report_change(changed.ok(), directory, to_writer);
+                notify_watcher(changed.ok(), directory, to_writer);
             }
         }
     }
 }
 
-fn answer_call(
-    call: &ToList,
+fn respond(
+    request: &ToList,
     directory: &Mutex<Directory>,
-    to_writer: &mpsc::UnboundedSender<ScheduledAnswer>,
+    to_writer: &mpsc::UnboundedSender<ScheduledResponse>,
 ) {
     let mut directory = lock(directory);
     let due = Instant::now() + directory.delay;
-    if let Some(answer) = directory.answer(call) {
-        _ = to_writer.send(ScheduledAnswer { due, answer });
+    if let Some(response) = directory.response_to(request) {
+        _ = to_writer.send(ScheduledResponse { due, response });
     }
 }
 
-/// Tells a watcher of a changed store; without one, it lags too far behind and gets the whole list.
-fn report_change(
+/// Sends a watcher the entry of a changed store. `None` means that the watcher lagged too far behind: it
+/// receives the complete list.
+fn notify_watcher(
     changed: Option<u64>,
     directory: &Mutex<Directory>,
-    to_writer: &mpsc::UnboundedSender<ScheduledAnswer>,
+    to_writer: &mpsc::UnboundedSender<ScheduledResponse>,
 ) {
     let directory = lock(directory);
-    let answer = match changed {
+    let response = match changed {
         Some(store) => {
-            directory.stores.get(&store).map(|listed| FromList::Changes(vec![published(store, listed)]))
+            directory.stores.get(&store).map(|listed| FromList::Changes(vec![published_entry(store, listed)]))
         }
-        None => Some(directory.full()),
+        None => Some(directory.full_list()),
     };
     let due = Instant::now() + directory.delay;
-    if let Some(answer) = answer {
-        _ = to_writer.send(ScheduledAnswer { due, answer });
+    if let Some(response) = response {
+        _ = to_writer.send(ScheduledResponse { due, response });
     }
 }
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -1,4 +1,4 @@
-//! What the list service knows: stores, and the shards of extents.
+//! State of the list service: the listed stores, and the shards of extents.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Mutex, MutexGuard};
@@ -8,7 +8,7 @@
 
 use super::Listed;
 
-/// Locks the directory, also after a holder of its lock has panicked.
+/// Locks the directory, even if a thread has panicked while it held the lock.
 pub(super) fn lock(directory: &Mutex<Directory>) -> MutexGuard<'_, Directory> {
     directory.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
@@ -18,16 +18,16 @@
     pub(super) stores: BTreeMap<u64, Listed>,
     /// The shard of each extent, by volume and extent.
     extent_shards: HashMap<(u64, u64), u32>,
-    /// The shards that hold extents of a volume.
+    /// The shards that hold extents of each volume.
     volume_shards: HashMap<u64, BTreeSet<u32>>,
-    /// Whether calls are answered with a failure.
-    pub(super) failing: bool,
-    /// By how much each answer is delayed.
+    /// Whether the service responds to all requests except hello with a failure.
+    pub(super) is_failing: bool,
+    /// Delay of each response and notification.
     pub(super) delay: Duration,
 }
 
-/// A store as it is published.
-pub(super) fn published(store: u64, listed: &Listed) -> ListedStore {
+/// A store's entry as it is sent to clients.
+pub(super) fn published_entry(store: u64, listed: &Listed) -> ListedStore {
     ListedStore {
         store,
         address: listed.address,
@@ -44,7 +44,7 @@
 }
 
 impl Directory {
-    /// How many extents have a shard.
+    /// Number of extents that are assigned to a shard.
     pub(super) fn placed_extents(&self) -> usize {
         self.extent_shards.len()
     }
@@ -54,23 +54,23 @@
         self.extent_shards.get(&(volume, extent)).copied()
     }
 
-    /// The whole list.
-    pub(super) fn full(&self) -> FromList {
-        FromList::Full(self.stores.iter().map(|(store, listed)| published(*store, listed)).collect())
+    /// The complete list.
+    pub(super) fn full_list(&self) -> FromList {
+        FromList::Full(self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect())
     }
 
-    /// The answer to a call.
-    pub(super) fn answer(&mut self, message: &ToList) -> Option<FromList> {
-        Some(match *message {
+    /// The response to a request.
+    pub(super) fn response_to(&mut self, request: &ToList) -> Option<FromList> {
+        Some(match *request {
             ToList::Hello { .. } => FromList::Welcome { term: 0 },
-            _ if self.failing => FromList::Failed,
-            ToList::Watch | ToList::Fetch => self.full(),
+            _ if self.is_failing => FromList::Failed,
+            ToList::Watch | ToList::Fetch => self.full_list(),
             ToList::Lookup { token, volume, extent, .. } => FromList::Location {
                 token,
                 place: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
             },
             ToList::Claim { token, volume, extent, shard } => {
-                // The first claim wins, for ever.
+                // The first claim is permanent; later claims get its shard.
                 let shard = *self.extent_shards.entry((volume, extent)).or_insert(shard);
                 self.volume_shards.entry(volume).or_default().insert(shard);
                 FromList::Location { token, place: Some(location(shard)) }
--- a/crates/fakes/src/list/mod.rs
+++ b/crates/fakes/src/list/mod.rs
@@ -16,31 +16,31 @@
 use self::directory::Directory;
 use crate::traffic::Traffic;
 
-/// Changes that a watcher may lag behind before it gets the whole list instead.
-const CHANGES_KEPT: usize = 1024;
+/// Number of changes that a watcher may lag behind before it receives the complete list instead.
+const MAX_WATCH_LAG: usize = 1024;
 
-/// One store as the list has it.
+/// A store's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Listed {
-    /// Where the store listens.
+    /// Address at which the store listens.
     pub address: SocketAddr,
     /// Shard that it serves.
     pub shard: u32,
     /// Zone that it runs in.
     pub zone: u32,
-    /// Its published state.
+    /// State that the list publishes for it.
     pub state: EndpointState,
-    /// Incarnation: how often its process has started.
+    /// The store's incarnation: how many times its process has been started.
     pub start: u64,
-    /// When its process started; absent: long ago.
+    /// When its process was started; `None` if that was long ago.
     pub started: Option<Instant>,
 }
 
-/// The running service; dropping it ends it.
+/// Handle of the running service. Dropping it ends the service.
 pub struct Running {
-    /// Where the service listens.
+    /// Address at which the service listens.
     pub address: SocketAddr,
-    /// Bytes on all its connections.
+    /// Traffic on all its connections.
     pub traffic: Arc<Traffic>,
     directory: Arc<Mutex<Directory>>,
     changes: broadcast::Sender<u64>,
@@ -56,19 +56,24 @@
 /// Starts the service on `address`.
 ///
 /// # Errors
-/// Fails when the address can not be bound.
+/// Fails when the address cannot be bound.
 pub async fn start(address: SocketAddr) -> io::Result<Running> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
-    let (changes, _) = broadcast::channel(CHANGES_KEPT);
+    let (changes, _) = broadcast::channel(MAX_WATCH_LAG);
     let directory: Arc<Mutex<Directory>> = Arc::default();
     let (shared, sender) = (directory.clone(), changes.clone());
     let traffic: Arc<Traffic> = Arc::default();
-    let counted = traffic.clone();
+    let shared_traffic = traffic.clone();
     let task = tokio::spawn(async move {
         let mut connections = JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
-            connections.spawn(connection::serve(stream, shared.clone(), sender.subscribe(), counted.clone()));
+            connections.spawn(connection::serve(
+                stream,
+                shared.clone(),
+                sender.subscribe(),
+                shared_traffic.clone(),
+            ));
         }
     });
     Ok(Running { address, traffic, directory, changes, task })
@@ -79,19 +84,19 @@
         change(&mut directory::lock(&self.directory))
     }
 
-    /// Lists a store, or lists it anew, and notifies all watchers.
+    /// Adds a store's entry or replaces it, and notifies all watchers.
     pub fn list(&self, store: u64, listed: Listed) {
         self.with_directory(|directory| directory.stores.insert(store, listed));
         _ = self.changes.send(store);
     }
 
-    /// Changes the published state of a store and notifies all watchers.
+    /// Changes the published state of a store, and notifies all watchers.
     pub fn state(&self, store: u64, state: EndpointState) {
         self.with_directory(|directory| directory.stores.get_mut(&store).map(|listed| listed.state = state));
         _ = self.changes.send(store);
     }
 
-    /// The store's process has started again, just now.
+    /// Publishes that the store's process has just been restarted at `address`, and notifies all watchers.
     pub fn restarted(&self, store: u64, address: SocketAddr) {
         self.with_directory(|directory| {
             directory.stores.get_mut(&store).map(|listed| {
@@ -103,22 +108,22 @@
         _ = self.changes.send(store);
     }
 
-    /// Sets whether all calls are answered with a failure.
+    /// Sets whether the service responds to all requests except hello with a failure.
     pub fn fail(&self, failing: bool) {
-        self.with_directory(|directory| directory.failing = failing);
+        self.with_directory(|directory| directory.is_failing = failing);
     }
 
-    /// Sets by how much each answer is delayed.
+    /// Sets the delay of each response and notification.
     pub fn delay(&self, delay: Duration) {
         self.with_directory(|directory| directory.delay = delay);
     }
 
-    /// How many extents have a place.
+    /// Number of extents that are assigned to a shard.
     pub fn places(&self) -> usize {
         self.with_directory(|directory| directory.placed_extents())
     }
 
-    /// Where an extent lies.
+    /// The shard that holds an extent; `None` if it is not assigned to one.
     pub fn place(&self, volume: u64, extent: u64) -> Option<u32> {
         self.with_directory(|directory| directory.shard_of(volume, extent))
     }
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! A store's work in time, free of I/O: cores, a queue, a cold start, discounts of recent extents, deferred writes, pauses
-//! and scripted faults.
+//! Timing model of a store without I/O: cores, a queue, a cold start, discounts of recent extents, deferred
+//! writes, pauses and injected faults.
 
 mod settings;
 
@@ -10,68 +10,70 @@
 
 pub use self::settings::{Fault, Power};
 
-/// Weight of the latest latency in the moving average that is reported.
+/// Weight of the latest sample in the exponentially weighted moving average of latency that is reported.
 const LATENCY_WEIGHT: f64 = 0.2;
 
 /// An attempt that a store has received.
 pub(crate) struct Job {
-    /// Connection that it came over.
+    /// Connection on which it was received.
     pub(crate) connection: u64,
     /// Run of the gateway that sent it.
     pub(crate) run: u64,
     /// The attempt.
     pub(crate) attempt: Attempt,
-    /// When it came, since the store began.
+    /// When it was received, since the store's start.
     pub(crate) arrived: Duration,
 }
 
-/// What becomes of an arrival at once.
+/// What the store does with an attempt on its arrival.
 pub(crate) enum Admission {
-    /// It is waiting.
-    Queued,
-    /// The queue has no room.
-    Full(Job),
-    /// More came than a cold store bears.
+    /// It was queued, or held back by a fault to be queued later.
+    Accepted,
+    /// It is rejected because the queue is full.
+    QueueFull(Job),
+    /// The store crashes: more work arrived than a cold store can handle.
     Crashed,
 }
 
-/// A job that a core works on.
-struct Running {
+/// A job that a core is working on.
+struct RunningJob {
     job: Job,
-    ends: Duration,
+    ends_at: Duration,
 }
 
-/// The state of a store's work at one time.
+/// Queues, cores and counters of a store. All times are since the store's start.
 pub(crate) struct Model {
     power: Power,
-    /// Faults at present.
+    /// Faults that are currently injected.
     pub(crate) fault: Fault,
-    /// When it started cold; absent: warm from the first.
+    /// When it started, if it started cold; `None` if it was warm from the start.
     cold_since: Option<Duration>,
     queue: VecDeque<Job>,
-    /// Jobs that are queued at a later time.
+    /// Jobs that enter the queue at a later time.
     deferred: Vec<(Duration, Job)>,
-    running: Vec<Running>,
+    running: Vec<RunningJob>,
     paused_until: Duration,
-    /// Milliseconds of write work that is deferred, and when it is done next.
+    /// Deferred work of writes, in milliseconds.
     deferred_work_ms: f64,
-    next_batch: Duration,
-    /// Keys of the extents that were worked on last.
+    /// When the deferred work is due; the next job that starts then takes longer by it.
+    next_batch_at: Duration,
+    /// Keys of the extents that were used most recently, the oldest first.
     recent_extents: VecDeque<u64>,
-    /// Arrivals within the time over which a crash is judged, in units.
+    /// Units of work that arrived in the last [`Power::fall_s`] seconds, each with its time of arrival.
     arrivals: VecDeque<(Duration, f64)>,
-    /// Units served in all, by volume.
+    /// Units of work served since the start, by volume.
     served_units: HashMap<u64, f64>,
-    /// What that was at the last answer, by gateway run and volume.
-    reported_units: HashMap<(u64, u64), f64>,
+    /// The value in `served_units` at the last successful result, by gateway run and volume.
+    units_at_last_result: HashMap<(u64, u64), f64>,
+    /// Moving average of the latency, in milliseconds.
     latency_ms: f64,
 }
 
 impl Model {
-    /// A store without work, cold or warm, at the time `now`.
+    /// An idle store that starts at the time `now`, cold or warm.
     pub(crate) fn new(power: Power, now: Duration, cold: bool) -> Model {
         Model {
-            next_batch: now + Duration::from_secs_f64(power.put_off_s),
+            next_batch_at: now + Duration::from_secs_f64(power.put_off_s),
             power,
             fault: Fault::default(),
             cold_since: cold.then_some(now),
@@ -83,23 +85,23 @@
             recent_extents: VecDeque::new(),
             arrivals: VecDeque::new(),
             served_units: HashMap::new(),
-            reported_units: HashMap::new(),
+            units_at_last_result: HashMap::new(),
             latency_ms: 0.0,
         }
     }
 
-    /// The part of its full work that it can do now.
+    /// Current speed as a fraction of the full speed.
     pub(crate) fn warmth(&self, now: Duration) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
-        let part = now.saturating_sub(since).as_secs_f64() / self.power.cold_s;
-        self.power.cold_from + (1.0 - self.power.cold_from) * part.min(1.0)
+        let progress = now.saturating_sub(since).as_secs_f64() / self.power.cold_s;
+        self.power.cold_from + (1.0 - self.power.cold_from) * progress.min(1.0)
     }
 
-    /// Takes an arrival in.
-    pub(crate) fn arrive(&mut self, now: Duration, job: Job) -> Admission {
-        let span = Duration::from_secs_f64(self.power.fall_s);
+    /// Decides on an attempt that arrives, and queues it if it is accepted.
+    pub(crate) fn admit(&mut self, now: Duration, job: Job) -> Admission {
+        let window = Duration::from_secs_f64(self.power.fall_s);
         self.arrivals.push_back((now, job.attempt.units));
-        while self.arrivals.front().is_some_and(|(arrived, _)| *arrived + span < now) {
+        while self.arrivals.front().is_some_and(|(arrived, _)| *arrived + window < now) {
             self.arrivals.pop_front();
         }
         let arrived_units: f64 = self.arrivals.iter().map(|(_, units)| units).sum();
@@ -109,14 +111,14 @@
             return Admission::Crashed;
         }
         if self.fault.full || self.queue.len() >= self.power.queue {
-            return Admission::Full(job);
+            return Admission::QueueFull(job);
         }
         if job.attempt.kind.writes() && !self.fault.sits.is_zero() {
             self.deferred.push((now + self.fault.sits, job));
         } else {
             self.queue.push_back(job);
         }
-        Admission::Queued
+        Admission::Accepted
     }
 
     /// Queues a job again at the time `until`.
@@ -124,74 +126,77 @@
         self.deferred.push((until, job));
     }
 
-    /// Stops work for this long.
+    /// Stops all work for the duration `length`; running jobs end later by it.
     pub(crate) fn pause(&mut self, now: Duration, length: Duration) {
         self.paused_until = self.paused_until.max(now + length);
-        self.running.iter_mut().for_each(|running| running.ends += length);
+        self.running.iter_mut().for_each(|running| running.ends_at += length);
     }
 
-    /// Removes an attempt that is still queued.
+    /// Removes an attempt from the queue; `None` if it is not queued.
     pub(crate) fn cancel(&mut self, run: u64, number: u64) -> Option<Job> {
         let index = self.queue.iter().position(|job| job.run == run && job.attempt.number == number)?;
         self.queue.remove(index)
     }
 
-    /// When something happens next by itself.
-    pub(crate) fn next(&self) -> Option<Duration> {
-        let ends = self.running.iter().map(|running| running.ends);
+    /// When the next job ends, enters the queue or can start; `None` while the store is idle.
+    pub(crate) fn next_event_at(&self) -> Option<Duration> {
+        let ends = self.running.iter().map(|running| running.ends_at);
         let deferred = self.deferred.iter().map(|(at, _)| *at);
         let startable = self.has_startable_job().then_some(self.paused_until);
         ends.chain(deferred).chain(startable).min()
     }
 
-    /// Jobs done by now, in the order in which they ended. `is_dropped` tells which are not worth starting.
+    /// Advances the model to the time `now`; returns the jobs that have ended, in the order in which they
+    /// ended.
+    ///
+    /// A job for which `is_dropped` holds when it would start ends at once, without work.
     pub(crate) fn advance(&mut self, now: Duration, is_dropped: impl Fn(&Job) -> bool) -> Vec<Job> {
-        let mut done = Vec::new();
+        let mut finished_jobs = Vec::new();
         loop {
             let due = self.deferred.iter().position(|(at, _)| *at <= now);
             if let Some(index) = due {
                 self.queue.push_back(self.deferred.swap_remove(index).1);
             }
-            let finished = self.take_finished(now);
-            let starts = finished.as_ref().map_or(now, |running| running.ends).max(self.paused_until);
-            if let Some(Running { job, .. }) = finished {
-                done.push(job);
-            } else if !self.has_startable_job() || starts > now {
+            let finished = self.pop_finished(now);
+            let starts_at = finished.as_ref().map_or(now, |running| running.ends_at).max(self.paused_until);
+            if let Some(RunningJob { job, .. }) = finished {
+                finished_jobs.push(job);
+            } else if !self.has_startable_job() || starts_at > now {
                 if due.is_none() {
-                    return done;
+                    return finished_jobs;
                 }
                 continue;
             }
-            while self.has_startable_job() && starts <= now {
-                done.extend(self.start_next(starts, &is_dropped));
+            while self.has_startable_job() && starts_at <= now {
+                finished_jobs.extend(self.start_next(starts_at, &is_dropped));
             }
         }
     }
 
-    /// Whether a core is free and a job waits for it.
+    /// Whether a core is free and a job is queued.
     fn has_startable_job(&self) -> bool {
         self.running.len() < self.power.cores as usize && !self.queue.is_empty()
     }
 
-    /// Removes the running job that ended first, if one has ended by now.
-    fn take_finished(&mut self, now: Duration) -> Option<Running> {
-        let first = self.running.iter().enumerate().min_by_key(|(_, running)| running.ends);
-        let index = first.filter(|(_, running)| running.ends <= now).map(|(index, _)| index)?;
+    /// Removes the running job that ends first, if it has ended by now.
+    fn pop_finished(&mut self, now: Duration) -> Option<RunningJob> {
+        let first = self.running.iter().enumerate().min_by_key(|(_, running)| running.ends_at);
+        let index = first.filter(|(_, running)| running.ends_at <= now).map(|(index, _)| index)?;
         Some(self.running.swap_remove(index))
     }
 
-    /// Starts the job at the head of the queue; a job that is dropped instead comes back.
-    fn start_next(&mut self, starts: Duration, is_dropped: impl Fn(&Job) -> bool) -> Option<Job> {
+    /// Starts the job at the head of the queue, or returns it if it is dropped instead.
+    fn start_next(&mut self, starts_at: Duration, is_dropped: impl Fn(&Job) -> bool) -> Option<Job> {
         let job = self.queue.pop_front()?;
         if is_dropped(&job) {
             return Some(job);
         }
-        let ends = starts + self.work_time(starts, &job);
-        self.running.push(Running { job, ends });
+        let ends_at = starts_at + self.work_time(starts_at, &job);
+        self.running.push(RunningJob { job, ends_at });
         None
     }
 
-    /// How long a job takes that starts now, with the deferred work that it brings due.
+    /// How long a job that starts now takes, including deferred work that is due.
     fn work_time(&mut self, now: Duration, job: &Job) -> Duration {
         let mut ms = job.attempt.units * self.power.unit_ms;
         let key = job.attempt.extent ^ job.attempt.volume.rotate_left(32);
@@ -206,25 +211,26 @@
             self.deferred_work_ms += ms * self.power.put_off;
             ms *= 1.0 - self.power.put_off;
         }
-        if now >= self.next_batch || job.attempt.kind == OperationKind::Flush {
+        if now >= self.next_batch_at || job.attempt.kind == OperationKind::Flush {
             ms += std::mem::take(&mut self.deferred_work_ms);
-            self.next_batch = now + Duration::from_secs_f64(self.power.put_off_s);
+            self.next_batch_at = now + Duration::from_secs_f64(self.power.put_off_s);
         }
         Duration::from_secs_f64(ms / 1000.0 * self.fault.slow / self.warmth(now))
     }
 
-    /// Counts a served job; gives the units served for its volume through other gateways since this one's last answer.
-    pub(crate) fn served(&mut self, now: Duration, job: &Job) -> f64 {
+    /// Counts a served job. Returns the units of work served for its volume through other gateways since the
+    /// last successful result to this gateway.
+    pub(crate) fn count_served(&mut self, now: Duration, job: &Job) -> f64 {
         let latency = now.saturating_sub(job.arrived).as_secs_f64() * 1000.0;
         self.latency_ms += LATENCY_WEIGHT * (latency - self.latency_ms);
         let total = self.served_units.entry(job.attempt.volume).or_default();
         *total += job.attempt.units;
-        let last = self.reported_units.insert((job.run, job.attempt.volume), *total);
+        let last = self.units_at_last_result.insert((job.run, job.attempt.volume), *total);
         last.map_or(0.0, |last| (*total - last - job.attempt.units).max(0.0))
     }
 
-    /// Load as health checks and results report it.
-    pub(crate) fn report(&self) -> Vec<(String, f64)> {
+    /// The load report in health checks and results.
+    pub(crate) fn load_report(&self) -> Vec<(String, f64)> {
         vec![("queue".into(), self.queue.len() as f64), ("latency_ms".into(), self.latency_ms)]
     }
 }
--- a/crates/fakes/src/model/settings.rs
+++ b/crates/fakes/src/model/settings.rs
@@ -1,34 +1,34 @@
-//! What a store can do, and what is wrong with it: the settings of its model.
+//! Settings of a store's model: its performance and its injected faults.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a store can do.
+/// Performance of a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Power {
-    /// Attempts worked on at once.
+    /// Number of attempts that it works on at the same time.
     pub cores: u32,
-    /// Milliseconds of a core's work in a unit.
+    /// Milliseconds that a core needs for one unit of work.
     pub unit_ms: f64,
-    /// Attempts that may wait; beyond it they are rejected.
+    /// Length of the queue; an attempt that arrives while it is full is rejected.
     pub queue: usize,
-    /// Part of its full speed that a cold store starts with.
+    /// Speed of a cold store when it starts, as a fraction of its full speed.
     pub cold_from: f64,
-    /// Seconds until a cold store is warm.
+    /// Seconds until a cold store has reached its full speed.
     pub cold_s: f64,
-    /// Multiple of its present speed beyond which arrivals crash a cold store.
+    /// A cold store crashes when more work arrives than this multiple of its current speed.
     pub fall_multiple: f64,
-    /// Seconds over which those arrivals are summed.
+    /// Time over which the arriving work is summed for that, in seconds.
     pub fall_s: f64,
-    /// The part of its work that an attempt is spared when its extent is among the last few.
+    /// Fraction of its work that an attempt saves if its extent is among the most recent ones.
     pub run_saves: f64,
-    /// How many extents count as the last few.
+    /// Number of extents that count as the most recent ones.
     pub remembers: usize,
-    /// The part of a write's work that is deferred and done in one batch now and then.
+    /// Fraction of a write's work that is deferred and done later in a batch.
     pub put_off: f64,
-    /// Seconds between two such batches.
+    /// Seconds between batches of deferred work.
     pub put_off_s: f64,
 }
 
@@ -51,26 +51,26 @@
 }
 
 impl Power {
-    /// Units a second when warm.
+    /// Units of work that a warm store serves in a second.
     pub fn units_a_second(&self) -> f64 {
         f64::from(self.cores) * 1000.0 / self.unit_ms
     }
 }
 
-/// What is wrong with a store at present.
+/// Faults that are currently injected into a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Work takes so many times as long.
+    /// Factor by which work takes longer; 1 for normal speed.
     pub slow: f64,
-    /// Part of attempts that fail at once, from 0 to 1.
+    /// Fraction of attempts that fail immediately, from 0 to 1.
     pub errors: f64,
-    /// Part of results that are lost, from 0 to 1.
+    /// Fraction of results that are not sent, from 0 to 1.
     pub lost: f64,
-    /// All attempts are rejected.
+    /// Whether the store rejects all attempts as if its queue were full.
     pub full: bool,
-    /// Writes are deferred for so long before they queue.
+    /// How long writes, zeros and trims are held back before they enter the queue.
     pub sits: Duration,
-    /// Connections are accepted and nothing is answered.
+    /// Whether the store accepts connections but sends nothing on them.
     pub mute: bool,
 }
 
--- a/crates/fakes/src/platform/discovery.rs
+++ b/crates/fakes/src/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: a list of stores over HTTP, whole or as a watch.
+//! Discovery service: the list of stores over HTTP, in one response or as a watch.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,10 +14,10 @@
 
 use super::LIMITS;
 
-/// How often a watch without changes sends an empty line.
+/// Interval after which a watch without changes sends an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Lines that a watch may lag behind before it is closed.
-const LINES_KEPT: usize = 64;
+/// Number of lines that a watch may lag behind before the service closes it.
+const MAX_WATCH_LAG: usize = 64;
 
 #[derive(Default)]
 struct Entries {
@@ -25,13 +25,14 @@
     by_uid: BTreeMap<String, String>,
 }
 
-/// Running discovery; dropping it ends it and its watches.
+/// Handle of a running discovery service. Dropping it ends the service and its watches.
 pub struct Discovery {
-    /// Where discovery listens.
+    /// Address at which the service listens.
     pub address: SocketAddr,
     entries: Arc<Mutex<Entries>>,
     lines: broadcast::Sender<String>,
-    asked: watch::Receiver<Vec<String>>,
+    /// Targets of all requests so far.
+    request_targets: watch::Receiver<Vec<String>>,
     task: JoinHandle<()>,
 }
 
@@ -41,19 +42,19 @@
     }
 }
 
-/// A list as one line of JSON.
-fn list_line(version: u64, whole: bool, entries: &[String]) -> String {
-    format!(r#"{{"rev":{version},"all":{whole},"targets":[{}]}}"#, entries.join(","))
+/// A list or a change of it as one line of JSON; `is_full` says whether `entries` is the complete list.
+fn list_line(version: u64, is_full: bool, entries: &[String]) -> String {
+    format!(r#"{{"rev":{version},"all":{is_full},"targets":[{}]}}"#, entries.join(","))
 }
 
 impl Entries {
-    fn whole_list(&self) -> String {
+    fn full_list(&self) -> String {
         list_line(self.version, true, &self.by_uid.values().cloned().collect::<Vec<_>>())
     }
 }
 
 impl Discovery {
-    /// Starts discovery without entries on a loopback port.
+    /// Starts a discovery service without entries on a loopback port.
     ///
     /// # Errors
     /// Fails when no port can be bound.
@@ -61,8 +62,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let entries: Arc<Mutex<Entries>> = Arc::default();
-        let (lines, _) = broadcast::channel(LINES_KEPT);
-        let (recorder, asked) = watch::channel(Vec::new());
+        let (lines, _) = broadcast::channel(MAX_WATCH_LAG);
+        let (recorder, request_targets) = watch::channel(Vec::new());
         let (shared, sender, recorder) = (entries.clone(), lines.clone(), Arc::new(recorder));
         let task = tokio::spawn(async move {
             let mut connections = JoinSet::new();
@@ -70,42 +71,42 @@
                 connections.spawn(serve(stream, shared.clone(), sender.clone(), recorder.clone()));
             }
         });
-        Ok(Discovery { address, entries, lines, asked, task })
+        Ok(Discovery { address, entries, lines, request_targets, task })
     }
 
-    /// Lists a store, and notifies all watches.
+    /// Adds a store's entry or replaces it, and notifies all watches.
     ///
     /// # Panics
-    /// When another thread has panicked while it held the entries.
+    /// If another thread has panicked while it held the lock on the entries.
     pub fn list(&self, uid: &str, address: SocketAddr, shard: u32, state: &str) {
         self.list_started(uid, address, shard, state, 0);
     }
 
-    /// The same for a store that started at that time, in milliseconds since 1970.
+    /// Like [`Discovery::list`], for a store that started at `boot_ms`, in milliseconds since 1970.
     ///
     /// # Panics
-    /// When another thread has panicked while it held the entries.
+    /// If another thread has panicked while it held the lock on the entries.
     pub fn list_started(&self, uid: &str, address: SocketAddr, shard: u32, state: &str, boot_ms: u64) {
-        let entry = format!(
-            r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","model":"m","pod_group":{shard},"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
-        );
-        let mut entries = self.entries.lock().expect("no holder panics");
+        let location = format!(r#""endpoint":"{address}","az":"a","model":"m","pod_group":{shard}"#);
+        let condition = format!(r#""state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}"#);
+        let entry = format!(r#"{{"uid":"{uid}",{location},{condition}}}"#);
+        let mut entries = self.entries.lock().expect("no thread panics while it holds the lock");
         entries.version += 1;
         entries.by_uid.insert(uid.into(), entry.clone());
         _ = self.lines.send(list_line(entries.version, false, &[entry]));
     }
 
-    /// Sends all watches a line as it is.
+    /// Sends a line unchanged to all watches.
     pub fn say(&self, line: &str) {
         _ = self.lines.send(line.into());
     }
 
-    /// Returns once `so` holds for the targets asked for so far.
-    pub async fn until_asked(&self, so: impl FnMut(&Vec<String>) -> bool) {
-        _ = self.asked.clone().wait_for(so).await;
+    /// Waits until `condition` holds for the targets of all requests so far.
+    pub async fn until_asked(&self, condition: impl FnMut(&Vec<String>) -> bool) {
+        _ = self.request_targets.clone().wait_for(condition).await;
     }
 
-    /// How many watches are open.
+    /// Number of open watches.
     pub fn watches(&self) -> usize {
         self.lines.receiver_count()
     }
@@ -124,24 +125,25 @@
             Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
             _ => return,
         };
-        // Hazard: subscribed to before the list is read, so that no change falls between the list and the watch.
+        // Hazard: a change between reading the list and subscribing would be missed. So the subscription
+        // comes first.
         let changes = lines.subscribe();
-        let whole = entries.lock().expect("no holder panics").whole_list();
-        let watched = request.target.contains("watch=1");
-        recorder.send_modify(|asked| asked.push(request.target.into()));
-        if watched {
-            return serve_watch(stream, &whole, changes).await;
+        let full_list = entries.lock().expect("no thread panics while it holds the lock").full_list();
+        let is_watch = request.target.contains("watch=1");
+        recorder.send_modify(|targets| targets.push(request.target.into()));
+        if is_watch {
+            return serve_watch(stream, &full_list, changes).await;
         }
-        if stream.write_all(&response(200, &[], whole.as_bytes(), false)).await.is_err() {
+        if stream.write_all(&response(200, &[], full_list.as_bytes(), false)).await.is_err() {
             return;
         }
     }
 }
 
-/// Sends the whole list, then changes and heartbeats until the client sends or closes.
-async fn serve_watch(mut stream: TcpStream, whole: &str, mut changes: broadcast::Receiver<String>) {
+/// Sends the complete list, then changes and heartbeats until the client sends data or closes the connection.
+async fn serve_watch(mut stream: TcpStream, full_list: &str, mut changes: broadcast::Receiver<String>) {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let mut written = stream.write_all(head.as_bytes()).await.and(write_line(&mut stream, whole).await);
+    let mut written = stream.write_all(head.as_bytes()).await.and(write_line(&mut stream, full_list).await);
     while written.is_ok() {
         let mut unexpected = [0];
         written = tokio::select! {
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! A store that speaks the platform's HTTP, and answers as a script says.
+//! A store that speaks the platform's HTTP and responds as a script decides.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 /// What a store does with a request.
 #[derive(Clone, Debug)]
 pub enum Act {
-    /// Writes these bytes, as they are.
+    /// Writes these bytes unchanged.
     Write(Vec<u8>),
-    /// Writes them after a while.
+    /// Writes these bytes after a delay.
     WriteAfter(Duration, Vec<u8>),
-    /// Writes them and closes.
+    /// Writes these bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Closes without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// Does not answer, and leaves the connection open.
+    /// Sends no response and keeps the connection open.
     Hold,
 }
 
-/// What a store has seen: a request that came whole, on which connection; and connections that ended.
+/// An event at a store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A whole request.
+    /// A complete request was received.
     Request {
         /// Number of the connection, from zero.
         connection: u64,
@@ -44,8 +44,8 @@
         /// Number of the connection, from zero.
         connection: u64,
     },
-    /// A request that is not HTTP as the platform speaks it.
-    Unreadable {
+    /// A request was received that the platform's HTTP does not allow. The store closes the connection.
+    Malformed {
         /// Number of the connection, from zero.
         connection: u64,
         /// Why it could not be parsed.
@@ -53,9 +53,9 @@
     },
 }
 
-/// A running scripted store; dropping it ends it and its connections.
+/// Handle of a running scripted store. Dropping it ends the store and its connections.
 pub struct Store {
-    /// Where the store listens.
+    /// Address at which the store listens.
     pub address: SocketAddr,
     seen: watch::Receiver<Vec<Seen>>,
     task: JoinHandle<()>,
@@ -67,10 +67,12 @@
     }
 }
 
+/// Decides on a request, given the number of earlier requests over all connections.
 type Script = Arc<dyn Fn(usize, &Request) -> Act + Send + Sync>;
 
 impl Store {
-    /// Starts a store on a loopback port. The script is told how many requests came before, over all connections.
+    /// Starts a store on a loopback port. `script` receives the number of earlier requests, over all
+    /// connections, and the request.
     ///
     /// # Errors
     /// Fails when no port can be bound.
@@ -89,12 +91,12 @@
         Ok(Store { address, seen, task })
     }
 
-    /// All that was seen so far, in order.
+    /// All events so far, in order.
     pub fn seen(&self) -> Vec<Seen> {
         self.seen.borrow().clone()
     }
 
-    /// The requests seen so far, each with its connection.
+    /// All requests so far, each with the number of its connection.
     pub fn requests(&self) -> Vec<(u64, Request)> {
         let request = |seen: Seen| match seen {
             Seen::Request { connection, request } => Some((connection, request)),
@@ -103,9 +105,9 @@
         self.seen().into_iter().filter_map(request).collect()
     }
 
-    /// Returns once `so` holds for what was seen.
-    pub async fn until(&self, so: impl FnMut(&Vec<Seen>) -> bool) {
-        _ = self.seen.clone().wait_for(so).await;
+    /// Waits until `condition` holds for all events so far.
+    pub async fn until(&self, condition: impl FnMut(&Vec<Seen>) -> bool) {
+        _ = self.seen.clone().wait_for(condition).await;
     }
 }
 
@@ -123,12 +125,13 @@
             Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
             Ok(_) => break,
             Err(error) => {
-                record(Seen::Unreadable { connection, error });
+                record(Seen::Malformed { connection, error });
                 break;
             }
         };
-        let before = recorder.borrow().iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
-        let act = script(before, &request);
+        let earlier_requests =
+            recorder.borrow().iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+        let act = script(earlier_requests, &request);
         record(Seen::Request { connection, request });
         let performed = perform(&act, &mut stream).await;
         if performed.is_err() || matches!(act, Act::WriteAndClose(_) | Act::Close) {
@@ -142,8 +145,8 @@
 async fn perform(act: &Act, stream: &mut TcpStream) -> io::Result<()> {
     match act {
         Act::Write(bytes) | Act::WriteAndClose(bytes) => stream.write_all(bytes).await,
-        Act::WriteAfter(wait, bytes) => {
-            tokio::time::sleep(*wait).await;
+        Act::WriteAfter(delay, bytes) => {
+            tokio::time::sleep(*delay).await;
             stream.write_all(bytes).await
         }
         Act::Close | Act::Hold => Ok(()),
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A TCP proxy on loopback whose faults are switched while it runs: one link between two processes of a test.
+//! A TCP proxy on loopback for the link between two processes of a test. Its injected fault can be changed
+//! while it runs.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,27 +12,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a link does to the bytes that pass it.
+/// A fault that a link injects into its traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
     /// Bytes pass unchanged.
     #[default]
     None,
-    /// No byte passes; connections stay open, and new ones come up and are silent.
+    /// No bytes pass. Connections stay open, and new ones are accepted but stay silent.
     Hold,
-    /// All bytes come later by so much.
+    /// All bytes are delayed by this time.
     Delay(Duration),
-    /// A few bytes at a time, a little apart.
+    /// Bytes pass in small writes with a pause after each.
     Trickle,
-    /// Writes of one to seven bytes, without a pause.
+    /// Bytes pass in writes of one to seven bytes, without a pause.
     Split,
     /// Open connections are reset, and so are new ones.
     Reset,
-    /// The side that answers is shut down after its next bytes, as by a peer that ends in the midst of a response.
+    /// The connection is shut down towards the client after the server's next bytes, as by a server that ends
+    /// in the middle of a response.
     HalfClose,
 }
 
-/// Observes the bytes towards the upstream: called with each chunk as it came.
+/// Observer of the bytes that clients send to the upstream: called with each chunk as it is read.
 pub type Tap = Arc<dyn Fn(&[u8]) + Send + Sync>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,9 +42,9 @@
     upstream: Option<SocketAddr>,
 }
 
-/// A running proxy; dropping it ends it and its connections.
+/// Handle of a running proxy. Dropping it ends the proxy and its connections.
 pub struct Proxy {
-    /// Where the proxy listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     state: Arc<watch::Sender<State>>,
     task: JoinHandle<()>,
@@ -54,17 +56,18 @@
     }
 }
 
-/// Most bytes that are passed at once.
+/// Maximum number of bytes in one read.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes at a time of a trickling link.
+/// Size of the writes of a trickling link, in bytes.
 const TRICKLE_BYTES: usize = 64;
-/// Time between the writes of a trickling link.
+/// Pause between the writes of a trickling link.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(4);
-/// Most bytes in a write of a splitting link.
+/// Maximum size of the writes of a splitting link, in bytes.
 const MAX_SPLIT_BYTES: usize = 7;
 
 impl Proxy {
-    /// Listens on loopback and connects each client to `upstream`; without one, connections are reset.
+    /// Listens on loopback and connects each client to `upstream`; without an upstream, connections are
+    /// reset.
     ///
     /// # Errors
     /// Fails when no port can be bound.
@@ -83,18 +86,18 @@
         Ok(Proxy { address, state, task })
     }
 
-    /// Sets the fault from now on.
+    /// Sets the fault that applies from now on.
     pub fn fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| state.fault = fault);
     }
 
-    /// Sets the upstream of new connections.
+    /// Sets the upstream for new connections.
     pub fn lead_to(&self, upstream: Option<SocketAddr>) {
         self.state.send_modify(|state| state.upstream = upstream);
     }
 }
 
-/// Connects to the upstream, and passes bytes both ways until both ends are closed or the link is reset.
+/// Connects to the upstream, and passes bytes in both directions until both are closed or the link is reset.
 async fn forward_connection(client: TcpStream, state: watch::Receiver<State>, tap: Option<Tap>) {
     let upstream = state.borrow().upstream;
     let server = match upstream {
@@ -107,26 +110,26 @@
     };
     _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (mut client, mut server, mut resets) = (client, server, state.clone());
-    let ended_in_order = {
+    let closed_cleanly = {
         let (client_reader, client_writer) = client.split();
         let (server_reader, server_writer) = server.split();
-        let both_ways = async {
+        let both_directions = async {
             tokio::try_join!(
                 forward_bytes(client_reader, server_writer, state.clone(), tap, false),
                 forward_bytes(server_reader, client_writer, state.clone(), None, true),
             )
         };
         tokio::select! {
-            result = both_ways => result.is_ok(),
+            result = both_directions => result.is_ok(),
             _ = resets.wait_for(|state| state.fault == LinkFault::Reset) => false,
         }
     };
-    if !ended_in_order {
+    if !closed_cleanly {
         _ = (client.set_zero_linger(), server.set_zero_linger());
     }
 }
 
-/// Passes bytes one way until their end, which it passes on too.
+/// Passes bytes in one direction until the end of the stream, then shuts down `writer`.
 async fn forward_bytes(
     mut reader: ReadHalf<'_>,
     mut writer: WriteHalf<'_>,
--- a/crates/fakes/src/shim.rs
+++ b/crates/fakes/src/shim.rs
@@ -1,4 +1,5 @@
-//! The preload shim of failing and short system calls, built with the system's C compiler where a test asks for it.
+//! The `LD_PRELOAD` library that makes system calls fail or transfer fewer bytes. A test that needs it builds
+//! it with the system's C compiler.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,27 +7,27 @@
 
 const SOURCE: &str = include_str!("../shim/faults.c");
 
-/// Which calls fail, and how often in a thousand.
+/// Faults of system calls. Rates are per thousand calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallFaults {
     /// Seed of the generator that decides which calls fail.
     pub seed: u32,
-    /// Any call on a socket returns EINTR.
+    /// Rate of calls on TCP sockets that fail with `EINTR`.
     pub interrupted: u32,
-    /// Reads bring 1 to 7 bytes.
+    /// Rate of reads that return only 1 to 7 bytes.
     pub short_reads: u32,
-    /// Writes take 1 to 7 bytes.
+    /// Rate of writes that accept only 1 to 7 bytes.
     pub short_writes: u32,
-    /// accept, socket and connect fail for a moment.
+    /// Rate of transient failures of `accept4`; `socket` and `connect` fail at a quarter of it.
     pub transient: u32,
-    /// By how much fsync and fdatasync take longer, in milliseconds.
+    /// Delay that is added to `fsync` and `fdatasync`, in milliseconds.
     pub sync_delay_ms: u32,
-    /// One in this many of them does; none where it is 0.
+    /// Every how many calls of `fsync` and `fdatasync` the delay is added; 0 for never.
     pub sync_every: u32,
 }
 
 impl CallFaults {
-    /// The variables that a process has to be started with.
+    /// The environment variables that load the library into a process and configure it.
     pub fn environment(&self, shim: &Path) -> [(&'static str, String); 2] {
         let CallFaults { seed, interrupted, short_reads, short_writes, transient, .. } = self;
         let CallFaults { sync_delay_ms, sync_every, .. } = self;
@@ -38,15 +39,19 @@
     }
 }
 
-/// Compiles the shim into a folder; the path of the library.
+/// Compiles the library into a folder and returns its path.
 ///
 /// # Errors
-/// Fails when the source can not be written, or the compiler is missing or fails.
+/// Fails when the source cannot be written, or the compiler is missing or fails.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let (source, library) = (folder.join("faults.c"), folder.join("libfaults.so"));
     std::fs::write(&source, SOURCE)?;
     let mut compiler = Command::new("cc");
     compiler.args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(&source);
     let status = compiler.arg("-ldl").status()?;
-    if status.success() { Ok(library) } else { Err(io::Error::other(format!("cc: {status}"))) }
+    if status.success() {
+        Ok(library)
+    } else {
+        Err(io::Error::other(format!("cc failed to compile {}: {status}", source.display())))
+    }
 }
--- a/crates/fakes/src/store/connection.rs
+++ b/crates/fakes/src/store/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a scripted store: frames from a gateway to the store's process, and messages back.
+//! One connection of a scripted store: passes frames from a gateway to the store's process, and messages
+//! back.
 
 use std::sync::Arc;
 
@@ -15,22 +16,22 @@
 use super::process::ProcessEvent;
 use crate::traffic::Traffic;
 
-/// Most messages that are written at once.
+/// Maximum number of messages in one write.
 const WRITE_BATCH: usize = 64;
 
-/// What the store's process tells a connection.
+/// A command of the store's process to a connection.
 pub(super) enum ToConnection {
     Message(FromStore),
-    /// Everything before it is to be written, and then confirmed.
+    /// Confirms through the channel once all earlier messages have been written.
     Flush(oneshot::Sender<()>),
-    /// The connection ends here; what is in the same batch is not written.
+    /// Closes the connection. Earlier messages in the same batch are not written.
     Close,
 }
 
 pub(super) type ConnectionSender = mpsc::UnboundedSender<ToConnection>;
 pub(super) type ProcessSender = mpsc::UnboundedSender<ProcessEvent>;
 
-/// Accepts connections until the listener fails; dropping it closes them.
+/// Accepts connections until the listener fails. Dropping the future closes them all.
 pub(super) async fn accept(listener: TcpListener, to_process: ProcessSender, traffic: Arc<Traffic>) {
     let mut connections = JoinSet::new();
     for connection in 0.. {
@@ -47,7 +48,7 @@
         () = write_messages(writer, messages, &traffic) => {}
         () = read_frames(connection, reader, &to_process, &to_writer, &traffic) => {}
     }
-    _ = to_process.send(ProcessEvent::Closed { connection });
+    _ = to_process.send(ProcessEvent::ConnectionClosed { connection });
 }
 
 async fn read_frames(
@@ -62,7 +63,7 @@
         match next_frame::<ToStore>(&mut input) {
             Ok(Some(ToStore::Hello { run })) => {
                 let sender = to_writer.clone();
-                _ = to_process.send(ProcessEvent::Opened { connection, run, sender });
+                _ = to_process.send(ProcessEvent::GatewayConnected { connection, run, sender });
             }
             Ok(Some(message)) => _ = to_process.send(ProcessEvent::Frame { connection, message }),
             Ok(None) => {
@@ -71,7 +72,9 @@
                 let Some(count) = read.filter(|count| *count > 0) else { return };
                 traffic.count_read(count);
             }
-            Err(error) => return tracing::warn!(%error, "store: bad frame"),
+            Err(error) => {
+                return tracing::warn!(%error, "store received an invalid frame; closing the connection");
+            }
         }
     }
 }
@@ -88,22 +91,22 @@
             return;
         }
         traffic.count_written(batch.bytes.len(), batch.frames);
-        for written in batch.flushes {
-            _ = written.send(());
+        for waiter in batch.flush_waiters {
+            _ = waiter.send(());
         }
     }
 }
 
-/// Messages as bytes, and who waits for them to be written.
+/// Encoded messages, and the channels through which to confirm that they have been written.
 #[derive(Default)]
 struct EncodedBatch {
     bytes: BytesMut,
     frames: usize,
-    flushes: Vec<oneshot::Sender<()>>,
+    flush_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl EncodedBatch {
-    /// Absent when the connection is to be closed.
+    /// Encodes messages; `None` if one of them closes the connection.
     fn encode(messages: impl Iterator<Item = ToConnection>) -> Option<EncodedBatch> {
         let mut batch = EncodedBatch::default();
         for message in messages {
@@ -112,7 +115,7 @@
                     batch.bytes.extend_from_slice(&message.frame());
                     batch.frames += 1;
                 }
-                ToConnection::Flush(written) => batch.flushes.push(written),
+                ToConnection::Flush(waiter) => batch.flush_waiters.push(waiter),
                 ToConnection::Close => return None,
             }
         }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted store on a loopback socket: its identity, and the handle to its running tasks.
+//! A scripted store on a loopback socket: its identity, and the handle of its running tasks.
 
 mod attempts;
 mod connection;
@@ -20,67 +20,68 @@
 use crate::model::{Fault, Power};
 use crate::traffic::Traffic;
 
-/// Largest chunk in which read data goes out, and room made for each read from a socket, in bytes.
+/// Largest chunk in which read data is sent, and buffer space reserved for each read from a socket, in bytes.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Connections that may wait to be accepted.
+/// Number of connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Who a store is; the same over its restarts.
+/// What stays the same over a store's restarts.
 #[derive(Clone)]
 pub struct Identity {
     /// Id of the store.
     pub store: u64,
     /// Shard that it serves.
     pub shard: u32,
-    /// Its capacity.
+    /// Performance of its model.
     pub power: Power,
-    /// The shard's data, shared with the store that replaces this one.
+    /// The shard's data, shared with any store that replaces this one.
     pub medium: Arc<Mutex<InMemoryDisk>>,
-    /// Where its events are recorded.
+    /// Record to which it adds its events.
     pub book: Book,
     /// Seed of its random choices.
     pub seed: u64,
 }
 
-/// A running store; dropping it ends it as a kill would.
+/// Handle of a running store. Dropping it ends the store abruptly, like a killed process.
 pub struct Running {
-    /// Where the store listens.
+    /// Address at which the store listens.
     pub address: SocketAddr,
-    /// Bytes on all its connections.
+    /// Traffic on all its connections.
     pub traffic: Arc<Traffic>,
     to_process: mpsc::UnboundedSender<ProcessEvent>,
-    /// The store's process, and the acceptor of its connections.
+    /// The task of the store's process, and the task that accepts its connections.
     tasks: [JoinHandle<()>; 2],
     identity: Identity,
 }
 
 impl Running {
-    /// Sets its faults.
+    /// Replaces the injected faults.
     pub fn fault(&self, fault: Fault) {
         _ = self.to_process.send(ProcessEvent::SetFault(fault));
     }
 
-    /// Stops work for this long.
+    /// Stops all work for the duration `length`.
     pub fn pause(&self, length: Duration) {
         _ = self.to_process.send(ProcessEvent::Pause(length));
     }
 
-    /// Ends all connections; attempts that came over them are worked on all the same.
+    /// Closes all connections. Attempts that were received on them are still executed.
     pub fn cut_links(&self) {
         _ = self.to_process.send(ProcessEvent::CloseConnections);
     }
 
-    /// Ends the store after so many more data chunks, in the midst of a read.
+    /// Ends the store once it has sent `chunks` more chunks of read data, which may be in the middle of a
+    /// read.
     pub fn die_after_chunks(&self, chunks: u32) {
-        _ = self.to_process.send(ProcessEvent::DieAfterChunks(chunks));
+        _ = self.to_process.send(ProcessEvent::ExitAfterChunks(chunks));
     }
 
-    /// Whether it has crashed or ended by its script.
+    /// Whether the store has crashed or was ended by [`Running::die_after_chunks`].
     pub fn is_down(&self) -> bool {
         self.tasks[0].is_finished()
     }
 
-    /// Ends it as a kill would, and returns when its sockets are closed.
+    /// Ends the store abruptly, like a killed process. Returns its identity once its sockets are closed.
     pub async fn kill(mut self) -> Identity {
         let identity = self.identity.clone();
         self.tasks.iter().for_each(JoinHandle::abort);
@@ -90,7 +91,7 @@
         identity
     }
 
-    /// Who the store is.
+    /// The store's identity.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
@@ -102,10 +103,10 @@
     }
 }
 
-/// Starts a store; port 0 lets the system choose.
+/// Starts a store at `address`; with port 0 the system chooses the port.
 ///
 /// # Errors
-/// Fails when the address can not be bound.
+/// Fails when the address cannot be bound.
 pub async fn start(identity: Identity, address: SocketAddr, cold: bool) -> io::Result<Running> {
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
@@ -123,7 +124,7 @@
     Ok(Running { address, traffic, to_process, tasks: [processing, accepting], identity })
 }
 
-/// Binds with address reuse, so that a restarted store gets the port that it had a moment ago.
+/// Binds with `SO_REUSEADDR`, so that a restarted store can use its previous port at once.
 async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/crates/fakes/src/store/process.rs
+++ b/crates/fakes/src/store/process.rs
@@ -1,4 +1,4 @@
-//! The process of a scripted store: one task that takes in events of its connections and of its script.
+//! The process of a scripted store: one task that handles events of its connections and commands of the test.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,15 +14,16 @@
 use crate::book::Seen;
 use crate::model::{Fault, Job, Model};
 
-/// How long a store that ends in the midst of a read waits for each connection to write what it has.
+/// How long a store that ends in the middle of a read waits for each connection to write its pending
+/// messages.
 const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bound of the random start of a store's own clock, in microseconds.
+/// Upper bound of the random value at which a store's clock starts, in microseconds.
 const MAX_CLOCK_OFFSET_US: u64 = 1 << 40;
 
-/// What the process is told by its connections and its script.
+/// An event of a connection, or a command of the test through [`super::Running`].
 pub(super) enum ProcessEvent {
-    /// A gateway said hello.
-    Opened {
+    /// A gateway has sent its hello message on a connection.
+    GatewayConnected {
         connection: u64,
         run: u64,
         sender: ConnectionSender,
@@ -31,34 +32,37 @@
         connection: u64,
         message: ToStore,
     },
-    Closed {
+    ConnectionClosed {
         connection: u64,
     },
     SetFault(Fault),
     Pause(Duration),
-    /// Attempts that came over them are worked on all the same.
+    /// Closes all connections. Attempts that were received on them are still executed.
     CloseConnections,
-    /// Ends the store after so many more data chunks, in the midst of a read.
-    DieAfterChunks(u32),
+    /// Ends the store once it has sent this many more chunks of read data, which may be in the middle of a
+    /// read.
+    ExitAfterChunks(u32),
 }
 
-/// A connection over which a gateway said hello.
+/// A connection on which a gateway has sent its hello message.
 struct Connection {
     run: u64,
     sender: ConnectionSender,
 }
 
-/// A store's process; its end, however it comes, is recorded once.
+/// A store's process. Dropping it records the end of the store, so that every kind of end is recorded once.
 pub(super) struct Process {
     pub(super) identity: Identity,
     pub(super) model: Model,
-    began: Instant,
-    /// The store's own clock starts anywhere.
+    started_at: Instant,
+    /// Random value at which the store's own clock starts, in microseconds.
     clock_offset: u64,
     connections: HashMap<u64, Connection>,
     pub(super) rng: StdRng,
-    pub(super) chunks_to_live: Option<u32>,
-    pub(super) down: bool,
+    /// Chunks of read data to send before the store ends; `None` if it is not to end.
+    pub(super) chunks_until_exit: Option<u32>,
+    /// Whether the store has crashed or is to end.
+    pub(super) is_down: bool,
 }
 
 impl Drop for Process {
@@ -72,22 +76,22 @@
         let mut rng = StdRng::seed_from_u64(identity.seed ^ identity.store);
         Process {
             model: Model::new(identity.power.clone(), Duration::ZERO, cold),
-            began: Instant::now(),
+            started_at: Instant::now(),
             clock_offset: rng.random_range(0..MAX_CLOCK_OFFSET_US),
             connections: HashMap::new(),
             rng,
-            chunks_to_live: None,
-            down: false,
+            chunks_until_exit: None,
+            is_down: false,
             identity,
         }
     }
 
-    /// Time since the process began.
+    /// Time since the process started.
     pub(super) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// The store's own clock, in microseconds.
+    /// Reading of the store's own clock, in microseconds.
     pub(super) fn clock(&self) -> u64 {
         self.clock_offset + self.now().as_micros() as u64
     }
@@ -96,10 +100,10 @@
         self.identity.book.write(self.identity.store, seen);
     }
 
-    /// Runs until the store is down or nobody can tell it anything more.
+    /// Runs until the store is down, or no connection and no handle can send it events any more.
     pub(super) async fn run(mut self, mut events: mpsc::UnboundedReceiver<ProcessEvent>) {
-        while !self.down {
-            let due = self.model.next().map(|due| self.began + due);
+        while !self.is_down {
+            let due = self.model.next_event_at().map(|due| self.started_at + due);
             tokio::select! {
                 event = events.recv() => match event {
                     Some(event) => self.handle_event(event),
@@ -107,14 +111,15 @@
                 },
                 () = sleep_until(due) => {}
             }
-            self.advance();
+            self.finish_due_attempts();
         }
-        if self.chunks_to_live == Some(0) {
+        if self.chunks_until_exit == Some(0) {
             self.flush_connections().await;
         }
     }
 
-    /// A store that ends in the midst of a read has sent what it read so far.
+    /// Waits until the connections have written all pending messages, so that a store that ends in the middle
+    /// of a read has sent the data before that point.
     async fn flush_connections(&self) {
         for connection in self.connections.values() {
             let (sender, written) = oneshot::channel();
@@ -125,9 +130,9 @@
 
     fn handle_event(&mut self, event: ProcessEvent) {
         match event {
-            ProcessEvent::Opened { connection, run, sender } => self.open(connection, run, sender),
+            ProcessEvent::GatewayConnected { connection, run, sender } => self.open(connection, run, sender),
             ProcessEvent::Frame { connection, message } => self.handle_frame(connection, message),
-            ProcessEvent::Closed { connection } => _ = self.connections.remove(&connection),
+            ProcessEvent::ConnectionClosed { connection } => _ = self.connections.remove(&connection),
             ProcessEvent::SetFault(fault) => self.model.fault = fault,
             ProcessEvent::Pause(length) => {
                 let now = self.now();
@@ -138,7 +143,7 @@
                     _ = connection.sender.send(ToConnection::Close);
                 }
             }
-            ProcessEvent::DieAfterChunks(chunks) => self.chunks_to_live = Some(chunks),
+            ProcessEvent::ExitAfterChunks(chunks) => self.chunks_until_exit = Some(chunks),
         }
     }
 
@@ -161,7 +166,7 @@
             }
             ToStore::Cancel { number } => {
                 if let Some(job) = self.model.cancel(run, number) {
-                    self.answer(&job, ResultCode::Cancelled);
+                    self.send_result(&job, ResultCode::Cancelled);
                 }
             }
             ToStore::Order { token, term, number, order } => {
@@ -169,22 +174,22 @@
                 self.send(connection, FromStore::OrderReply { token, reply });
             }
             ToStore::HealthCheck { token } => {
-                let (clock, load_report) = (self.clock(), self.model.report());
+                let (clock, load_report) = (self.clock(), self.model.load_report());
                 self.send(connection, FromStore::Healthy { token, clock, load_report });
             }
         }
     }
 
-    /// Executes and records a coordinator's order for a move; absent when the disk's lock is poisoned.
+    /// Executes and records a coordinator's order for a move; `None` when the disk's lock is poisoned.
     fn execute_order(&self, term: u64, number: u64, order: &Order) -> Option<OrderReply> {
         let clock = self.clock();
-        let reply = self.identity.medium.lock().ok()?.order(clock, term, number, order);
+        let reply = self.identity.medium.lock().ok()?.execute_order(clock, term, number, order);
         let done = !matches!(reply, OrderReply::WrongState | OrderReply::StaleTerm(_));
         self.record(Seen::Ordered { term, number, order: order.name().into(), done });
         Some(reply)
     }
 
-    /// Sends a message over a connection that is still open, unless the store is mute.
+    /// Sends a message on a connection if it is still open and the `mute` fault is not set.
     pub(super) fn send(&self, connection: u64, message: FromStore) {
         if self.model.fault.mute {
             return;
--- a/crates/fakes/src/store/records.rs
+++ b/crates/fakes/src/store/records.rs
@@ -1,10 +1,11 @@
-//! What a store records of attempts. The texts are compared by those who read the records.
+//! Names and events in a store's record of attempts. Checks of the fault tests compare these names.
 
 use umbertray_store_protocol::store::{Attempt, OperationKind, ResultCode};
 
 use crate::book::Seen;
 
-/// The code's name in records, which the checks of the fault tests compare; it stays when the type's own names change.
+/// The code's name in records, which the checks of the fault tests compare; it stays when the type's own
+/// names change.
 pub(super) fn recorded_code(code: ResultCode) -> &'static str {
     match code {
         ResultCode::Succeeded => "Acked",
@@ -30,7 +31,7 @@
 }
 
 /// The record of an attempt that arrived.
-pub(super) fn received(run: u64, attempt: &Attempt) -> Seen {
+pub(super) fn received_event(run: u64, attempt: &Attempt) -> Seen {
     let mark = attempt.data.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
     debug_assert!(attempt.kind != OperationKind::Write || attempt.data.len() == attempt.length as usize);
     Seen::Received {
--- a/crates/fakes/src/test_folder.rs
+++ b/crates/fakes/src/test_folder.rs
@@ -1,20 +1,22 @@
-//! Folders of tests: each run has its own, so that the same test may run twice at once.
+//! Folders for tests. Each run of a test has its own, so that the same test can run several times in
+//! parallel.
 
 use std::io;
 use std::ops::Deref;
 use std::path::{Path, PathBuf};
 
-/// A folder of one run of a test: removed where the test passes, kept and named where it fails.
+/// A folder for one run of a test. It is removed if the test passes; if the test panics it is kept, and its
+/// path is printed.
 pub struct TestFolder(PathBuf);
 
 impl TestFolder {
-    /// Makes an empty folder below `parent`, whose name ends with this process's id.
+    /// Creates an empty folder in `parent`, whose name ends with this process's id.
     ///
     /// # Errors
-    /// Fails when the folder can not be made.
+    /// Fails when the folder cannot be created.
     pub fn create(parent: &str, name: &str) -> io::Result<TestFolder> {
         let folder = Path::new(parent).join(format!("{name}-{}", std::process::id()));
-        // A process that had this id before may have left one.
+        // An earlier process with the same id may have left its folder behind.
         _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder)?;
         Ok(TestFolder(folder))
@@ -32,7 +34,7 @@
 impl Drop for TestFolder {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("kept: {}", self.0.display());
+            eprintln!("test folder kept for inspection: {}", self.0.display());
         } else {
             _ = std::fs::remove_dir_all(&self.0);
         }
--- a/crates/fakes/src/traffic.rs
+++ b/crates/fakes/src/traffic.rs
@@ -1,10 +1,10 @@
-//! Counts of the bytes that crossed a fake's sockets.
+//! Counters of the traffic on a fake's sockets.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// Counters of a fake that reads from and writes to sockets.
+/// Counters of the traffic on all sockets of a fake.
 #[derive(Debug, Default)]
 pub struct Traffic {
     read: AtomicU64,
@@ -12,9 +12,9 @@
     frames: AtomicU64,
 }
 
-/// Bytes both ways, and frames written, since the start.
+/// Bytes in both directions and frames written, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Crossed {
+pub struct TrafficCounts {
     /// Bytes read.
     pub read: u64,
     /// Bytes written.
@@ -24,33 +24,33 @@
 }
 
 impl Traffic {
-    /// Counts bytes read.
+    /// Adds to the bytes read.
     pub(crate) fn count_read(&self, bytes: usize) {
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes and frames written.
+    /// Adds to the bytes and frames written.
     pub(crate) fn count_written(&self, bytes: usize, frames: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
         self.frames.fetch_add(frames as u64, Ordering::Relaxed);
     }
 
     /// The counts so far.
-    pub fn crossed(&self) -> Crossed {
+    pub fn crossed(&self) -> TrafficCounts {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        Crossed { read: load(&self.read), written: load(&self.written), frames: load(&self.frames) }
+        TrafficCounts { read: load(&self.read), written: load(&self.written), frames: load(&self.frames) }
     }
 }
 
-impl Crossed {
-    /// Bytes both ways.
+impl TrafficCounts {
+    /// Bytes in both directions.
     pub fn bytes(self) -> u64 {
         self.read + self.written
     }
 
-    /// What was added since an earlier count.
-    pub fn since(self, before: Crossed) -> Crossed {
-        Crossed {
+    /// The difference to earlier counts.
+    pub fn since(self, before: TrafficCounts) -> TrafficCounts {
+        TrafficCounts {
             read: self.read.saturating_sub(before.read),
             written: self.written.saturating_sub(before.written),
             frames: self.frames.saturating_sub(before.frames),
@@ -58,11 +58,11 @@
     }
 }
 
-impl std::ops::Add for Crossed {
-    type Output = Crossed;
+impl std::ops::Add for TrafficCounts {
+    type Output = TrafficCounts;
 
-    fn add(self, other: Crossed) -> Crossed {
-        Crossed {
+    fn add(self, other: TrafficCounts) -> TrafficCounts {
+        TrafficCounts {
             read: self.read + other.read,
             written: self.written + other.written,
             frames: self.frames + other.frames,
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umbertray_fakes::traffic::Crossed;
+use umbertray_fakes::traffic::TrafficCounts;
 
 use super::in_force::{spans, unapplied_messages};
 use super::sample::Sample;
@@ -58,7 +58,7 @@
         after: &'a Sample,
     ) -> LineBuilder<'a> {
         let seconds = (after.at - before.at).as_secs_f64();
-        let rate = |after: Crossed, before: Crossed| after.since(before).bytes() as f64 / seconds;
+        let rate = |after: TrafficCounts, before: TrafficCounts| after.since(before).bytes() as f64 / seconds;
         let list_rate = rate(after.list_traffic, before.list_traffic);
         let link_rate = rate(after.link_traffic, before.link_traffic);
         LineBuilder { stage, point, repeat, before, after, seconds, list_rate, link_rate }
--- a/crates/scale/src/measurement/sample.rs
+++ b/crates/scale/src/measurement/sample.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use umbertray_fakes::traffic::Crossed;
+use umbertray_fakes::traffic::TrafficCounts;
 
 use super::Stage;
 use super::usage::{ProcessUsage, process_usage};
@@ -19,8 +19,8 @@
     pub(super) relays: Vec<ProcessUsage>,
     pub(super) list: ProcessUsage,
     pub(super) stores: Vec<ProcessUsage>,
-    pub(super) list_traffic: Crossed,
-    pub(super) link_traffic: Crossed,
+    pub(super) list_traffic: TrafficCounts,
+    pub(super) link_traffic: TrafficCounts,
     pub(super) turns: u64,
 }
 
--- a/crates/scale/src/measurement/stage.rs
+++ b/crates/scale/src/measurement/stage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rand::rngs::StdRng;
-use umbertray_fakes::traffic::Crossed;
+use umbertray_fakes::traffic::TrafficCounts;
 use umbertray_fault_tests::process::Process;
 
 use super::ZONES;
@@ -105,9 +105,9 @@
     ///
     /// # Errors
     /// [`ScaleError::Worker`] if a worker process does not reply.
-    pub async fn traffic(&mut self) -> Result<(Crossed, Crossed), ScaleError> {
+    pub async fn traffic(&mut self) -> Result<(TrafficCounts, TrafficCounts), ScaleError> {
         let list = self.list.observe().await?.traffic;
-        let mut links = Crossed::default();
+        let mut links = TrafficCounts::default();
         for store in &mut self.stores {
             links = links + store.observe().await?.traffic;
         }
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -16,7 +16,7 @@
 use umbertray_fakes::list::{self, Listed};
 use umbertray_fakes::model::Power;
 use umbertray_fakes::store::{self, Identity};
-use umbertray_fakes::traffic::Crossed;
+use umbertray_fakes::traffic::TrafficCounts;
 use umbertray_store_protocol::list::EndpointState;
 
 use crate::hollow::{FleetError, HollowFleet, Prepare};
@@ -111,7 +111,7 @@
             Order::Look => {
                 let stores = self.stores.iter().map(|store| store.traffic.crossed());
                 let list = self.list.iter().map(|(list, _)| list.traffic.crossed());
-                let traffic = stores.chain(list).fold(Crossed::default(), std::ops::Add::add);
+                let traffic = stores.chain(list).fold(TrafficCounts::default(), std::ops::Add::add);
                 let (gateways, acted) = (self.fleet.snapshots(), self.fleet.take_acted());
                 Ok(Reply::Looked(Look { traffic, gateways, acted }))
             }
--- a/crates/scale/src/worker/protocol.rs
+++ b/crates/scale/src/worker/protocol.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use umbertray_fakes::traffic::Crossed;
+use umbertray_fakes::traffic::TrafficCounts;
 
 use crate::hollow::{Acted, Seen};
 
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Look {
     /// Bytes at the sockets of its stand-ins since the start.
-    pub traffic: Crossed,
+    pub traffic: TrafficCounts,
     /// Its hollow gateways.
     pub gateways: Vec<Seen>,
     /// What they acted on since the last look.
