--- a/crates/scale/src/change_log.rs
+++ b/crates/scale/src/change_log.rs
@@ -1,4 +1,5 @@
-//! The change log of a run: shared settings, and changes by which versions can be told apart.
+//! The change log of a run: the shared settings, and changes from which the version of settings can be
+//! derived.
 
 use std::io;
 use std::path::Path;
@@ -14,14 +15,14 @@
 use crate::plan::Plan;
 use crate::{ScaleError, script};
 
-/// Name of the plan whose rate tells versions apart: settings do not carry their version.
+/// Name of the plan whose rate encodes the version, since settings do not contain their version.
 const VERSION_PLAN: &str = "mark";
 
-/// The rate of that plan is this plus the version.
+/// The rate of [`VERSION_PLAN`] is this plus the version.
 const VERSION_RATE_BASE: f64 = 1000.0;
 
-/// The version of the configuration that settings are from.
-pub(crate) fn version(settings: &Settings) -> u64 {
+/// The version of the configuration from which settings were made; 0 if it is unknown.
+pub(crate) fn version_of(settings: &Settings) -> u64 {
     let version_plan = settings.plans.iter().find(|plan| plan.name == VERSION_PLAN);
     version_plan.map_or(0, |plan| (plan.rate - VERSION_RATE_BASE) as u64)
 }
@@ -29,10 +30,10 @@
 /// Why the change log of a run could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeLogError {
-    /// The shared settings contradict themselves.
+    /// The shared settings are invalid.
     #[error("{}", .0.iter().map(|problem| format!("{problem}\n")).collect::<String>())]
     Settings(Vec<Problem>),
-    /// Its folder cannot be opened.
+    /// The folder of the log cannot be opened.
     #[error("{0}")]
     Folder(io::Error),
     /// The log cannot be opened.
@@ -61,7 +62,7 @@
         Ok(writer)
     }
 
-    /// Commits a change of one value; returns the version that it makes.
+    /// Commits a change of one value, and returns the new version.
     pub(crate) fn commit_change(&mut self) -> Result<u64, ScaleError> {
         let next = self.log.head().number + 1;
         let edit = Edit::Set {
@@ -77,7 +78,7 @@
         self.log.head().number
     }
 
-    /// Commits edits on top of the last version; returns the version that they make.
+    /// Commits edits on top of the last version, and returns the new version.
     fn commit(&mut self, edits: Vec<Edit>) -> Result<u64, ScaleError> {
         let base = self.log.head().number;
         let change = Change {
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,4 +1,4 @@
-//! The error of a run.
+//! Errors of a scale run.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,12 +8,12 @@
 use crate::plan;
 use crate::worker::Reply;
 
-/// Why a run ended without its measurements.
+/// Why a run ended without measurements.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The plan was rejected before anything was started.
+    /// The plan was rejected before any process was started.
     #[error(transparent)]
-    Refused(#[from] plan::Refused),
+    Refused(#[from] plan::PlanRejected),
     /// An operation on a file, a process or a socket failed.
     #[error("{what}: {error}")]
     Io {
@@ -22,10 +22,10 @@
         /// The operation's error.
         error: io::Error,
     },
-    /// A worker process of the run failed to carry out an order; its log has the cause.
-    #[error("{role}: {why}; its log is {}", log.display())]
+    /// A worker process of the run did not execute a command. Its log may have the cause.
+    #[error("worker process {role}: {why}; see its log {}", log.display())]
     Worker {
-        /// What the process was for.
+        /// Role of the process.
         role: String,
         /// What went wrong.
         why: String,
@@ -33,32 +33,32 @@
         log: PathBuf,
     },
     /// The change log could not be written.
-    #[error("the log of changes: {0}")]
+    #[error("change log: {0}")]
     ChangeLog(#[from] ChangeLogError),
-    /// The fleet did not become steady in time.
-    #[error("the log of changes: {late} of {gateways} gateways are not steady in {limit:?}")]
+    /// Some gateways did not receive the full list or try all connections in time.
+    #[error("{late} of {gateways} gateways did not become steady within {limit:?}")]
     NotSteady {
         /// Gateways that are not steady.
         late: usize,
         /// Hollow gateways of the fleet.
         gateways: usize,
-        /// The time that they had.
+        /// The time limit.
         limit: Duration,
     },
-    /// The endpoint list was started, and its worker replied with something else than its address.
-    #[error("the log of changes: the list did not say where it listens but {reply:?}")]
+    /// The worker that starts the endpoint list replied with something else than the list's address.
+    #[error("the endpoint list's process did not reply with its address but with {reply:?}")]
     NoListAddress {
         /// The reply.
         reply: Reply,
     },
-    /// A worker replied to a restart with something else than its completion.
-    #[error("the log of changes: {reply:?} is no restart")]
+    /// A worker replied to the command to restart a gateway with something else than success.
+    #[error("a worker process replied to a restart command with {reply:?}")]
     NotRestarted {
         /// The reply.
         reply: Reply,
     },
-    /// The run was asked to stop; every process that it started has been ended.
-    #[error("told to stop; all that was started is ended")]
+    /// A signal stopped the run; every process that it started has been ended.
+    #[error("stopped by a signal; all processes that the run started have been ended")]
     Stopped,
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,26 +1,26 @@
-//! Slopes: a least-squares line with its intercept and largest residual, and whether it predicts a size held
-//! out.
+//! Least-squares fits with their intercept and largest residual, their check against a size that was held
+//! out, and summaries of measured values.
 
 use serde::{Deserialize, Serialize};
 
-/// Largest relative error of a held-out prediction at which a slope counts as understood.
-pub const UNDERSTOOD: f64 = 0.25;
+/// Largest relative error of the prediction for a held-out size with which a slope counts as understood.
+pub const MAX_PREDICTION_ERROR: f64 = 0.25;
 
-/// A least-squares line: `figure = intercept + slope * count`.
+/// A least-squares line: `value = intercept + slope * count`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// The figure at a count of zero, in the figure's unit.
+    /// The value at a count of zero, in the metric's unit.
     pub intercept: f64,
-    /// What each further unit of the count adds, in the figure's unit.
+    /// The increase of the value with each unit of the count, in the metric's unit.
     pub slope: f64,
-    /// The largest distance of a point from the line, in the figure's unit.
+    /// The largest distance of a point from the line, in the metric's unit.
     pub residual: f64,
-    /// Points that were fitted.
+    /// Number of points that were fitted.
     pub points: usize,
 }
 
 impl Fit {
-    /// Fits a line to pairs of count and figure; `None` unless there are two different counts.
+    /// Fits a line to pairs of count and value; `None` unless there are at least two different counts.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let n = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
@@ -31,28 +31,29 @@
         }
         let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
         let mut fit = Fit { intercept: y - slope * x, slope, residual: 0.0, points: points.len() };
-        fit.residual = points.iter().map(|p| (p.1 - fit.at(p.0)).abs()).fold(0.0, f64::max);
+        fit.residual = points.iter().map(|p| (p.1 - fit.predict(p.0)).abs()).fold(0.0, f64::max);
         Some(fit)
     }
 
-    /// The figure that the line predicts at a count.
-    pub(crate) fn at(&self, count: f64) -> f64 {
+    /// The value that the line predicts at a count.
+    pub(crate) fn predict(&self, count: f64) -> f64 {
         self.intercept + self.slope * count
     }
 }
 
-/// A fit on the points up to half the largest count, and what it predicts at the largest.
+/// A fit of the points up to half the largest count, and its prediction at the largest count.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldOut {
     /// The line through the points up to half the largest count.
     pub fit: Fit,
     /// The largest count, which was held out of the fit.
     pub count: f64,
-    /// The figure that the line predicts at `count`.
-    pub foretold: f64,
-    /// The median of the figures measured at `count`.
+    /// The value that the line predicts at `count`.
+    #[serde(rename = "foretold")]
+    pub predicted: f64,
+    /// The median of the values that were measured at `count`.
     pub measured: f64,
-    /// Distance of prediction and measurement, as a fraction of the measurement.
+    /// Distance between the prediction and the measured value, as a fraction of the measured value.
     pub error: f64,
 }
 
@@ -64,45 +65,47 @@
         let fit = Fit::of(&up_to_half)?;
         let at_largest: Vec<f64> = points.iter().filter(|p| p.0 == largest).map(|p| p.1).collect();
         let measured = Spread::of(&at_largest)?.median;
-        let foretold = fit.at(largest);
-        let error = match (foretold - measured).abs() {
+        let predicted = fit.predict(largest);
+        let error = match (predicted - measured).abs() {
             0.0 => 0.0,
-            off => off / measured.abs(),
+            distance => distance / measured.abs(),
         };
-        Some(HeldOut { fit, count: largest, foretold, measured, error })
+        Some(HeldOut { fit, count: largest, predicted, measured, error })
     }
 
-    /// Whether the prediction is within [`UNDERSTOOD`] of the measurement.
+    /// Whether the prediction is within [`MAX_PREDICTION_ERROR`] of the measurement.
     pub fn understood(&self) -> bool {
-        self.error <= UNDERSTOOD
+        self.error <= MAX_PREDICTION_ERROR
     }
 }
 
-/// Repeats of one measurement, summarised.
+/// Summary of the repeats of one measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// The middle figure, or the mean of the two middle ones.
+    /// The middle value, or the mean of the two middle ones.
     pub median: f64,
-    /// The smallest figure.
-    pub least: f64,
-    /// The largest figure.
-    pub most: f64,
+    /// The smallest value.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The largest value.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 impl Spread {
-    /// Summarises repeats; `None` without any.
-    pub fn of(figures: &[f64]) -> Option<Spread> {
-        let sorted = sorted(figures);
-        let (least, most) = (*sorted.first()?, *sorted.last()?);
+    /// Summarises repeats; `None` if there are none.
+    pub fn of(values: &[f64]) -> Option<Spread> {
+        let sorted = sorted(values);
+        let (min, max) = (*sorted.first()?, *sorted.last()?);
         let middle = sorted.len() / 2;
         let median =
             if sorted.len() % 2 == 1 { sorted[middle] } else { (sorted[middle - 1] + sorted[middle]) / 2.0 };
-        Some(Spread { median, least, most })
+        Some(Spread { median, min, max })
     }
 }
 
-fn sorted(figures: &[f64]) -> Vec<f64> {
-    let mut sorted = figures.to_vec();
+fn sorted(values: &[f64]) -> Vec<f64> {
+    let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     sorted
 }
@@ -114,16 +117,16 @@
     pub p50: f64,
     /// The 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// The largest value.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Quantiles by nearest rank; `None` without any figures.
-    pub fn of(figures: &[f64]) -> Option<Quantiles> {
-        let sorted = sorted(figures);
-        let rank = |part: f64| (part * sorted.len() as f64).ceil().max(1.0) as usize - 1;
-        let at = |part: f64| sorted.get(rank(part)).copied();
-        Some(Quantiles { p50: at(0.5)?, p99: at(0.99)?, max: *sorted.last()? })
+    /// Quantiles by nearest rank; `None` if there are no values.
+    pub fn of(values: &[f64]) -> Option<Quantiles> {
+        let sorted = sorted(values);
+        let rank = |fraction: f64| (fraction * sorted.len() as f64).ceil().max(1.0) as usize - 1;
+        let quantile = |fraction: f64| sorted.get(rank(fraction)).copied();
+        Some(Quantiles { p50: quantile(0.5)?, p99: quantile(0.99)?, max: *sorted.last()? })
     }
 }
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what a gateway's core received and did.
+//! Counters of the inputs and calls of a gateway's core.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,19 +7,19 @@
 use umbertray_routing::Input;
 use umbertray_store_protocol::list::{EndpointState, FromList};
 
-/// A gateway acted on a version of the configuration: its core has taken the settings in.
+/// Records that a gateway applied a version of the configuration, so that its core uses these settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acted {
+pub struct AppliedVersion {
     /// Number of the gateway in the run.
     pub gateway: u32,
     /// Version of the configuration.
     pub version: u64,
-    /// Microseconds since 1970 by this machine's clock.
+    /// When its core had handled the settings, in microseconds since 1970 by this machine's clock.
     pub at: u64,
 }
 
 /// Microseconds since 1970 by the machine's clock, which all processes of a run share.
-pub(crate) fn now() -> u64 {
+pub(crate) fn unix_time_us() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
@@ -28,7 +28,7 @@
 pub struct Seen {
     /// Number of the gateway in the run.
     pub gateway: u32,
-    /// Calls of its core by its event loop, over all its restarts.
+    /// Calls of its core by its event loop, including those before its restarts.
     pub turns: u64,
     /// Stores in the last full list, without those marked as gone.
     pub listed: u64,
@@ -40,16 +40,16 @@
     pub linked: u64,
     /// Connections to stores that could not be made.
     pub refused: u64,
-    /// Version of the configuration last acted on.
+    /// Last applied version of the configuration.
     pub version: u64,
     /// Whether the gateway has ended.
     pub over: bool,
 }
 
-/// Counters of what a gateway's core received and did since its start.
+/// Counters of the inputs and calls of a gateway's core since the gateway's start, except for `turns`.
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// Calls of the core by the gateway's event loop.
+    /// Calls of the core by the gateway's event loop, including those before the gateway's restarts.
     pub(super) turns: AtomicU64,
     /// Stores in the last full list, without those marked as gone.
     pub(super) listed: AtomicU64,
@@ -61,7 +61,7 @@
     pub(super) linked: AtomicU64,
     /// Connections to stores that could not be made.
     pub(super) refused: AtomicU64,
-    /// Version of the configuration last acted on.
+    /// Last applied version of the configuration.
     pub(super) version: AtomicU64,
 }
 
@@ -70,8 +70,8 @@
     pub(super) fn count_input(&self, input: &Input) {
         match input {
             Input::FromList(FromList::Full(entries)) => {
-                let there = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
-                self.listed.store(there as u64, Ordering::Relaxed);
+                let present = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
+                self.listed.store(present as u64, Ordering::Relaxed);
                 increase(&self.whole_lists, 1);
             }
             Input::FromList(FromList::Changes(entries)) => increase(&self.deltas, entries.len()),
@@ -83,6 +83,6 @@
 }
 
 /// Adds to a counter.
-pub(super) fn increase(count: &AtomicU64, more: usize) {
-    count.fetch_add(more as u64, Ordering::Relaxed);
+pub(super) fn increase(counter: &AtomicU64, amount: usize) {
+    counter.fetch_add(amount as u64, Ordering::Relaxed);
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,12 +1,16 @@
-//! Scale runs: what the size of a fleet costs each of its members, measured, fitted and drawn.
+//! Scale runs: measure what the size of a fleet costs each of its members, fit the results and draw charts.
 //!
-//! A hollow gateway is [`umbertray_nbd_gateway`] itself, many in a process, with endpoint list, change log,
-//! map, connections to stores, scheduler and snapshots, and without clients. Nothing here decides what a
-//! gateway does: [`hollow`] starts it on the settings that the program reads, and counts the inputs of its
-//! core. [`worker`] is a process of hollow gateways, of stand-in stores, or of the endpoint list;
-//! [`worker_process`] starts such processes and ends them by id; [`plan`] rejects what the machine has no
-//! capacity for; [`measurement`] measures one size, [`sweep`] many, [`moments`] disruptions; [`fit`] has the
-//! slopes; [`report`] writes them down.
+//! A gateway of a run is real, in its own process, or hollow, with many others in a process. A hollow gateway
+//! is [`umbertray_nbd_gateway`] itself, with endpoint list, change log, map, connections to stores, scheduler
+//! and snapshots, but without clients. This package does not decide what a gateway does: [`hollow`] starts it
+//! with the settings that the program reads, and counts the inputs of its core.
+//!
+//! - [`worker`] is a process that runs hollow gateways, stand-in stores or the endpoint list, and
+//!   [`worker_process`] starts such processes and ends them by process id.
+//! - [`plan`] rejects a fleet for which the machine has no capacity.
+//! - [`measurement`] measures a fleet of one size, [`sweep`] fleets of many sizes, and [`moments`] the
+//!   disruptions of a fleet.
+//! - [`fit`] computes slopes, and [`report`] writes the results.
 
 pub mod change_log;
 mod error;
@@ -23,5 +27,5 @@
 pub mod worker_process;
 
 pub use error::ScaleError;
-/// The former name of [`measurement`], which the program uses.
+/// The former name of [`measurement`], which the program still uses.
 pub use measurement as point;
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -1,14 +1,14 @@
-//! What a measurement says of one role.
+//! The result of a measurement for one role.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fit::Quantiles;
 
-/// What a group of processes of a run is for.
+/// Role of a group of processes in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// A real gateway: `umbertray serve` in a process of its own.
+    /// The real gateways: each is `umbertray serve` in its own process.
     Gateway,
     /// The coordinator.
     Keeper,
@@ -20,11 +20,11 @@
     Store,
 }
 
-/// The measurements of one role at one size. Figures of gateways are for each gateway; those of other roles
-/// are for all their processes together.
+/// The measured values of one role at one size of a fleet. Values of gateways are averages for one gateway;
+/// those of other roles are sums over all their processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Line {
-    /// Name of the size: the factor and its position in the sweep, or `one`.
+    /// Name of the size: the factor and the position of the size in the sweep, or `one`.
     pub point: String,
     /// Number of the repeat, from 0.
     pub repeat: u32,
@@ -37,22 +37,22 @@
     pub stores: u32,
     /// Of those stores, the ones that accept connections.
     pub answering: u32,
-    /// Volumes of the configuration.
+    /// Volumes in the configuration.
     pub volumes: u32,
     /// Hollow gateways of the fleet.
     pub hollow: u32,
     /// Processes of the role.
     pub processes: u32,
-    /// How long the fleet was measured.
+    /// How long the fleet was measured, in seconds.
     pub seconds: f64,
-    /// Changes of the configuration by the plan.
+    /// Changes of the configuration per second in the plan.
     pub changes_per_second: f64,
-    /// Restarts of hollow gateways by the plan.
+    /// Restarts of hollow gateways per hour in the plan, over the whole fleet.
     pub restarts_per_hour: f64,
-    /// From the first gateway's start until all held the full list and their connections were made or
-    /// refused.
+    /// Seconds from the first gateway's start until all gateways held the full list and had made or failed to
+    /// make all their connections.
     pub start_seconds: f64,
-    /// Bytes of list and store connections that the start took, for each gateway.
+    /// Bytes on list and store connections during the start, per gateway.
     pub start_bytes: f64,
     /// CPU time over `seconds`, in percent of one core.
     pub idle_core_percent: f64,
@@ -60,23 +60,23 @@
     pub rss_mb: f64,
     /// Resident memory of all processes of the role, in MiB.
     pub rss_total_mb: f64,
-    /// Bytes at the sockets of list and stores, both directions.
+    /// Bytes per second on the connections of list and stores, in both directions.
     pub control_bytes_per_second: f64,
-    /// Of those, the list's.
+    /// The part of `control_bytes_per_second` on list connections.
     pub list_bytes_per_second: f64,
-    /// Of those, the stores'.
+    /// The part of `control_bytes_per_second` on store connections.
     pub link_bytes_per_second: f64,
-    /// Calls of a gateway's core by its event loop; 0 for other roles than the hollow gateways.
+    /// Calls of a gateway's core by its event loop, per second; 0 for other roles than the hollow gateways.
     pub turns_per_second: f64,
     /// Changes of the configuration that were committed.
     pub changes: u32,
     /// Hollow gateways that were restarted.
     pub restarts: u32,
-    /// Seconds until a change was in force at each gateway.
+    /// Seconds from the commit of a change until a gateway applied it, over all changes and gateways.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub in_force_seconds: Option<Quantiles>,
-    /// The machine's load average over a minute, at the end.
+    /// The machine's load average over the last minute, at the end of the measurement.
     pub load: f64,
-    /// Properties that did not hold.
+    /// Messages about properties that did not hold.
     pub broken: Vec<String>,
 }
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -1,15 +1,15 @@
-//! Lines from the samples at both ends of a measurement.
+//! Computes the lines of a measurement from the samples at its start and end.
 
 use std::time::Duration;
 
 use umbertray_fakes::traffic::TrafficCounts;
 
-use super::in_force::{spans, unapplied_messages};
+use super::in_force::{apply_delays, unapplied_messages};
 use super::sample::Sample;
 use super::usage::{MB, ProcessUsage, load};
 use super::{Line, Role, Stage};
 
-/// Bytes a second of a line, both directions.
+/// Traffic rates of a line, in bytes per second for both directions.
 #[derive(Clone, Copy, Default)]
 struct TrafficRates {
     control: f64,
@@ -17,12 +17,12 @@
     links: f64,
 }
 
-/// What the processes of a role used between both samples.
+/// Resources that the processes of a role used between the two samples.
 struct RoleUsage {
     processes: usize,
-    /// CPU time in seconds.
+    /// CPU time of all processes, in seconds.
     cpu: f64,
-    /// Resident memory at the later sample, in bytes.
+    /// Resident memory of all processes at the later sample, in bytes.
     rss: u64,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Makes the lines of a measurement from the samples at both of its ends.
+/// Computes the lines of a measurement from the samples at its start and end.
 pub(super) struct LineBuilder<'a> {
     stage: &'a Stage,
     point: &'a str,
@@ -43,9 +43,9 @@
     before: &'a Sample,
     after: &'a Sample,
     seconds: f64,
-    /// Bytes a second at the list's sockets.
+    /// Bytes per second on the connections of the list.
     list_rate: f64,
-    /// Bytes a second at the stores' sockets.
+    /// Bytes per second on the connections of the stores.
     link_rate: f64,
 }
 
@@ -64,10 +64,10 @@
         LineBuilder { stage, point, repeat, before, after, seconds, list_rate, link_rate }
     }
 
-    /// The lines of all roles that the fleet has; `broken` goes to the hollow gateways' line.
+    /// The lines of all roles that the fleet has. `broken` is added to the hollow gateways' line.
     pub(super) fn lines(&self, broken: Vec<String>) -> Vec<Line> {
         let mut lines = Vec::new();
-        if self.stage.plan.hollow() > 0 {
+        if self.stage.plan.hollow_gateways() > 0 {
             lines.push(self.hollow_gateways(broken));
         }
         if self.stage.plan.real > 0 {
@@ -82,12 +82,12 @@
     }
 
     fn hollow_gateways(&self, broken: Vec<String>) -> Line {
-        let hollow = f64::from(self.stage.plan.hollow());
+        let hollow = f64::from(self.stage.plan.hollow_gateways());
         let turns = self.after.turns.saturating_sub(self.before.turns);
         let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
         Line {
             turns_per_second: turns as f64 / self.seconds / hollow,
-            in_force_seconds: spans(&self.stage.committed_at, &self.stage.acted),
+            in_force_seconds: apply_delays(&self.stage.committed_at, &self.stage.applied),
             broken,
             ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
         }
@@ -95,10 +95,10 @@
 
     fn real_gateways(&self) -> Line {
         let real = f64::from(self.stage.plan.real);
-        let logged = self.stage.acted_by_logs();
+        let logged = self.stage.applied_versions_from_logs();
         let usage = RoleUsage::between(&self.before.real, &self.after.real);
         Line {
-            in_force_seconds: spans(&self.stage.committed_at, &logged),
+            in_force_seconds: apply_delays(&self.stage.committed_at, &logged),
             broken: unapplied_messages(self.stage.plan.real, &self.stage.committed_at, &logged),
             ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
         }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A role's line, its usage divided evenly among `members`.
+    /// A role's line, with its usage divided by `members`.
     fn line(&self, role: Option<Role>, usage: &RoleUsage, members: f64, rates: TrafficRates) -> Line {
         let plan = &self.stage.plan;
         Line {
@@ -141,7 +141,7 @@
             stores: plan.stores,
             answering: self.stage.demand.answering,
             volumes: plan.volumes,
-            hollow: plan.hollow(),
+            hollow: plan.hollow_gateways(),
             processes: usage.processes as u32,
             seconds: self.seconds,
             changes_per_second: plan.changes_per_second,
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -1,4 +1,4 @@
-//! The measurement of a running fleet.
+//! Measurement of a running fleet.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use crate::ScaleError;
 use crate::hollow::Seen;
 
-/// Pause before a measurement, in which what follows a start, such as late connections, finishes.
+/// Pause before a measurement, in which the after-effects of the start, such as late connections, end.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Changes made after the idle time of a plan that has none of its own.
+/// Number of changes that are made after the measured time if the plan has no changes.
 const PROBE_CHANGES: u32 = 8;
 
 /// Pause after each of those changes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Gateways that a message names at most.
+/// Maximum number of gateways that a message names.
 const NAMED_AT_MOST: usize = 5;
 
 impl Stage {
-    /// Measures the fleet over the plan's time; returns a line for each role.
+    /// Measures the fleet for the plan's duration, and returns a line for each role.
     ///
     /// # Errors
-    /// [`ScaleError`] if a process does not follow its orders or the change log cannot be written.
+    /// [`ScaleError`] if a worker process does not execute a command, or the change log cannot be written.
     pub async fn measure(&mut self, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
         tokio::time::sleep(SETTLE_TIME).await;
         let before = self.sample().await?;
@@ -31,7 +31,7 @@
         let after = self.sample().await?;
         if self.plan.changes_per_second == 0.0 {
             for _ in 0..PROBE_CHANGES {
-                self.change()?;
+                self.commit_change()?;
                 tokio::time::sleep(PROBE_INTERVAL).await;
             }
         }
@@ -41,21 +41,21 @@
         Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
     }
 
-    /// A message about each property that did not hold at the hollow gateways; those in `behind` did not act
-    /// on the last change.
+    /// A message for each property that did not hold at the hollow gateways. Those in `behind` did not apply
+    /// the last change.
     fn broken_properties(&self, behind: &[u32], seen: &[Seen]) -> Vec<String> {
         let mut broken = Vec::new();
         if !behind.is_empty() {
-            let some = &behind[..behind.len().min(NAMED_AT_MOST)];
-            broken.push(format!("{} gateways did not act on the last change: {some:?}, ...", behind.len()));
+            let named = &behind[..behind.len().min(NAMED_AT_MOST)];
+            broken.push(format!("{} gateways did not apply the last change: {named:?}, ...", behind.len()));
         }
         let ended = seen.iter().filter(|seen| seen.over).count();
         if ended > 0 {
             broken.push(format!("{ended} gateways ended early"));
         }
-        let wrong = seen.iter().filter(|seen| seen.listed != u64::from(self.plan.stores)).count();
-        if wrong > 0 {
-            broken.push(format!("{wrong} gateways do not hold what is listed"));
+        let incomplete = seen.iter().filter(|seen| seen.listed != u64::from(self.plan.stores)).count();
+        if incomplete > 0 {
+            broken.push(format!("{incomplete} gateways do not hold all listed stores"));
         }
         broken
     }
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -1,4 +1,5 @@
-//! One size of a fleet: started, measured from outside while it is idle, changed or restarted, and ended.
+//! A fleet of one size: its start, its measurement from outside while it is idle or its configuration changes
+//! or gateways restart, and its end.
 
 mod in_force;
 mod line;
@@ -11,7 +12,7 @@
 mod startup;
 mod usage;
 
-pub use in_force::spans;
+pub use in_force::apply_delays;
 pub use line::{Line, Role};
 pub(crate) use processes::{start_coordinator, start_list, start_worker};
 pub use stage::Stage;
@@ -24,21 +25,21 @@
 /// Zones that stores, gateways and relays are spread over.
 pub(crate) const ZONES: u32 = 6;
 
-/// Where a run is made.
+/// Program, folder and resources of a run.
 pub struct Setup {
     /// The program `umbertray`.
     pub program: PathBuf,
-    /// Folder for scripts, logs and state of the processes that are started.
+    /// Folder for scripts, logs and state of the run's processes.
     pub scratch: PathBuf,
-    /// What the run may use of this machine.
+    /// Resources of this machine that the run may use.
     pub limits: Limits,
 }
 
-/// The order in which the gateways of a process are started.
+/// How the gateways of a worker process are started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Each once the one before it is steady.
+    /// Each gateway after the previous one has tried its connections to all stores.
     OneByOne,
-    /// As fast as the machine can: a thundering herd.
+    /// All gateways as fast as the machine allows, which causes a thundering herd.
     AtOnce,
 }
--- a/crates/scale/src/measurement/sample.rs
+++ b/crates/scale/src/measurement/sample.rs
@@ -1,4 +1,4 @@
-//! All counters of a fleet at one instant.
+//! A sample of all counters of a fleet.
 
 use std::time::Instant;
 
@@ -10,17 +10,22 @@
 use crate::relays::Relays;
 use crate::worker_process::WorkerProcess;
 
-/// All that is counted, at one instant.
+/// All counters of a fleet, read at about the same time.
 pub(super) struct Sample {
+    /// When the processes' usage was read.
     pub(super) at: Instant,
+    /// Processes of hollow gateways.
     pub(super) workers: Vec<ProcessUsage>,
+    /// Processes of real gateways.
     pub(super) real: Vec<ProcessUsage>,
     pub(super) coordinator: ProcessUsage,
     pub(super) relays: Vec<ProcessUsage>,
     pub(super) list: ProcessUsage,
+    /// Processes of stand-in stores.
     pub(super) stores: Vec<ProcessUsage>,
     pub(super) list_traffic: TrafficCounts,
     pub(super) link_traffic: TrafficCounts,
+    /// Calls of the cores of all hollow gateways.
     pub(super) turns: u64,
 }
 
@@ -29,16 +34,16 @@
     pub(super) async fn sample(&mut self) -> Result<Sample, ScaleError> {
         let (list_traffic, link_traffic) = self.traffic().await?;
         let (_, turns) = self.look().await?;
-        let of =
+        let usage =
             |workers: &[WorkerProcess]| workers.iter().map(|worker| process_usage(worker.id())).collect();
         Ok(Sample {
             at: Instant::now(),
-            workers: of(&self.workers),
+            workers: usage(&self.workers),
             real: self.real.iter().map(|process| process_usage(process.id())).collect(),
             coordinator: process_usage(self.coordinator.id()),
-            relays: self.relays.iter().flat_map(Relays::ids).map(process_usage).collect(),
+            relays: self.relays.iter().flat_map(Relays::process_ids).map(process_usage).collect(),
             list: process_usage(self.list.id()),
-            stores: of(&self.stores),
+            stores: usage(&self.store_processes),
             list_traffic,
             link_traffic,
             turns,
--- a/crates/scale/src/measurement/schedule.rs
+++ b/crates/scale/src/measurement/schedule.rs
@@ -1,4 +1,4 @@
-//! The measured time: its changes, restarts and fault.
+//! The schedule of a measurement: changes, restarts and a fault during the measured time.
 
 use std::time::{Duration, Instant};
 
@@ -9,17 +9,17 @@
 use crate::ScaleError;
 use crate::plan::Plan;
 use crate::relays::Fault;
-use crate::worker::Order;
+use crate::worker::WorkerCommand;
 
-/// Seconds of an hour.
+/// Seconds in an hour.
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// What is due next in the measured time.
+/// An event in the measured time.
 #[derive(Clone, Copy)]
 enum Event {
-    /// The measured time is over.
+    /// The measured time ends.
     End,
-    /// A change of the configuration.
+    /// A change of the configuration is committed.
     Change,
     /// The fault of the relays begins.
     Fault,
@@ -31,7 +31,7 @@
     Poll,
 }
 
-/// When each event of the measured time is due, since its start. `Duration::MAX`: never.
+/// Due times of the events, since the start of the measured time. `Duration::MAX` means never.
 struct Schedule {
     end: Duration,
     change_interval: Duration,
@@ -43,7 +43,7 @@
     next_recovery: Duration,
 }
 
-/// The interval of events at a rate per second; `Duration::MAX` without any.
+/// The interval between events at a rate per second; `Duration::MAX` if the rate is zero.
 fn interval(per_second: f64) -> Duration {
     if per_second > 0.0 { Duration::from_secs_f64(1.0 / per_second) } else { Duration::MAX }
 }
@@ -69,7 +69,8 @@
         }
     }
 
-    /// The next event and when it is due; of events due at once, the first in the order of [`Event`].
+    /// The next event and its due time. Of events that are due at the same time, the first in the order of
+    /// [`Event`].
     fn next(&self) -> (Duration, Event) {
         let events = [
             (self.next_change, Event::Change),
@@ -84,7 +85,7 @@
         events.into_iter().fold((self.end, Event::End), earlier)
     }
 
-    /// Sets when an event is due again.
+    /// Sets the time at which an event is due again.
     fn advance(&mut self, event: Event) {
         match event {
             Event::End => {}
@@ -98,7 +99,7 @@
 }
 
 impl Stage {
-    /// Lets the measured time pass, with the plan's changes, restarts and fault.
+    /// Runs for the measured time, and causes the plan's changes, restarts and fault.
     pub(super) async fn run_schedule(&mut self) -> Result<(), ScaleError> {
         let started_at = Instant::now();
         let mut schedule = Schedule::new(&self.plan);
@@ -108,34 +109,34 @@
             schedule.advance(event);
             match event {
                 Event::End => return Ok(()),
-                Event::Change => self.change()?,
-                Event::Fault => self.fail(self.plan.fault).await?,
-                Event::Recovery => self.heal(self.plan.fault)?,
-                Event::Restart => self.restart().await?,
+                Event::Change => self.commit_change()?,
+                Event::Fault => self.inject_fault(self.plan.fault).await?,
+                Event::Recovery => self.end_fault(self.plan.fault)?,
+                Event::Restart => self.restart_random_gateway().await?,
                 Event::Poll => self.look().await.map(drop)?,
             }
         }
     }
 
     /// Restarts one hollow gateway, chosen at random.
-    async fn restart(&mut self) -> Result<(), ScaleError> {
+    async fn restart_random_gateway(&mut self) -> Result<(), ScaleError> {
         let worker = self.rng.random_range(0..self.workers.len());
-        let share = &self.gateways_of_workers[worker];
-        let gateway = share[self.rng.random_range(0..share.len())];
+        let gateways = &self.gateways_of_workers[worker];
+        let gateway = gateways[self.rng.random_range(0..gateways.len())];
         self.restarts += 1;
-        self.workers[worker].request(&Order::Restart { gateway }).await.map(drop)
+        self.workers[worker].request(&WorkerCommand::Restart { gateway }).await.map(drop)
     }
 
-    /// Brings a fault on the first relay of each zone.
-    async fn fail(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
+    /// Injects a fault into the first relay of each zone; does nothing without relays or a fault.
+    async fn inject_fault(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
         match self.relays.as_mut().zip(fault) {
-            Some((relays, fault)) => relays.fail(fault).await,
+            Some((relays, fault)) => relays.inject_fault(fault).await,
             None => Ok(()),
         }
     }
 
-    /// Ends a fault, as far as it can be ended.
-    fn heal(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
-        self.relays.as_mut().zip(fault).map_or(Ok(()), |(relays, fault)| relays.heal(fault))
+    /// Ends a fault. A killed relay stays ended.
+    fn end_fault(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
+        self.relays.as_mut().zip(fault).map_or(Ok(()), |(relays, fault)| relays.end_fault(fault))
     }
 }
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a fleet.
+//! Start of a fleet.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,15 +17,15 @@
 use crate::hollow::Seen;
 use crate::plan::{Demand, Plan, demand};
 use crate::relays::Relays;
-use crate::worker::{NamedStore, Order, Reply};
+use crate::worker::{Reply, StoreEntry, WorkerCommand};
 use crate::worker_process::WorkerProcess;
 use crate::{ScaleError, script};
 
-/// The address of a store that does not answer: nobody listens there.
+/// Address of the stores that do not accept connections: no process listens there.
 const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2)), 1);
 
-/// Target of this module's log events: the path that they had before the module was split, which filters may
-/// name.
+/// Target of this module's log events. It is the module path from before the module was split, since
+/// operators' log filters may contain it.
 const LOG_TARGET: &str = "umbertray_scale::point";
 
 impl Stage {
@@ -42,7 +42,7 @@
         create(&folder)?;
         create(&folder.join("changes"))?;
         let (stores, addresses) = start_stores(setup, &folder, plan, &demand).await?;
-        let listed_stores = named_stores(plan.stores, addresses);
+        let listed_stores = list_entries(plan.stores, addresses);
         let mut list = start_worker(setup, &folder, "list")?;
         let list_address = start_list(&mut list, any_port(), &listed_stores).await?;
         let (coordinator, coordinator_address) =
@@ -59,7 +59,7 @@
             list_address,
             listed_stores,
             coordinator_address,
-            stores,
+            store_processes: stores,
             workers: Vec::new(),
             gateways_of_workers: Vec::new(),
             real: Vec::new(),
@@ -67,7 +67,7 @@
             coordinator,
             writer,
             committed_at: BTreeMap::new(),
-            acted: Vec::new(),
+            applied: Vec::new(),
             rng: StdRng::seed_from_u64(plan.seed),
             start_duration: Duration::ZERO,
             start_bytes: 0,
@@ -82,7 +82,7 @@
     async fn start_gateways(&mut self, setup: &Setup, start: Start) -> Result<(), ScaleError> {
         let folder = format!("{:?}", self.folder.join("changes").display().to_string());
         let changes = self.relays.as_ref().map_or(folder, |relays| relays.upstreams.clone());
-        let own = |gateway: u32| {
+        let gateway_script = |gateway: u32| {
             let state = self.folder.join(format!("state-{gateway}"));
             let seed = self.plan.seed << 16 ^ u64::from(gateway);
             script::gateway_script(
@@ -96,21 +96,24 @@
         let mut scripts = Vec::new();
         for gateway in 0..self.plan.gateways {
             let file = self.folder.join(format!("gateway-{gateway}.star"));
-            std::fs::write(&file, own(gateway)).map_err(ScaleError::io(file.display().to_string()))?;
+            std::fs::write(&file, gateway_script(gateway))
+                .map_err(ScaleError::io(file.display().to_string()))?;
             scripts.push((gateway, file));
         }
-        let real: Vec<String> = (0..self.plan.real).map(own).collect();
+        let real: Vec<String> = (0..self.plan.real).map(gateway_script).collect();
         let mut hollow = scripts.split_off(self.plan.real as usize);
         for number in 0..self.demand.workers {
             self.workers.push(start_worker(setup, &self.folder, &format!("gateways-{number}"))?);
         }
         let started_at = Instant::now();
-        let after = (start == Start::OneByOne).then_some(self.plan.stores.into());
+        let connections_before_next = (start == Start::OneByOne).then_some(self.plan.stores.into());
         for number in 0..self.demand.workers {
-            let count = even_share(self.plan.hollow(), self.demand.workers, number);
+            let count = even_part(self.plan.hollow_gateways(), self.demand.workers, number);
             let rest = hollow.split_off(count as usize);
             self.gateways_of_workers.push(hollow.iter().map(|(gateway, _)| *gateway).collect());
-            self.workers[number as usize].send(&Order::Gateways { files: hollow, after }).await?;
+            self.workers[number as usize]
+                .send(&WorkerCommand::Gateways { files: hollow, connections_before_next })
+                .await?;
             hollow = rest;
         }
         for (gateway, script) in real.iter().enumerate() {
@@ -121,20 +124,20 @@
         for worker in &mut self.workers {
             worker.receive().await?;
         }
-        self.start_duration = self.steady(started_at).await?;
+        self.start_duration = self.wait_until_steady(started_at).await?;
         let (list, links) = self.traffic().await?;
         self.start_bytes = list.bytes() + links.bytes();
         Ok(())
     }
 
-    /// Waits until each gateway holds the full list and has made or failed to make each connection; returns
-    /// how long that took.
-    pub(crate) async fn steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
+    /// Waits until each hollow gateway holds the full list and has made, or failed to make, a connection to
+    /// each store. Returns the time since `since`.
+    pub(crate) async fn wait_until_steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
         let stores = u64::from(self.plan.stores);
         loop {
             let (seen, _) = self.look().await?;
-            let waits = |seen: &&Seen| seen.listed != stores || seen.linked + seen.refused < stores;
-            let late = seen.iter().filter(waits).count();
+            let is_late = |seen: &&Seen| seen.listed != stores || seen.linked + seen.refused < stores;
+            let late = seen.iter().filter(is_late).count();
             if late == 0 {
                 return Ok(since.elapsed());
             }
@@ -147,8 +150,8 @@
     }
 }
 
-/// Starts the stores that accept connections, in the processes that the plan needs; returns these and the
-/// addresses.
+/// Starts the stores that accept connections, in as many processes as the plan needs. Returns the processes
+/// and the addresses of the stores.
 async fn start_stores(
     setup: &Setup,
     folder: &Path,
@@ -158,29 +161,30 @@
     let mut workers = Vec::new();
     let mut from = 1;
     for number in 0..demand.store_processes {
-        let count = even_share(demand.answering, demand.store_processes, number);
+        let count = even_part(demand.answering, demand.store_processes, number);
         let mut worker = start_worker(setup, folder, &format!("stores-{number}"))?;
-        worker.send(&Order::Stores { from, count, seed: plan.seed }).await?;
+        worker.send(&WorkerCommand::Stores { from, count, seed: plan.seed }).await?;
         from += u64::from(count);
         workers.push(worker);
     }
     let mut addresses = Vec::new();
     for worker in &mut workers {
-        if let Reply::Stores(more) = worker.receive().await? {
-            addresses.extend(more);
+        if let Reply::Stores(started) = worker.receive().await? {
+            addresses.extend(started);
         }
     }
     Ok((workers, addresses))
 }
 
-/// The stores that the list names: those that accept connections, and at [`UNREACHABLE_ADDRESS`] the others.
-fn named_stores(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<NamedStore> {
+/// The entries of the list: first the stores that accept connections, then the others at
+/// [`UNREACHABLE_ADDRESS`].
+fn list_entries(stores: u32, mut addresses: Vec<SocketAddr>) -> Vec<StoreEntry> {
     addresses.resize(stores as usize, UNREACHABLE_ADDRESS);
-    let named = (1..).zip(addresses);
-    named.map(|(store, address)| NamedStore { store, address, zone: store as u32 % ZONES }).collect()
+    let numbered = (1..).zip(addresses);
+    numbered.map(|(store, address)| StoreEntry { store, address, zone: store as u32 % ZONES }).collect()
 }
 
-/// The share of one of `sharers` that divide `things` as evenly as possible.
-fn even_share(things: u32, sharers: u32, number: u32) -> u32 {
-    things / sharers + u32::from(number < things % sharers)
+/// The size of part number `part` if `total` is divided into `parts` parts as evenly as possible.
+fn even_part(total: u32, parts: u32, part: u32) -> u32 {
+    total / parts + u32::from(part < total % parts)
 }
--- a/crates/scale/src/measurement/usage.rs
+++ b/crates/scale/src/measurement/usage.rs
@@ -1,16 +1,16 @@
-//! CPU time, memory and load, as the system reports them.
+//! CPU time, memory and load average, as the system reports them.
 
 use std::time::Duration;
 
 use nix::time::{clock_getcpuclockid, clock_gettime};
 use nix::unistd::Pid;
 
-/// Bytes of a MiB.
+/// Bytes in a MiB.
 pub(crate) const MB: f64 = (1 << 20) as f64;
 
-/// Bytes of a page, in which the system states resident memory.
+/// Bytes in a memory page, the unit in which the system reports resident memory.
 ///
-/// Hazard: a machine with larger pages is measured too low.
+/// Hazard: on a machine with larger pages the measured memory is too low.
 const PAGE_BYTES: u64 = 4096;
 
 /// CPU time and resident memory of a process.
@@ -22,16 +22,16 @@
     pub(super) rss: u64,
 }
 
-/// Reads what a process uses; zero for one that has ended.
+/// Reads the CPU time and resident memory of a process; zero if it has ended.
 pub(super) fn process_usage(id: Option<u32>) -> ProcessUsage {
-    let of = |id: u32| {
+    let read = |id: u32| {
         let clock = clock_getcpuclockid(Pid::from_raw(id as i32)).ok()?;
         let cpu = Duration::from(clock_gettime(clock).ok()?);
         let text = std::fs::read_to_string(format!("/proc/{id}/statm")).ok()?;
         let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
         Some(ProcessUsage { cpu, rss: pages * PAGE_BYTES })
     };
-    id.and_then(of).unwrap_or_default()
+    id.and_then(read).unwrap_or_default()
 }
 
 /// The machine's load average over the last minute.
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -1,4 +1,4 @@
-//! The relays of a run: some that read the writer's folder, and in each zone some that follow those.
+//! The relays of a run: a few that read the change log's folder, and in each zone some that follow those.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -11,22 +11,23 @@
 use crate::measurement::{Setup, ZONES};
 use crate::script;
 
-/// Relays that read the change log's folder: one more than may be faulty, and one that may be absent.
+/// Number of relays that read the change log's folder: two, which is one more than may be faulty, and one
+/// more that may be absent.
 pub(crate) const FOLDER_READERS: u32 = 3;
 
-/// What happens to the first relay of each zone a third into the measured time.
+/// Fault of the first relay of each zone, injected after a third of the measured time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// It is killed and stays away.
+    /// The relay is killed and not restarted.
     Killed,
-    /// It is paused for the second third.
+    /// The relay is paused for the second third of the measured time.
     Stopped,
 }
 
-/// A text that names no fault.
+/// A text that is not the name of a fault.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("{0:?} is neither killed nor stopped")]
+#[error("unknown relay fault {0:?}: use killed or stopped")]
 pub struct UnknownFault(String);
 
 impl FromStr for Fault {
@@ -41,18 +42,18 @@
     }
 }
 
-/// Processes of relays where each zone has `relays_per_zone` of them.
+/// Number of relay processes of a run with `relays_per_zone` relays in each zone.
 pub(crate) fn process_count(relays_per_zone: u32) -> u32 {
     if relays_per_zone == 0 { 0 } else { FOLDER_READERS + relays_per_zone * ZONES }
 }
 
-/// The running relays; they end with it.
+/// The running relays. Dropping it ends them.
 pub(crate) struct Relays {
-    /// All relays, those that read the folder first.
+    /// All relays: first those that read the folder, then those of each zone.
     processes: Vec<Process>,
     /// Index in `processes` of the first relay of each zone.
     first_of_zone: Vec<usize>,
-    /// The value of `changes` in a gateway's script.
+    /// The value of `changes` in a gateway's script: the relays of all zones.
     pub(crate) upstreams: String,
 }
 
@@ -66,11 +67,11 @@
     let started = Process::start(&setup.program, folder, ("relay", name), script, &[]).await;
     let (process, announcement) = started.map_err(ScaleError::io(name))?;
     let address = announcement["relay"].as_str().map(str::to_string);
-    let address = address.ok_or_else(|| std::io::Error::other("it did not say where it listens"));
+    let address = address.ok_or_else(|| std::io::Error::other("the relay did not report its address"));
     Ok((process, address.map_err(ScaleError::io(name))?))
 }
 
-/// A list of strings as a script writes it.
+/// A list of strings in the syntax of a script.
 fn string_list(texts: &[String]) -> String {
     format!("{texts:?}")
 }
@@ -110,7 +111,7 @@
     }
 
     /// Process ids of all relays.
-    pub(crate) fn ids(&self) -> impl Iterator<Item = Option<u32>> {
+    pub(crate) fn process_ids(&self) -> impl Iterator<Item = Option<u32>> {
         self.processes.iter().map(Process::id)
     }
 
@@ -121,8 +122,8 @@
         })
     }
 
-    /// Brings a fault on the first relay of each zone.
-    pub(crate) async fn fail(&mut self, fault: Fault) -> Result<(), ScaleError> {
+    /// Injects a fault into the first relay of each zone.
+    pub(crate) async fn inject_fault(&mut self, fault: Fault) -> Result<(), ScaleError> {
         match fault {
             Fault::Stopped => self.signal(Signal::SIGSTOP),
             Fault::Killed => {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Ends a fault, as far as it can be ended.
-    pub(crate) fn heal(&mut self, fault: Fault) -> Result<(), ScaleError> {
+    /// Ends a fault. A killed relay stays ended.
+    pub(crate) fn end_fault(&mut self, fault: Fault) -> Result<(), ScaleError> {
         match fault {
             Fault::Stopped => self.signal(Signal::SIGCONT),
             Fault::Killed => Ok(()),
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -1,4 +1,5 @@
-//! What a run leaves in its folder: lines, the machine, fits as data and as a page, charts.
+//! The results of a run in its folder: lines, a description of the machine, fits as JSON and as a Markdown
+//! page, and charts.
 
 mod chart;
 mod tables;
@@ -13,11 +14,11 @@
 
 use crate::ScaleError;
 use crate::measurement::{Line, load};
-use crate::plan::Refused;
+use crate::plan::PlanRejected;
 use crate::sweep::Slope;
 
-/// Names of the figures that get a chart.
-const CHARTED_FIGURES: [&str; 8] = [
+/// Names of the metrics for which a chart is drawn.
+const CHARTED_METRICS: [&str; 8] = [
     "gateway, core",
     "gateway, memory",
     "real gateway, core",
@@ -28,29 +29,32 @@
     "in force, 99 of 100",
 ];
 
-/// The folder of a run's results.
+/// The folder for a run's results.
 pub struct Out {
     folder: PathBuf,
     lines: File,
 }
 
 impl Out {
-    /// Opens the folder and creates it if it is not there.
+    /// Opens the folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// [`Refused::Out`] if it cannot be written.
-    pub fn open(folder: &Path) -> Result<Out, Refused> {
+    /// [`PlanRejected::ResultsFolder`] if it cannot be written.
+    pub fn open(folder: &Path) -> Result<Out, PlanRejected> {
         let opened = std::fs::create_dir_all(folder).and_then(|()| {
-            let mut lines = File::options();
-            lines.create(true).append(true).open(folder.join("lines.jsonl"))
+            let mut options = File::options();
+            options.create(true).append(true).open(folder.join("lines.jsonl"))
         });
         match opened {
             Ok(lines) => Ok(Out { folder: folder.into(), lines }),
-            Err(error) => Err(Refused::Out { folder: folder.display().to_string(), why: error.to_string() }),
+            Err(error) => Err(PlanRejected::ResultsFolder {
+                folder: folder.display().to_string(),
+                why: error.to_string(),
+            }),
         }
     }
 
-    /// The lines that the folder holds; disruptions, which are no lines, are left out.
+    /// The lines that the folder holds, without the records of disruptions.
     ///
     /// # Errors
     /// The error of reading `lines.jsonl`.
@@ -69,7 +73,8 @@
         self.lines.write_all(&text)
     }
 
-    /// Writes `machine.json`: the machine's cores and memory, its load now, and the commit that is run.
+    /// Writes `machine.json`: the machine's cores and memory, its current load, the commit in the current
+    /// folder and the run's arguments.
     ///
     /// # Errors
     /// The error of writing it.
@@ -82,16 +87,17 @@
             "memory_mb": mb,
             "load": load(),
             "commit": git(&["rev-parse", "HEAD"]),
-            "changed_since": git(&["status", "--porcelain", "--untracked-files=no"]).map(|text| !text.is_empty()),
+            "changed_since": git(&["status", "--porcelain", "--untracked-files=no"])
+                .map(|text| !text.is_empty()),
             "arguments": arguments,
         });
         std::fs::write(self.folder.join("machine.json"), format!("{machine:#}\n"))
     }
 
-    /// Writes fits as data and as tables, and a chart of some figures.
+    /// Writes the fits as JSON and as tables, and charts of some metrics.
     ///
     /// # Errors
-    /// [`ScaleError::Io`] with the file that cannot be written.
+    /// [`ScaleError::Io`] for the file that cannot be written.
     pub fn slopes(&self, slopes: &[Slope]) -> Result<(), ScaleError> {
         let fits = serde_json::to_string_pretty(slopes).unwrap_or_default() + "\n";
         let write = |name: &str, text: String| {
@@ -100,7 +106,7 @@
         };
         write("fits.json", fits)?;
         write("fits.md", tables::slope_tables(slopes))?;
-        for slope in slopes.iter().filter(|slope| CHARTED_FIGURES.contains(&slope.figure.as_str())) {
+        for slope in slopes.iter().filter(|slope| CHARTED_METRICS.contains(&slope.figure.as_str())) {
             let name =
                 format!("{}-{}.svg", slope.factor.name(), slope.figure.replace(", ", "-").replace(' ', "-"));
             let file = self.folder.join(name);
@@ -111,7 +117,7 @@
     }
 }
 
-/// The output of a `git` command; `None` if it fails.
+/// The standard output of a `git` command; `None` if it fails.
 fn git(arguments: &[&str]) -> Option<String> {
     let output =
         Command::new("git").args(arguments).output().ok().filter(|output| output.status.success())?;
--- a/crates/scale/src/sweep/factor.rs
+++ b/crates/scale/src/sweep/factor.rs
@@ -7,25 +7,25 @@
 use crate::measurement::Line;
 use crate::plan::Plan;
 
-/// Hollow gateways at most where another factor than gateways is swept.
+/// Maximum number of hollow gateways while another factor than gateways is swept.
 const MAX_FIXED_GATEWAYS: u32 = 40;
 
-/// Stores at most that accept connections where another factor than stores is swept.
+/// Maximum number of stores that accept connections while another factor than stores is swept.
 const MAX_FIXED_ANSWERING: u32 = 8;
 
-/// What a sweep makes larger.
+/// A dimension of a fleet's size or load that a sweep increases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Factor {
-    /// Stores that the list names, all of them answering.
+    /// Stores in the list, all of which accept connections.
     Stores,
     /// Hollow gateways.
     Gateways,
-    /// Changes of the configuration a second.
+    /// Changes of the configuration per second.
     Changes,
-    /// Restarts of gateways an hour.
+    /// Restarts of hollow gateways per hour.
     Restarts,
-    /// Volumes of the configuration.
+    /// Volumes in the configuration.
     Volumes,
 }
 
@@ -38,9 +38,9 @@
     ("volumes", Factor::Volumes),
 ];
 
-/// A text that names no factor.
+/// A text that is not the name of a factor.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("{0:?} is none of {names}", names = FACTORS.map(|(name, _)| name).join(", "))]
+#[error("unknown factor {0:?}: use one of {names}", names = FACTORS.map(|(name, _)| name).join(", "))]
 pub struct UnknownFactor(String);
 
 impl FromStr for Factor {
@@ -58,7 +58,7 @@
         FACTORS.iter().find(|(_, factor)| *factor == self).map_or("", |(name, _)| name)
     }
 
-    /// One unit of its count.
+    /// Name of one unit of its count, for tables.
     pub(crate) fn unit(self) -> &'static str {
         match self {
             Factor::Stores => "store listed",
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Its count in a line.
+    /// Its count in the fleet of a line.
     pub(crate) fn count(self, line: &Line) -> f64 {
         match self {
             Factor::Stores => line.stores.into(),
@@ -80,43 +80,45 @@
         }
     }
 
-    /// The sizes at which it is measured, up to its size in `most`; all else is small or as in `most`.
-    pub fn plans(self, most: &Plan) -> Vec<Plan> {
+    /// The plans at which the factor is measured, by ascending count. Stores and gateways go up to the counts
+    /// in `largest`, and volumes to that count or 1,600, whichever is larger; changes and restarts have fixed
+    /// rates. All other values are small, or the same as in `largest`.
+    pub fn plans(self, largest: &Plan) -> Vec<Plan> {
         let small = Plan {
-            gateways: most.gateways.min(MAX_FIXED_GATEWAYS) + most.real,
-            stores: most.stores.min(1000),
-            answering: Some(most.stores.min(MAX_FIXED_ANSWERING)),
+            gateways: largest.gateways.min(MAX_FIXED_GATEWAYS) + largest.real,
+            stores: largest.stores.min(1000),
+            answering: Some(largest.stores.min(MAX_FIXED_ANSWERING)),
             changes_per_second: 0.0,
             restarts_per_hour: 0.0,
-            ..most.clone()
+            ..largest.clone()
         };
-        let halves = |most: u32, times: u32| (0..times).rev().map(move |n| (most >> n).max(1));
+        let halvings = |most: u32, count: u32| (0..count).rev().map(move |n| (most >> n).max(1));
         let mut plans: Vec<Plan> = match self {
-            // Each of its stores answers: a gateway holds a link to each that the list names.
+            // All stores accept connections, so that each gateway has a connection to each listed store.
             Factor::Stores => {
-                let of = |stores| Plan {
-                    gateways: 3 + most.real,
+                let plan = |stores| Plan {
+                    gateways: 3 + largest.real,
                     stores,
                     answering: Some(stores),
                     ..small.clone()
                 };
-                halves(most.stores, 5).map(of).collect()
+                halvings(largest.stores, 5).map(plan).collect()
             }
             Factor::Gateways => {
-                let of = |gateways: u32| Plan { gateways: gateways.max(most.real + 1), ..small.clone() };
-                halves(most.gateways, 6).map(of).collect()
+                let plan = |gateways: u32| Plan { gateways: gateways.max(largest.real + 1), ..small.clone() };
+                halvings(largest.gateways, 6).map(plan).collect()
             }
             Factor::Changes => {
-                let of = |rate| Plan { changes_per_second: rate, ..small.clone() };
-                [0.5, 1.0, 2.0, 4.0, 8.0].map(of).into()
+                let plan = |rate| Plan { changes_per_second: rate, ..small.clone() };
+                [0.5, 1.0, 2.0, 4.0, 8.0].map(plan).into()
             }
             Factor::Restarts => {
-                let of = |rate| Plan { restarts_per_hour: rate, ..small.clone() };
-                [1800.0, 3600.0, 7200.0, 14_400.0, 28_800.0].map(of).into()
+                let plan = |rate| Plan { restarts_per_hour: rate, ..small.clone() };
+                [1800.0, 3600.0, 7200.0, 14_400.0, 28_800.0].map(plan).into()
             }
             Factor::Volumes => {
-                let of = |volumes| Plan { volumes, ..small.clone() };
-                halves(most.volumes.max(1600), 5).map(of).collect()
+                let plan = |volumes| Plan { volumes, ..small.clone() };
+                halvings(largest.volumes.max(1600), 5).map(plan).collect()
             }
         };
         plans.dedup();
--- a/crates/scale/src/sweep/mod.rs
+++ b/crates/scale/src/sweep/mod.rs
@@ -1,7 +1,7 @@
-//! Sweeps: one factor after another, each at several sizes, each size measured several times.
+//! Sweeps: measure one factor after another at several sizes, and each size several times.
 
 mod factor;
-mod figures;
+mod metrics;
 mod slopes;
 
 pub use factor::{Factor, UnknownFactor};
@@ -12,55 +12,58 @@
 use crate::measurement::{Line, Setup, Stage, Start};
 use crate::plan::{Plan, demand};
 
-/// Measures a plan once.
+/// Starts a plan's fleet, measures it once and ends it.
 ///
 /// # Errors
-/// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not follow its orders.
+/// [`ScaleError`] if the plan is rejected, a process cannot be started, or a worker process does not execute
+/// a command.
 pub async fn once(plan: &Plan, setup: &Setup, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
-    tracing::info!(point, repeat, "starting");
+    tracing::info!(point, repeat, "measurement started");
     let name = format!("{point}-{repeat}").replace('=', "-");
     let mut stage = Stage::start(plan, setup, Start::OneByOne, &name).await?;
     let mut lines = stage.measure(point, repeat).await?;
-    let ill = stage.end().await;
+    let failures = stage.end().await;
     if let Some(first) = lines.first_mut() {
-        first.broken.extend(ill);
+        first.broken.extend(failures);
     }
-    // Its logs stay where something went wrong.
+    // The logs are kept if a property did not hold.
     if lines.iter().all(|line| line.broken.is_empty()) {
         _ = std::fs::remove_dir_all(setup.scratch.join(name));
     }
     Ok(lines)
 }
 
-/// Sweeps each factor by itself; `each` receives every line as it is measured. All plans are checked before
-/// the first is started.
+/// Sweeps one factor at a time, with the plans of [`Factor::plans`]. `each` receives every line as soon as it
+/// is measured. All plans are checked before the first fleet is started.
 ///
 /// # Errors
-/// [`ScaleError`] if a plan is rejected, or a process cannot be started or does not follow its orders.
+/// [`ScaleError`] if a plan is rejected, a process cannot be started, or a worker process does not execute a
+/// command.
 pub async fn sweep(
     factors: &[Factor],
-    most: &Plan,
+    largest: &Plan,
     repeats: u32,
     setup: &Setup,
     each: &mut (dyn FnMut(&Line) + Send),
 ) -> Result<Vec<Slope>, ScaleError> {
-    let all: Vec<(Factor, Vec<Plan>)> = factors.iter().map(|factor| (*factor, factor.plans(most))).collect();
-    for plan in all.iter().flat_map(|(_, plans)| plans) {
+    let plans_by_factor: Vec<(Factor, Vec<Plan>)> =
+        factors.iter().map(|factor| (*factor, factor.plans(largest))).collect();
+    for plan in plans_by_factor.iter().flat_map(|(_, plans)| plans) {
         demand(plan, &setup.limits)?;
     }
-    let mut found = Vec::new();
-    for (factor, plans) in all {
+    let mut all_slopes = Vec::new();
+    for (factor, plans) in plans_by_factor {
         let mut lines = Vec::new();
         for repeat in 0..repeats {
             for (number, plan) in plans.iter().enumerate() {
                 let point = format!("{}={number}", factor.name());
                 let plan = Plan { seed: plan.seed + u64::from(repeat), ..plan.clone() };
-                let more = once(&plan, setup, &point, repeat).await?;
-                more.iter().for_each(&mut *each);
-                lines.extend(more);
+                let measured = once(&plan, setup, &point, repeat).await?;
+                measured.iter().for_each(&mut *each);
+                lines.extend(measured);
             }
         }
-        found.extend(slopes(factor, &lines));
+        all_slopes.extend(slopes(factor, &lines));
     }
-    Ok(found)
+    Ok(all_slopes)
 }
--- a/crates/scale/src/worker/protocol.rs
+++ b/crates/scale/src/worker/protocol.rs
@@ -1,4 +1,4 @@
-//! Orders to a worker process and its replies, one JSON value on each line.
+//! Protocol between a run and its worker processes: commands and replies, each a line with one JSON value.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,90 +7,95 @@
 use serde::{Deserialize, Serialize};
 use umbertray_fakes::traffic::TrafficCounts;
 
-use crate::hollow::{Acted, Seen};
+use crate::hollow::{AppliedVersion, Seen};
 
-/// Time that a worker process has for an order; starting hundreds of gateways on a busy machine takes
-/// longest.
+/// Time limit for the execution of a command. The longest command starts hundreds of gateways on a busy
+/// machine.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// A store as the list must name it.
+/// A store's entry in the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NamedStore {
+pub struct StoreEntry {
     /// Id of the store.
     pub store: u64,
-    /// Its address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the store.
     pub zone: u32,
 }
 
-/// What a worker process is told to do, as a line of JSON on its standard input.
+/// A command to a worker process, sent as a line of JSON on its standard input.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Order {
+pub enum WorkerCommand {
     /// Starts stand-in stores with consecutive ids, each with the shard of the same number.
     Stores {
-        /// The first id.
+        /// Id of the first store.
         from: u64,
-        /// How many.
+        /// Number of stores.
         count: u32,
-        /// Seed of their random choices.
+        /// Seed of the stores' random choices.
         seed: u64,
     },
     /// Starts the endpoint list.
     List {
         /// Address to listen at; port 0 lets the system choose.
         listen: SocketAddr,
-        /// The stores that it names.
-        stores: Vec<NamedStore>,
+        /// The stores in the list.
+        stores: Vec<StoreEntry>,
     },
-    /// Starts gateways.
+    /// Starts hollow gateways.
     Gateways {
-        /// Number and script of each.
+        /// Number and script file of each gateway.
         files: Vec<(u32, PathBuf)>,
-        /// `Some(stores)`: each gateway starts once the one before it has made or failed to make that many
-        /// connections, so that the peak memory of a start occurs once at a time.
-        after: Option<u64>,
+        /// `Some(stores)`: each gateway starts after the previous one has made or failed to make that many
+        /// connections, so that the memory peaks of the starts do not coincide.
+        #[serde(rename = "after")]
+        connections_before_next: Option<u64>,
     },
-    /// Restarts a gateway.
+    /// Restarts a hollow gateway.
     Restart {
-        /// Its number.
+        /// Number of the gateway.
         gateway: u32,
     },
-    /// Marks all stores of a zone as gone, or as back with empty caches.
+    /// Lists all stores of a zone as gone, or as restarted and ready, with empty caches.
     Zone {
         /// The zone.
         zone: u32,
-        /// Whether they are back.
-        there: bool,
+        /// Whether the stores are listed as restarted, not as gone.
+        #[serde(rename = "there")]
+        present: bool,
     },
-    /// Asks for what the worker has observed.
-    Look,
+    /// Requests the worker's observations.
+    #[serde(rename = "look")]
+    Observe,
 }
 
-/// The answer to an order, as a line of JSON on the worker's standard output.
+/// The reply to a command, sent as a line of JSON on the worker's standard output.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
     /// The addresses of the stores that were started.
     Stores(Vec<SocketAddr>),
-    /// The address at which the list listens.
+    /// The address at which the endpoint list listens.
     List(SocketAddr),
-    /// The order was carried out.
+    /// The command was executed.
     Done,
-    /// What the worker has observed.
-    Looked(Look),
-    /// The order was not carried out, and why.
+    /// The worker's observations.
+    #[serde(rename = "looked")]
+    Observed(Observations),
+    /// The command failed, with the error message.
     Failed(String),
 }
 
-/// What a worker process has observed.
+/// Counters and records of a worker process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Look {
-    /// Bytes at the sockets of its stand-ins since the start.
+pub struct Observations {
+    /// Traffic of its stand-in stores or its endpoint list since the start.
     pub traffic: TrafficCounts,
-    /// Its hollow gateways.
+    /// Counters of its hollow gateways.
     pub gateways: Vec<Seen>,
-    /// What they acted on since the last look.
-    pub acted: Vec<Acted>,
+    /// Versions that its hollow gateways applied since the last observation.
+    #[serde(rename = "acted")]
+    pub applied: Vec<AppliedVersion>,
 }
--- a/crates/scale/src/worker_process.rs
+++ b/crates/scale/src/worker_process.rs
@@ -1,4 +1,5 @@
-//! Handles of worker processes: orders and replies over standard input and output, and an end by process id.
+//! Handles of worker processes: commands and replies over their standard input and output, and termination by
+//! process id.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -10,25 +11,25 @@
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 
 use crate::ScaleError;
-use crate::worker::{Look, Order, REPLY_TIMEOUT, Reply};
+use crate::worker::{Observations, REPLY_TIMEOUT, Reply, WorkerCommand};
 
 /// Time that a worker process has to exit by itself before it is killed.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One worker process, with pipes to its standard input and output.
 ///
-/// Dropping it kills the process by its id. Should the holder's process itself be killed, the worker's
-/// standard input ends, and the worker exits.
+/// Dropping it kills the process by its id. If the process that holds this handle is killed itself, the
+/// worker's standard input ends, and the worker exits.
 pub struct WorkerProcess {
-    /// What the process is for; names its log and appears in errors.
+    /// Role of the process: the name of its log, and part of error messages.
     role: String,
     /// File that receives its standard error.
     log: PathBuf,
-    /// The process.
+    /// The child process.
     child: Child,
     /// Its standard input; `None` once the process has been asked to exit.
     stdin: Option<ChildStdin>,
-    /// Its standard output, by lines.
+    /// Its standard output, read by lines.
     stdout: Lines<BufReader<ChildStdout>>,
 }
 
@@ -54,19 +55,19 @@
             .spawn();
         let mut child = child.map_err(ScaleError::io(format!("{}, as {role}", program.display())))?;
         let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
-        let none = || std::io::Error::other("no standard output");
-        let stdout = stdout.ok_or_else(none).map_err(ScaleError::io(role))?;
+        let no_stdout = || std::io::Error::other("the process has no standard output");
+        let stdout = stdout.ok_or_else(no_stdout).map_err(ScaleError::io(role))?;
         Ok(WorkerProcess { role: role.into(), log, child, stdin, stdout: BufReader::new(stdout).lines() })
     }
 
-    /// The process id; `None` once it has been waited for.
+    /// The process id; `None` once the process has been reaped.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
     /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) -> Result<(), ScaleError> {
-        let id = self.id().ok_or_else(|| self.error("it has ended"))?;
+        let id = self.id().ok_or_else(|| self.error("the process has ended"))?;
         kill(Pid::from_raw(id as i32), signal).map_err(|error| self.error(error.to_string()))
     }
 
@@ -76,51 +77,54 @@
         killed.map_err(|error| self.error(error.to_string()))
     }
 
-    /// The error that names this worker and its log.
+    /// An error with this worker's role and log.
     fn error(&self, why: impl Into<String>) -> ScaleError {
         ScaleError::Worker { role: self.role.clone(), why: why.into(), log: self.log.clone() }
     }
 
-    /// Sends an order; [`WorkerProcess::receive`] receives its reply.
-    pub(crate) async fn send(&mut self, order: &Order) -> Result<(), ScaleError> {
-        let mut line = serde_json::to_vec(order).map_err(|error| self.error(error.to_string()))?;
+    /// Sends a command; [`WorkerProcess::receive`] receives its reply.
+    pub(crate) async fn send(&mut self, command: &WorkerCommand) -> Result<(), ScaleError> {
+        let mut line = serde_json::to_vec(command).map_err(|error| self.error(error.to_string()))?;
         line.push(b'\n');
-        let Some(stdin) = &mut self.stdin else { return Err(self.error("it was let go")) };
+        let Some(stdin) = &mut self.stdin else {
+            return Err(self.error("its standard input is already closed"));
+        };
         let sent = stdin.write_all(&line).await;
-        sent.map_err(|error| self.error(format!("it takes no order: {error}")))
+        sent.map_err(|error| self.error(format!("the command could not be sent: {error}")))
     }
 
-    /// Receives the reply to the oldest order that has none yet.
+    /// Receives the reply to the oldest command that has no reply yet.
     pub(crate) async fn receive(&mut self) -> Result<Reply, ScaleError> {
         let line = tokio::time::timeout(REPLY_TIMEOUT, self.stdout.next_line()).await;
-        let line = line.map_err(|_| self.error(format!("no answer in {} s", REPLY_TIMEOUT.as_secs())))?;
+        let line = line.map_err(|_| self.error(format!("no reply within {} s", REPLY_TIMEOUT.as_secs())))?;
         let line = line.map_err(|error| self.error(error.to_string()))?;
-        let line = line.ok_or_else(|| self.error("it ended before its time"))?;
-        match serde_json::from_str(&line).map_err(|error| self.error(error.to_string()))? {
+        let line = line.ok_or_else(|| self.error("the process ended without a reply"))?;
+        match serde_json::from_str(&line).map_err(|error| self.error(format!("invalid reply: {error}")))? {
             Reply::Failed(why) => Err(self.error(why)),
             reply => Ok(reply),
         }
     }
 
-    /// Sends an order and receives its reply.
+    /// Sends a command and receives its reply.
     ///
     /// # Errors
-    /// [`ScaleError::Worker`] if the process has ended, replies with an error or with something else than a
-    /// reply, or does not reply in time.
-    pub async fn request(&mut self, order: &Order) -> Result<Reply, ScaleError> {
-        self.send(order).await?;
+    /// [`ScaleError::Worker`] if the process has ended, replies with an error or with an invalid reply, or
+    /// does not reply in time.
+    pub async fn request(&mut self, command: &WorkerCommand) -> Result<Reply, ScaleError> {
+        self.send(command).await?;
         self.receive().await
     }
 
-    /// Asks for what the worker has observed.
-    pub(crate) async fn observe(&mut self) -> Result<Look, ScaleError> {
-        match self.request(&Order::Look).await? {
-            Reply::Looked(look) => Ok(look),
-            other => Err(self.error(format!("{other:?} is no look"))),
+    /// Requests the worker's observations.
+    pub(crate) async fn observe(&mut self) -> Result<Observations, ScaleError> {
+        match self.request(&WorkerCommand::Observe).await? {
+            Reply::Observed(observations) => Ok(observations),
+            other => Err(self.error(format!("unexpected reply to a request for observations: {other:?}"))),
         }
     }
 
-    /// Closes the worker's standard input and waits for it to exit; kills it if it does not.
+    /// Closes the worker's standard input and waits for the worker to exit. Kills it if it does not exit in
+    /// time.
     pub async fn shut_down(mut self) {
         self.stdin = None;
         if tokio::time::timeout(EXIT_TIMEOUT, self.child.wait()).await.is_err() {
