--- a/crates/fakes/src/traffic.rs
+++ b/crates/fakes/src/traffic.rs
@@ -36,7 +36,7 @@
     }
 
     /// The counts so far.
-    pub fn crossed(&self) -> TrafficCounts {
+    pub fn counts(&self) -> TrafficCounts {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         TrafficCounts { read: load(&self.read), written: load(&self.written), frames: load(&self.frames) }
     }
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -23,7 +23,7 @@
     /// Fits a line to pairs of count and value; `None` unless there are at least two different counts.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let n = points.len() as f64;
-        let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
+        let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
         let spread: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
         if points.len() < 2 || spread <= 0.0 {
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -6,7 +6,7 @@
 
 use super::in_force::{apply_delays, unapplied_messages};
 use super::sample::Sample;
-use super::usage::{MB, ProcessUsage, load};
+use super::usage::{MIB, ProcessUsage, load_average};
 use super::{Line, Role, Stage};
 
 /// Traffic rates of a line, in bytes per second for both directions.
@@ -149,8 +149,8 @@
             start_seconds: self.stage.start_duration.as_secs_f64(),
             start_bytes: self.stage.start_bytes as f64 / f64::from(plan.gateways),
             idle_core_percent: usage.cpu / self.seconds * 100.0 / members,
-            rss_mb: usage.rss as f64 / MB / members,
-            rss_total_mb: usage.rss as f64 / MB,
+            rss_mb: usage.rss as f64 / MIB / members,
+            rss_total_mb: usage.rss as f64 / MIB,
             control_bytes_per_second: rates.control,
             list_bytes_per_second: rates.list,
             link_bytes_per_second: rates.links,
@@ -158,7 +158,7 @@
             changes: self.stage.committed_at.len() as u32,
             restarts: self.stage.restarts,
             in_force_seconds: None,
-            load: load(),
+            load: load_average(),
             broken: Vec::new(),
         }
     }
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -17,7 +17,7 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of gateways that a message names.
-const NAMED_AT_MOST: usize = 5;
+const MAX_NAMED_GATEWAYS: usize = 5;
 
 impl Stage {
     /// Measures the fleet for the plan's duration, and returns a line for each role.
@@ -46,7 +46,7 @@
     fn broken_properties(&self, behind: &[u32], seen: &[Seen]) -> Vec<String> {
         let mut broken = Vec::new();
         if !behind.is_empty() {
-            let named = &behind[..behind.len().min(NAMED_AT_MOST)];
+            let named = &behind[..behind.len().min(MAX_NAMED_GATEWAYS)];
             broken.push(format!("{} gateways did not apply the last change: {named:?}, ...", behind.len()));
         }
         let ended = seen.iter().filter(|seen| seen.over).count();
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -16,7 +16,7 @@
 pub use line::{Line, Role};
 pub(crate) use processes::{start_coordinator, start_list, start_worker};
 pub use stage::Stage;
-pub(crate) use usage::{MB, load};
+pub(crate) use usage::{MIB, load_average};
 
 use std::path::PathBuf;
 
--- a/crates/scale/src/measurement/usage.rs
+++ b/crates/scale/src/measurement/usage.rs
@@ -6,7 +6,7 @@
 use nix::unistd::Pid;
 
 /// Bytes in a MiB.
-pub(crate) const MB: f64 = (1 << 20) as f64;
+pub(crate) const MIB: f64 = (1 << 20) as f64;
 
 /// Bytes in a memory page, the unit in which the system reports resident memory.
 ///
@@ -35,7 +35,7 @@
 }
 
 /// The machine's load average over the last minute.
-pub(crate) fn load() -> f64 {
+pub(crate) fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace().next().and_then(|load| load.parse().ok()).unwrap_or_default()
 }
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/moments.rs
@@ -10,7 +10,7 @@
 use crate::fit::Quantiles;
 use crate::hollow::Seen;
 use crate::measurement::{
-    MB, Setup, Stage, Start, apply_delays, load, start_coordinator, start_list, start_worker,
+    MIB, Setup, Stage, Start, apply_delays, load_average, start_coordinator, start_list, start_worker,
 };
 use crate::plan::Plan;
 use crate::worker::{Reply, WorkerCommand};
@@ -114,11 +114,11 @@
             gateways: self.plan.gateways,
             stores: self.plan.stores,
             answering: self.demand.answering,
-            rss_total_mb: self.resident_bytes() as f64 / MB,
+            rss_total_mb: self.resident_bytes() as f64 / MIB,
             bytes_a_gateway: bytes as f64 / f64::from(self.plan.gateways),
             steady_seconds: steady.as_secs_f64(),
             in_force_seconds: apply_delays(&self.committed_at, &self.applied),
-            load: load(),
+            load: load_average(),
             broken,
         }
     }
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use crate::ScaleError;
-use crate::measurement::{Line, load};
+use crate::measurement::{Line, load_average};
 use crate::plan::PlanRejected;
 use crate::sweep::Slope;
 
@@ -85,7 +85,7 @@
         let machine = json!({
             "cores": std::thread::available_parallelism().map_or(0, usize::from),
             "memory_mb": mb,
-            "load": load(),
+            "load": load_average(),
             "commit": git(&["rev-parse", "HEAD"]),
             "changed_since": git(&["status", "--porcelain", "--untracked-files=no"])
                 .map(|text| !text.is_empty()),
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -112,8 +112,8 @@
                 Ok(Reply::Done)
             }
             WorkerCommand::Observe => {
-                let stores = self.stores.iter().map(|store| store.traffic.crossed());
-                let list = self.list.iter().map(|(list, _)| list.traffic.crossed());
+                let stores = self.stores.iter().map(|store| store.traffic.counts());
+                let list = self.list.iter().map(|(list, _)| list.traffic.counts());
                 let traffic = stores.chain(list).fold(TrafficCounts::default(), std::ops::Add::add);
                 let (gateways, applied) = (self.fleet.snapshots(), self.fleet.take_applied());
                 Ok(Reply::Observed(Observations { traffic, gateways, applied }))
