--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -1,4 +1,4 @@
-//! One request to a coordinator, on a connection of its own: what operators and tests ask.
+//! Client for operators and tests: one request to a coordinator, on a separate connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,39 +9,37 @@
 
 use crate::framed_socket::FramedSocket;
 
-/// From connecting to the whole answer.
+/// Timeout of a request, from connecting to the complete response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// One request is made on a connection, so any token will do.
+/// Token of the request. Each connection carries a single request, so any value works.
 const TOKEN: u64 = 1;
 
-/// Why a request has no answer.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The connection could not be made, ended, or took too long.
-    #[error("the coordinator at {address} does not answer: {error}; see whether it runs, and ask again")]
+    /// Connecting failed, the connection closed before the response, or the request timed out.
+    #[error("no response from the coordinator at {address}: {error}; check that it is running, then retry")]
     Unreachable {
         /// The coordinator's address.
         address: SocketAddr,
         /// The system's error.
         error: io::Error,
     },
-    /// The coordinator rejects the move, with this reason.
-    #[error("the coordinator refuses: {0}")]
+    /// The coordinator rejected the move, with this reason.
+    #[error("the coordinator rejected the move: {0}")]
     Rejected(String),
-    /// The answer is to another request.
-    #[error(
-        "the coordinator at {address} says something else than was asked: is it a coordinator of this version?"
-    )]
+    /// The response belongs to another kind of request.
+    #[error("unexpected response from {address}: check that a coordinator of the same version listens there")]
     UnexpectedReply {
         /// The coordinator's address.
         address: SocketAddr,
     },
 }
 
-/// Asks for a move of a range to a shard; its number.
+/// Requests the move of a range to a shard, and returns the move's number.
 ///
 /// # Errors
-/// [`RequestError`] where there is no answer, or the move is rejected.
+/// [`RequestError`] if there is no valid response, or the move is rejected.
 pub async fn request_move(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, RequestError> {
     match request(address, ToList::Move { token: TOKEN, span, shard }).await? {
         FromList::Move { number, .. } => number.map_err(RequestError::Rejected),
@@ -49,10 +47,11 @@
     }
 }
 
-/// How far a move is, for people, and whether it is over. With `abandon` the move is abandoned first, if it still can be.
+/// Queries a move: returns its state as a text for operators, and whether the move has finished. With
+/// `abandon`, the move is abandoned first if that is still possible.
 ///
 /// # Errors
-/// [`RequestError`] where there is no answer.
+/// [`RequestError`] if there is no valid response.
 pub async fn move_status(
     address: SocketAddr,
     number: u64,
@@ -70,7 +69,7 @@
     reply.map_err(|error| RequestError::Unreachable { address, error })
 }
 
-/// The first answer but the welcome.
+/// Sends a request, and returns the first message after the welcome.
 async fn exchange(address: SocketAddr, message: ToList) -> io::Result<FromList> {
     let mut socket = FramedSocket::connect(address).await?;
     socket.send(&ToList::Hello { run: 0 }).await?;
--- a/crates/coordinator/src/endpoint_list.rs
+++ b/crates/coordinator/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The list of stores: which store serves which shard, followed for as long as the coordinator runs.
+//! The endpoint list, which says which store serves which shard. It is watched for as long as the coordinator
+//! runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,17 +14,17 @@
 use crate::framed_socket::FramedSocket;
 use crate::store_connection::connect;
 
-/// Between two attempts to watch the list.
+/// Delay between two attempts to watch the list.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The stores that were listed last and are not gone.
+/// The stores of the latest endpoint list, without those that are gone.
 #[derive(Default)]
 pub(crate) struct StoreTable {
     stores: BTreeMap<u64, ListedStore>,
 }
 
 impl StoreTable {
-    /// Takes what was listed: all stores where `is_full`, otherwise those that have changed.
+    /// Applies a message of the list service: the complete list if `is_full`, otherwise the changed entries.
     pub(crate) fn update(&mut self, stores: Vec<ListedStore>, is_full: bool) {
         if is_full {
             self.stores.clear();
@@ -40,39 +41,40 @@
         self.stores.values().map(|store| store.shard).collect()
     }
 
-    /// The store that has served a shard longest, of those that are not draining if there are any.
-    pub(crate) fn serving(&self, shard: u32) -> Option<&ListedStore> {
-        let serving = self.stores.values().filter(|store| store.shard == shard);
-        serving.min_by_key(|store| {
+    /// The store to send a shard's orders to: the one that started the longest time ago, preferring stores
+    /// that are not draining.
+    pub(crate) fn store_for_shard(&self, shard: u32) -> Option<&ListedStore> {
+        let candidates = self.stores.values().filter(|store| store.shard == shard);
+        candidates.min_by_key(|store| {
             let is_draining = store.state == EndpointState::Draining;
             (is_draining, Reverse(store.age.unwrap_or(u64::MAX)))
         })
     }
 }
 
-/// Follows the list; it never ends by itself.
+/// Watches the list, and reconnects whenever the watch ends; it never returns.
 pub(crate) async fn follow(endpoint_list: SocketAddr, events: mpsc::UnboundedSender<LoopEvent>) {
     loop {
-        let ended = watch(endpoint_list, &events).await;
-        let reason = ended.err().map_or("closed".into(), |error| error.to_string());
+        let result = watch(endpoint_list, &events).await;
+        let reason = result.err().map_or("closed".into(), |error| error.to_string());
         tracing::warn!(%endpoint_list, reason, "endpoint list stale");
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Watches the list until its connection ends.
+/// Watches the list until its connection closes.
 async fn watch(endpoint_list: SocketAddr, events: &mpsc::UnboundedSender<LoopEvent>) -> io::Result<()> {
     let mut socket: FramedSocket = connect(endpoint_list, &ToList::Hello { run: 0 }).await?;
     socket.send(&ToList::Watch).await?;
     while let Some(message) = socket.receive().await? {
-        let listed = match message {
+        let event = match message {
             FromList::Full(stores) => LoopEvent::StoresListed { stores, is_full: true },
             FromList::Changes(stores) => LoopEvent::StoresListed { stores, is_full: false },
-            FromList::Failed => return Err(io::Error::other("the list rejected the watch")),
+            FromList::Failed => return Err(io::Error::other("the list service rejected the watch")),
             _ => continue,
         };
-        // The loop has ended where this fails, and this task ends with it.
-        _ = events.send(listed);
+        // If this fails, the event loop has ended, and this task is being aborted too.
+        _ = events.send(event);
     }
     Ok(())
 }
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a coordinator cannot start or go on.
+//! Errors that keep a coordinator from starting or that stop it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,43 +7,57 @@
 
 use umbertray_config_log::chain::ChainError;
 
-/// Why a coordinator cannot start or go on; each text says what the operator can do.
+/// Why a coordinator failed to start or stopped; each message says what the operator can do.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinatorError {
     /// Another process has locked the folder.
-    #[error("{}: another coordinator works in this folder; stop it, or take over from one that stands still", folder.display())]
+    #[error(
+        "{}: another coordinator has locked this folder; stop it, or take over if it is stalled",
+        folder.display()
+    )]
     Locked {
         /// The folder.
         folder: PathBuf,
     },
-    /// Another process has locked the folder, and its lease is not over.
-    #[error("{}: the coordinator there was at work {ago:?} ago; it may be taken over from once that is {wait:?}", folder.display())]
-    Leased {
+    /// Another process has locked the folder, and its lease has not expired.
+    #[error(
+        "{}: the coordinator of this folder renewed its lease {since_renewal:?} ago; \
+         take over once {lease_duration:?} have passed since its last renewal",
+        folder.display()
+    )]
+    LeaseNotExpired {
         /// The folder.
         folder: PathBuf,
-        /// How long ago its lease was renewed.
-        ago: Duration,
-        /// How long ago that has to be.
-        wait: Duration,
+        /// Time since the lease was renewed.
+        since_renewal: Duration,
+        /// Time after a renewal at which the lease expires.
+        lease_duration: Duration,
     },
     /// The log is damaged, or cannot be read or written.
-    #[error("{}: the log cannot be used: {error}; restore the folder from a copy, and never start with an empty one while stores hold ranges that were moved", folder.display())]
+    #[error(
+        "{}: the log cannot be read or written: {error}; restore the folder from a copy, \
+         and never start with an empty folder while stores hold ranges that were moved",
+        folder.display()
+    )]
     Log {
         /// The folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the log.
         error: ChainError,
     },
-    /// A record of the log is of a later program.
-    #[error("{}: version {version} of the log cannot be read by this program; run the one that wrote it", folder.display())]
+    /// A newer program wrote a record of the log.
+    #[error(
+        "{}: this program cannot read version {version} of the log; run the program version that wrote it",
+        folder.display()
+    )]
     UnreadableRecord {
         /// The folder.
         folder: PathBuf,
-        /// The version of the record.
+        /// The log version of the record.
         version: u64,
     },
     /// A file of the folder cannot be read or written.
-    #[error("{}: {error}; see to the disk, then start again", folder.display())]
+    #[error("{}: {error}; check the disk and the folder, then start again", folder.display())]
     Disk {
         /// The folder.
         folder: PathBuf,
@@ -51,7 +65,9 @@
         error: io::Error,
     },
     /// The listening socket cannot be opened.
-    #[error("listening at {address}: {error}; name another address, or stop who has it")]
+    #[error(
+        "cannot listen at {address}: {error}; configure another address, or stop the process that uses it"
+    )]
     Listen {
         /// The address.
         address: SocketAddr,
@@ -60,26 +76,28 @@
     },
     /// A store has received an order of a later run.
     #[error(
-        "a coordinator of term {theirs} is at work, this one has term {ours}: it ends, as it may give no orders any more"
+        "a coordinator with the later term {later_term} is running; this one has term {own_term} and stops, \
+         because stores reject its orders"
     )]
     Superseded {
         /// The term of this run.
-        ours: u64,
+        own_term: u64,
         /// The term of the later run.
-        theirs: u64,
+        later_term: u64,
     },
-    /// The lease is over, or another process has it.
+    /// The lease has expired, or another process holds it.
     #[error(
-        "its lease ran out while it stood still: it ends, since another may have taken over; start it again if none has"
+        "the coordinator stops because its lease expired or was taken over; \
+         start it again if no other one is running"
     )]
-    TakenOver,
-    /// The event loop panicked.
-    #[error("the coordinator's loop ended: {0}; start it again, and tell of it")]
-    Ended(tokio::task::JoinError),
+    LeaseLost,
+    /// The event loop panicked or was aborted.
+    #[error("the coordinator's event loop failed: {0}; start the coordinator again, and report the failure")]
+    EventLoopFailed(tokio::task::JoinError),
 }
 
 impl CoordinatorError {
-    /// Makes errors of a folder's files.
+    /// A function that turns I/O errors of the folder's files into [`CoordinatorError::Disk`].
     pub(crate) fn disk(folder: &Path) -> impl Fn(io::Error) -> CoordinatorError {
         let folder = folder.to_path_buf();
         move |error| CoordinatorError::Disk { folder: folder.clone(), error }
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that hosts the core: one task, which alone accesses it, its log and its lease.
+//! The event loop that drives the core: a single task owns the core, its log and its lease.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,29 +15,31 @@
 use crate::endpoint_list::StoreTable;
 use crate::lease::Lease;
 use crate::log::Log;
-use crate::store_connection::{self, SentOrder};
+use crate::store_connection::{self, OrderRequest};
 
-/// What the other tasks tell the loop.
+/// An event that another task sends to the event loop.
 pub(crate) enum LoopEvent {
-    /// A peer has sent its hello; messages for it go to `messages`, and dropping that closes its connection.
+    /// A peer has sent its hello. Messages for it go to `messages`; dropping the sender closes the
+    /// connection.
     PeerConnected { connection: ConnectionId, messages: mpsc::Sender<FromList> },
     /// A peer's connection has ended.
     PeerDisconnected(ConnectionId),
-    /// A peer sent a message, its hello among them.
+    /// A peer has sent a message; its hello is one too.
     RequestReceived { connection: ConnectionId, message: ToList },
-    /// Stores were listed: all of them where `is_full`, otherwise those that have changed.
+    /// The list service has sent stores: the complete list if `is_full`, otherwise the changed entries.
     StoresListed { stores: Vec<ListedStore>, is_full: bool },
-    /// An order was answered, or has failed.
+    /// An order has received its reply, or has failed (`reply` is `None`).
     OrderFinished { token: u64, reply: Option<OrderReply> },
 }
 
-/// Events handled in one step, at most; the records that they lead to are synced once.
+/// Maximum number of events handled in one step; the records that a step logs are synced together.
 const MAX_EVENTS_PER_STEP: usize = 256;
 
-/// A connection to a store; dropping it ends the connection once the orders given are answered.
+/// A connection to a store. Dropping it closes the connection once the queued orders have received their
+/// replies.
 struct StoreConnection {
     address: SocketAddr,
-    orders: mpsc::UnboundedSender<SentOrder>,
+    orders: mpsc::UnboundedSender<OrderRequest>,
 }
 
 pub(crate) struct EventLoop {
@@ -45,14 +47,14 @@
     log: Log,
     lease: Lease,
     clock: Clock,
-    /// Identifies this run to stores.
+    /// Identifies this run of the coordinator to stores.
     run_id: u64,
     events: mpsc::UnboundedSender<LoopEvent>,
     peers: HashMap<ConnectionId, mpsc::Sender<FromList>>,
     stores: StoreTable,
-    /// By the store's number.
+    /// Connections by the store's id.
     store_connections: HashMap<u64, StoreConnection>,
-    /// The tasks of store connections, also of those that are ending.
+    /// The tasks of all store connections, including those that are closing.
     store_tasks: JoinSet<()>,
     timer_at: Option<Duration>,
 }
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Runs until the coordinator cannot go on.
+    /// Runs until an error stops the coordinator.
     pub(crate) async fn run(
         mut self,
         first_outputs: Vec<Output>,
@@ -89,14 +91,15 @@
         self.apply_outputs(first_outputs)?;
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         loop {
-            // Hazard: a sleep that is made anew in each round is not ready at its first poll, even of no length. Where events
-            // are always waiting it never is, and the lease would run out under steady load.
-            if self.lease.renew_in().is_zero() {
+            // Hazard: a sleep that is created in each iteration is not ready at its first poll, even with a
+            // zero duration. While events are always queued it would never become ready, and the lease would
+            // expire under steady load. Therefore the renewal is also checked here.
+            if self.lease.time_until_renewal().is_zero() {
                 self.renew_lease()?;
             }
-            let renewal = tokio::time::sleep(self.lease.renew_in());
+            let renewal = tokio::time::sleep(self.lease.time_until_renewal());
             let until_timer = self.timer_at.map_or(Duration::MAX, |at| at.saturating_sub(self.clock.now()));
-            // A cancelled branch loses nothing: the sleeps are computed anew, and events stay in the channel.
+            // Cancel safety: the sleeps are recomputed in each iteration, and events stay in the channel.
             tokio::select! {
                 biased;
                 () = renewal => self.renew_lease()?,
@@ -104,7 +107,7 @@
                     if count == 0 {
                         return Ok(());
                     }
-                    let inputs = events.drain(..).filter_map(|event| self.on_event(event)).collect();
+                    let inputs = events.drain(..).filter_map(|event| self.handle_event(event)).collect();
                     self.step(inputs)?;
                 }
                 () = tokio::time::sleep(until_timer), if self.timer_at.is_some() => {
@@ -118,8 +121,8 @@
         tokio::task::block_in_place(|| self.lease.renew_unless_lost())
     }
 
-    /// Takes what concerns connections; what concerns the core is returned.
-    fn on_event(&mut self, event: LoopEvent) -> Option<Input> {
+    /// Updates the connection tables, and returns the input for the core, if the event has one.
+    fn handle_event(&mut self, event: LoopEvent) -> Option<Input> {
         match event {
             LoopEvent::PeerConnected { connection, messages } => {
                 self.peers.insert(connection, messages);
@@ -146,8 +149,8 @@
         self.apply_outputs(outputs)
     }
 
-    /// Applies outputs in order. Invariant: before anything is sent, what was logged is durable, and this coordinator held
-    /// the lease when it became so.
+    /// Applies outputs in order. Invariant: before anything is sent, all preceding log records are durable,
+    /// and this coordinator still held the lease after they became durable.
     fn apply_outputs(&mut self, outputs: Vec<Output>) -> Result<(), CoordinatorError> {
         self.timer_at = None;
         for output in outputs {
@@ -155,8 +158,8 @@
                 Output::Log(records) => self.append_to_log(&records)?,
                 Output::SetTimer(at) => self.timer_at = Some(at),
                 Output::Superseded { term } => {
-                    let ours = self.coordinator.state().term;
-                    return Err(CoordinatorError::Superseded { ours, theirs: term });
+                    let own_term = self.coordinator.state().term;
+                    return Err(CoordinatorError::Superseded { own_term, later_term: term });
                 }
                 Output::Send { connection, message } => {
                     self.check_lease()?;
@@ -164,7 +167,7 @@
                 }
                 Output::Order { token, shard, term, number, order } => {
                     self.check_lease()?;
-                    self.send_order(shard, SentOrder { token, term, number, order });
+                    self.send_order(shard, OrderRequest { token, term, move_number: number, order });
                 }
             }
         }
@@ -183,11 +186,12 @@
         if self.lease.is_held() {
             return Ok(());
         }
-        tracing::error!(overdue = ?self.lease.renewal_overdue(), "lease over before a message");
-        Err(CoordinatorError::TakenOver)
+        tracing::error!(overdue = ?self.lease.renewal_overdue(), "lease expired before a message was sent");
+        Err(CoordinatorError::LeaseLost)
     }
 
-    /// Sends a message to a peer. One that does not read loses its connection, and asks again on the next.
+    /// Queues a message for a peer. If the peer does not read and its queue is full, its connection is
+    /// closed; the peer repeats its requests on its next connection.
     fn send(&mut self, connection: ConnectionId, message: FromList) {
         let peer = self.peers.get(&connection);
         if peer.is_some_and(|peer| peer.try_send(message).is_err()) {
@@ -195,23 +199,24 @@
         }
     }
 
-    fn send_order(&mut self, shard: u32, order: SentOrder) {
-        tracing::debug!(shard, number = order.number, order = order.order.name(), "order sent");
+    fn send_order(&mut self, shard: u32, order: OrderRequest) {
+        tracing::debug!(shard, number = order.move_number, order = order.order.name(), "order sent");
         let token = order.token;
-        let is_sent = self.orders_to(shard).is_some_and(|orders| orders.send(order).is_ok());
-        if !is_sent {
-            // The loop holds the receiver, so the event arrives.
+        let is_queued = self.order_sender(shard).is_some_and(|orders| orders.send(order).is_ok());
+        if !is_queued {
+            // The event loop holds the receiver, so the send succeeds.
             _ = self.events.send(LoopEvent::OrderFinished { token, reply: None });
         }
     }
 
-    /// The connection to the store that serves a shard; none where no store does.
-    fn orders_to(&mut self, shard: u32) -> Option<mpsc::UnboundedSender<SentOrder>> {
-        let listed = self.stores.serving(shard)?;
+    /// The order queue of the store that serves a shard, connecting to the store if necessary; `None` if no
+    /// store serves the shard.
+    fn order_sender(&mut self, shard: u32) -> Option<mpsc::UnboundedSender<OrderRequest>> {
+        let listed = self.stores.store_for_shard(shard)?;
         let store = listed.store;
         let address = listed.address;
-        let open = self.store_connections.get(&store).filter(|connection| connection.address == address);
-        if let Some(connection) = open {
+        let existing = self.store_connections.get(&store).filter(|connection| connection.address == address);
+        if let Some(connection) = existing {
             return Some(connection.orders.clone());
         }
         while self.store_tasks.try_join_next().is_some() {}
--- a/crates/coordinator/src/framed_socket.rs
+++ b/crates/coordinator/src/framed_socket.rs
@@ -1,4 +1,4 @@
-//! A connection that this process opens, as frames.
+//! An outgoing connection that sends and receives frames.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use umbertray_socket::Socket;
 use umbertray_store_protocol::{Message, next_frame};
 
-/// A socket and the bytes read of its next frame.
+/// A socket, and a buffer with the bytes of frames that are not decoded yet.
 pub(crate) struct FramedSocket {
     socket: Socket,
     input: BytesMut,
@@ -20,7 +20,7 @@
         Ok(FramedSocket { socket, input: BytesMut::new() })
     }
 
-    /// Sends small frames at once instead of gathering them.
+    /// Sets `TCP_NODELAY`: small frames are sent immediately instead of being delayed and combined.
     pub(crate) fn set_nodelay(&self) -> io::Result<()> {
         self.socket.set_nodelay(true)
     }
@@ -29,7 +29,8 @@
         self.socket.write_all(&message.frame()).await
     }
 
-    /// The next frame; none where the peer has closed the connection. Cancelled, it loses nothing: what was read stays.
+    /// Receives the next frame; `None` if the peer has closed the connection. It is cancel safe: bytes that
+    /// were read stay in the buffer.
     pub(crate) async fn receive<M: Message>(&mut self) -> io::Result<Option<M>> {
         loop {
             if let Some(message) = next_frame(&mut self.input).map_err(io::Error::other)? {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,9 +1,12 @@
-//! The coordinator: one process that holds the map of where data lies and sees moves through. It moves bytes, keeps the log and
-//! time; what it answers and orders is decided by [`umbertray_control_plane::Coordinator`].
+//! The coordinator process: it holds the map of extents and executes moves. This package does the I/O
+//! (sockets, log, clock); [`umbertray_control_plane::Coordinator`] decides which responses and orders are
+//! sent.
 //!
-//! One task owns the core (`event_loop`), one each peer's connection (`peers`), one the endpoint list (`endpoint_list`), one
-//! each connection to a store (`store_connection`). Invariant: what is logged is durable before anything that follows it is
-//! sent (`log`), and nothing is sent without a lease of the folder (`lease`).
+//! One task owns the core (`event_loop`), one task serves each peer's connection (`peers`), one follows the
+//! endpoint list (`endpoint_list`), and one runs each connection to a store (`store_connection`).
+//!
+//! Invariant: log records are durable before any message that depends on them is sent (`log`), and nothing is
+//! sent while this process does not hold the lease of the folder (`lease`).
 
 pub mod client;
 mod endpoint_list;
@@ -27,38 +30,38 @@
 
 use event_loop::EventLoop;
 
-/// How a coordinator is started.
+/// Options for [`start`].
 pub struct CoordinatorOptions {
-    /// Where gateways connect; port 0 lets the system choose.
+    /// The address to listen at for gateways; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Where the list of stores is served.
+    /// The address of the list service, which serves the endpoint list.
     pub endpoint_list: SocketAddr,
-    /// Its log and its lease.
+    /// The folder of the log and the lease.
     pub folder: PathBuf,
-    /// Whether it may take the folder from another coordinator.
+    /// Whether to take the folder over from another coordinator.
     pub takeover: Takeover,
 }
 
-/// A running coordinator. Dropping it ends its tasks at once, as a kill would.
+/// A running coordinator. Dropping it aborts its tasks immediately, without a graceful shutdown.
 pub struct RunningCoordinator {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     /// The term of this run.
     pub term: u64,
     event_loop: JoinHandle<Result<(), CoordinatorError>>,
-    /// The acceptor of peers and the follower of the endpoint list.
-    _background: JoinSet<()>,
+    /// The tasks that accept peers and follow the endpoint list.
+    _background_tasks: JoinSet<()>,
 }
 
 impl RunningCoordinator {
-    /// Waits until the coordinator cannot go on.
+    /// Waits until the coordinator stops.
     ///
     /// # Errors
-    /// Why it cannot go on.
+    /// The reason why it stopped.
     pub async fn ended(&mut self) -> Result<(), CoordinatorError> {
         match (&mut self.event_loop).await {
-            Ok(ended) => ended,
-            Err(error) => Err(CoordinatorError::Ended(error)),
+            Ok(result) => result,
+            Err(error) => Err(CoordinatorError::EventLoopFailed(error)),
         }
     }
 }
@@ -69,14 +72,15 @@
     }
 }
 
-/// Starts a coordinator on the present runtime, which has to be one of several threads: writing the log blocks one.
-/// Its term is durable before it listens.
+/// Starts a coordinator on the current runtime, which must be multi-threaded because log writes block a
+/// thread. The event loop makes the new term durable before it handles any event.
 ///
 /// # Errors
-/// The folder is another's, damaged or not accessible, or the address cannot be listened at.
+/// Another coordinator holds the folder, the folder is damaged or inaccessible, or listening at the address
+/// fails.
 pub async fn start(options: CoordinatorOptions) -> Result<RunningCoordinator, CoordinatorError> {
     let CoordinatorOptions { listen, endpoint_list, folder, takeover } = options;
-    let lease::LeasedFolder { mut lease, disk } = lease::Lease::take(&folder, takeover)?;
+    let lease::LeasedFolder { mut lease, disk } = lease::Lease::acquire(&folder, takeover)?;
     let opened =
         tokio::task::block_in_place(|| log::Log::open(Box::new(disk), &folder, || lease.renew_unless_lost()));
     let log::OpenLog { log, coordinator, first_outputs } = opened?;
@@ -85,11 +89,11 @@
     let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
     let address = listener.local_addr().map_err(listen_error)?;
     let (events, event_receiver) = mpsc::unbounded_channel();
-    let mut background = JoinSet::new();
-    background.spawn(peers::accept(listener, events.clone()));
-    background.spawn(endpoint_list::follow(endpoint_list, events.clone()));
+    let mut background_tasks = JoinSet::new();
+    background_tasks.spawn(peers::accept(listener, events.clone()));
+    background_tasks.spawn(endpoint_list::follow(endpoint_list, events.clone()));
     let event_loop = EventLoop::new(coordinator, log, lease, events);
     let event_loop = tokio::spawn(event_loop.run(first_outputs, event_receiver));
     tracing::info!(%address, term, "coordinator started");
-    Ok(RunningCoordinator { address, term, event_loop, _background: background })
+    Ok(RunningCoordinator { address, term, event_loop, _background_tasks: background_tasks })
 }
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -1,4 +1,4 @@
-//! The coordinator's log: a hash chain like the configuration's, with records of the map in it.
+//! The coordinator's log: records of the map in a hash chain, as the configuration's log uses one.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,25 +13,25 @@
 const FORMAT: LogFormat =
     LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary: "map.new" };
 
-/// Bytes that a segment grows to, or to twice what it begins with if that is more.
+/// Size beyond which a new segment begins, bytes; twice the segment's initial size if that is more.
 const MAX_SEGMENT_GROWTH: usize = 4 << 20;
 
-/// A folder's log, open for appending.
+/// The log of a folder, open for appending.
 pub(crate) struct Log {
     chain: HashChain,
 }
 
-/// An opened log, and the coordinator that begins a run on it.
+/// An opened log, and the coordinator state machine that starts a new run from it.
 pub(crate) struct OpenLog {
     pub(crate) log: Log,
     pub(crate) coordinator: Coordinator,
-    /// What the new run does first.
+    /// The outputs to apply before any event is handled.
     pub(crate) first_outputs: Vec<Output>,
 }
 
 impl Log {
-    /// Opens or begins a folder's log. Each step of that may take several syncs: `renew_lease` is called between them, so that
-    /// the lease outlasts a slow disk.
+    /// Opens the log of a folder, or creates it. Each step may need several syncs; `renew_lease` is called
+    /// between the steps, so that the lease does not expire on a slow disk.
     pub(crate) fn open(
         storage: Box<dyn Storage>,
         folder: &Path,
@@ -46,23 +46,25 @@
         let recovered = chain.recover(|| (state.encode(), VecDeque::new()));
         recovered.map_err(|error| log_error(ChainError::Disk(error)))?;
         renew_lease()?;
-        // A segment of its own for each run: what a coordinator that was taken over from still writes goes to the one before.
-        let rolled = chain.roll(state.encode(), VecDeque::new());
-        rolled.map_err(|error| log_error(ChainError::Disk(error)))?;
+        // Each run begins a separate segment: a previous coordinator that was taken over from and still
+        // writes, writes to the segment before it.
+        let new_segment = chain.roll(state.encode(), VecDeque::new());
+        new_segment.map_err(|error| log_error(ChainError::Disk(error)))?;
         renew_lease()?;
         let (coordinator, first_outputs) = Coordinator::start(state);
         Ok(OpenLog { log: Log { chain }, coordinator, first_outputs })
     }
 
-    /// Appends records; they are durable when this returns. A new segment begins with `state`, which has these records
-    /// already: they are repeated there, and change nothing then.
+    /// Appends records; they are durable when this returns. If a new segment begins, its checkpoint is
+    /// `state`, which already includes these records: they are logged there too, and applying them again has
+    /// no effect.
     pub(crate) fn append(&mut self, records: &[Record], state: &CoordinatorState) -> io::Result<()> {
         let body = postcard::to_stdvec(records).map_err(io::Error::other)?;
         self.chain.append(body, || (state.encode(), VecDeque::new())).map(|_| ())
     }
 }
 
-/// The state that a log's checkpoint and records lead to.
+/// The state after a log's checkpoint and records.
 fn restore(opened: &OpenedLog, folder: &Path) -> Result<CoordinatorState, CoordinatorError> {
     let unreadable = |version| CoordinatorError::UnreadableRecord { folder: folder.into(), version };
     let header = &opened.header;
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections of gateways, and of operators who ask for moves.
+//! Connections of peers: gateways, and operators that request moves.
 
 use std::time::Duration;
 
@@ -14,18 +14,20 @@
 
 use crate::event_loop::LoopEvent;
 
-/// Connections at once, at most; beyond it none is accepted until one ends.
+/// Maximum number of open connections; at this number no connection is accepted until one closes.
 const MAX_CONNECTIONS: usize = 4096;
-/// Messages that a peer has not read yet, at most. Beyond it the connection is closed; the peer asks again on its next one.
+/// Maximum number of messages queued for a peer. If more are queued, the connection is closed; the peer
+/// repeats its requests on its next connection.
 const MAX_UNSENT_MESSAGES: usize = 1 << 16;
-/// Messages that are written together, at most.
+/// Maximum number of messages in one write.
 const MAX_MESSAGES_PER_WRITE: usize = 256;
-/// How long each read before the hello, and each write, may take.
+/// Timeout of each read before the hello, and of each write.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// After a failed accept, most likely for lack of descriptors; trying again at once would spin.
+/// Delay after a failed accept, whose most likely cause is a lack of file descriptors; an immediate retry
+/// would spin.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Accepts connections for as long as it is polled; dropping it ends them.
+/// Accepts and serves connections until the returned future is dropped, which closes them all.
 pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<LoopEvent>) {
     let mut connections = JoinSet::new();
     for number in 0.. {
@@ -46,20 +48,21 @@
 async fn serve(connection: ConnectionId, socket: Socket, events: mpsc::UnboundedSender<LoopEvent>) {
     _ = socket.set_nodelay(true);
     let (reader, writer) = socket.into_split();
-    let (messages, unsent) = mpsc::channel(MAX_UNSENT_MESSAGES);
+    let (messages, unsent_messages) = mpsc::channel(MAX_UNSENT_MESSAGES);
     let reader = PeerReader { connection, reader, input: BytesMut::new(), events: events.clone() };
-    // The connection ends with either direction; the other's unread or unsent bytes are lost with it.
+    // The connection closes when either direction ends; unread or unsent bytes of the other direction are
+    // lost.
     tokio::select! {
-        () = write_messages(writer, unsent) => {}
+        () = write_messages(writer, unsent_messages) => {}
         () = reader.run(messages) => {}
     }
     _ = events.send(LoopEvent::PeerDisconnected(connection));
 }
 
-/// Writes messages until their sender is dropped, or the peer takes none.
-async fn write_messages(mut writer: WriteHalf, mut unsent: mpsc::Receiver<FromList>) {
+/// Writes messages until their sender is dropped, or a write fails or times out.
+async fn write_messages(mut writer: WriteHalf, mut unsent_messages: mpsc::Receiver<FromList>) {
     let mut messages = Vec::new();
-    while unsent.recv_many(&mut messages, MAX_MESSAGES_PER_WRITE).await > 0 {
+    while unsent_messages.recv_many(&mut messages, MAX_MESSAGES_PER_WRITE).await > 0 {
         let mut output = BytesMut::new();
         for message in messages.drain(..) {
             output.extend_from_slice(&message.frame());
@@ -79,16 +82,17 @@
 }
 
 impl PeerReader {
-    /// Reads requests until the peer closes the connection, or violates the protocol.
+    /// Reads requests until the peer closes the connection or violates the protocol.
     ///
-    /// With the hello the loop is given the only sender of messages: a peer that it drops is disconnected.
+    /// On the hello, the event loop receives the only sender of `messages`: dropping the sender disconnects
+    /// the peer.
     async fn run(mut self, messages: mpsc::Sender<FromList>) {
-        let mut before_hello = Some(messages);
+        let mut sender_before_hello = Some(messages);
         loop {
             let message = match next_frame::<ToList>(&mut self.input) {
                 Ok(Some(message)) => message,
                 Ok(None) => {
-                    if self.read_more(before_hello.is_some()).await {
+                    if self.read_more(sender_before_hello.is_some()).await {
                         continue;
                     }
                     return;
@@ -99,20 +103,20 @@
                 }
             };
             let is_hello = matches!(message, ToList::Hello { .. });
-            if is_hello != before_hello.is_some() {
-                let reason = "the first frame has to be the hello, and no other";
+            if is_hello != sender_before_hello.is_some() {
+                let reason = "the first frame must be a hello, and no later frame may be one";
                 tracing::warn!(connection_id = self.connection.0, reason, "connection closed");
                 return;
             }
             let connection = self.connection;
-            if let Some(messages) = before_hello.take() {
+            if let Some(messages) = sender_before_hello.take() {
                 _ = self.events.send(LoopEvent::PeerConnected { connection, messages });
             }
             _ = self.events.send(LoopEvent::RequestReceived { connection, message });
         }
     }
 
-    /// Reads some bytes; false where none come any more.
+    /// Reads more bytes; returns false at the end of the stream, on an error, or if the hello is late.
     async fn read_more(&mut self, is_before_hello: bool) -> bool {
         let read = self.reader.read_buf(&mut self.input);
         let read = if is_before_hello {
--- a/crates/coordinator/src/store_connection.rs
+++ b/crates/coordinator/src/store_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a store, which orders go over.
+//! A connection to a store, over which orders are sent.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,35 +13,35 @@
 use crate::framed_socket::FramedSocket;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// An order without an answer by then has failed, and its connection is closed: what is still on its way over it must not be
-/// waited for.
+/// An order without a reply within this time has failed. Its connection is closed, because bytes that are
+/// still in transit on it must not be waited for.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order, as it is sent.
-pub(crate) struct SentOrder {
+/// An order to a store, with the fields of its frame.
+pub(crate) struct OrderRequest {
     pub(crate) token: u64,
     pub(crate) term: u64,
-    /// The move that it is part of.
-    pub(crate) number: u64,
+    /// The number of the move that the order is part of.
+    pub(crate) move_number: u64,
     pub(crate) order: Order,
 }
 
-/// Sends orders one after the other, on a new connection after one that was not answered. Ends when the sender of orders is
-/// dropped and all were answered.
+/// Sends orders one at a time, each after the reply to the previous one. After an order without a reply the
+/// next one uses a new connection. Returns when the order sender is dropped and the queue is empty.
 pub(crate) async fn run(
     store: SocketAddr,
     run_id: u64,
-    mut orders: mpsc::UnboundedReceiver<SentOrder>,
+    mut orders: mpsc::UnboundedReceiver<OrderRequest>,
     events: mpsc::UnboundedSender<LoopEvent>,
 ) {
     let mut socket: Option<FramedSocket> = None;
     while let Some(order) = orders.recv().await {
         let token = order.token;
-        // Cancelled by the timeout, it may have sent a part of the order: the socket is dropped then.
+        // An exchange cancelled by the timeout may have sent part of the order: the socket is dropped below.
         let reply = tokio::time::timeout(ORDER_TIMEOUT, exchange(store, run_id, &mut socket, order));
         let reply = reply.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         if let Err(error) = &reply {
-            tracing::info!(%store, %error, "order not answered");
+            tracing::info!(%store, %error, "no reply to order");
             socket = None;
         }
         if events.send(LoopEvent::OrderFinished { token, reply: reply.ok() }).is_err() {
@@ -50,21 +50,21 @@
     }
 }
 
-/// Sends an order and waits for its answer, on a new connection where there is none.
+/// Sends an order and waits for its reply; connects first if there is no connection.
 async fn exchange(
     store: SocketAddr,
     run_id: u64,
     socket: &mut Option<FramedSocket>,
-    SentOrder { token, term, number, order }: SentOrder,
+    OrderRequest { token, term, move_number, order }: OrderRequest,
 ) -> io::Result<OrderReply> {
     let socket = match socket {
         Some(socket) => socket,
         None => socket.insert(connect(store, &ToStore::Hello { run: run_id }).await?),
     };
-    socket.send(&ToStore::Order { token, term, number, order }).await?;
+    socket.send(&ToStore::Order { token, term, number: move_number, order }).await?;
     while let Some(message) = socket.receive().await? {
-        if let FromStore::OrderReply { token: answered, reply } = message
-            && answered == token
+        if let FromStore::OrderReply { token: reply_token, reply } = message
+            && reply_token == token
         {
             return Ok(reply);
         }
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -166,7 +166,7 @@
     within("the low one has it by the high one", relayed.wait_for(|relayed| *relayed == 1))
         .await
         .expect("it runs");
-    wait_for_log(&[("message", "loop of relays"), ("upstream", "l2"), ("path", "\"l1\", \"l2\"")]).await;
+    wait_for_log(&[("message", "relay loop detected"), ("upstream", "l2"), ("path", "\"l1\", \"l2\"")]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/nbd-gateway/tests/relays/lies.rs
+++ b/crates/nbd-gateway/tests/relays/lies.rs
@@ -86,7 +86,7 @@
     let top_relays =
         [start_folder_relay("f1", &writer.folder).await, start_folder_relay("f2", &writer.folder).await];
     let cases: [(&str, FrameAfter, &str); 5] = [
-        ("cut", |_| Bytes::from_static(&[0, 0, 0]), "it ends inside a frame"),
+        ("cut", |_| Bytes::from_static(&[0, 0, 0]), "the peer closed the connection inside a frame"),
         ("long", |_| Bytes::from_static(&[255, 255, 255, 255, 100]), "over the bound"),
         ("unknown", |_| Bytes::from_static(&[0, 0, 0, 1, 77]), "unknown kind 77"),
         (
@@ -149,7 +149,7 @@
         ]
     };
     let sure = start_gateway(relay_source("sure", upstreams(), 2)).await;
-    wait_for_log(&[("message", "follows"), ("upstream", "liar")]).await;
+    wait_for_log(&[("message", "started following upstream"), ("upstream", "liar")]).await;
     let version = writer.add_volume("honest");
     assert_eq!(version, lie.version);
     wait_until_applied(&sure, version).await;
--- a/crates/nbd-gateway/tests/relays/slow.rs
+++ b/crates/nbd-gateway/tests/relays/slow.rs
@@ -77,7 +77,7 @@
         }
     };
     within("the end of one that does not read", asking).await;
-    wait_for_log(&[("peer", &peer), ("reason", "it takes nothing")]).await;
+    wait_for_log(&[("peer", &peer), ("reason", "the peer does not read")]).await;
     // The relay still serves others.
     let mut other = FrameConnection::connect_as_follower(top.address, "other").await;
     other.send(ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 }).await;
--- a/crates/relay/src/client.rs
+++ b/crates/relay/src/client.rs
@@ -1,4 +1,4 @@
-//! One request to a relay, on a connection of its own: what operators ask.
+//! Client for operators: one request to a relay, on a separate connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,32 +11,32 @@
 
 use crate::connection::connect;
 
-/// From connecting to the whole answer.
+/// Timeout of a request, from connecting to the complete response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a request has no answer.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    /// The connection could not be made, ended, or took too long.
-    #[error("the relay at {address} does not answer: {error}; see whether it runs, and ask again")]
+    /// Connecting failed, the connection closed before the response, or the request timed out.
+    #[error("no response from the relay at {address}: {error}; check that it is running, then retry")]
     Unreachable {
         /// The relay's address.
         address: SocketAddr,
         /// The system's error.
         error: io::Error,
     },
-    /// The answer is to another request.
-    #[error("the relay at {address} says something else than was asked: is it a relay of this version?")]
+    /// The response belongs to another kind of request.
+    #[error("unexpected response from {address}: check that a relay of the same version listens there")]
     UnexpectedReply {
         /// The relay's address.
         address: SocketAddr,
     },
 }
 
-/// The status of a relay, and the progress of all below it.
+/// Queries the status of a relay, with the progress of all its direct and indirect followers.
 ///
 /// # Errors
-/// [`StatusError`] where there is no answer.
+/// [`StatusError`] if there is no valid response.
 pub async fn status(address: SocketAddr) -> Result<Status, StatusError> {
     let reply = tokio::time::timeout(REQUEST_TIMEOUT, exchange(address)).await;
     let reply = reply.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
--- a/crates/relay/src/commit_recorder.rs
+++ b/crates/relay/src/commit_recorder.rs
@@ -1,11 +1,12 @@
-//! What a relay commits: it makes the position durable before it publishes it.
+//! Records the position that a relay has committed: the position is made durable, then published.
 
 use std::path::PathBuf;
 
 use tokio::sync::{mpsc, watch};
 use umbertray_config_log::{Update, applied_version};
 
-/// Where a relay makes its committed position durable, if anywhere, and where it publishes its version.
+/// Persists a relay's committed position in `folder`, if there is one, and publishes its version to
+/// `version`.
 #[derive(Clone)]
 pub(crate) struct CommitRecorder {
     pub(crate) folder: Option<PathBuf>,
@@ -13,10 +14,10 @@
 }
 
 impl CommitRecorder {
-    /// Makes the position of an update durable; it blocks on the disk.
+    /// Makes the position of an update durable; it blocks on the disk. A failure is only logged.
     ///
-    /// Hazard: it has to be called before followers are told. Otherwise a crash in between would let the next run serve an
-    /// older log.
+    /// Hazard: it must be called before the update is sent to followers. Otherwise, after a crash in between,
+    /// the next run could serve an older log.
     pub(crate) fn persist(&self, last: &Update) {
         let Some(folder) = &self.folder else { return };
         if let Err(error) = applied_version::write(folder, last.version(), last.hash()) {
@@ -24,12 +25,13 @@
         }
     }
 
+    /// Publishes the version of an update as committed.
     pub(crate) fn publish(&self, last: &Update) {
         self.version.send_replace(last.version());
     }
 }
 
-/// Commits what upstreams told, batch by batch, until the event loop ends.
+/// Records the committed updates of upstreams batch by batch, until the event loop ends.
 pub(crate) async fn record_commits(
     recorder: CommitRecorder,
     mut updates: mpsc::Receiver<Vec<Update>>,
@@ -37,12 +39,12 @@
 ) {
     while let Some(mut batch) = updates.recv().await {
         let Some(last) = batch.pop() else { continue };
-        let writer = recorder.clone();
-        let written = tokio::task::spawn_blocking(move || {
-            writer.persist(&last);
+        let blocking_recorder = recorder.clone();
+        let persisted = tokio::task::spawn_blocking(move || {
+            blocking_recorder.persist(&last);
             last
         });
-        let Ok(last) = written.await else { return };
+        let Ok(last) = persisted.await else { return };
         recorder.publish(&last);
         if applied.send(last.version()).await.is_err() {
             return;
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: frames in, frames out, each direction within bounds.
+//! One connection: it receives and sends frames, each direction with bounded buffers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,32 +17,33 @@
 
 use crate::event_loop::LoopEvent;
 
-/// Frames given out for a peer and not sent yet, at most, whatever their bytes.
+/// Maximum number of frames queued for a peer, independent of their size.
 const MAX_UNSENT_FRAMES: usize = 8192;
-/// Frames taken from the queue at once, at most.
+/// Maximum number of frames received from the queue in one step.
 const MAX_FRAMES_PER_TAKE: usize = 64;
-/// Bytes that a frame counts as besides the part that it carries.
+/// Bytes counted for each frame in addition to its payload.
 const FRAME_OVERHEAD: usize = 128;
-/// How long each write may take.
+/// Timeout of each write.
 const WRITE_TIMEOUT: Duration = IDLE_TIMEOUT;
 
-/// Why a connection ended that the event loop did not close.
+/// Why a connection closed, other than by the event loop.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CloseReason {
     #[error("closed")]
     Closed,
-    #[error("it ends inside a frame")]
+    #[error("the peer closed the connection inside a frame")]
     Truncated,
     #[error(transparent)]
     Malformed(Malformed),
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it takes nothing")]
+    #[error("the peer does not read")]
     NotReading,
 }
 
 impl CloseReason {
-    /// Logs the end of a connection: as a warning where the peer did not close it in order.
+    /// Logs that the connection closed; as a warning if the peer closed it inside a frame, sent a malformed
+    /// frame or did not read.
     pub(crate) fn log(&self, connection: ConnectionId, peer: SocketAddr) {
         let connection_id = connection.0;
         match self {
@@ -61,22 +62,23 @@
     connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// The peer does not read: more is unsent than may be.
+/// The peer does not read: its unsent frames exceed the limit.
 pub(crate) struct UnsentLimitReached;
 
-/// The event loop's end of a connection. Dropping it ends the connection once what was given out is sent.
+/// The event loop's side of a connection's send queue. Dropping it closes the connection once the queued
+/// frames are sent.
 pub(crate) struct FrameSender<Out> {
     frames: mpsc::Sender<Out>,
     unsent_bytes: Arc<AtomicUsize>,
 }
 
-/// The connection's end of the frames to send.
+/// The connection task's side of the send queue.
 pub(crate) struct FrameQueue<Out> {
     frames: mpsc::Receiver<Out>,
     unsent_bytes: Arc<AtomicUsize>,
 }
 
-/// Both ends of the queue of a connection.
+/// Creates the send queue of a connection.
 pub(crate) fn frame_queue<Out>() -> (FrameSender<Out>, FrameQueue<Out>) {
     let (sender, receiver) = mpsc::channel(MAX_UNSENT_FRAMES);
     let unsent_bytes = Arc::<AtomicUsize>::default();
@@ -84,7 +86,7 @@
     (frame_sender, FrameQueue { frames: receiver, unsent_bytes })
 }
 
-/// What a frame counts as of the unsent bytes.
+/// Bytes counted for a frame as unsent.
 fn counted_length(message: &impl Message) -> usize {
     FRAME_OVERHEAD + message.payload().map_or(0, Bytes::len)
 }
@@ -93,7 +95,7 @@
     /// Queues a frame.
     ///
     /// # Errors
-    /// The peer has too much unsent, and has to be disconnected.
+    /// The unsent frames exceed the limit; the peer must be disconnected.
     pub(crate) fn send(&self, message: Out) -> Result<(), UnsentLimitReached> {
         let length = counted_length(&message);
         let unsent = self.unsent_bytes.fetch_add(length, Ordering::Relaxed) + length;
@@ -104,7 +106,7 @@
     }
 }
 
-/// A connection's identity, and where its events go.
+/// Identity of a connection, and the channel for its events.
 #[derive(Clone)]
 pub(crate) struct ConnectionContext {
     pub(crate) id: ConnectionId,
@@ -112,8 +114,8 @@
     pub(crate) events: mpsc::Sender<LoopEvent>,
 }
 
-/// Moves frames both ways until either way ends, or the event loop has dropped its end and all frames are sent. While the
-/// event loop's queue is full, nothing more is read.
+/// Sends and receives frames until either direction ends, or until the event loop has dropped its
+/// [`FrameSender`] and all queued frames are sent. While the event loop's queue is full, no frame is read.
 pub(crate) async fn run<In: Message, Out: Message>(
     socket: Socket,
     queue: FrameQueue<Out>,
@@ -122,7 +124,8 @@
 ) -> CloseReason {
     _ = socket.set_nodelay(true);
     let (reader, writer) = socket.into_split();
-    // The connection ends with either direction; the other's unread or unsent bytes are lost with it.
+    // The connection closes when either direction ends; unread or unsent bytes of the other direction are
+    // lost.
     tokio::select! {
         reason = write_frames(writer, queue) => reason,
         reason = read_frames(reader, context, to_event) => reason,
@@ -135,7 +138,7 @@
 ) -> CloseReason {
     let mut messages = Vec::new();
     let mut output = BytesMut::new();
-    let mut counted = 0;
+    let mut counted_bytes = 0;
     while queue.frames.recv_many(&mut messages, MAX_FRAMES_PER_TAKE).await > 0 {
         let last = messages.len() - 1;
         for (index, message) in messages.drain(..).enumerate() {
@@ -143,14 +146,14 @@
             if let Some(payload) = message.payload() {
                 output.extend_from_slice(payload);
             }
-            counted += counted_length(&message);
-            // Small frames are written together; after a long one, what was gathered is written.
+            counted_bytes += counted_length(&message);
+            // Small frames are combined into one write; the buffer is written once it holds `MAX_PART` bytes.
             if output.len() >= MAX_PART || index == last {
                 if let Err(reason) = write_all(&mut writer, &output).await {
                     return reason;
                 }
                 output.clear();
-                queue.unsent_bytes.fetch_sub(std::mem::take(&mut counted), Ordering::Relaxed);
+                queue.unsent_bytes.fetch_sub(std::mem::take(&mut counted_bytes), Ordering::Relaxed);
             }
         }
     }
@@ -182,7 +185,8 @@
             Err(error) => {
                 CloseReason::Malformed(error).log(context.id, context.peer);
                 _ = context.events.send(LoopEvent::Node(Event::Malformed(context.id))).await;
-                // Nothing more is read; the event loop closes the connection, once the peer was told why.
+                // Nothing more is read; the event loop closes the connection after it has sent the peer the
+                // reason.
                 return std::future::pending().await;
             }
         };
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The loop that hosts a node: one task, which alone accesses it, and which owns all connections.
+//! The event loop that drives a node: a single task owns the node and all connections.
 
 mod update_buffer;
 
@@ -23,28 +23,29 @@
 use crate::connection::{self, CloseReason, ConnectionContext, FrameSender, UnsentLimitReached};
 use crate::{MAX_FOLLOWERS, log_events};
 
-/// Events on their way to the loop, at most; connections wait beyond it.
+/// Capacity of the event queue; when it is full, connections wait before they send another event.
 const MAX_QUEUED_EVENTS: usize = 256;
-/// Events taken from the queue at once, at most.
+/// Maximum number of events received from the queue in one step.
 const MAX_EVENTS_PER_STEP: usize = 64;
-/// After a failed accept, most likely for lack of descriptors; trying again at once would spin.
+/// Delay after a failed accept, whose most likely cause is a lack of file descriptors; an immediate retry
+/// would spin.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the other tasks tell the loop.
+/// An event that another task sends to the event loop.
 pub(crate) enum LoopEvent {
-    /// An event for the node, from a connection.
+    /// A connection has an event for the node.
     Node(Event),
-    /// The writer's folder was read, and has these updates.
+    /// A read of the writer's folder has returned these updates.
     FolderRead(Vec<Update>),
 }
 
-/// What the owner of a loop holds of it.
+/// The channels between an event loop and its owner.
 pub(crate) struct LoopHandles {
-    /// What has to be applied, in order.
+    /// Committed updates for the owner to apply, in order.
     pub(crate) updates: mpsc::Receiver<Vec<Update>>,
-    /// For the owner to tell up to which version it is.
+    /// Over this the owner reports the version that it has applied.
     pub(crate) applied: mpsc::Sender<u64>,
-    /// For the reader of the writer's folder.
+    /// Over this the reader of the writer's folder sends its events.
     pub(crate) folder_events: mpsc::Sender<LoopEvent>,
 }
 
@@ -65,9 +66,9 @@
     /// Addresses of the upstreams, in the order of the configuration.
     upstreams: Vec<SocketAddr>,
     listener: Option<TcpListener>,
-    /// Those that are open; events of others are dropped.
+    /// The open connections; events of other connections are dropped.
     connections: HashMap<ConnectionId, Connection>,
-    /// The tasks of all connections, also of those that are being closed.
+    /// The tasks of all connections, including those that are being closed.
     tasks: JoinSet<()>,
     last_accepted: u64,
     events: mpsc::Sender<LoopEvent>,
@@ -78,7 +79,7 @@
 }
 
 impl EventLoop {
-    /// A loop, and what its owner holds of it.
+    /// Creates an event loop, and the handles for its owner.
     pub(crate) fn new(
         node: RelayNode,
         upstreams: &[Upstream],
@@ -113,8 +114,9 @@
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
         let mut accept_at = Instant::now();
         loop {
-            let may_accept = self.listener.is_some() && self.tasks.len() < MAX_FOLLOWERS;
-            // A cancelled branch loses nothing: the event, connection, permit or ended task stays where it was.
+            let can_accept = self.listener.is_some() && self.tasks.len() < MAX_FOLLOWERS;
+            // Cancel safety: a cancelled branch does not consume its event, connection, permit or finished
+            // task.
             tokio::select! {
                 _ = ticks.tick() => self.handle(Event::Tick),
                 Some(version) = self.applied.recv() => self.handle(Event::Applied(version)),
@@ -127,7 +129,7 @@
                 {
                     events.drain(..).for_each(|event| self.on_loop_event(event));
                 }
-                accepted = accept(self.listener.as_ref(), accept_at), if may_accept => match accepted {
+                accepted = accept(self.listener.as_ref(), accept_at), if can_accept => match accepted {
                     Ok((socket, peer)) => self.on_accepted(socket, peer),
                     Err(error) => {
                         tracing::warn!(%error, "connection accept failed");
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Hands an event to the node, unless its connection has been closed.
+    /// Passes an event to the node, unless the event's connection has been closed.
     fn on_connection_event(&mut self, event: Event) {
         if let Some(connection) = connection_of(&event) {
             if !self.connections.contains_key(&connection) {
@@ -197,8 +199,8 @@
     }
 
     fn send_upstream(&mut self, connection: ConnectionId, frame: ToUpstream) {
-        let peer = self.connections.get(&connection).map(|open| &open.sender);
-        if let Some(PeerSender::Upstream(sender)) = peer
+        let peer_sender = self.connections.get(&connection).map(|open| &open.sender);
+        if let Some(PeerSender::Upstream(sender)) = peer_sender
             && let Err(UnsentLimitReached) = sender.send(frame)
         {
             self.abort(connection);
@@ -206,15 +208,15 @@
     }
 
     fn send_follower(&mut self, connection: ConnectionId, frame: FromUpstream) {
-        let peer = self.connections.get(&connection).map(|open| &open.sender);
-        if let Some(PeerSender::Follower(sender)) = peer
+        let peer_sender = self.connections.get(&connection).map(|open| &open.sender);
+        if let Some(PeerSender::Follower(sender)) = peer_sender
             && let Err(UnsentLimitReached) = sender.send(frame)
         {
             self.abort(connection);
         }
     }
 
-    /// Ends the connection of a peer that does not read, with what is unsent.
+    /// Aborts the connection of a peer that does not read; its unsent frames are lost.
     fn abort(&mut self, connection: ConnectionId) {
         let Some(open) = self.connections.remove(&connection) else { return };
         open.task.abort();
@@ -261,7 +263,8 @@
         self.handle(Event::FollowerConnected(connection));
     }
 
-    /// Closes a connection: its task sends what it was given, and is aborted if that takes too long.
+    /// Closes a connection: its task first sends the queued frames, and is aborted if that takes longer than
+    /// [`HEARTBEAT`].
     fn close(&mut self, connection: ConnectionId, reason: DisconnectReason) {
         let Some(Connection { address, sender, task }) = self.connections.remove(&connection) else { return };
         let connection_id = connection.0;
@@ -286,7 +289,7 @@
     }
 }
 
-/// The connection that an event is of.
+/// The connection that an event belongs to, if any.
 fn connection_of(event: &Event) -> Option<ConnectionId> {
     match event {
         Event::Connected(connection)
--- a/crates/relay/src/event_loop/update_buffer.rs
+++ b/crates/relay/src/event_loop/update_buffer.rs
@@ -1,4 +1,4 @@
-//! Updates on their way from the node to the owner of the loop.
+//! Buffer of updates between the node and the event loop's owner.
 
 use std::collections::VecDeque;
 
@@ -8,17 +8,19 @@
 use umbertray_control_plane::relay::{Entry, Event};
 use umbertray_store_protocol::changes::Position;
 
-/// Bytes of updates that wait for the owner, from which on nothing more is read.
-const MAX_WAITING_BYTES: usize = 16 << 20;
+/// Bytes of buffered updates at which the event loop stops receiving events.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// Updates that the node has given out.
+/// Updates that the node has released.
 ///
-/// Invariant: only what was committed is handed over, in the order given.
+/// Invariant: only committed updates are delivered to the owner, in the order in which the node released
+/// them.
 #[derive(Default)]
 pub(super) struct UpdateBuffer {
     uncommitted: Vec<Update>,
     committed: Vec<Update>,
-    waiting_bytes: usize,
+    /// Bytes of all updates added since the last delivery.
+    buffered_bytes: usize,
 }
 
 impl UpdateBuffer {
@@ -40,7 +42,7 @@
 
     fn add(&mut self, update: Update, bytes: usize) {
         self.uncommitted.push(update);
-        self.waiting_bytes += bytes;
+        self.buffered_bytes += bytes;
     }
 
     pub(super) fn commit(&mut self) {
@@ -52,16 +54,17 @@
     }
 
     pub(super) fn take_committed(&mut self) -> Vec<Update> {
-        self.waiting_bytes = 0;
+        self.buffered_bytes = 0;
         std::mem::take(&mut self.committed)
     }
 
     pub(super) fn has_capacity(&self) -> bool {
-        self.waiting_bytes < MAX_WAITING_BYTES
+        self.buffered_bytes < MAX_BUFFERED_BYTES
     }
 }
 
-/// The node's events for what was read in the folder; entries between two checkpoints are one event.
+/// Converts updates read from the folder to events for the node; entries between two checkpoints form one
+/// event.
 pub(super) fn folder_events(updates: Vec<Update>) -> Vec<Event> {
     let mut events = Vec::new();
     for update in updates {
--- a/crates/relay/src/folder.rs
+++ b/crates/relay/src/folder.rs
@@ -1,4 +1,4 @@
-//! Following the writer's folder.
+//! Follows the change log in the writer's folder.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -11,13 +11,13 @@
 use crate::commit_recorder::CommitRecorder;
 use crate::event_loop::LoopEvent;
 
-/// Between two reads of the folder.
+/// Delay between two reads of the folder.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two log events that the folder cannot be read.
+/// Minimum time between two log events about failed reads of the folder.
 const ERROR_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The folder, and the reader of its log once it has been opened.
+/// Polls the folder for updates; `reader` is set once the log has been opened.
 struct FolderPoller {
     disk: Disk,
     reader: Option<FolderReader>,
@@ -34,23 +34,24 @@
     }
 }
 
-/// A poller, after a poll on another thread.
-struct Polled {
+/// The result of a poll on a blocking thread, with the poller for the next one.
+struct PollResult {
     poller: FolderPoller,
     updates: Result<Vec<Update>, FollowError>,
 }
 
-/// Tells the event loop of all that is durably committed there, recorded as committed before, until the loop ends. A folder
-/// that hangs holds a thread of those for blocking work, and none of the runtime's own.
+/// Sends the event loop all updates that are durably committed in the folder, until the event loop ends.
+/// Their position is recorded as committed first. A stalled folder blocks a thread of the blocking pool, but
+/// none of the runtime's worker threads.
 pub(crate) async fn follow(folder: PathBuf, recorder: CommitRecorder, events: mpsc::Sender<LoopEvent>) {
     let mut poller = FolderPoller { disk: Disk::read_only(&folder), reader: None };
-    let mut error_log = ErrorLog { logged_at: None };
+    let mut error_log = RateLimitedErrorLog { logged_at: None };
     loop {
-        let writer = recorder.clone();
-        let polled = tokio::task::spawn_blocking(move || poll_and_persist(poller, &writer));
-        let Ok(polled) = polled.await else { return };
-        poller = polled.poller;
-        match polled.updates {
+        let blocking_recorder = recorder.clone();
+        let poll = tokio::task::spawn_blocking(move || poll_and_persist(poller, &blocking_recorder));
+        let Ok(result) = poll.await else { return };
+        poller = result.poller;
+        match result.updates {
             Ok(updates) => {
                 if let Some(last) = updates.last() {
                     recorder.publish(last);
@@ -61,7 +62,7 @@
             }
             Err(error) => error_log.log(&folder, &error),
         }
-        // A cancelled branch loses nothing: both only wait.
+        // Cancel safety: both branches only wait.
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = events.closed() => return,
@@ -69,20 +70,20 @@
     }
 }
 
-fn poll_and_persist(mut poller: FolderPoller, recorder: &CommitRecorder) -> Polled {
+fn poll_and_persist(mut poller: FolderPoller, recorder: &CommitRecorder) -> PollResult {
     let updates = poller.poll();
     if let Some(last) = updates.as_ref().ok().and_then(|updates| updates.last()) {
         recorder.persist(last);
     }
-    Polled { poller, updates }
+    PollResult { poller, updates }
 }
 
-/// Logs that the folder cannot be read, not at every poll.
-struct ErrorLog {
+/// Logs failed reads of the folder, at most once per [`ERROR_LOG_INTERVAL`].
+struct RateLimitedErrorLog {
     logged_at: Option<Instant>,
 }
 
-impl ErrorLog {
+impl RateLimitedErrorLog {
     fn log(&mut self, folder: &Path, error: &FollowError) {
         if self.logged_at.is_none_or(|at| at.elapsed() >= ERROR_LOG_INTERVAL) {
             tracing::error!(folder = %folder.display(), %error, "folder read failed");
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,12 @@
-//! Relays: processes that carry the log of changes from the writer's folder to gateways and other relays, and a gateway's end
-//! of it. They move bytes and keep time; whom to follow, when to disconnect and what to send is decided by
-//! [`umbertray_control_plane::relay::RelayNode`]. docs/relaying.md is the operators' page.
+//! Relays: processes that carry the change log from the writer's folder to gateways and other relays; and the
+//! gateway's side, which follows relays. This package does the I/O (sockets, the folder, the clock);
+//! [`umbertray_control_plane::relay::RelayNode`] decides which upstream to follow, when to disconnect and
+//! what to send. docs/relaying.md is the page for operators.
 //!
-//! One task owns the node (`event_loop`), one each connection (`connection`), one the folder (`folder`), one what is committed
-//! (`commit_recorder`). Invariant: the channels between them are bounded; a peer that does not read or send in time is
+//! One task owns the node (`event_loop`), one runs each connection (`connection`), one reads the folder
+//! (`folder`), and one records commits (`commit_recorder`).
+//!
+//! Invariant: the channels between the tasks are bounded, and a peer that does not read or send in time is
 //! disconnected.
 
 pub mod client;
@@ -30,43 +33,44 @@
 use commit_recorder::CommitRecorder;
 use event_loop::{EventLoop, LoopHandles};
 
-/// Followers at once, at most; beyond it no connection is accepted until one ends.
+/// Maximum number of connected followers; at this number no connection is accepted until one closes.
 pub const MAX_FOLLOWERS: usize = 8192;
 
-/// How a relay is started.
+/// Options for [`start`].
 pub struct RelayOptions {
-    /// Where followers connect; port 0 lets the system choose.
+    /// The address to listen at for followers; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Its name among all relays and gateways.
+    /// The relay's name, unique among all relays and gateways.
     pub name: String,
-    /// The zone it runs in.
+    /// The zone that the relay runs in.
     pub zone: String,
-    /// The writer's folder, or other relays.
+    /// Where the change log comes from: the writer's folder, or other relays.
     pub changes: ChangeSource,
-    /// Where it makes the position it has committed durable, over its restarts.
+    /// The folder in which the relay persists its committed position across restarts; `None`: it is not
+    /// persisted.
     pub folder: Option<PathBuf>,
-    /// Seed of its jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
-/// A running relay. Dropping it ends its tasks at once, as a kill would.
+/// A running relay. Dropping it aborts its tasks immediately, without a graceful shutdown.
 pub struct RunningRelay {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// The version that it has committed.
+    /// The version that the relay has committed.
     pub relayed_version: watch::Receiver<u64>,
     event_loop: JoinHandle<()>,
-    /// The recorder of commits, and the reader of the folder.
-    _background: JoinSet<()>,
+    /// The tasks that record commits and read the folder.
+    _background_tasks: JoinSet<()>,
 }
 
 impl RunningRelay {
-    /// Waits until the relay cannot go on.
+    /// Waits until the relay stops.
     ///
     /// # Errors
-    /// [`RelayError::Ended`] where its event loop panicked.
+    /// [`RelayError::EventLoopFailed`] if its event loop panicked.
     pub async fn ended(&mut self) -> Result<(), RelayError> {
-        (&mut self.event_loop).await.map_err(RelayError::Ended)
+        (&mut self.event_loop).await.map_err(RelayError::EventLoopFailed)
     }
 }
 
@@ -80,10 +84,10 @@
     match changes {
         ChangeSource::Folder(_) => Origin::Folder,
         ChangeSource::Relays { upstreams, quorum } => {
-            let named = upstreams
+            let upstreams = upstreams
                 .iter()
                 .map(|upstream| relay::Upstream { name: upstream.name.clone(), zone: upstream.zone.clone() });
-            Origin::Upstreams { upstreams: named.collect(), quorum: *quorum }
+            Origin::Upstreams { upstreams: upstreams.collect(), quorum: *quorum }
         }
     }
 }
@@ -95,15 +99,15 @@
     }
 }
 
-/// The position of a state.
+/// The position in the change log that a replica's state corresponds to.
 pub fn position(state: &Replica) -> Position {
     Position { version: state.version.number, hash: state.hash }
 }
 
-/// Starts a relay on the present runtime.
+/// Starts a relay on the current runtime.
 ///
 /// # Errors
-/// The configuration is rejected, the folder cannot be read, or the address cannot be listened at.
+/// The configuration is rejected, the folder cannot be read, or listening at the address fails.
 pub async fn start(options: RelayOptions) -> Result<RunningRelay, RelayError> {
     let RelayOptions { listen, name, zone, changes, folder, seed } = options;
     let committed = folder.as_deref().map(read_committed).transpose()?.flatten();
@@ -121,14 +125,14 @@
     let LoopHandles { updates, applied, folder_events } = handles;
     let (version, relayed_version) = watch::channel(0);
     let recorder = CommitRecorder { folder, version };
-    let mut background = JoinSet::new();
-    background.spawn(commit_recorder::record_commits(recorder.clone(), updates, applied));
+    let mut background_tasks = JoinSet::new();
+    background_tasks.spawn(commit_recorder::record_commits(recorder.clone(), updates, applied));
     if let ChangeSource::Folder(writer_folder) = changes {
-        background.spawn(folder::follow(writer_folder.into(), recorder, folder_events));
+        background_tasks.spawn(folder::follow(writer_folder.into(), recorder, folder_events));
     }
     let event_loop = tokio::spawn(event_loop.run());
     tracing::info!(%address, "relay started");
-    Ok(RunningRelay { address, relayed_version, event_loop, _background: background })
+    Ok(RunningRelay { address, relayed_version, event_loop, _background_tasks: background_tasks })
 }
 
 fn read_committed(folder: &Path) -> Result<Option<Position>, RelayError> {
@@ -137,11 +141,11 @@
     Ok(committed.map(|(version, hash)| Position { version, hash }))
 }
 
-/// What relays tell a gateway, in order. Dropping it ends its connections.
+/// The updates that a gateway receives from relays, in log order. Dropping it closes the connections.
 pub struct ReplicationSource {
-    /// Batches of what comes next; the next one is not sent before this one was taken.
+    /// Batches of updates. The channel holds one batch: the next is sent once the previous one was received.
     pub updates: mpsc::Receiver<Vec<Update>>,
-    /// For the gateway to tell up to which version it has applied them.
+    /// Receives from the gateway the version up to which it has applied the updates.
     pub applied: mpsc::Sender<u64>,
     event_loop: JoinHandle<()>,
 }
@@ -152,8 +156,10 @@
     }
 }
 
-/// Follows relays for a gateway on the present runtime, in one task and one a connection. It continues from the state that
-/// the gateway holds, if any; nothing before what it has committed is given out, and no other history.
+/// Follows relays for a gateway on the current runtime, in one task for the event loop and one for each
+/// connection. It resumes after `held`, the position of the state that the gateway holds, if any. Updates
+/// before the position that an earlier run has committed (`held`, or else `committed`) are not delivered, nor
+/// are updates of a different history.
 ///
 /// # Errors
 /// The configuration is rejected.
--- a/crates/relay/src/log_events.rs
+++ b/crates/relay/src/log_events.rs
@@ -1,22 +1,22 @@
-//! Log lines of the node's events.
+//! Logging of the node's events.
 
 use umbertray_control_plane::relay::RelayEvent;
 
-/// Writes a log line for an event that an operator would ask about.
+/// Logs an event of the node for operators.
 pub(crate) fn log(event: RelayEvent) {
     match event {
         RelayEvent::Following { upstream, after } => {
-            tracing::info!(upstream, after = after.version, "follows");
+            tracing::info!(upstream, after = after.version, "started following upstream");
         }
         RelayEvent::UpstreamDisconnected { upstream, reason, backoff } => {
             let backoff_seconds = backoff.as_secs_f64();
             tracing::warn!(upstream, %reason, backoff_seconds, "upstream disconnected");
         }
         RelayEvent::LoopDetected { upstream, path } => {
-            tracing::error!(upstream, ?path, "loop of relays: refused");
+            tracing::error!(upstream, ?path, "relay loop detected; upstream rejected");
         }
         RelayEvent::Disagreement { upstream, version } => {
-            tracing::error!(upstream, version, "upstreams tell different histories");
+            tracing::error!(upstream, version, "upstreams reported different histories");
         }
         RelayEvent::DivergentHistory { version } => {
             tracing::error!(version, "committed history contradicted by quorum");
