--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -13,7 +13,7 @@
 use umbertray_control_plane::relay::{CONNECT_TIMEOUT, Event, IDLE_TIMEOUT, MAX_UNSENT};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::MAX_PART;
-use umbertray_store_protocol::{Malformed, Message, next_frame};
+use umbertray_store_protocol::{FrameError, Message, next_frame};
 
 use crate::event_loop::LoopEvent;
 
@@ -34,7 +34,7 @@
     #[error("the peer closed the connection inside a frame")]
     Truncated,
     #[error(transparent)]
-    Malformed(Malformed),
+    Malformed(FrameError),
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("the peer does not read")]
--- a/crates/store-protocol/src/changes/codec.rs
+++ b/crates/store-protocol/src/changes/codec.rs
@@ -1,4 +1,4 @@
-//! Fields that several frames of the log of changes share.
+//! Encoding of fields that several frames of the change log share.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -6,36 +6,36 @@
     Checkpoint, Hash, LaggingMember, MAX_CHECKPOINT, MAX_LAGGING, MAX_NAME, MAX_PART, MAX_PATH,
     MAX_VERSION_COUNTS, Position, ProgressSummary, Status, VersionCount,
 };
-use crate::Malformed;
+use crate::FrameError;
 use crate::fields::{FieldReader, put_list, put_text};
 
-pub(super) fn name(fields: &mut FieldReader) -> Result<String, Malformed> {
+pub(super) fn read_name(fields: &mut FieldReader) -> Result<String, FrameError> {
     let text = fields.text()?;
     if text.len() <= MAX_NAME { Ok(text) } else { Err(fields.invalid("name", text.len() as u64)) }
 }
 
-/// A list of at most `max` items.
-pub(super) fn bounded_list<T>(
+/// Reads a list of at most `max` items.
+pub(super) fn read_bounded_list<T>(
     fields: &mut FieldReader,
     max: usize,
-    read: impl FnMut(&mut FieldReader) -> Result<T, Malformed>,
-) -> Result<Vec<T>, Malformed> {
+    read: impl FnMut(&mut FieldReader) -> Result<T, FrameError>,
+) -> Result<Vec<T>, FrameError> {
     let items = fields.list(read)?;
     if items.len() <= max { Ok(items) } else { Err(fields.invalid("count", items.len() as u64)) }
 }
 
-fn hash(fields: &mut FieldReader) -> Result<Hash, Malformed> {
+fn read_hash(fields: &mut FieldReader) -> Result<Hash, FrameError> {
     let bytes = fields.bytes(32)?;
     Hash::try_from(&bytes[..]).map_err(|_| fields.invalid("hash", bytes.len() as u64))
 }
 
-pub(super) fn position(fields: &mut FieldReader) -> Result<Position, Malformed> {
-    Ok(Position { version: fields.u64()?, hash: hash(fields)? })
+pub(super) fn read_position(fields: &mut FieldReader) -> Result<Position, FrameError> {
+    Ok(Position { version: fields.u64()?, hash: read_hash(fields)? })
 }
 
-pub(super) fn put_position(out: &mut BytesMut, at: &Position) {
-    out.put_u64(at.version);
-    out.put_slice(&at.hash);
+pub(super) fn put_position(out: &mut BytesMut, position: &Position) {
+    out.put_u64(position.version);
+    out.put_slice(&position.hash);
 }
 
 pub(super) fn put_checkpoint(out: &mut BytesMut, checkpoint: &Checkpoint) {
@@ -44,8 +44,9 @@
     out.put_u32(checkpoint.length);
 }
 
-pub(super) fn checkpoint(fields: &mut FieldReader) -> Result<Checkpoint, Malformed> {
-    let checkpoint = Checkpoint { at: position(fields)?, digest: hash(fields)?, length: fields.u32()? };
+pub(super) fn read_checkpoint(fields: &mut FieldReader) -> Result<Checkpoint, FrameError> {
+    let checkpoint =
+        Checkpoint { at: read_position(fields)?, digest: read_hash(fields)?, length: fields.u32()? };
     if checkpoint.length <= MAX_CHECKPOINT {
         Ok(checkpoint)
     } else {
@@ -53,8 +54,9 @@
     }
 }
 
-/// The rest of a frame, as a part of something of `length` bytes that begins at `offset`.
-pub(super) fn part(fields: &mut FieldReader, offset: u32, length: u32) -> Result<Bytes, Malformed> {
+/// Reads the remaining bytes of a frame as a part of a change or a checkpoint: the part begins at `offset`
+/// and must end within `length` bytes.
+pub(super) fn read_part(fields: &mut FieldReader, offset: u32, length: u32) -> Result<Bytes, FrameError> {
     let part = fields.rest();
     let end = u64::from(offset) + part.len() as u64;
     if part.len() <= MAX_PART && end <= u64::from(length) {
@@ -81,15 +83,15 @@
         });
     }
 
-    pub(super) fn read(fields: &mut FieldReader) -> Result<ProgressSummary, Malformed> {
-        let level =
+    pub(super) fn read(fields: &mut FieldReader) -> Result<ProgressSummary, FrameError> {
+        let read_count =
             |fields: &mut FieldReader| Ok(VersionCount { version: fields.u64()?, members: fields.u32()? });
-        let lagging = |fields: &mut FieldReader| {
-            Ok(LaggingMember { name: name(fields)?, version: fields.u64()?, lag_seconds: fields.u32()? })
+        let read_member = |fields: &mut FieldReader| {
+            Ok(LaggingMember { name: read_name(fields)?, version: fields.u64()?, lag_seconds: fields.u32()? })
         };
         Ok(ProgressSummary {
-            levels: bounded_list(fields, MAX_VERSION_COUNTS, level)?,
-            lagging: bounded_list(fields, MAX_LAGGING, lagging)?,
+            levels: read_bounded_list(fields, MAX_VERSION_COUNTS, read_count)?,
+            lagging: read_bounded_list(fields, MAX_LAGGING, read_member)?,
         })
     }
 }
@@ -104,11 +106,11 @@
         self.progress.put(out);
     }
 
-    pub(super) fn read(fields: &mut FieldReader) -> Result<Status, Malformed> {
+    pub(super) fn read(fields: &mut FieldReader) -> Result<Status, FrameError> {
         Ok(Status {
-            name: name(fields)?,
-            head: position(fields)?,
-            path: bounded_list(fields, MAX_PATH, name)?,
+            name: read_name(fields)?,
+            head: read_position(fields)?,
+            path: read_bounded_list(fields, MAX_PATH, read_name)?,
             followers: fields.u32()?,
             held_bytes: fields.u64()?,
             progress: ProgressSummary::read(fields)?,
--- a/crates/store-protocol/src/changes/from_upstream.rs
+++ b/crates/store-protocol/src/changes/from_upstream.rs
@@ -1,4 +1,4 @@
-//! Frames of an upstream relay.
+//! Frames from an upstream relay to a follower.
 
 use std::time::Duration;
 
@@ -6,30 +6,33 @@
 
 #[cfg(doc)]
 use super::ToUpstream;
-use super::codec::{bounded_list, checkpoint, name, part, position, put_checkpoint, put_names, put_position};
+use super::codec::{
+    put_checkpoint, put_names, put_position, read_bounded_list, read_checkpoint, read_name, read_part,
+    read_position,
+};
 use super::{
     Checkpoint, MAX_BODY, MAX_CHANGE_FRAME, MAX_CHECKPOINT, MAX_PATH, MAX_RETRY_AFTER, Position, Status,
 };
-use crate::fields::{FieldReader, put_opening, put_option, put_text};
-use crate::{Malformed, Message};
+use crate::fields::{FieldReader, put_magic_and_version, put_option, put_text};
+use crate::{FrameError, Message};
 
-/// Why an upstream refuses a follower.
+/// Why an upstream rejects a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The follower's version has another hash here.
+    /// The follower's version has another hash at this relay.
     Fork,
-    /// The follower is this relay itself, or one of its own upstreams.
+    /// The follower is this relay itself, or one of its direct or indirect upstreams.
     Loop,
-    /// The follower has more than this relay.
+    /// The follower has a newer version than this relay.
     Ahead,
-    /// A frame that is not allowed at that point.
+    /// The follower sent a frame that is not allowed at that point.
     ProtocolViolation,
-    /// The relay has as many followers as it accepts.
+    /// The relay already has the maximum number of followers.
     TooManyFollowers,
 }
 
 impl RefusalReason {
-    /// By their codes on the wire.
+    /// All reasons, in the order of their codes on the wire.
     const ALL: [RefusalReason; 5] = [
         RefusalReason::Fork,
         RefusalReason::Loop,
@@ -39,65 +42,67 @@
     ];
 }
 
-/// A frame of an upstream relay.
+/// A frame from an upstream relay to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FromUpstream {
     /// The first frame.
     Hello {
         /// The relay's name.
         name: String,
-        /// Names of the relays from the log's folder on, itself last.
+        /// Names of the relays between the log's folder and this relay, this relay last.
         path: Vec<String>,
     },
-    /// The path has changed.
+    /// The relay's path has changed; the names are as in [`FromUpstream::Hello`].
     Path(Vec<String>),
-    /// What it has; sent where one of the fields has changed.
+    /// The part of the log that the relay can send; sent again when one of the fields has changed.
     Head {
         /// The newest position that it has committed.
         head: Position,
-        /// The oldest version that it can send entries after.
+        /// The oldest version after which it can send entries.
         oldest_version: u64,
         /// The checkpoint that it can send.
         checkpoint: Option<Checkpoint>,
     },
-    /// The answer to [`ToUpstream::QueryHash`].
+    /// The response to [`ToUpstream::QueryHash`].
     HashAt {
         /// The version and its hash.
         at: Position,
     },
-    /// A part of a change: all of it, but for long ones. The parts of one change follow each other.
+    /// A part of a change. A change is split only if it is longer than [`MAX_PART`](super::MAX_PART); its
+    /// parts are sent in order, one directly after the other.
     Entry {
         /// The position after the change.
         at: Position,
-        /// Bytes of the whole change.
+        /// Size of the complete change, bytes.
         length: u32,
-        /// Where the part begins, bytes.
+        /// Offset of the part in the change, bytes.
         offset: u32,
-        /// The part.
+        /// The bytes of the part.
         part: Bytes,
     },
-    /// The answer to [`ToUpstream::Fetch`].
+    /// The response to [`ToUpstream::Fetch`].
     CheckpointPart {
         /// The checkpoint's version.
         version: u64,
-        /// Where the part begins, bytes.
+        /// Offset of the part in the checkpoint, bytes.
         offset: u32,
-        /// The part.
+        /// The bytes of the part.
         part: Bytes,
     },
-    /// The relay serves as many checkpoints as it can at the moment.
+    /// The relay cannot serve the checkpoint now, because it already serves the maximum number of
+    /// checkpoints.
     RetryAfter {
-        /// When to ask again.
+        /// Delay before the follower may request the checkpoint again.
         after: Duration,
     },
-    /// The follower is refused; the connection ends.
+    /// The follower is rejected; the connection closes.
     Refused {
-        /// Why.
+        /// Why the follower is rejected.
         reason: RefusalReason,
     },
-    /// Keeps the connection alive: what was sent last still holds.
+    /// Keeps the connection alive, and confirms that the previously sent state is still current.
     Heartbeat,
-    /// The answer to [`ToUpstream::Status`].
+    /// The response to [`ToUpstream::Status`].
     Status(Status),
 }
 
@@ -122,7 +127,7 @@
     fn put_fields(&self, out: &mut BytesMut) {
         match self {
             FromUpstream::Hello { name, path } => {
-                put_opening(out);
+                put_magic_and_version(out);
                 put_text(out, name);
                 put_names(out, path);
             }
@@ -156,31 +161,38 @@
         }
     }
 
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<FromUpstream, Malformed> {
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<FromUpstream, FrameError> {
         Ok(match kind {
             97 => {
-                fields.opening()?;
-                FromUpstream::Hello { name: name(fields)?, path: bounded_list(fields, MAX_PATH, name)? }
+                fields.magic_and_version()?;
+                FromUpstream::Hello {
+                    name: read_name(fields)?,
+                    path: read_bounded_list(fields, MAX_PATH, read_name)?,
+                }
             }
-            98 => FromUpstream::Path(bounded_list(fields, MAX_PATH, name)?),
+            98 => FromUpstream::Path(read_bounded_list(fields, MAX_PATH, read_name)?),
             99 => FromUpstream::Head {
-                head: position(fields)?,
+                head: read_position(fields)?,
                 oldest_version: fields.u64()?,
-                checkpoint: fields.option(checkpoint)?,
+                checkpoint: fields.option(read_checkpoint)?,
             },
             100 => {
-                let at = position(fields)?;
+                let at = read_position(fields)?;
                 let length = fields.u32()?;
                 let offset = fields.u32()?;
                 if length > MAX_BODY {
                     return Err(fields.invalid("length", length.into()));
                 }
-                FromUpstream::Entry { at, length, offset, part: part(fields, offset, length)? }
+                FromUpstream::Entry { at, length, offset, part: read_part(fields, offset, length)? }
             }
             101 => {
                 let version = fields.u64()?;
                 let offset = fields.u32()?;
-                FromUpstream::CheckpointPart { version, offset, part: part(fields, offset, MAX_CHECKPOINT)? }
+                FromUpstream::CheckpointPart {
+                    version,
+                    offset,
+                    part: read_part(fields, offset, MAX_CHECKPOINT)?,
+                }
             }
             102 => {
                 let after = Duration::from_millis(fields.u32()?.into());
@@ -195,7 +207,7 @@
                 FromUpstream::Refused { reason: reason.ok_or_else(|| fields.invalid("why", code.into()))? }
             }
             104 => FromUpstream::Heartbeat,
-            105 => FromUpstream::HashAt { at: position(fields)? },
+            105 => FromUpstream::HashAt { at: read_position(fields)? },
             106 => FromUpstream::Status(Status::read(fields)?),
             _ => return Err(fields.unknown_kind()),
         })
--- a/crates/store-protocol/src/changes/mod.rs
+++ b/crates/store-protocol/src/changes/mod.rs
@@ -1,8 +1,9 @@
-//! The log of changes, between a follower (a relay or a gateway) and an upstream relay. docs/relays.md says which of it is
-//! believed, and why; docs/store-protocol.md has the frames.
+//! The change log between a follower (a relay or a gateway) and an upstream relay. docs/relays.md says which
+//! received data a follower accepts, and why; docs/store-protocol.md describes the frames.
 //!
-//! The follower connects and speaks first. It asks one upstream for entries and hears of the newest version of several, so
-//! that none of them alone is believed. Every field has a bound; a frame that exceeds one ends the connection.
+//! The follower connects and sends the first frame. It requests entries from one upstream and receives the
+//! newest version from several, so that it does not have to trust a single one. Every field has a bound; a
+//! frame that exceeds one closes the connection.
 
 mod codec;
 mod from_upstream;
@@ -18,33 +19,34 @@
 /// A SHA-256 hash.
 pub type Hash = [u8; 32];
 
-/// Bytes of a change or a checkpoint in one frame, at most.
+/// Maximum number of bytes of a change or a checkpoint in one frame.
 pub const MAX_PART: usize = 64 << 10;
-/// Bytes of a change, at most. A log with a longer one is carried by its next checkpoint.
+/// Maximum size of a change, bytes. A longer change is not sent; followers receive it with the next
+/// checkpoint.
 pub const MAX_BODY: u32 = 32 << 20;
-/// Bytes of a checkpoint, at most: a record of the log's files is no longer.
+/// Maximum size of a checkpoint, bytes: the maximum size of a record in the log's files.
 pub const MAX_CHECKPOINT: u32 = 64 << 20;
-/// Bytes of any frame, at most: a part, or a progress summary with all its names.
+/// Maximum length of a frame, bytes: a part, or a progress summary with all its names.
 pub const MAX_CHANGE_FRAME: u32 = MAX_PART as u32 + (8 << 10);
-/// Bytes of a name or a zone, at most.
+/// Maximum length of a name or a zone, bytes.
 pub const MAX_NAME: usize = 128;
-/// Relays from the log's folder to a follower, at most.
+/// Maximum number of relays between the log's folder and a follower.
 pub const MAX_PATH: usize = 16;
-/// Versions that a progress summary counts apart, at most.
+/// Maximum number of versions that a progress summary counts separately.
 pub const MAX_VERSION_COUNTS: usize = 16;
-/// Members that a progress summary names, at most.
+/// Maximum number of members that a progress summary names.
 pub const MAX_LAGGING: usize = 32;
-/// Members that a progress summary counts, at most.
+/// Maximum number of members that a progress summary counts.
 pub const MAX_MEMBERS: u32 = 100_000;
-/// The longest wait that is asked of a follower.
+/// Maximum delay in [`FromUpstream::RetryAfter`].
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// The hash of a change's bytes after the one before it: the chain of the log.
+/// The hash of a change in the log's hash chain: over the hash before it and the change's bytes.
 pub fn chain_hash(before: &Hash, body: &[u8]) -> Hash {
     Sha256::new().chain_update(before).chain_update(body).finalize().into()
 }
 
-/// The hash of a checkpoint's bytes.
+/// The SHA-256 hash of a checkpoint's bytes.
 pub fn digest(checkpoint: &[u8]) -> Hash {
     Sha256::digest(checkpoint).into()
 }
@@ -52,14 +54,14 @@
 /// A position in the log. Its hash identifies all changes up to the version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Position {
-    /// Number of changes up to here.
+    /// Number of changes up to this position.
     pub version: u64,
-    /// Hash of the chain up to here.
+    /// Hash of the chain up to this position.
     pub hash: Hash,
 }
 
 impl Position {
-    /// Before the first change.
+    /// The position before the first change.
     pub const START: Position = Position { version: 0, hash: [0; 32] };
 
     /// The position after one more change.
@@ -68,69 +70,70 @@
     }
 }
 
-/// A checkpoint: the state after a version, as bytes.
+/// Description of a checkpoint, which is the encoded state after a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Checkpoint {
-    /// The position that it is the state of.
+    /// The position of the state.
     pub at: Position,
-    /// Hash of its bytes.
+    /// Hash of the checkpoint's bytes.
     pub digest: Hash,
-    /// Number of its bytes.
+    /// Size of the checkpoint, bytes.
     pub length: u32,
 }
 
-/// What a follower is.
+/// Kind of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// It relays the log to others.
+    /// A relay: it forwards the log to other followers.
     Relay,
-    /// It applies the log.
+    /// A gateway: it applies the log.
     Gateway,
 }
 
-/// Number of members whose applied version is this one.
+/// Number of members that have a given applied version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionCount {
-    /// The version.
+    /// The applied version.
     pub version: u64,
-    /// Number of members.
+    /// Number of members that have it.
     pub members: u32,
 }
 
-/// A member that has not applied all that its relay holds.
+/// A member that has not applied everything that its relay holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LaggingMember {
-    /// Its name.
+    /// The member's name.
     pub name: String,
     /// The version that it has applied.
     pub version: u64,
-    /// Seconds since it last made progress.
+    /// Seconds since its applied version last advanced.
     pub lag_seconds: u32,
 }
 
-/// What a follower and all below it have applied. Where there are more versions than a frame holds, the lowest two count as
-/// the lower.
+/// The versions that a follower and its direct and indirect followers have applied. If there are more
+/// distinct versions than a frame holds, the members of the two lowest versions are counted together under
+/// the lower one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProgressSummary {
-    /// Members by version, from the newest on.
+    /// Number of members by applied version, newest version first.
     pub levels: Vec<VersionCount>,
-    /// Members that lag, from the oldest version on.
+    /// Lagging members, oldest applied version first.
     pub lagging: Vec<LaggingMember>,
 }
 
-/// A relay's status, for its operators.
+/// Status of a relay, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Status {
-    /// Its name.
+    /// The relay's name.
     pub name: String,
     /// The newest position that it has committed.
     pub head: Position,
-    /// Names of the relays from the log's folder on, itself last.
+    /// Names of the relays between the log's folder and this relay, this relay last.
     pub path: Vec<String>,
     /// Number of its followers.
     pub followers: u32,
-    /// Bytes of the checkpoint and the entries that it holds.
+    /// Size of the checkpoint and the entries that it holds, bytes.
     pub held_bytes: u64,
-    /// What it and all below it have applied.
+    /// The versions that it and its direct and indirect followers have applied.
     pub progress: ProgressSummary,
 }
--- a/crates/store-protocol/src/changes/to_upstream.rs
+++ b/crates/store-protocol/src/changes/to_upstream.rs
@@ -1,51 +1,53 @@
-//! Frames of a follower.
+//! Frames from a follower to an upstream relay.
 
 use bytes::{BufMut, BytesMut};
 
-use super::codec::{name, position, put_position};
+use super::codec::{put_position, read_name, read_position};
 use super::{MAX_CHANGE_FRAME, Position, ProgressSummary, Role};
-use crate::fields::{FieldReader, put_opening, put_text};
-use crate::{Malformed, Message};
+use crate::fields::{FieldReader, put_magic_and_version, put_text};
+use crate::{FrameError, Message};
 
-/// A frame of a follower.
+/// A frame from a follower to an upstream relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToUpstream {
     /// The first frame.
     Hello {
         /// The follower's name.
         name: String,
-        /// The zone it runs in.
+        /// The zone that the follower runs in.
         zone: String,
-        /// What it is.
+        /// Whether the follower is a relay or a gateway.
         role: Role,
     },
-    /// Entries are wanted from now on; once a connection.
+    /// Requests all entries after a position, existing and future ones; sent at most once per connection.
     Follow {
-        /// The position after which they begin.
+        /// The position after which the entries begin.
         after: Position,
     },
-    /// The hash at a version is wanted, which the follower has from another upstream; answered where it is held.
+    /// Requests the hash at a version that the follower received from another upstream. The relay responds
+    /// only if it holds the hash.
     QueryHash {
         /// The version.
         version: u64,
     },
-    /// A part of the checkpoint's bytes is wanted.
+    /// Requests a part of the checkpoint's bytes.
     Fetch {
         /// The checkpoint's version.
         version: u64,
-        /// Where the part begins, bytes.
+        /// Offset of the part in the checkpoint, bytes.
         offset: u32,
     },
-    /// Flow control: more entries may be sent.
+    /// Flow control: permits the relay to send more entries.
     WindowUpdate {
-        /// Bytes of entries received since the last update; as many more may come.
+        /// Bytes of entries received since the last update; the relay may send that many more.
         bytes: u32,
     },
-    /// What it and all below it have applied, for the upstream that it follows.
+    /// The versions that the follower and its direct and indirect followers have applied; sent to the
+    /// upstream that it follows.
     Progress(ProgressSummary),
-    /// Keeps the connection alive where there is nothing else to send.
+    /// Keeps the connection alive when there is nothing else to send.
     Heartbeat,
-    /// In place of a hello: the relay's status is wanted.
+    /// Requests the relay's status; sent as the first frame instead of a hello.
     Status,
 }
 
@@ -57,7 +59,7 @@
         }
     }
 
-    fn read(fields: &mut FieldReader) -> Result<Role, Malformed> {
+    fn read(fields: &mut FieldReader) -> Result<Role, FrameError> {
         match fields.u8()? {
             0 => Ok(Role::Relay),
             1 => Ok(Role::Gateway),
@@ -85,7 +87,7 @@
     fn put_fields(&self, out: &mut BytesMut) {
         match self {
             ToUpstream::Hello { name, zone, role } => {
-                put_opening(out);
+                put_magic_and_version(out);
                 put_text(out, name);
                 put_text(out, zone);
                 out.put_u8(role.code());
@@ -102,13 +104,17 @@
         }
     }
 
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToUpstream, Malformed> {
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToUpstream, FrameError> {
         Ok(match kind {
             33 => {
-                fields.opening()?;
-                ToUpstream::Hello { name: name(fields)?, zone: name(fields)?, role: Role::read(fields)? }
+                fields.magic_and_version()?;
+                ToUpstream::Hello {
+                    name: read_name(fields)?,
+                    zone: read_name(fields)?,
+                    role: Role::read(fields)?,
+                }
             }
-            34 => ToUpstream::Follow { after: position(fields)? },
+            34 => ToUpstream::Follow { after: read_position(fields)? },
             35 => ToUpstream::Fetch { version: fields.u64()?, offset: fields.u32()? },
             36 => ToUpstream::WindowUpdate { bytes: fields.u32()? },
             37 => ToUpstream::Progress(ProgressSummary::read(fields)?),
--- a/crates/store-protocol/src/lib.rs
+++ b/crates/store-protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! The store protocol as bytes, without I/O: between gateways and stores, with the endpoint list and the coordinator of the
-//! map, and along relays of the log of changes. docs/store-protocol.md is its specification.
+//! Encoding and decoding of the store protocol, without I/O. Gateways speak it with stores, with the list
+//! service and with the coordinator; relays carry the change log in the same frames. docs/store-protocol.md
+//! is the specification.
 //!
-//! A frame is a length (u32, of what follows), a kind (u8) and the kind's fields; numbers are big-endian.
-//! [`next_frame`] removes frames from a buffer, [`Message::put`] writes them.
+//! A frame is a length (u32: the number of bytes that follow it), a kind (u8) and the kind's fields; numbers
+//! are big-endian. [`next_frame`] removes a frame from a buffer, [`Message::put`] writes one.
 
 pub mod changes;
 mod fields;
@@ -14,62 +15,66 @@
 
 pub use fields::FieldReader;
 
-/// The version of the protocol; a peer of another is refused at its first frame.
+/// The version of the protocol; a peer with another version is rejected at its first frame.
 pub const VERSION: u16 = 2;
 
-/// The first bytes of a connection's first frame: "UMBT".
+/// The magic number in a connection's first frame: "UMBT".
 pub const MAGIC: u32 = 0x554d_4254;
 
-/// Bytes of a frame's length.
+/// Size of a frame's length field, bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Bytes of a frame, at most: an extent in pages, each with its number, and the fields.
+/// Maximum length of a frame, bytes: the pages of an extent, each with its number, and the other fields.
 pub const MAX_FRAME: u32 = (32 << 20) + (64 << 10);
 
-/// Why a peer's bytes are not a frame; the connection cannot go on.
+/// Why a peer's bytes are not a valid frame; the connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
+pub enum FrameError {
     /// The length is over the bound of this direction.
-    #[error("a frame of {length} bytes, over the bound of {max}")]
+    #[error("frame of {length} bytes is over the bound of {max} bytes")]
     TooLong {
-        /// Its length, bytes.
+        /// The length in the frame's header, bytes.
         length: u32,
-        /// The bound of its direction, bytes.
+        /// Maximum length in this direction, bytes.
         max: u32,
     },
-    /// There is not even a kind.
-    #[error("an empty frame")]
+    /// The length is 0, so the frame has no kind.
+    #[error("empty frame without a kind")]
     Empty,
-    /// The kind is not one of this direction.
+    /// This direction has no frames of this kind.
     #[error("unknown kind {0} of frame")]
-    Kind(u8),
+    UnknownKind(u8),
     /// The frame ends before its fields.
     #[error("frame of kind {kind} ends inside its fields")]
     Truncated {
-        /// Its kind.
+        /// The frame's kind.
         kind: u8,
     },
-    /// Bytes follow the frame's fields.
-    #[error("frame of kind {kind}: {left} bytes after its fields")]
-    Trailing {
-        /// Its kind.
+    /// The frame has more bytes than its fields.
+    #[error("frame of kind {kind} has {extra_bytes} bytes after its fields")]
+    TrailingBytes {
+        /// The frame's kind.
         kind: u8,
-        /// Number of the bytes.
-        left: usize,
+        /// Number of extra bytes.
+        extra_bytes: usize,
     },
     /// A field's value is out of range.
-    #[error("frame of kind {kind}: field {field} holds {value}")]
-    Value {
+    #[error("frame of kind {kind}: field {field} has the invalid value {value}")]
+    InvalidValue {
         /// The frame's kind.
         kind: u8,
-        /// The field.
+        /// The field's name.
         field: &'static str,
-        /// Its value; of a text or list its length, of a fraction its bits.
+        /// The field's value: the number, the length of a text or a list, or the bits of a floating-point
+        /// number.
         value: u64,
     },
-    /// The peer speaks another protocol or version.
-    #[error("peer speaks magic {magic:#x} version {version}, not version {VERSION} of this wire")]
-    Version {
+    /// The peer uses another protocol or version.
+    #[error(
+        "peer sent magic {magic:#x} and protocol version {version}; \
+         expected magic {MAGIC:#x} and version {VERSION}"
+    )]
+    VersionMismatch {
         /// The peer's magic number.
         magic: u32,
         /// The peer's version.
@@ -77,29 +82,29 @@
     },
 }
 
-/// A frame of one direction of a connection.
+/// The frames of one direction of a connection.
 pub trait Message: Sized {
-    /// Bytes of a frame of this direction, at most.
+    /// Maximum length of a frame in this direction, bytes.
     const MAX_LENGTH: u32 = MAX_FRAME;
 
     /// The kind's code on the wire.
     fn kind(&self) -> u8;
 
-    /// Writes the fields but for the payload.
+    /// Writes the fields, except the payload.
     fn put_fields(&self, out: &mut BytesMut);
 
-    /// Reads the fields of a frame.
+    /// Reads the fields of a frame of the given kind.
     ///
     /// # Errors
-    /// The kind is not one of this direction, or a field is truncated or out of range.
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<Self, Malformed>;
+    /// This direction has no such kind, or a field is truncated or out of range.
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<Self, FrameError>;
 
-    /// Bytes at the frame's end, which are sent uncopied.
+    /// The bytes at the frame's end, which the caller can send without copying them.
     fn payload(&self) -> Option<&Bytes> {
         None
     }
 
-    /// Writes the frame but for its payload.
+    /// Writes the frame, except its payload.
     fn put(&self, out: &mut BytesMut) {
         let start = out.len();
         out.put_u32(0);
@@ -109,7 +114,7 @@
         out[start..start + LENGTH_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     }
 
-    /// The whole frame in one buffer.
+    /// The complete frame, with its payload, in one buffer.
     fn frame(&self) -> Bytes {
         let mut out = BytesMut::new();
         self.put(&mut out);
@@ -120,18 +125,18 @@
     }
 }
 
-/// Removes the next whole frame from `input`, if there is one.
+/// Removes the next frame from `input`, if it is complete.
 ///
 /// # Errors
-/// The bytes are not a frame of this direction; the connection cannot go on.
-pub fn next_frame<M: Message>(input: &mut BytesMut) -> Result<Option<M>, Malformed> {
-    let Some(mut head) = input.get(..LENGTH_BYTES) else { return Ok(None) };
-    let length = head.get_u32();
+/// The bytes are not a valid frame of this direction; the connection must be closed.
+pub fn next_frame<M: Message>(input: &mut BytesMut) -> Result<Option<M>, FrameError> {
+    let Some(mut length_bytes) = input.get(..LENGTH_BYTES) else { return Ok(None) };
+    let length = length_bytes.get_u32();
     if length == 0 {
-        return Err(Malformed::Empty);
+        return Err(FrameError::Empty);
     }
     if length > M::MAX_LENGTH {
-        return Err(Malformed::TooLong { length, max: M::MAX_LENGTH });
+        return Err(FrameError::TooLong { length, max: M::MAX_LENGTH });
     }
     if input.len() < LENGTH_BYTES + length as usize {
         return Ok(None);
@@ -143,11 +148,11 @@
     let message = M::read(kind, &mut fields)?;
     match fields.remaining() {
         0 => Ok(Some(message)),
-        left => Err(Malformed::Trailing { kind, left }),
+        extra_bytes => Err(FrameError::TrailingBytes { kind, extra_bytes }),
     }
 }
 
-/// A volume's id, the same in every process and version: FNV-1a (64 bit) of its name.
+/// A volume's id: the 64-bit FNV-1a hash of its name, the same in every process and version.
 pub fn volume_id(name: &str) -> u64 {
     name.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
--- a/crates/store-protocol/src/list/from_list.rs
+++ b/crates/store-protocol/src/list/from_list.rs
@@ -1,55 +1,56 @@
-//! Messages of the endpoint list or the coordinator to a gateway.
+//! Messages from the list service or the coordinator to a gateway.
 
 use bytes::{BufMut, BytesMut};
 
 #[cfg(doc)]
 use super::ToList;
 use super::{EndpointState, ListedStore, Location};
-use crate::fields::{FieldReader, put_list, put_opening, put_option, put_text};
-use crate::{Malformed, Message};
+use crate::fields::{FieldReader, put_list, put_magic_and_version, put_option, put_text};
+use crate::{FrameError, Message};
 
-/// A message of the endpoint list or the coordinator.
+/// A message from the list service or the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FromList {
     /// The first frame.
     Welcome {
-        /// The coordinator's term: that of a later run is higher; 0 of a list without a map.
+        /// The coordinator's term, which is higher in each later run; 0 from a list service without an extent
+        /// map.
         term: u64,
     },
-    /// The whole list.
+    /// The complete list.
     Full(Vec<ListedStore>),
-    /// Entries that have changed.
+    /// The entries that have changed.
     Changes(Vec<ListedStore>),
     /// A request failed or was rejected.
     Failed,
-    /// The answer to a lookup or a claim.
+    /// The response to [`ToList::Lookup`] or [`ToList::Claim`].
     Location {
-        /// That of the request.
+        /// The token of the request.
         token: u64,
         /// The extent's location, if it has one.
         place: Option<Location>,
     },
-    /// The answer to [`ToList::Shards`].
+    /// The response to [`ToList::Shards`].
     Shards {
-        /// That of the request.
+        /// The token of the request.
         token: u64,
-        /// The shards.
+        /// The shards that hold extents of the volume.
         shards: Vec<u32>,
     },
-    /// The answer to [`ToList::Move`].
+    /// The response to [`ToList::Move`].
     Move {
-        /// That of the request.
+        /// The token of the request.
         token: u64,
-        /// The move's number, or why it is refused.
+        /// The move's number, or the reason why it is rejected.
         number: Result<u64, String>,
     },
-    /// The answer to [`ToList::MoveStatus`].
+    /// The response to [`ToList::MoveStatus`].
     MoveStatus {
-        /// That of the request.
+        /// The token of the request.
         token: u64,
-        /// The move's state, for people.
+        /// The move's state, as a text for operators.
         state: String,
-        /// Whether the move has ended.
+        /// Whether the move has finished.
         over: bool,
     },
 }
@@ -71,7 +72,7 @@
     fn put_fields(&self, out: &mut BytesMut) {
         match self {
             FromList::Welcome { term } => {
-                put_opening(out);
+                put_magic_and_version(out);
                 out.put_u64(*term);
             }
             FromList::Full(entries) | FromList::Changes(entries) => {
@@ -102,21 +103,21 @@
         }
     }
 
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<FromList, Malformed> {
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<FromList, FrameError> {
         Ok(match kind {
             65 => {
-                fields.opening()?;
+                fields.magic_and_version()?;
                 FromList::Welcome { term: fields.u64()? }
             }
-            66 => FromList::Full(fields.list(store)?),
-            67 => FromList::Changes(fields.list(store)?),
+            66 => FromList::Full(fields.list(read_store)?),
+            67 => FromList::Changes(fields.list(read_store)?),
             68 => FromList::Failed,
-            69 => FromList::Location { token: fields.u64()?, place: fields.option(location)? },
+            69 => FromList::Location { token: fields.u64()?, place: fields.option(read_location)? },
             70 => FromList::Shards { token: fields.u64()?, shards: fields.list(FieldReader::u32)? },
             71 => {
                 let token = fields.u64()?;
-                let is_refused = fields.u8()? != 0;
-                let number = if is_refused { Err(fields.text()?) } else { Ok(fields.u64()?) };
+                let is_rejected = fields.u8()? != 0;
+                let number = if is_rejected { Err(fields.text()?) } else { Ok(fields.u64()?) };
                 FromList::Move { token, number }
             }
             72 => {
@@ -132,7 +133,7 @@
     out.put_u64(location.epoch);
 }
 
-fn location(fields: &mut FieldReader) -> Result<Location, Malformed> {
+fn read_location(fields: &mut FieldReader) -> Result<Location, FrameError> {
     Ok(Location { shard: fields.u32()?, epoch: fields.u64()? })
 }
 
@@ -150,7 +151,7 @@
     put_option(out, entry.age.as_ref(), |out, age| out.put_u64(*age));
 }
 
-fn store(fields: &mut FieldReader) -> Result<ListedStore, Malformed> {
+fn read_store(fields: &mut FieldReader) -> Result<ListedStore, FrameError> {
     let store = fields.u64()?;
     let address = fields.text()?;
     let address = address.parse().map_err(|_| fields.invalid("address", address.len() as u64))?;
--- a/crates/store-protocol/src/list/mod.rs
+++ b/crates/store-protocol/src/list/mod.rs
@@ -1,4 +1,5 @@
-//! Between a gateway and the endpoint list, or the coordinator of the map of extents. docs/store-protocol.md has the frames.
+//! Messages between a gateway and the list service, which serves the endpoint list, or the coordinator, which
+//! holds the extent map. docs/store-protocol.md describes the frames.
 
 mod from_list;
 mod to_list;
@@ -11,38 +12,39 @@
 /// State of a store in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointState {
-    /// It has left the list.
+    /// The store has left the list.
     Gone,
-    /// It serves.
+    /// The store accepts operations.
     Ready,
-    /// It finishes what it has, and accepts nothing new.
+    /// The store completes the operations that it has, and accepts no new ones.
     Draining,
 }
 
 /// A store in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ListedStore {
-    /// Its id: the same when the store's process restarts; a replacement has another.
+    /// The store's id: it stays the same when the store's process restarts; a replacement store has another
+    /// id.
     pub store: u64,
-    /// Where it listens.
+    /// The address that the store listens at.
     pub address: SocketAddr,
     /// The shard that it serves.
     pub shard: u32,
     /// The zone that it runs in.
     pub zone: u32,
-    /// Its state.
+    /// The store's state.
     pub state: EndpointState,
-    /// Counts the store's starts.
+    /// Number of starts of the store.
     pub incarnation: u64,
-    /// Microseconds since it last started; absent: long ago.
+    /// Microseconds since the store last started; absent if it started long ago.
     pub age: Option<u64>,
 }
 
-/// Where an extent is, and how often its range has moved.
+/// The location of an extent: the shard that holds it, and the epoch of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Location {
-    /// The shard that holds it.
+    /// The shard that holds the extent.
     pub shard: u32,
-    /// Number of moves of its range.
+    /// Number of times the extent's range has moved.
     pub epoch: u64,
 }
--- a/crates/store-protocol/src/list/to_list.rs
+++ b/crates/store-protocol/src/list/to_list.rs
@@ -1,37 +1,38 @@
-//! Messages of a gateway to the endpoint list or the coordinator.
+//! Messages from a gateway to the list service or the coordinator.
 
 use bytes::{BufMut, BytesMut};
 
-use crate::fields::{FieldReader, put_numbers, put_opening};
+use crate::fields::{FieldReader, put_magic_and_version, put_numbers};
 use crate::orders::ExtentRange;
-use crate::{Malformed, Message};
+use crate::{FrameError, Message};
 
-/// A message of a gateway.
+/// A message to the list service or the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ToList {
     /// The first frame.
     Hello {
-        /// The gateway's run, drawn anew at each of its starts.
+        /// Identifies the gateway's run; each start draws a new one.
         run: u64,
     },
-    /// The whole list is wanted now, and changes from then on.
+    /// Requests the complete list now, and its changes from then on.
     Watch,
-    /// The whole list is wanted once.
+    /// Requests the complete list once.
     Fetch,
-    /// The location of an extent is wanted.
+    /// Requests the location of an extent.
     Lookup {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
         /// The volume's id.
         volume: u64,
         /// The extent's index in the volume.
         extent: u64,
-        /// The answer waits until the map has this epoch for the extent: a store has answered that its range has this epoch.
+        /// The response is delayed until the map has at least this epoch for the extent: a store has
+        /// responded that the extent's range has this epoch.
         min_epoch: u64,
     },
-    /// The extent is claimed for a shard, unless it has a location already: the first claim wins for good.
+    /// Claims the extent for a shard, unless it already has a location: the first claim wins permanently.
     Claim {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
         /// The volume's id.
         volume: u64,
@@ -40,35 +41,35 @@
         /// The shard.
         shard: u32,
     },
-    /// The shards that hold extents of a volume are wanted.
+    /// Requests the shards that hold extents of a volume.
     Shards {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
         /// The volume's id.
         volume: u64,
     },
-    /// A range is to be moved to a shard.
+    /// Requests the move of a range to a shard.
     Move {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
         /// The range.
         span: ExtentRange,
-        /// The shard.
+        /// The target shard.
         shard: u32,
     },
-    /// The status of a move is wanted.
+    /// Requests the status of a move.
     MoveStatus {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
         /// The move's number.
         number: u64,
-        /// Whether the move is to be abandoned.
+        /// Whether to abandon the move.
         abandon: bool,
     },
 }
 
 impl ToList {
-    /// Whether it concerns the map of extents, not the list of stores.
+    /// Whether the message is about the extent map, and not about the endpoint list.
     pub fn concerns_map(&self) -> bool {
         !matches!(self, ToList::Hello { .. } | ToList::Watch | ToList::Fetch)
     }
@@ -91,7 +92,7 @@
     fn put_fields(&self, out: &mut BytesMut) {
         match self {
             ToList::Hello { run } => {
-                put_opening(out);
+                put_magic_and_version(out);
                 out.put_u64(*run);
             }
             ToList::Watch | ToList::Fetch => {}
@@ -114,10 +115,10 @@
         }
     }
 
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToList, Malformed> {
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToList, FrameError> {
         Ok(match kind {
             1 => {
-                fields.opening()?;
+                fields.magic_and_version()?;
                 ToList::Hello { run: fields.u64()? }
             }
             2 => ToList::Watch,
--- a/crates/store-protocol/src/orders/codec.rs
+++ b/crates/store-protocol/src/orders/codec.rs
@@ -1,18 +1,18 @@
-//! Orders and their answers as bytes.
+//! Encoding of orders and their replies.
 
 use bytes::{BufMut, BytesMut};
 
 use super::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
-use crate::Malformed;
+use crate::FrameError;
 use crate::fields::{FieldReader, put_list, put_numbers, put_option};
 
-fn put_span(out: &mut BytesMut, span: &ExtentRange) {
-    put_numbers(out, [span.volume, span.start, span.end]);
+fn put_range(out: &mut BytesMut, range: &ExtentRange) {
+    put_numbers(out, [range.volume, range.start, range.end]);
 }
 
-fn span(fields: &mut FieldReader) -> Result<ExtentRange, Malformed> {
-    let span = ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? };
-    if span.start < span.end { Ok(span) } else { Err(fields.invalid("range", span.end)) }
+fn read_range(fields: &mut FieldReader) -> Result<ExtentRange, FrameError> {
+    let range = ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? };
+    if range.start < range.end { Ok(range) } else { Err(fields.invalid("range", range.end)) }
 }
 
 fn put_content(out: &mut BytesMut, content: &ExtentContent) {
@@ -23,7 +23,7 @@
     });
 }
 
-fn content(fields: &mut FieldReader) -> Result<ExtentContent, Malformed> {
+fn read_content(fields: &mut FieldReader) -> Result<ExtentContent, FrameError> {
     Ok(ExtentContent {
         extent: fields.u64()?,
         change_count: fields.u64()?,
@@ -38,10 +38,11 @@
     }
 }
 
-fn executed_ops(fields: &mut FieldReader) -> Result<Vec<ExecutedOp>, Malformed> {
+fn read_executed_ops(fields: &mut FieldReader) -> Result<Vec<ExecutedOp>, FrameError> {
     let count = fields.u32()?;
-    // Hazard: the count is the peer's, who may lie; memory is allocated only for what is there.
-    let read = |fields: &mut FieldReader| {
+    // Hazard: the peer may send a false count. Memory must not be reserved by the count, only for the ops
+    // received.
+    let read_op = |fields: &mut FieldReader| {
         Ok(ExecutedOp {
             gateway_run: fields.u64()?,
             op: fields.u64()?,
@@ -49,11 +50,11 @@
             remembered_for: fields.u64()?,
         })
     };
-    (0..count).map(|_| read(fields)).collect()
+    (0..count).map(|_| read_op(fields)).collect()
 }
 
 impl Order {
-    /// Its code on the wire.
+    /// The order's code on the wire.
     fn code(&self) -> u8 {
         match self {
             Order::Prepare { .. } => 0,
@@ -73,7 +74,7 @@
 
     pub(crate) fn put(&self, out: &mut BytesMut) {
         out.put_u8(self.code());
-        put_span(out, self.span());
+        put_range(out, self.span());
         match self {
             Order::Prepare { epoch, .. }
             | Order::Fence { epoch, .. }
@@ -98,19 +99,19 @@
         }
     }
 
-    pub(crate) fn read(fields: &mut FieldReader) -> Result<Order, Malformed> {
+    pub(crate) fn read(fields: &mut FieldReader) -> Result<Order, FrameError> {
         let code = fields.u8()?;
-        let span = span(fields)?;
+        let span = read_range(fields)?;
         Ok(match code {
             0 => Order::Prepare { span, epoch: fields.u64()? },
             1 => Order::TrackChanges { span },
             2 => {
                 Order::FetchNext { span, copied: fields.option(|fields| Ok((fields.u64()?, fields.u64()?)))? }
             }
-            3 => Order::Put { span, epoch: fields.u64()?, content: content(fields)? },
+            3 => Order::Put { span, epoch: fields.u64()?, content: read_content(fields)? },
             4 => Order::Fence { span, epoch: fields.u64()? },
             5 => Order::FetchExecuted { span },
-            6 => Order::RecordExecuted { span, epoch: fields.u64()?, marks: executed_ops(fields)? },
+            6 => Order::RecordExecuted { span, epoch: fields.u64()?, marks: read_executed_ops(fields)? },
             7 => Order::Sync { span, epoch: fields.u64()? },
             8 => Order::Activate { span, epoch: fields.u64()? },
             9 => Order::Clear { span, epoch: fields.u64()? },
@@ -145,12 +146,12 @@
         }
     }
 
-    pub(crate) fn read(fields: &mut FieldReader) -> Result<OrderReply, Malformed> {
+    pub(crate) fn read(fields: &mut FieldReader) -> Result<OrderReply, FrameError> {
         Ok(match fields.u8()? {
             0 => OrderReply::Done,
             1 => OrderReply::ExtentsLeft(fields.u64()?),
-            2 => OrderReply::NextExtent(fields.option(content)?),
-            3 => OrderReply::ExecutedOps(executed_ops(fields)?),
+            2 => OrderReply::NextExtent(fields.option(read_content)?),
+            3 => OrderReply::ExecutedOps(read_executed_ops(fields)?),
             4 => OrderReply::StaleTerm(fields.u64()?),
             5 => OrderReply::WrongState,
             other => return Err(fields.invalid("reply", other.into())),
--- a/crates/store-protocol/src/orders/mod.rs
+++ b/crates/store-protocol/src/orders/mod.rs
@@ -1,11 +1,11 @@
-//! The coordinator's orders to stores for the move of a range. An order may be repeated, and its repeat changes nothing more.
-//! docs/store-protocol.md says what a store must do; docs/moves.md says why.
+//! The coordinator's orders to stores for the move of a range. Orders are idempotent: the coordinator may
+//! repeat them. docs/store-protocol.md says what a store must do; docs/moves.md says why.
 
 mod codec;
 
 use bytes::Bytes;
 
-/// Bytes of a page; an extent's content is sent in pages.
+/// Size of a page, bytes; an extent's content is sent in pages.
 pub const PAGE: usize = 4096;
 
 /// A range of a volume's extents.
@@ -31,55 +31,58 @@
     }
 }
 
-/// The content of an extent at a moment; pages that are not named are holes.
+/// The content of an extent at a point in time; pages that are not listed are holes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExtentContent {
     /// The extent's index in the volume.
     pub extent: u64,
-    /// Counts the extent's changes: returned once the copy is at the target, so that what was written meanwhile is copied
-    /// again.
+    /// The extent's change count. The coordinator returns it to the source once the copy has arrived at the
+    /// target; if the extent has changed since, the source has it copied again.
     pub change_count: u64,
-    /// Pages with their numbers, [`PAGE`] bytes each.
+    /// Page numbers and contents, [`PAGE`] bytes each.
     pub pages: Vec<(u32, Bytes)>,
 }
 
-/// An op that was executed: a repeat of it succeeds without a second effect.
+/// An op that a store has executed: if it is repeated, it succeeds without a second effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ExecutedOp {
-    /// The run of the gateway that sent it.
+    /// The run of the gateway that sent the op.
     pub gateway_run: u64,
     /// The op's id.
     pub op: u64,
-    /// The extent that it changed.
+    /// The extent that the op changed.
     pub extent: u64,
-    /// Microseconds for which it is still to be remembered.
+    /// How much longer the op must be remembered, microseconds.
     pub remembered_for: u64,
 }
 
-/// An order of the coordinator to the source or the target of a move.
+/// An order of the coordinator to the source or the target store of a move.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
-    /// To the target: what it holds of the range is void; it accepts content, and no op until it is activated.
+    /// To the target: discard the data of the range, and accept content for it; execute no op of the range
+    /// before [`Order::Activate`].
     Prepare {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To the source: all of the range is to be copied, and again what is written from now on.
+    /// To the source: mark all extents of the range as to be copied, and from now on each extent that is
+    /// written.
     TrackChanges {
         /// The range.
         span: ExtentRange,
     },
-    /// To the source: the next extent to copy is wanted.
+    /// To the source: return the next extent to copy.
     FetchNext {
         /// The range.
         span: ExtentRange,
-        /// The extent, and its count of changes, whose copy has arrived at the target.
+        /// The extent whose copy has arrived at the target, and the change count of that copy.
         copied: Option<(u64, u64)>,
     },
-    /// To the target: the content of an extent. Hazard: the source counts what is answered as done as copied, so it must be
-    /// there after a crash too, or the range be answered as in the wrong state from then on.
+    /// To the target: store the content of an extent. Hazard: once the target has responded
+    /// [`OrderReply::Done`], the source treats the extent as copied. The content must therefore survive a
+    /// crash of the target, or the target must respond [`OrderReply::WrongState`] for the range from then on.
     Put {
         /// The range.
         span: ExtentRange,
@@ -88,81 +91,84 @@
         /// The content.
         content: ExtentContent,
     },
-    /// To the source, for good: it serves no op of the range below this epoch, and answers how much is left to copy.
+    /// To the source, permanently: execute no op of the range with a lower epoch; respond with the number of
+    /// extents that are left to copy.
     Fence {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To the source, once fenced: the executed ops that may be repeated are wanted.
+    /// To the source, after the fence: return the executed ops that may be repeated.
     FetchExecuted {
         /// The range.
         span: ExtentRange,
     },
-    /// To the target: ops that were executed at the source.
+    /// To the target: remember ops that were executed at the source.
     RecordExecuted {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
-        /// The ops.
+        /// The executed ops.
         marks: Vec<ExecutedOp>,
     },
-    /// To the target: all it was given must be safe on the medium before it answers.
+    /// To the target: make everything that it has received for the range durable before the response.
     Sync {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To the target: it serves the range at this epoch from now on.
+    /// To the target: serve the range at this epoch from now on.
     Activate {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To the source: the move is taken back; it serves the range again, at a higher epoch than was meant for the target.
+    /// To the source: the move is rolled back; serve the range again, at a higher epoch than the one that was
+    /// intended for the target.
     Reactivate {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To either: the range's data is deleted, a target's partial copy or a source's data once the target serves.
+    /// To either: delete the data of the range. At a target this is a partial copy; at a source it is the
+    /// original data after the target serves the range.
     Clear {
         /// The range.
         span: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
-    /// To the source: nothing of the range is to be copied any more.
+    /// To the source: stop tracking changes of the range; no extent is to be copied any more.
     StopTracking {
         /// The range.
         span: ExtentRange,
     },
 }
 
-/// A store's answer to an order.
+/// A store's reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OrderReply {
-    /// Done, now or before.
+    /// The order is executed, now or by an earlier copy of it.
     Done,
-    /// Extents left to copy.
+    /// Number of extents left to copy.
     ExtentsLeft(u64),
-    /// The next extent to copy, if one is left for now.
+    /// The next extent to copy; `None` if none is left at present.
     NextExtent(Option<ExtentContent>),
-    /// The answer to [`Order::FetchExecuted`].
+    /// The reply to [`Order::FetchExecuted`].
     ExecutedOps(Vec<ExecutedOp>),
-    /// The order is of an earlier term than this one, which the store has heard of.
+    /// The order is rejected: its term is older than this one, the latest that the store has received.
     StaleTerm(u64),
-    /// The range is not in the state that the order needs.
+    /// The order is rejected: the range is not in the state that the order requires.
     WrongState,
 }
 
 impl Order {
-    /// Its name in logs and records.
+    /// The order's name in logs and records.
     pub fn name(&self) -> &'static str {
         match self {
             Order::Prepare { .. } => "prepare",
@@ -180,7 +186,7 @@
         }
     }
 
-    /// The range that it concerns.
+    /// The range that the order is about.
     pub fn span(&self) -> &ExtentRange {
         match self {
             Order::Prepare { span, .. }
--- a/crates/store-protocol/src/store/mod.rs
+++ b/crates/store-protocol/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! Between a gateway and a store. docs/store-protocol.md has the frames; docs/fences.md says what the fences are for.
+//! Messages between a gateway and a store. docs/store-protocol.md describes the frames; docs/fences.md says
+//! what the fences are for.
 
 mod from_store;
 mod to_store;
@@ -8,25 +9,26 @@
 pub use from_store::FromStore;
 pub use to_store::ToStore;
 
-/// What an attempt asks of an extent.
+/// The kind of operation that an attempt executes on an extent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OperationKind {
-    /// The range's data.
+    /// Returns the range's data.
     Read,
-    /// The range holds the attempt's data from now on.
+    /// Writes the attempt's data to the range.
     Write,
-    /// The range reads as zeros from now on.
+    /// Makes the range read as zeros.
     Zero,
-    /// The range need not be kept; it reads as zeros.
+    /// Releases the range: the store need not keep its data, and it reads as zeros.
     Trim,
-    /// All of the volume's writes that this store has answered as succeeded are safe before it answers.
+    /// Makes durable, before the response, all of the volume's writes that this store has reported as
+    /// succeeded.
     Flush,
-    /// Which parts of the range hold data.
+    /// Returns which parts of the range hold data.
     Status,
 }
 
 impl OperationKind {
-    /// By their codes on the wire.
+    /// All kinds, in the order of their codes on the wire.
     pub(super) const ALL: [OperationKind; 6] = [
         OperationKind::Read,
         OperationKind::Write,
@@ -36,7 +38,7 @@
         OperationKind::Status,
     ];
 
-    /// Whether it changes the extent.
+    /// Whether the operation changes the extent.
     pub fn writes(self) -> bool {
         matches!(self, OperationKind::Write | OperationKind::Zero | OperationKind::Trim)
     }
@@ -45,56 +47,61 @@
 /// One attempt to execute an op at a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Counts up within a gateway's run and is never used twice in it.
+    /// The attempt's number: it increases within a gateway's run, and is never reused in the run.
     pub number: u64,
-    /// The op's id, the same in all its attempts and in no other op's of this gateway's run: by it a store recognizes a
-    /// repeat of what it has executed.
+    /// The op's id: all attempts of an op have the same id, and no other op of the gateway's run has it. A
+    /// store uses it to recognize a repeat of an op that it has executed.
     pub op: u64,
     /// The volume's id.
     pub volume: u64,
     /// The extent's index in the volume.
     pub extent: u64,
-    /// How often the extent's range has moved, as far as the gateway knows. A flush, which is about no range, has 0.
+    /// The number of moves of the extent's range that the gateway knows of; 0 for a flush, which has no
+    /// range.
     pub epoch: u64,
-    /// What is asked.
+    /// The kind of operation.
     pub kind: OperationKind,
-    /// Bytes within the extent.
+    /// Offset of the range in the extent, bytes.
     pub offset: u32,
-    /// Bytes.
+    /// Length of the range, bytes.
     pub length: u32,
     /// The op's cost, units.
     pub units: f64,
-    /// The fence in time: on its own clock (microseconds) the store neither begins nor applies it after this.
+    /// The time fence: a time on the store's clock, microseconds, after which the store neither begins nor
+    /// applies the attempt.
     pub not_after: u64,
-    /// The fence in order: earlier attempts of this gateway's run that must have no effect from now on.
+    /// The ordering fence: numbers of earlier attempts of this gateway's run that must have no effect from
+    /// now on.
     pub supersedes: Vec<u64>,
-    /// Whether the effect must be safe on the medium before the answer.
+    /// Whether the effect must be durable before the response.
     pub durable: bool,
-    /// A write's data, `length` bytes.
+    /// The data of a write, `length` bytes; otherwise empty.
     pub data: Bytes,
 }
 
-/// The outcome of an attempt, as the store tells it.
+/// The outcome of an attempt, as the store reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultCode {
-    /// Done, and for a durable op or a flush safe on the medium.
+    /// The attempt succeeded; the effect of a durable op or a flush is durable.
     Succeeded,
-    /// It failed; it may have run.
+    /// The attempt failed; it may have been executed.
     Failed,
-    /// Rejected before execution: the queue is full or the store drains.
+    /// The attempt was rejected before execution: the queue is full or the store is draining.
     Rejected,
-    /// Fenced off: its time is up or a later attempt supersedes it. It has not run and will not.
+    /// The attempt was fenced: its time fence has passed or a later attempt supersedes it. It was not
+    /// executed and never will be.
     Fenced,
-    /// No longer worked on; it may have run.
+    /// The store stopped working on the attempt; it may have been executed.
     Cancelled,
-    /// This store does not hold the extent. It has not run.
+    /// This store does not hold the extent. The attempt was not executed.
     NotHere,
-    /// The range has moved since, see the answer's epoch. It has not run and will not.
+    /// The range has moved; [`AttemptResult::epoch`] has the newer epoch. The attempt was not executed and
+    /// never will be.
     StaleEpoch,
 }
 
 impl ResultCode {
-    /// By their codes on the wire.
+    /// All codes, in the order of their numbers on the wire.
     pub(super) const ALL: [ResultCode; 7] = [
         ResultCode::Succeeded,
         ResultCode::Failed,
@@ -106,32 +113,32 @@
     ];
 }
 
-/// A part of an extent that holds data, or holds none and reads as zeros.
+/// A part of an extent that either holds data, or holds none and reads as zeros.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DataRange {
-    /// Bytes.
+    /// Length of the part, bytes.
     pub length: u32,
-    /// Whether it holds data.
+    /// Whether the part holds data.
     pub has_data: bool,
 }
 
-/// A store's answer to an attempt.
+/// A store's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// The attempt's number.
     pub number: u64,
-    /// The outcome. A code that this version does not know is `Err`.
+    /// The outcome; `Err` holds a code that this version does not know.
     pub code: Result<ResultCode, u8>,
-    /// The store's clock, in microseconds.
+    /// The store's clock, microseconds.
     pub clock: u64,
-    /// Of an attempt with a stale epoch: the map has, or will have, this epoch for the range, or a higher.
+    /// For [`ResultCode::StaleEpoch`]: the map has, or will have, this epoch or a higher one for the range.
     pub epoch: u64,
-    /// The volume's service everywhere in a finished period, as a ratio to its plan's rate.
+    /// The volume's service through all gateways in a completed period, as a ratio to its plan's rate.
     pub plan_rate_used: Option<f64>,
-    /// Units served for the volume through other gateways since the last answer here.
+    /// Units served for the volume through other gateways since the store's last response to this gateway.
     pub units_elsewhere: f64,
-    /// The store's load, by name.
+    /// The load report: the store's load values by name.
     pub load_report: Vec<(String, f64)>,
-    /// For [`OperationKind::Status`]: the range asked about, in order.
+    /// For [`OperationKind::Status`]: the parts of the requested range, in order.
     pub data_ranges: Vec<DataRange>,
 }
--- a/crates/store-protocol/src/store/to_store.rs
+++ b/crates/store-protocol/src/store/to_store.rs
@@ -3,35 +3,35 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 use super::{Attempt, OperationKind};
-use crate::fields::{FieldReader, put_list, put_numbers, put_opening};
+use crate::fields::{FieldReader, put_list, put_magic_and_version, put_numbers};
 use crate::orders::Order;
-use crate::{Malformed, Message};
+use crate::{FrameError, Message};
 
 /// A message to a store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToStore {
     /// The first frame.
     Hello {
-        /// The gateway's run, drawn anew at each of its starts.
+        /// Identifies the gateway's run; each start draws a new one.
         run: u64,
     },
     /// An attempt to execute an op.
     Attempt(Attempt),
-    /// An attempt is no longer wanted.
+    /// Cancels an attempt.
     Cancel {
-        /// Its number.
+        /// The attempt's number.
         number: u64,
     },
-    /// An answer with the load report is wanted.
+    /// Requests a response with the load report.
     HealthCheck {
-        /// Identifies the answer; 0 is a connection's own heartbeat.
+        /// Identifies the response; 0 in the heartbeat of a connection.
         token: u64,
     },
     /// An order of the coordinator, as a step of a move.
     Order {
-        /// Identifies the answer.
+        /// Identifies the response.
         token: u64,
-        /// The coordinator's term: refused where the store has heard of a later one.
+        /// The coordinator's term: the store rejects the order if it has received a later term.
         term: u64,
         /// The move's number.
         number: u64,
@@ -59,7 +59,7 @@
     fn put_fields(&self, out: &mut BytesMut) {
         match self {
             ToStore::Hello { run } => {
-                put_opening(out);
+                put_magic_and_version(out);
                 out.put_u64(*run);
             }
             ToStore::Attempt(attempt) => put_attempt(out, attempt),
@@ -72,13 +72,13 @@
         }
     }
 
-    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToStore, Malformed> {
+    fn read(kind: u8, fields: &mut FieldReader) -> Result<ToStore, FrameError> {
         Ok(match kind {
             1 => {
-                fields.opening()?;
+                fields.magic_and_version()?;
                 ToStore::Hello { run: fields.u64()? }
             }
-            2 => ToStore::Attempt(attempt(fields)?),
+            2 => ToStore::Attempt(read_attempt(fields)?),
             3 => ToStore::Cancel { number: fields.u64()? },
             4 => ToStore::HealthCheck { token: fields.u64()? },
             5 => ToStore::Order {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Writes an attempt but for its data.
+/// Writes an attempt, except its data.
 fn put_attempt(out: &mut BytesMut, attempt: &Attempt) {
     let kind = OperationKind::ALL.iter().position(|kind| *kind == attempt.kind);
     put_numbers(out, [attempt.number, attempt.op, attempt.volume, attempt.extent, attempt.epoch]);
@@ -105,23 +105,23 @@
     out.put_u8(attempt.durable.into());
 }
 
-fn operation_kind(fields: &mut FieldReader) -> Result<OperationKind, Malformed> {
+fn read_operation_kind(fields: &mut FieldReader) -> Result<OperationKind, FrameError> {
     let code = fields.u8()?;
     let kind = OperationKind::ALL.get(usize::from(code)).copied();
     kind.ok_or_else(|| fields.invalid("work", code.into()))
 }
 
-fn attempt(fields: &mut FieldReader) -> Result<Attempt, Malformed> {
+fn read_attempt(fields: &mut FieldReader) -> Result<Attempt, FrameError> {
     let attempt = Attempt {
         number: fields.u64()?,
         op: fields.u64()?,
         volume: fields.u64()?,
         extent: fields.u64()?,
         epoch: fields.u64()?,
-        kind: operation_kind(fields)?,
+        kind: read_operation_kind(fields)?,
         offset: fields.u32()?,
         length: fields.u32()?,
-        units: fields.amount("units")?,
+        units: fields.non_negative_f64("units")?,
         not_after: fields.u64()?,
         supersedes: fields.list(FieldReader::u64)?,
         durable: fields.u8()? != 0,
--- a/crates/store-protocol/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Every message written and read back, the bytes of some pinned, and frames that are rejected.
+//! Round trips of every message, the exact bytes of some frames, and rejected frames.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
@@ -12,7 +12,7 @@
 use umbertray_store_protocol::store::{
     Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
-use umbertray_store_protocol::{MAX_FRAME, Malformed, Message, next_frame};
+use umbertray_store_protocol::{FrameError, MAX_FRAME, Message, next_frame};
 
 fn attempt() -> Attempt {
     Attempt {
@@ -65,11 +65,11 @@
         let frame = message.frame();
         for cut in 0..frame.len() {
             assert_eq!(next_frame::<M>(&mut BytesMut::from(&frame[..cut])), Ok(None));
-            // A frame that says it is shorter than its fields.
+            // A frame whose length is too short for its fields.
             if cut > 4 {
-                let mut short = BytesMut::from(&frame[..cut]);
-                short[..4].copy_from_slice(&((cut - 4) as u32).to_be_bytes());
-                assert_ne!(next_frame::<M>(&mut short).ok().flatten().as_ref(), Some(message));
+                let mut shortened = BytesMut::from(&frame[..cut]);
+                shortened[..4].copy_from_slice(&((cut - 4) as u32).to_be_bytes());
+                assert_ne!(next_frame::<M>(&mut shortened).ok().flatten().as_ref(), Some(message));
             }
         }
     }
@@ -82,7 +82,7 @@
 
 impl<M: Message> ReadBack for M {
     fn read_back(message: &M) -> M {
-        next_frame(&mut BytesMut::from(&message.frame()[..])).ok().flatten().expect("a whole frame")
+        next_frame(&mut BytesMut::from(&message.frame()[..])).ok().flatten().expect("a complete frame")
     }
 }
 
@@ -100,24 +100,24 @@
 
 #[test]
 fn messages_from_store_written_read_back_equal() {
-    let report = vec![("queue".to_string(), 2.5)];
-    let answer = |code| AttemptResult {
+    let load_report = vec![("queue".to_string(), 2.5)];
+    let attempt_result = |code| AttemptResult {
         number: 1,
         code,
         clock: 2,
         epoch: 5,
         plan_rate_used: Some(0.5),
         units_elsewhere: 3.0,
-        load_report: report.clone(),
+        load_report: load_report.clone(),
         data_ranges: vec![DataRange { length: 4, has_data: true }],
     };
     let messages = [
         FromStore::Welcome { store: 1, shard: 2, clock: 3 },
         FromStore::Data { number: 1, offset: 2, data: Bytes::from_static(b"xyz") },
         FromStore::Hole { number: 1, offset: 2, length: 3 },
-        FromStore::AttemptResult(answer(Ok(ResultCode::Fenced))),
-        FromStore::AttemptResult(answer(Err(200))),
-        FromStore::Healthy { token: 1, clock: 2, load_report: report.clone() },
+        FromStore::AttemptResult(attempt_result(Ok(ResultCode::Fenced))),
+        FromStore::AttemptResult(attempt_result(Err(200))),
+        FromStore::Healthy { token: 1, clock: 2, load_report: load_report.clone() },
         FromStore::OrderReply { token: 1, reply: OrderReply::Done },
         FromStore::OrderReply { token: 1, reply: OrderReply::ExtentsLeft(2) },
         FromStore::OrderReply { token: 1, reply: OrderReply::NextExtent(None) },
@@ -167,7 +167,7 @@
     messages.iter().for_each(|message| assert_eq!(&FromList::read_back(message), message));
 }
 
-/// Version 2 on the wire: a change of these bytes is a change of version.
+/// The bytes of protocol version 2: changing them requires a new version.
 #[test]
 fn attempt_written_has_bytes_of_version_2() {
     let mut expected = vec![0, 0, 0, 74, 2];
@@ -184,32 +184,32 @@
 }
 
 #[test]
-fn malformed_frames_read_name_their_fault() {
-    let read =
+fn malformed_frames_are_rejected_with_specific_error() {
+    let read_error =
         |bytes: &[u8]| next_frame::<ToStore>(&mut BytesMut::from(bytes)).expect_err("a rejected frame");
-    assert_eq!(read(&[0; 4]), Malformed::Empty);
-    assert_eq!(read(&[255; 4]), Malformed::TooLong { length: u32::MAX, max: MAX_FRAME });
-    assert_eq!(read(&[0, 0, 0, 1, 99]), Malformed::Kind(99));
-    assert_eq!(read(&[0, 0, 0, 2, 3, 0]), Malformed::Truncated { kind: 3 });
-    let mut long = ToStore::Cancel { number: 1 }.frame().to_vec();
-    long[3] += 1;
-    long.push(0);
-    assert_eq!(read(&long), Malformed::Trailing { kind: 3, left: 1 });
+    assert_eq!(read_error(&[0; 4]), FrameError::Empty);
+    assert_eq!(read_error(&[255; 4]), FrameError::TooLong { length: u32::MAX, max: MAX_FRAME });
+    assert_eq!(read_error(&[0, 0, 0, 1, 99]), FrameError::UnknownKind(99));
+    assert_eq!(read_error(&[0, 0, 0, 2, 3, 0]), FrameError::Truncated { kind: 3 });
+    let mut with_extra_byte = ToStore::Cancel { number: 1 }.frame().to_vec();
+    with_extra_byte[3] += 1;
+    with_extra_byte.push(0);
+    assert_eq!(read_error(&with_extra_byte), FrameError::TrailingBytes { kind: 3, extra_bytes: 1 });
     let mut hello = ToStore::Hello { run: 1 }.frame().to_vec();
     hello[10] = 1;
-    assert!(matches!(read(&hello), Malformed::Version { version: 1, .. }));
+    assert!(matches!(read_error(&hello), FrameError::VersionMismatch { version: 1, .. }));
     let wrong_length = ToStore::Attempt(Attempt { length: 9, ..attempt() });
-    assert!(matches!(read(&wrong_length.frame()), Malformed::Value { field: "length", .. }));
-    let infinite_units = ToStore::Attempt(Attempt { units: f64::NAN, ..attempt() });
-    assert!(matches!(read(&infinite_units.frame()), Malformed::Value { field: "units", .. }));
+    assert!(matches!(read_error(&wrong_length.frame()), FrameError::InvalidValue { field: "length", .. }));
+    let nan_units = ToStore::Attempt(Attempt { units: f64::NAN, ..attempt() });
+    assert!(matches!(read_error(&nan_units.frame()), FrameError::InvalidValue { field: "units", .. }));
 }
 
 #[test]
 fn arbitrary_bytes_read_never_panic() {
-    fn survives(kind: u8, noise: Vec<u8>) -> bool {
-        let mut frame = ((noise.len() + 1) as u32).to_be_bytes().to_vec();
+    fn reads_without_panic(kind: u8, body: Vec<u8>) -> bool {
+        let mut frame = ((body.len() + 1) as u32).to_be_bytes().to_vec();
         frame.push(kind % 110);
-        frame.extend(noise);
+        frame.extend(body);
         let copy = || BytesMut::from(&frame[..]);
         _ = next_frame::<ToStore>(&mut copy());
         _ = next_frame::<FromStore>(&mut copy());
@@ -222,13 +222,13 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
         .tests(2000)
-        .quickcheck(survives as fn(u8, Vec<u8>) -> bool);
+        .quickcheck(reads_without_panic as fn(u8, Vec<u8>) -> bool);
 }
 
-const AT: Position = Position { version: 7, hash: [5; 32] };
+const POSITION: Position = Position { version: 7, hash: [5; 32] };
 
 fn checkpoint() -> Checkpoint {
-    Checkpoint { at: AT, digest: [6; 32], length: 9 }
+    Checkpoint { at: POSITION, digest: [6; 32], length: 9 }
 }
 
 #[test]
@@ -239,7 +239,7 @@
         ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![lagging] };
     assert_round_trip(&[
         ToUpstream::Hello { name: name(), zone: "a".into(), role: Role::Gateway },
-        ToUpstream::Follow { after: AT },
+        ToUpstream::Follow { after: POSITION },
         ToUpstream::QueryHash { version: 3 },
         ToUpstream::Fetch { version: 7, offset: 65536 },
         ToUpstream::WindowUpdate { bytes: 9 },
@@ -255,17 +255,17 @@
     let messages = [
         FromUpstream::Hello { name: name(), path: vec!["top".into(), name()] },
         FromUpstream::Path(vec![name()]),
-        FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint()) },
+        FromUpstream::Head { head: POSITION, oldest_version: 3, checkpoint: Some(checkpoint()) },
         FromUpstream::Head { head: Position::START, oldest_version: 0, checkpoint: None },
-        FromUpstream::HashAt { at: AT },
-        FromUpstream::Entry { at: AT, length: 9, offset: 2, part: part.clone() },
+        FromUpstream::HashAt { at: POSITION },
+        FromUpstream::Entry { at: POSITION, length: 9, offset: 2, part: part.clone() },
         FromUpstream::CheckpointPart { version: 7, offset: 3, part },
         FromUpstream::RetryAfter { after: MAX_RETRY_AFTER },
         FromUpstream::Refused { reason: RefusalReason::Loop },
         FromUpstream::Heartbeat,
         FromUpstream::Status(Status {
             name: name(),
-            head: AT,
+            head: POSITION,
             path: vec![name()],
             followers: 2,
             held_bytes: 3,
@@ -276,10 +276,11 @@
     messages.iter().for_each(|message| assert_eq!(&FromUpstream::read_back(message), message));
 }
 
-/// A change of these bytes is a change of version.
+/// Changing these bytes requires a new protocol version.
 #[test]
 fn head_frame_written_has_recorded_bytes() {
-    let frame = FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint()) }.frame();
+    let frame =
+        FromUpstream::Head { head: POSITION, oldest_version: 3, checkpoint: Some(checkpoint()) }.frame();
     let mut expected = vec![0, 0, 0, 126, 99];
     expected.extend(7u64.to_be_bytes());
     expected.extend([5; 32]);
@@ -301,13 +302,13 @@
     let from_upstream = |frame: FromUpstream| {
         next_frame::<FromUpstream>(&mut BytesMut::from(&frame.frame()[..])).expect_err("a rejected frame")
     };
-    let field = |error: Malformed| match error {
-        Malformed::Value { field, .. } => field,
+    let field = |error: FrameError| match error {
+        FrameError::InvalidValue { field, .. } => field,
         other => panic!("{other}"),
     };
-    let long = "n".repeat(MAX_NAME + 1);
+    let long_name = "n".repeat(MAX_NAME + 1);
     let hello = |name: &str| ToUpstream::Hello { name: name.into(), zone: "a".into(), role: Role::Relay };
-    assert_eq!(field(to_upstream(hello(&long))), "name");
+    assert_eq!(field(to_upstream(hello(&long_name))), "name");
     let levels = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS + 1];
     assert_eq!(
         field(to_upstream(ToUpstream::Progress(ProgressSummary { levels, lagging: vec![] }))),
@@ -320,7 +321,7 @@
     );
     assert_eq!(field(from_upstream(FromUpstream::Path(vec!["r".into(); MAX_PATH + 1]))), "count");
     let entry = |length, offset, part: usize| FromUpstream::Entry {
-        at: AT,
+        at: POSITION,
         length,
         offset,
         part: Bytes::from(vec![0; part]),
@@ -336,9 +337,13 @@
     };
     assert_eq!(field(from_upstream(part(0, MAX_PART + 1))), "part");
     assert_eq!(field(from_upstream(part(MAX_CHECKPOINT, 1))), "part");
-    let far = Checkpoint { length: MAX_CHECKPOINT + 1, ..checkpoint() };
+    let oversized = Checkpoint { length: MAX_CHECKPOINT + 1, ..checkpoint() };
     assert_eq!(
-        field(from_upstream(FromUpstream::Head { head: AT, oldest_version: 0, checkpoint: Some(far) })),
+        field(from_upstream(FromUpstream::Head {
+            head: POSITION,
+            oldest_version: 0,
+            checkpoint: Some(oversized)
+        })),
         "length"
     );
     assert_eq!(field(from_upstream(FromUpstream::RetryAfter { after: MAX_RETRY_AFTER * 2 })), "wait");
@@ -347,12 +352,12 @@
 #[test]
 fn change_frame_length_over_bound_is_rejected() {
     let read_length = |length: u32| {
-        let mut head = BytesMut::from(&length.to_be_bytes()[..]);
-        next_frame::<FromUpstream>(&mut head)
+        let mut input = BytesMut::from(&length.to_be_bytes()[..]);
+        next_frame::<FromUpstream>(&mut input)
     };
     assert_eq!(read_length(MAX_CHANGE_FRAME), Ok(None));
     let length = MAX_CHANGE_FRAME + 1;
-    assert_eq!(read_length(length), Err(Malformed::TooLong { length, max: MAX_CHANGE_FRAME }));
+    assert_eq!(read_length(length), Err(FrameError::TooLong { length, max: MAX_CHANGE_FRAME }));
 }
 
 #[test]
@@ -366,8 +371,11 @@
 
 #[test]
 fn follower_hello_of_other_version_is_rejected() {
-    let other = ToUpstream::Hello { name: "n".repeat(MAX_NAME), zone: "a".into(), role: Role::Relay }.frame();
-    let mut other = BytesMut::from(&other[..]);
-    other[10] = 1;
-    assert!(matches!(next_frame::<ToUpstream>(&mut other), Err(Malformed::Version { version: 1, .. })));
+    let hello = ToUpstream::Hello { name: "n".repeat(MAX_NAME), zone: "a".into(), role: Role::Relay }.frame();
+    let mut other_version = BytesMut::from(&hello[..]);
+    other_version[10] = 1;
+    assert!(matches!(
+        next_frame::<ToUpstream>(&mut other_version),
+        Err(FrameError::VersionMismatch { version: 1, .. })
+    ));
 }
--- a/crates/store-protocol/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden examples of the wires: one of every frame, recorded; every later version has to write and read them byte for byte.
+//! Golden test of the wire format: recorded examples of every frame. Every later version must write and read
+//! them byte for byte.
 
 use std::fmt::Debug;
 
@@ -15,9 +16,9 @@
 use umbertray_store_protocol::{Message, next_frame, volume_id};
 
 const RECORDED: &str = include_str!("golden/frames.txt");
-const SPAN: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const MARK: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
-const CODES: [ResultCode; 7] = [
+const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
+const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
+const RESULT_CODES: [ResultCode; 7] = [
     ResultCode::Succeeded,
     ResultCode::Failed,
     ResultCode::Rejected,
@@ -26,24 +27,26 @@
     ResultCode::NotHere,
     ResultCode::StaleEpoch,
 ];
-const REFUSALS: [RefusalReason; 5] = [
+const REFUSAL_REASONS: [RefusalReason; 5] = [
     RefusalReason::Fork,
     RefusalReason::Loop,
     RefusalReason::Ahead,
     RefusalReason::ProtocolViolation,
     RefusalReason::TooManyFollowers,
 ];
-const AT: Position = Position { version: 7, hash: [5; 32] };
+const POSITION: Position = Position { version: 7, hash: [5; 32] };
 
 #[derive(Default)]
 struct Transcript(String);
 
 impl Transcript {
-    /// Records the frames of one direction, and holds that each is read back as it was written.
+    /// Records the frames of one direction, and asserts that each is read back as it was written.
     fn frames<M: Message + PartialEq + Debug>(&mut self, direction: &str, messages: &[M]) {
         for message in messages {
             let frame = message.frame();
-            let read = next_frame::<M>(&mut BytesMut::from(&frame[..])).expect("well formed").expect("whole");
+            let read = next_frame::<M>(&mut BytesMut::from(&frame[..]))
+                .expect("a valid frame")
+                .expect("a complete frame");
             assert_eq!(&read, message);
             let hex: String = frame.iter().map(|byte| format!("{byte:02x}")).collect();
             self.0.push_str(&format!("{direction} {}: {hex}\n", message.kind()));
@@ -51,14 +54,14 @@
     }
 }
 
-fn dispatch(work: OperationKind, data: &'static [u8]) -> ToStore {
+fn attempt(kind: OperationKind, data: &'static [u8]) -> ToStore {
     ToStore::Attempt(Attempt {
         number: 1,
         op: 2,
         volume: 3,
         extent: 4,
         epoch: 5,
-        kind: work,
+        kind,
         offset: 5,
         length: 3,
         units: 1.5,
@@ -74,7 +77,7 @@
 }
 
 fn orders() -> [Order; 12] {
-    let (span, epoch) = (SPAN, 6);
+    let (span, epoch) = (RANGE, 6);
     [
         Order::Prepare { span, epoch },
         Order::TrackChanges { span },
@@ -82,7 +85,7 @@
         Order::Put { span, epoch, content: content(vec![(7, Bytes::from(vec![1; PAGE]))]) },
         Order::Fence { span, epoch },
         Order::FetchExecuted { span },
-        Order::RecordExecuted { span, epoch, marks: vec![MARK] },
+        Order::RecordExecuted { span, epoch, marks: vec![EXECUTED_OP] },
         Order::Sync { span, epoch },
         Order::Activate { span, epoch },
         Order::Reactivate { span, epoch },
@@ -92,21 +95,21 @@
 }
 
 fn store_frames(transcript: &mut Transcript) {
-    let works = [
+    let kinds_without_data = [
         OperationKind::Read,
         OperationKind::Zero,
         OperationKind::Trim,
         OperationKind::Flush,
         OperationKind::Status,
     ];
-    let mut to_store = vec![ToStore::Hello { run: 9 }, dispatch(OperationKind::Write, b"abc")];
-    to_store.extend(works.map(|work| dispatch(work, b"")));
+    let mut to_store = vec![ToStore::Hello { run: 9 }, attempt(OperationKind::Write, b"abc")];
+    to_store.extend(kinds_without_data.map(|kind| attempt(kind, b"")));
     to_store.extend([ToStore::Cancel { number: 8 }, ToStore::HealthCheck { token: 7 }]);
     to_store.extend(orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
     transcript.frames("to store", &to_store);
 
-    let report = vec![("queue".to_string(), 2.5)];
-    let answer = |code| {
+    let load_report = vec![("queue".to_string(), 2.5)];
+    let attempt_result = |code| {
         FromStore::AttemptResult(AttemptResult {
             number: 1,
             code,
@@ -114,7 +117,7 @@
             epoch: 5,
             plan_rate_used: Some(0.5),
             units_elsewhere: 3.0,
-            load_report: report.clone(),
+            load_report: load_report.clone(),
             data_ranges: vec![DataRange { length: 4, has_data: true }],
         })
     };
@@ -122,16 +125,16 @@
         FromStore::Welcome { store: 1, shard: 2, clock: 3 },
         FromStore::Data { number: 1, offset: 2, data: Bytes::from_static(b"xyz") },
         FromStore::Hole { number: 1, offset: 2, length: 3 },
-        answer(Err(200)),
-        FromStore::Healthy { token: 1, clock: 2, load_report: report.clone() },
+        attempt_result(Err(200)),
+        FromStore::Healthy { token: 1, clock: 2, load_report: load_report.clone() },
     ];
-    from_store.extend(CODES.map(|code| answer(Ok(code))));
+    from_store.extend(RESULT_CODES.map(|code| attempt_result(Ok(code))));
     let replies = [
         OrderReply::Done,
         OrderReply::ExtentsLeft(2),
         OrderReply::NextExtent(None),
         OrderReply::NextExtent(Some(content(vec![]))),
-        OrderReply::ExecutedOps(vec![MARK]),
+        OrderReply::ExecutedOps(vec![EXECUTED_OP]),
         OrderReply::StaleTerm(9),
         OrderReply::WrongState,
     ];
@@ -184,46 +187,46 @@
 
 fn change_frames(transcript: &mut Transcript) {
     let name = || "relay-1".to_string();
-    let behind = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
-    let sums =
-        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![behind] };
+    let lagging = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
+    let progress =
+        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![lagging] };
     let hello = |role| ToUpstream::Hello { name: name(), zone: "a".into(), role };
     transcript.frames(
         "to upstream",
         &[
             hello(Role::Gateway),
             hello(Role::Relay),
-            ToUpstream::Follow { after: AT },
+            ToUpstream::Follow { after: POSITION },
             ToUpstream::QueryHash { version: 3 },
             ToUpstream::Fetch { version: 7, offset: 65536 },
             ToUpstream::WindowUpdate { bytes: 9 },
-            ToUpstream::Progress(sums.clone()),
+            ToUpstream::Progress(progress.clone()),
             ToUpstream::Heartbeat,
             ToUpstream::Status,
         ],
     );
-    let checkpoint = Checkpoint { at: AT, digest: [6; 32], length: 9 };
+    let checkpoint = Checkpoint { at: POSITION, digest: [6; 32], length: 9 };
     let part = Bytes::from_static(b"part");
     let mut from_upstream = vec![
         FromUpstream::Hello { name: name(), path: vec!["top".into(), name()] },
         FromUpstream::Path(vec![name()]),
-        FromUpstream::Head { head: AT, oldest_version: 3, checkpoint: Some(checkpoint) },
+        FromUpstream::Head { head: POSITION, oldest_version: 3, checkpoint: Some(checkpoint) },
         FromUpstream::Head { head: Position::START, oldest_version: 0, checkpoint: None },
-        FromUpstream::HashAt { at: AT },
-        FromUpstream::Entry { at: AT, length: 9, offset: 2, part: part.clone() },
+        FromUpstream::HashAt { at: POSITION },
+        FromUpstream::Entry { at: POSITION, length: 9, offset: 2, part: part.clone() },
         FromUpstream::CheckpointPart { version: 7, offset: 3, part },
         FromUpstream::RetryAfter { after: std::time::Duration::from_millis(1500) },
         FromUpstream::Heartbeat,
         FromUpstream::Status(Status {
             name: name(),
-            head: AT,
+            head: POSITION,
             path: vec![name()],
             followers: 2,
             held_bytes: 3,
-            progress: sums,
+            progress,
         }),
     ];
-    from_upstream.extend(REFUSALS.map(|why| FromUpstream::Refused { reason: why }));
+    from_upstream.extend(REFUSAL_REASONS.map(|reason| FromUpstream::Refused { reason }));
     transcript.frames("from upstream", &from_upstream);
 }
 
