--- a/crates/nbd/src/client.rs
+++ b/crates/nbd/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of a session: negotiation by GO, then requests, and replies in any order.
+//! The client side of a session: negotiation with GO, then requests, whose replies may arrive in any order.
 
 use std::collections::HashMap;
 
@@ -15,49 +15,49 @@
 /// A reply, or one chunk of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A whole simple reply.
+    /// A complete simple reply.
     Simple {
-        /// That of the request.
+        /// The cookie of the request.
         cookie: u64,
-        /// Absent: success.
+        /// The error; absent if the request succeeded.
         error: Option<Errno>,
-        /// A read's data.
+        /// The data of a successful read; otherwise empty.
         data: Bytes,
     },
     /// One chunk of a structured reply.
     Chunk {
-        /// That of the request.
+        /// The cookie of the request.
         cookie: u64,
-        /// Its content.
+        /// The chunk's content.
         chunk: Chunk,
-        /// Whether it is the reply's last.
+        /// Whether it is the last chunk of the reply.
         done: bool,
     },
 }
 
-/// What the next message of a server is.
+/// The result of [`Client::receive`]: the server's next message, if it is complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
-    /// There is no whole message; read more.
+    /// The next message is incomplete; read more bytes.
     More,
-    /// Negotiation has ended in this export; requests may be sent.
+    /// Negotiation has ended: this export is selected, and requests may be sent.
     Ready(Export),
     /// The names of the exports, after [`Negotiation::List`].
     Names(Vec<String>),
-    /// A reply, or a chunk of one.
+    /// A reply, or one chunk of a reply.
     Reply(Reply),
 }
 
 /// What to negotiate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Negotiation {
-    /// The names of the exports; then the connection is to be closed.
+    /// Request the names of the exports; afterwards the connection must be closed.
     List,
-    /// An export, to send requests to.
+    /// Select an export, to send requests to it.
     Export {
-        /// Its name.
+        /// The export's name.
         name: String,
-        /// Whether structured replies, and `base:allocation`, are wanted.
+        /// Whether to negotiate structured replies and the metadata context `base:allocation`.
         structured: bool,
     },
 }
@@ -74,26 +74,27 @@
     state: State,
     names: Vec<String>,
     export: Export,
-    /// Lengths of reads without a reply, by cookie.
+    /// Lengths of reads without a reply, bytes, by cookie.
     reads: HashMap<u64, u32>,
     output: BytesMut,
 }
 
-/// Bytes of an option reply or a chunk, at most; servers send no more than a payload may hold, and its fixed part.
+/// Maximum size of an option reply or a chunk, bytes; servers send at most a payload of the maximum size and
+/// the fixed fields.
 const MAX_REPLY_BYTES: u32 = 64 << 20;
-/// Bytes of a greeting.
+/// Size of the greeting, bytes.
 const GREETING_BYTES: usize = 18;
-/// Bytes of an option reply's header.
+/// Size of an option reply's header, bytes.
 const OPTION_REPLY_HEADER_BYTES: usize = 20;
-/// Bytes of a simple reply's header.
+/// Size of a simple reply's header, bytes.
 const SIMPLE_REPLY_HEADER_BYTES: usize = 16;
-/// Bytes of a structured reply chunk's header.
+/// Size of a structured reply chunk's header, bytes.
 const CHUNK_HEADER_BYTES: usize = 20;
-/// Block sizes of a server that tells none, bytes ("Block size constraints").
+/// Block sizes to use if the server does not send any, bytes ("Block size constraints").
 const DEFAULT_BLOCKS: BlockSizes = BlockSizes { minimum: 1, preferred: 4096, maximum: 32 << 20 };
 
 impl Client {
-    /// A new session; nothing is sent before the server's greeting.
+    /// Creates a session; it sends nothing before it has received the server's greeting.
     pub fn new(negotiation: Negotiation) -> Client {
         let name =
             if let Negotiation::Export { name, .. } = &negotiation { name.clone() } else { String::new() };
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Bytes for the server, in order; the caller drains them.
+    /// The bytes to send to the server; the caller removes what it has sent.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
@@ -122,10 +123,10 @@
         put_request(&mut self.output, request);
     }
 
-    /// Removes the next whole message from `input`.
+    /// Removes the next complete message from `input` and handles it.
     ///
     /// # Errors
-    /// The server breaks the protocol, or refuses; the session can only be closed.
+    /// The server violates the protocol, or rejects an option; the connection must be closed.
     pub fn receive(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
         loop {
             let event = match self.state {
@@ -139,15 +140,16 @@
         }
     }
 
-    /// Reads the greeting and answers with the flags and the options; an event where there are too few bytes.
+    /// Reads the greeting, and writes the client's flags and all options. Returns an event only if the
+    /// greeting is incomplete.
     fn receive_greeting(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
         if input.len() < GREETING_BYTES {
             return Ok(Some(ClientEvent::More));
         }
-        let magic = input.get_u64();
-        let style = input.get_u64();
-        if magic != NBDMAGIC || style != IHAVEOPT {
-            return Err(ProtocolError::Magic { place: "the greeting", found: magic });
+        let first_magic = input.get_u64();
+        let second_magic = input.get_u64();
+        if first_magic != NBDMAGIC || second_magic != IHAVEOPT {
+            return Err(ProtocolError::WrongMagic { message: "the greeting", found: first_magic });
         }
         let flags = input.get_u16() & (FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
         self.output.put_u32(flags.into());
@@ -160,19 +162,19 @@
         match self.negotiation.clone() {
             Negotiation::List => self.put_option(OPT_LIST, &[]),
             Negotiation::Export { name, structured } => {
-                let mut named = BytesMut::new();
-                named.put_u32(name.len() as u32);
-                named.put_slice(name.as_bytes());
+                let mut data = BytesMut::new();
+                data.put_u32(name.len() as u32);
+                data.put_slice(name.as_bytes());
                 if structured {
                     self.put_option(OPT_STRUCTURED_REPLY, &[]);
-                    let mut context = named.clone();
-                    context.put_u32(1);
-                    context.put_u32(BASE_ALLOCATION.len() as u32);
-                    context.put_slice(BASE_ALLOCATION.as_bytes());
-                    self.put_option(OPT_SET_META_CONTEXT, &context);
+                    let mut context_data = data.clone();
+                    context_data.put_u32(1);
+                    context_data.put_u32(BASE_ALLOCATION.len() as u32);
+                    context_data.put_slice(BASE_ALLOCATION.as_bytes());
+                    self.put_option(OPT_SET_META_CONTEXT, &context_data);
                 }
-                named.put_u16(0);
-                self.put_option(OPT_GO, &named);
+                data.put_u16(0);
+                self.put_option(OPT_GO, &data);
             }
         }
     }
@@ -184,20 +186,20 @@
         self.output.put_slice(data);
     }
 
-    /// Reads an option reply; an event where there are too few bytes, or negotiation has ended.
+    /// Reads an option reply. Returns an event only if the reply is incomplete or negotiation has ended.
     fn receive_option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
         let Some(mut header) = input.get(..OPTION_REPLY_HEADER_BYTES) else {
             return Ok(Some(ClientEvent::More));
         };
         let magic = header.get_u64();
         if magic != OPTION_REPLY {
-            return Err(ProtocolError::Magic { place: "an option reply", found: magic });
+            return Err(ProtocolError::WrongMagic { message: "an option reply", found: magic });
         }
         let option = header.get_u32();
         let kind = header.get_u32();
         let length = header.get_u32();
         if length > MAX_REPLY_BYTES {
-            return Err(ProtocolError::LongPayload { length, bound: MAX_REPLY_BYTES });
+            return Err(ProtocolError::PayloadTooLong { length, limit: MAX_REPLY_BYTES });
         }
         if input.len() < OPTION_REPLY_HEADER_BYTES + length as usize {
             return Ok(Some(ClientEvent::More));
@@ -206,14 +208,14 @@
         let mut data = input.split_to(length as usize).freeze();
         match (option, kind) {
             (_, kind) if kind & REP_ERR != 0 && option != OPT_SET_META_CONTEXT => {
-                return Err(ProtocolError::Refused(String::from_utf8_lossy(&data).into_owned()));
+                return Err(ProtocolError::OptionRejected(String::from_utf8_lossy(&data).into_owned()));
             }
             (OPT_LIST, REP_SERVER) if data.len() >= 4 => {
                 data.advance(4);
                 self.names.push(String::from_utf8_lossy(&data).into_owned());
             }
             (OPT_LIST, REP_ACK) => return Ok(Some(ClientEvent::Names(std::mem::take(&mut self.names)))),
-            (OPT_GO, REP_INFO) => self.on_info(&mut data),
+            (OPT_GO, REP_INFO) => self.apply_info(&mut data),
             (OPT_GO, REP_ACK) => {
                 self.state = State::Transmission;
                 return Ok(Some(ClientEvent::Ready(self.export.clone())));
@@ -223,7 +225,8 @@
         Ok(None)
     }
 
-    fn on_info(&mut self, data: &mut Bytes) {
+    /// Applies the information about the export that the server sends; unknown information is ignored.
+    fn apply_info(&mut self, data: &mut Bytes) {
         if data.len() < 2 {
             return;
         }
@@ -248,11 +251,12 @@
         match header.get_u32() {
             SIMPLE_REPLY_MAGIC => Ok(self.receive_simple_reply(input)),
             STRUCTURED_REPLY_MAGIC => self.receive_chunk(input),
-            other => Err(ProtocolError::Magic { place: "a reply", found: other.into() }),
+            other => Err(ProtocolError::WrongMagic { message: "a reply", found: other.into() }),
         }
     }
 
-    /// Reads a simple reply, of which the header has come; a read's data follows it.
+    /// Reads a simple reply whose header is complete in `input`; the data of a successful read follows the
+    /// header.
     fn receive_simple_reply(&mut self, input: &mut BytesMut) -> ClientEvent {
         let mut header = &input[4..SIMPLE_REPLY_HEADER_BYTES];
         let error = header.get_u32();
@@ -268,7 +272,7 @@
         ClientEvent::Reply(Reply::Simple { cookie, error, data })
     }
 
-    /// Reads a chunk of a structured reply, of which the magic has come.
+    /// Reads a chunk of a structured reply whose magic number is complete in `input`.
     fn receive_chunk(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
         let Some(mut header) = input.get(4..CHUNK_HEADER_BYTES) else { return Ok(ClientEvent::More) };
         let flags = header.get_u16();
@@ -276,14 +280,15 @@
         let cookie = header.get_u64();
         let length = header.get_u32();
         if length > MAX_REPLY_BYTES {
-            return Err(ProtocolError::LongPayload { length, bound: MAX_REPLY_BYTES });
+            return Err(ProtocolError::PayloadTooLong { length, limit: MAX_REPLY_BYTES });
         }
         if input.len() < CHUNK_HEADER_BYTES + length as usize {
             return Ok(ClientEvent::More);
         }
         input.advance(CHUNK_HEADER_BYTES);
-        let chunk = read_chunk(kind, input.split_to(length as usize).freeze())
-            .ok_or(ProtocolError::Reply("a chunk's length and kind"))?;
+        let chunk = read_chunk(kind, input.split_to(length as usize).freeze()).ok_or(
+            ProtocolError::InvalidReply("unknown kind of chunk, or a length that does not fit the kind"),
+        )?;
         let done = flags & CHUNK_DONE != 0;
         if done {
             self.reads.remove(&cookie);
--- a/crates/nbd/src/lib.rs
+++ b/crates/nbd/src/lib.rs
@@ -1,8 +1,8 @@
-//! The NBD protocol as bytes and states, without I/O: fixed newstyle negotiation and transmission, for a server and a client.
-//! Callers move the bytes and keep time.
+//! The NBD protocol without I/O: fixed newstyle negotiation and transmission, for a server and a client.
+//! Callers read and write the bytes and handle timeouts.
 //!
-//! Sections cited are those of the public protocol text, "The NBD protocol" (doc/proto.md of the NBD project), whose words are
-//! used here.
+//! The comments cite sections of the NBD specification, "The NBD protocol" (doc/proto.md of the NBD project),
+//! and use its terms.
 
 pub mod client;
 mod error;
--- a/crates/nbd/src/proto/constants.rs
+++ b/crates/nbd/src/proto/constants.rs
@@ -1,16 +1,16 @@
-//! Numbers of the protocol text ("Values").
+//! Constants of the specification ("Values").
 
-/// First word of the greeting: "NBDMAGIC".
+/// First magic number of the greeting: "NBDMAGIC".
 pub const NBDMAGIC: u64 = 0x4e42_444d_4147_4943;
-/// Second word of the greeting, and the magic of an option: "IHAVEOPT".
+/// Second magic number of the greeting, and the magic number of an option: "IHAVEOPT".
 pub const IHAVEOPT: u64 = 0x4948_4156_454f_5054;
-/// Magic of an option reply.
+/// Magic number of an option reply.
 pub const OPTION_REPLY: u64 = 0x0003_e889_0455_65a9;
-/// Magic of a request.
+/// Magic number of a request.
 pub const REQUEST_MAGIC: u32 = 0x2560_9513;
-/// Magic of a simple reply.
+/// Magic number of a simple reply.
 pub const SIMPLE_REPLY_MAGIC: u32 = 0x6744_6698;
-/// Magic of a structured reply chunk.
+/// Magic number of a structured reply chunk.
 pub const STRUCTURED_REPLY_MAGIC: u32 = 0x668e_33ef;
 
 /// Handshake flag: fixed newstyle negotiation.
@@ -30,19 +30,19 @@
 pub const SEND_WRITE_ZEROES: u16 = 1 << 6;
 /// Transmission flag: DF is supported.
 pub const SEND_DF: u16 = 1 << 7;
-/// Transmission flag: several connections may be used as one.
+/// Transmission flag: a client may use several connections to the export as if they were one.
 pub const CAN_MULTI_CONN: u16 = 1 << 8;
 
-/// Command flag: the effect is on the medium before the reply.
+/// Command flag: the effect is durable before the reply (FUA, force unit access).
 pub const CMD_FLAG_FUA: u16 = 1;
-/// Command flag: zeroes must stay allocated.
+/// Command flag: the zeroed range must stay allocated.
 pub const CMD_FLAG_NO_HOLE: u16 = 1 << 1;
-/// Command flag: the data is sent in one chunk.
+/// Command flag: the data must be sent in one chunk (DF, don't fragment).
 pub const CMD_FLAG_DF: u16 = 1 << 2;
-/// Command flag: one extent is enough.
+/// Command flag: the reply needs to describe only one extent.
 pub const CMD_FLAG_REQ_ONE: u16 = 1 << 3;
 
-/// Option: enters transmission, without an error reply.
+/// Option: selects an export and enters transmission; it has no error reply.
 pub const OPT_EXPORT_NAME: u32 = 1;
 /// Option: ends the session.
 pub const OPT_ABORT: u32 = 2;
@@ -59,15 +59,15 @@
 /// Option: selects metadata contexts.
 pub const OPT_SET_META_CONTEXT: u32 = 10;
 
-/// Option reply: the option is done.
+/// Option reply: the option is completed.
 pub const REP_ACK: u32 = 1;
-/// Option reply: an export's name.
+/// Option reply: the name of an export.
 pub const REP_SERVER: u32 = 2;
-/// Option reply: information on an export.
+/// Option reply: information about an export.
 pub const REP_INFO: u32 = 3;
 /// Option reply: a metadata context.
 pub const REP_META_CONTEXT: u32 = 4;
-/// Option reply: the bit that all errors have.
+/// Option reply: the bit that is set in all errors.
 pub const REP_ERR: u32 = 1 << 31;
 /// Option reply: the option is not supported.
 pub const REP_ERR_UNSUP: u32 = REP_ERR | 1;
@@ -80,13 +80,13 @@
 /// Option reply: the request or the reply is too large.
 pub const REP_ERR_TOO_BIG: u32 = REP_ERR | 9;
 
-/// Information: size and transmission flags.
+/// Information type: size and transmission flags.
 pub const INFO_EXPORT: u16 = 0;
-/// Information: the canonical name.
+/// Information type: the canonical name.
 pub const INFO_NAME: u16 = 1;
-/// Information: a description.
+/// Information type: a description.
 pub const INFO_DESCRIPTION: u16 = 2;
-/// Information: block sizes.
+/// Information type: block sizes.
 pub const INFO_BLOCK_SIZE: u16 = 3;
 
 /// Chunk flag: the last chunk of a reply.
@@ -108,10 +108,10 @@
 pub const STATE_HOLE: u32 = 1;
 /// Extent flag of `base:allocation`: reads as zeroes.
 pub const STATE_ZERO: u32 = 2;
-/// The only metadata context that is offered.
+/// Name of the only metadata context that the server offers.
 pub const BASE_ALLOCATION: &str = "base:allocation";
-/// Its id, in each session that selected it.
+/// Id of the metadata context `base:allocation` in each session that has selected it.
 pub const ALLOCATION_ID: u32 = 1;
 
-/// Bytes of a string, at most ("Terminology").
+/// Maximum length of a string, bytes ("Terminology").
 pub const MAX_STRING: usize = 4096;
--- a/crates/nbd/src/proto/messages.rs
+++ b/crates/nbd/src/proto/messages.rs
@@ -1,4 +1,5 @@
-//! Requests and replies as bytes ("Request message", "Simple reply message", "Structured reply chunk message").
+//! Encoding and decoding of requests and replies ("Request message", "Simple reply message", "Structured
+//! reply chunk message").
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use winnow::Parser;
@@ -13,23 +14,23 @@
 /// The content of a structured reply chunk ("Structured reply chunk message").
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Chunk {
-    /// Nothing: the end of a reply.
+    /// No content: the end of a reply.
     None,
     /// Data of a read.
     Data {
-        /// Bytes from the export's start.
+        /// Offset of the data from the export's start, bytes.
         offset: u64,
         /// The data.
         data: Bytes,
     },
-    /// A range of a read that is all zeroes.
+    /// A range of a read that consists of zeroes.
     Hole {
-        /// Bytes from the export's start.
+        /// Offset of the range from the export's start, bytes.
         offset: u64,
-        /// Bytes.
+        /// Length of the range, bytes.
         length: u32,
     },
-    /// Extents of a metadata context, from the range's start on.
+    /// Consecutive extents of a metadata context, from the start of the requested range.
     BlockStatus {
         /// The context's id.
         context: u32,
@@ -40,14 +41,14 @@
     Error {
         /// The error.
         errno: Errno,
-        /// A text, for people.
+        /// A human-readable message.
         message: String,
-        /// Where it failed, bytes from the export's start.
+        /// The place of the failure, if known: offset from the export's start, bytes.
         offset: Option<u64>,
     },
 }
 
-/// The header of a request, as it came.
+/// The header of a request, as received; its fields are not validated.
 pub(crate) struct RequestHeader {
     pub(crate) magic: u32,
     pub(crate) flags: u16,
@@ -57,10 +58,10 @@
     pub(crate) length: u32,
 }
 
-/// Bytes of a request's header.
+/// Size of a request's header, bytes.
 pub(crate) const REQUEST_HEADER_BYTES: usize = 28;
 
-pub(crate) fn request_header(bytes: &[u8; REQUEST_HEADER_BYTES]) -> RequestHeader {
+pub(crate) fn read_request_header(bytes: &[u8; REQUEST_HEADER_BYTES]) -> RequestHeader {
     let mut input = &bytes[..];
     let parsed: winnow::ModalResult<_> = (be_u32, be_u16, be_u16, be_u64, be_u64, be_u32)
         .map(|(magic, flags, command, cookie, offset, length)| RequestHeader {
@@ -72,7 +73,7 @@
             length,
         })
         .parse_next(&mut input);
-    // Invariant: the fields are 28 bytes together, and fixed numbers are always read.
+    // Invariant: the fields have 28 bytes in total, and parsing numbers of fixed size cannot fail otherwise.
     parsed.expect("28 bytes hold a request header")
 }
 
@@ -87,16 +88,17 @@
     out.put_slice(&request.payload);
 }
 
-/// Writes a simple reply; 0 is success.
-pub(crate) fn put_simple(out: &mut BytesMut, cookie: u64, error: u32) {
+/// Writes a simple reply; `error` 0 means success.
+pub(crate) fn put_simple_reply(out: &mut BytesMut, cookie: u64, error: u32) {
     out.put_u32(SIMPLE_REPLY_MAGIC);
     out.put_u32(error);
     out.put_u64(cookie);
 }
 
-/// Writes a chunk's header and fixed part. The bytes of a data chunk are returned, to be sent after it uncopied.
+/// Writes a chunk, except the bytes of a data chunk. These are returned, so that the caller can send them
+/// after the output without copying them.
 pub(crate) fn put_chunk(out: &mut BytesMut, cookie: u64, chunk: Chunk, is_last: bool) -> Option<Bytes> {
-    let mut head = |kind: u16, length: usize| {
+    let mut put_header = |kind: u16, length: usize| {
         out.put_u32(STRUCTURED_REPLY_MAGIC);
         out.put_u16(if is_last { CHUNK_DONE } else { 0 });
         out.put_u16(kind);
@@ -104,19 +106,19 @@
         out.put_u32(length as u32);
     };
     match chunk {
-        Chunk::None => head(CHUNK_NONE, 0),
+        Chunk::None => put_header(CHUNK_NONE, 0),
         Chunk::Data { offset, data } => {
-            head(CHUNK_OFFSET_DATA, 8 + data.len());
+            put_header(CHUNK_OFFSET_DATA, 8 + data.len());
             out.put_u64(offset);
             return Some(data);
         }
         Chunk::Hole { offset, length } => {
-            head(CHUNK_OFFSET_HOLE, 12);
+            put_header(CHUNK_OFFSET_HOLE, 12);
             out.put_u64(offset);
             out.put_u32(length);
         }
         Chunk::BlockStatus { context, extents } => {
-            head(CHUNK_BLOCK_STATUS, 4 + 8 * extents.len());
+            put_header(CHUNK_BLOCK_STATUS, 4 + 8 * extents.len());
             out.put_u32(context);
             for extent in extents {
                 out.put_u32(extent.length);
@@ -126,7 +128,7 @@
         Chunk::Error { errno, message, offset } => {
             let text = &message.as_bytes()[..message.len().min(MAX_STRING)];
             let kind = if offset.is_some() { CHUNK_ERROR_OFFSET } else { CHUNK_ERROR };
-            head(kind, 6 + text.len() + if offset.is_some() { 8 } else { 0 });
+            put_header(kind, 6 + text.len() + if offset.is_some() { 8 } else { 0 });
             out.put_u32(errno.number());
             out.put_u16(text.len() as u16);
             out.put_slice(text);
@@ -138,7 +140,8 @@
     None
 }
 
-/// Reads a chunk's payload, all of which is in `bytes`.
+/// Reads a chunk from its complete payload; `None` if the kind is unknown or the payload does not fit the
+/// kind.
 pub(crate) fn read_chunk(kind: u16, mut bytes: Bytes) -> Option<Chunk> {
     let mut input = &bytes[..];
     Some(match kind {
@@ -148,20 +151,21 @@
             Chunk::Data { offset, data: bytes }
         }
         CHUNK_OFFSET_HOLE if bytes.len() == 12 => {
-            let (offset, length) = numbers(&mut input, (be_u64, be_u32))?;
+            let (offset, length) = parse_numbers(&mut input, (be_u64, be_u32))?;
             Chunk::Hole { offset, length }
         }
         CHUNK_BLOCK_STATUS if bytes.len() >= 12 && bytes.len() % 8 == 4 => {
-            let context = numbers(&mut input, be_u32)?;
-            let pairs = input.chunks_exact(8).map(|mut pair| numbers(&mut pair, (be_u32, be_u32)));
+            let context = parse_numbers(&mut input, be_u32)?;
+            let pairs = input.chunks_exact(8).map(|mut pair| parse_numbers(&mut pair, (be_u32, be_u32)));
             let extents = pairs.map(|pair| pair.map(|(length, flags)| Extent { length, flags }));
             let extents = extents.collect::<Option<Vec<Extent>>>()?;
             Chunk::BlockStatus { context, extents }
         }
         CHUNK_ERROR | CHUNK_ERROR_OFFSET => {
-            let (errno, length) = numbers(&mut input, (be_u32, be_u16))?;
+            let (errno, length) = parse_numbers(&mut input, (be_u32, be_u16))?;
             let (text, mut rest) = input.split_at_checked(length.into())?;
-            let offset = if kind == CHUNK_ERROR_OFFSET { Some(numbers(&mut rest, be_u64)?) } else { None };
+            let offset =
+                if kind == CHUNK_ERROR_OFFSET { Some(parse_numbers(&mut rest, be_u64)?) } else { None };
             let message = String::from_utf8_lossy(text).into_owned();
             Chunk::Error { errno: Errno::from_number(errno), message, offset }
         }
@@ -169,8 +173,8 @@
     })
 }
 
-/// Numbers at the front of `input`, which moves past them; nothing where it is too short.
-pub(crate) fn numbers<'a, T>(
+/// Reads numbers from the front of `input` and advances it past them; `None` if `input` is too short.
+pub(crate) fn parse_numbers<'a, T>(
     input: &mut &'a [u8],
     mut parser: impl Parser<&'a [u8], T, winnow::error::ErrMode<winnow::error::ContextError>>,
 ) -> Option<T> {
--- a/crates/nbd/src/proto/mod.rs
+++ b/crates/nbd/src/proto/mod.rs
@@ -1,4 +1,4 @@
-//! Numbers, records and messages of the protocol text, for both sides.
+//! Constants, data types and messages of the specification, for both sides.
 
 mod constants;
 mod messages;
@@ -9,5 +9,6 @@
 pub use types::{BlockSizes, Command, Errno, Export, Extent, Request};
 
 pub(crate) use messages::{
-    REQUEST_HEADER_BYTES, RequestHeader, numbers, put_chunk, put_simple, read_chunk, request_header,
+    REQUEST_HEADER_BYTES, RequestHeader, parse_numbers, put_chunk, put_simple_reply, read_chunk,
+    read_request_header,
 };
--- a/crates/nbd/src/proto/types.rs
+++ b/crates/nbd/src/proto/types.rs
@@ -1,4 +1,4 @@
-//! Errors, commands, requests and exports.
+//! Data types: error numbers, commands, requests and exports.
 
 use bytes::Bytes;
 
@@ -26,7 +26,7 @@
 }
 
 impl Errno {
-    /// All numbers that the text lists.
+    /// All errors that the specification lists.
     pub const ALL: [Errno; 8] = [
         Errno::Perm,
         Errno::Io,
@@ -38,7 +38,7 @@
         Errno::Shutdown,
     ];
 
-    /// Its number on the wire.
+    /// The number on the wire.
     pub fn number(self) -> u32 {
         match self {
             Errno::Perm => 1,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The error of a number; one that the text does not list counts as EINVAL, as it asks of clients.
+    /// The error with the given number. A number that the specification does not list is treated as EINVAL,
+    /// as the specification requires of clients.
     pub fn from_number(number: u32) -> Errno {
         Errno::ALL.into_iter().find(|errno| errno.number() == number).unwrap_or(Errno::Inval)
     }
@@ -67,13 +68,13 @@
     Write,
     /// Ends the session; it has no reply.
     Disc,
-    /// Makes all that was written before durable.
+    /// Makes all completed writes durable.
     Flush,
-    /// Declares that a range need not be kept.
+    /// Declares that the data of a range need not be kept.
     Trim,
     /// Makes a range read as zeroes.
     WriteZeroes,
-    /// Tells the extents of a range.
+    /// Returns the extents of a range.
     BlockStatus,
 }
 
@@ -88,7 +89,7 @@
         Command::BlockStatus,
     ];
 
-    /// Its number on the wire.
+    /// The number on the wire.
     pub fn number(self) -> u16 {
         match self {
             Command::Read => 0,
@@ -101,12 +102,12 @@
         }
     }
 
-    /// The command of a number, if the text lists it.
+    /// The command with the given number, if the specification lists it.
     pub fn from_number(number: u16) -> Option<Command> {
         Command::ALL.into_iter().find(|command| command.number() == number)
     }
 
-    /// Command flags that a client may set on it.
+    /// The command flags that a client may set with the command.
     pub fn allowed_flags(self) -> u16 {
         match self {
             Command::Read => CMD_FLAG_DF,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Whether it changes the export.
+    /// Whether the command changes the export.
     pub fn writes(self) -> bool {
         matches!(self, Command::Write | Command::Trim | Command::WriteZeroes)
     }
@@ -126,51 +127,51 @@
 /// A request ("Request message").
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Identifies the reply.
+    /// Identifies the request in its reply.
     pub cookie: u64,
     /// The command.
     pub command: Command,
     /// Command flags.
     pub flags: u16,
-    /// Bytes from the export's start.
+    /// Start of the range: offset from the export's start, bytes.
     pub offset: u64,
-    /// Bytes.
+    /// Length of the range, bytes.
     pub length: u32,
-    /// A write's data.
+    /// The data of a write; otherwise empty.
     pub payload: Bytes,
 }
 
-/// Block sizes, bytes ("Block size constraints").
+/// Block sizes of an export, bytes ("Block size constraints").
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockSizes {
-    /// Every range is a multiple of it; a power of two.
+    /// Offset and length of each request must be multiples of this size; a power of two.
     pub minimum: u32,
-    /// The range that is served best; a power of two.
+    /// The request size with the best performance; a power of two.
     pub preferred: u32,
-    /// The largest payload.
+    /// The maximum size of a payload.
     pub maximum: u32,
 }
 
-/// An export.
+/// An export: a block device that a server offers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Export {
-    /// Its name.
+    /// The export's name.
     pub name: String,
-    /// A description, for people.
+    /// A human-readable description.
     pub description: String,
-    /// Bytes.
+    /// The export's size, bytes.
     pub size: u64,
-    /// Transmission flags.
+    /// The transmission flags.
     pub flags: u16,
-    /// Its block sizes.
+    /// The block sizes.
     pub blocks: BlockSizes,
 }
 
-/// An extent of a metadata context.
+/// An extent in a metadata context: a range whose bytes have the same state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extent {
-    /// Bytes.
+    /// Length of the extent, bytes.
     pub length: u32,
-    /// Flags of the context, as [`STATE_HOLE`](super::STATE_HOLE).
+    /// Flags defined by the context, such as [`STATE_HOLE`](super::STATE_HOLE).
     pub flags: u32,
 }
--- a/crates/nbd/src/server/mod.rs
+++ b/crates/nbd/src/server/mod.rs
@@ -1,4 +1,5 @@
-//! The server's side of a session: negotiation ("Fixed newstyle negotiation", "Option types"), then transmission.
+//! The server side of a session: negotiation ("Fixed newstyle negotiation", "Option types"), then
+//! transmission.
 
 mod negotiation;
 mod option_data;
@@ -16,52 +17,54 @@
 
 /// The exports that a client may see.
 pub trait Exports {
-    /// The export of a name, if there is one.
+    /// The export with the given name, if it exists.
     fn find(&self, name: &str) -> Option<Export>;
     /// The names of all exports, for LIST.
     fn names(&self) -> Vec<String>;
 }
 
-/// Bounds of a negotiation.
+/// Limits of a negotiation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of an option's data, at most.
-    pub option_bytes: u32,
-    /// Number of options, at most.
-    pub options: u32,
+    /// Maximum length of an option's data, bytes.
+    pub max_option_bytes: u32,
+    /// Maximum number of options.
+    pub max_options: u32,
 }
 
 impl Default for Limits {
-    /// Enough for an INFO option with the longest name that the text allows, and for a hundred options.
+    /// Enough for an INFO option with the longest name that the specification allows, and for a hundred
+    /// options.
     fn default() -> Limits {
-        Limits { option_bytes: 2 * MAX_STRING as u32, options: 100 }
+        Limits { max_option_bytes: 2 * MAX_STRING as u32, max_options: 100 }
     }
 }
 
-/// What the next message of a client is.
+/// The result of [`Session::receive`]: the client's next message, if it is complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// There is no whole message; read more.
+    /// The next message is incomplete; read more bytes.
     More,
-    /// Negotiation has ended in this export; requests follow.
+    /// Negotiation has ended: the client has selected this export. Requests follow.
     Attached(Export),
-    /// A request's header has come. Call [`Session::receive`] again when there is a buffer, or [`Session::reject`].
+    /// The header of a request has been received. Call [`Session::receive`] again once a buffer is available
+    /// for the request, or reject it with [`Session::reject`].
     Pending {
-        /// What the request will hold: a write's payload or a read's data, bytes.
+        /// Size of the buffer that the request needs for a write's payload or a read's data, bytes.
         bytes: u32,
     },
-    /// A request that is to be answered.
+    /// A request, which the caller must execute and reply to.
     Request(Request),
-    /// A request that cannot be served; its error reply is in the output already.
+    /// An invalid request, or one during shutdown; its error reply is already in the output.
     Rejected {
         /// The request's cookie.
         cookie: u64,
-        /// The error that was replied.
+        /// The error of the reply.
         errno: Errno,
-        /// The text that was replied.
+        /// The message of the reply.
         reason: &'static str,
     },
-    /// The client has disconnected: answer what is open, then close.
+    /// The client has disconnected: complete the open requests, then close the connection.
     Disconnected,
 }
 
@@ -74,26 +77,29 @@
 
 /// A session with one client.
 ///
-/// Invariant: a request has exactly one final reply, and its cookie is open from [`SessionEvent::Request`] until then.
+/// Invariant: each request has exactly one final reply, and its cookie is open from [`SessionEvent::Request`]
+/// until that reply is written.
 pub struct Session {
     state: State,
     limits: Limits,
     omits_zero_padding: bool,
     has_structured_replies: bool,
-    /// The export that `base:allocation` was selected for.
+    /// Name of the export for which `base:allocation` was selected.
     allocation_export: Option<String>,
     option_count: u32,
+    /// Cookies of requests without a final reply.
     open_cookies: HashSet<u64>,
-    /// The header of the request that waits for a buffer, or for its payload.
+    /// The header of the request that waits for a buffer or for its payload.
     pending_header: Option<RequestHeader>,
+    /// Bytes to send to the client.
     output: BytesMut,
     is_shutting_down: bool,
-    /// Bytes of a rejected request's payload that are still to be discarded.
+    /// Number of bytes of a rejected request's payload that are still to be received and discarded.
     payload_to_discard: usize,
 }
 
 impl Session {
-    /// A new session, with the greeting in its output.
+    /// Creates a session, with the greeting in its output.
     pub fn new(limits: Limits) -> Session {
         let mut output = BytesMut::with_capacity(256);
         output.put_u64(NBDMAGIC);
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Bytes for the client, in order; the caller drains them.
+    /// The bytes to send to the client; the caller removes what it has sent.
     pub fn output(&mut self) -> &mut BytesMut {
         &mut self.output
     }
@@ -129,15 +135,15 @@
         self.open_cookies.len()
     }
 
-    /// From now on options and requests are answered with the shutdown errors.
+    /// Starts the shutdown: from now on options and requests are rejected with the shutdown errors.
     pub fn shut_down(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// Removes the next whole message from `input`.
+    /// Removes the next complete message from `input` and handles it.
     ///
     /// # Errors
-    /// The client breaks the protocol; the session can only be closed.
+    /// The client violates the protocol; the connection must be closed.
     pub fn receive(
         &mut self,
         input: &mut BytesMut,
--- a/crates/nbd/src/server/negotiation.rs
+++ b/crates/nbd/src/server/negotiation.rs
@@ -13,17 +13,17 @@
     REP_SERVER, SEND_DF,
 };
 
-/// Bytes of the client's flags.
+/// Size of the client's flags, bytes.
 const CLIENT_FLAGS_BYTES: usize = 4;
-/// Bytes of an option's header: magic, option, length.
+/// Size of an option's header (magic number, option, length), bytes.
 const OPTION_HEADER_BYTES: usize = 16;
-/// Bytes after the reply to EXPORT_NAME, for clients that want them.
+/// Number of zero bytes after the reply to EXPORT_NAME, unless the client has declined them.
 const ZERO_PADDING_BYTES: usize = 124;
-/// A query for all contexts of the namespace `base`, in LIST_META_CONTEXT.
+/// The query of LIST_META_CONTEXT for all contexts of the namespace `base`.
 const BASE_NAMESPACE: &str = "base:";
 
 impl Session {
-    /// Reads the client's flags; an event where there are too few bytes.
+    /// Reads the client's flags. Returns an event only if they are incomplete.
     pub(super) fn receive_client_flags(
         &mut self,
         input: &mut BytesMut,
@@ -32,8 +32,8 @@
             return Ok(Some(SessionEvent::More));
         }
         let flags = input.get_u32();
-        let known = u32::from(FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
-        if flags & !known != 0 || flags & u32::from(FLAG_FIXED_NEWSTYLE) == 0 {
+        let known_flags = u32::from(FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
+        if flags & !known_flags != 0 || flags & u32::from(FLAG_FIXED_NEWSTYLE) == 0 {
             return Err(ProtocolError::ClientFlags(flags));
         }
         self.omits_zero_padding = flags & u32::from(FLAG_NO_ZEROES) != 0;
@@ -41,7 +41,8 @@
         Ok(None)
     }
 
-    /// Reads and answers an option; an event where there are too few bytes, or negotiation has ended.
+    /// Reads an option and replies to it. Returns an event only if the option is incomplete or negotiation
+    /// has ended.
     pub(super) fn receive_option(
         &mut self,
         input: &mut BytesMut,
@@ -50,13 +51,13 @@
         let Some(mut header) = input.get(..OPTION_HEADER_BYTES) else { return Ok(Some(SessionEvent::More)) };
         let magic = header.get_u64();
         if magic != IHAVEOPT {
-            return Err(ProtocolError::Magic { place: "an option", found: magic });
+            return Err(ProtocolError::WrongMagic { message: "an option", found: magic });
         }
         let option = header.get_u32();
         let length = header.get_u32();
-        let bound = self.limits.option_bytes;
-        if length > bound {
-            return Err(ProtocolError::LongOption { option, length, bound });
+        let limit = self.limits.max_option_bytes;
+        if length > limit {
+            return Err(ProtocolError::OptionTooLong { option, length, limit });
         }
         if input.len() < OPTION_HEADER_BYTES + length as usize {
             return Ok(Some(SessionEvent::More));
@@ -64,17 +65,17 @@
         input.advance(OPTION_HEADER_BYTES);
         let data = input.split_to(length as usize).freeze();
         self.option_count += 1;
-        if self.option_count > self.limits.options {
-            return Err(ProtocolError::ManyOptions(self.option_count));
+        if self.option_count > self.limits.max_options {
+            return Err(ProtocolError::TooManyOptions(self.option_count));
         }
         if option == OPT_ABORT {
             self.put_option_reply(option, REP_ACK, &[]);
             return Ok(Some(self.end()));
         }
         if self.is_shutting_down {
-            return Ok(self.refuse_shutting_down(option));
+            return Ok(self.reject_during_shutdown(option));
         }
-        self.answer_option(option, &data, exports)
+        self.reply_to_option(option, &data, exports)
     }
 
     fn end(&mut self) -> SessionEvent {
@@ -82,8 +83,9 @@
         SessionEvent::Disconnected
     }
 
-    /// EXPORT_NAME has no error reply ("NBD_OPT_EXPORT_NAME"): the session can only be closed.
-    fn refuse_shutting_down(&mut self, option: u32) -> Option<SessionEvent> {
+    /// Rejects an option because of the shutdown. EXPORT_NAME has no error reply ("NBD_OPT_EXPORT_NAME"), so
+    /// the session ends instead.
+    fn reject_during_shutdown(&mut self, option: u32) -> Option<SessionEvent> {
         if option == OPT_EXPORT_NAME {
             return Some(self.end());
         }
@@ -91,16 +93,16 @@
         None
     }
 
-    fn answer_option(
+    fn reply_to_option(
         &mut self,
         option: u32,
         data: &Bytes,
         exports: &dyn Exports,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
         match option {
-            OPT_EXPORT_NAME => return self.answer_export_name(data, exports).map(Some),
+            OPT_EXPORT_NAME => return self.reply_to_export_name(data, exports).map(Some),
             OPT_LIST if !data.is_empty() => self.put_invalid(option, "LIST carries no data"),
-            OPT_LIST => self.answer_list(exports),
+            OPT_LIST => self.reply_to_list(exports),
             OPT_STRUCTURED_REPLY if !data.is_empty() => {
                 self.put_invalid(option, "STRUCTURED_REPLY carries no data");
             }
@@ -108,15 +110,15 @@
                 self.has_structured_replies = true;
                 self.put_option_reply(option, REP_ACK, &[]);
             }
-            OPT_INFO | OPT_GO => return Ok(self.answer_info(option, data, exports)),
-            OPT_LIST_META_CONTEXT | OPT_SET_META_CONTEXT => self.answer_meta_context(option, data, exports),
+            OPT_INFO | OPT_GO => return Ok(self.reply_to_info(option, data, exports)),
+            OPT_LIST_META_CONTEXT | OPT_SET_META_CONTEXT => self.reply_to_meta_context(option, data, exports),
             _ => self.put_option_reply(option, REP_ERR_UNSUP, b"this option is not supported"),
         }
         Ok(None)
     }
 
-    /// "NBD_OPT_EXPORT_NAME": enters transmission.
-    fn answer_export_name(
+    /// Handles EXPORT_NAME, which enters transmission ("NBD_OPT_EXPORT_NAME").
+    fn reply_to_export_name(
         &mut self,
         data: &[u8],
         exports: &dyn Exports,
@@ -131,8 +133,8 @@
         Ok(self.attach(export))
     }
 
-    /// "NBD_OPT_LIST".
-    fn answer_list(&mut self, exports: &dyn Exports) {
+    /// Handles LIST ("NBD_OPT_LIST").
+    fn reply_to_list(&mut self, exports: &dyn Exports) {
         for name in exports.names() {
             let mut entry = BytesMut::new();
             entry.put_u32(name.len() as u32);
@@ -142,10 +144,11 @@
         self.put_option_reply(OPT_LIST, REP_ACK, &[]);
     }
 
-    /// "NBD_OPT_INFO and NBD_OPT_GO": size, flags and block sizes whether asked for or not.
-    fn answer_info(&mut self, option: u32, data: &[u8], exports: &dyn Exports) -> Option<SessionEvent> {
-        let Some(InfoOption { export: name, kinds }) = parse_info(data) else {
-            self.put_contradicting_lengths(option);
+    /// Handles INFO and GO ("NBD_OPT_INFO and NBD_OPT_GO"). Size, flags and block sizes are always sent,
+    /// requested or not.
+    fn reply_to_info(&mut self, option: u32, data: &[u8], exports: &dyn Exports) -> Option<SessionEvent> {
+        let Some(InfoOption { export: name, info_types }) = parse_info(data) else {
+            self.put_inconsistent_lengths(option);
             return None;
         };
         let Some(export) = exports.find(&name) else {
@@ -157,10 +160,10 @@
         info.put_u64(export.size);
         info.put_u16(self.transmission_flags(&export));
         self.put_option_reply(option, REP_INFO, &info);
-        for (kind, text) in [(INFO_NAME, &export.name), (INFO_DESCRIPTION, &export.description)] {
-            if kinds.contains(&kind) {
+        for (info_type, text) in [(INFO_NAME, &export.name), (INFO_DESCRIPTION, &export.description)] {
+            if info_types.contains(&info_type) {
                 info.clear();
-                info.put_u16(kind);
+                info.put_u16(info_type);
                 info.put_slice(text.as_bytes());
                 self.put_option_reply(option, REP_INFO, &info);
             }
@@ -175,10 +178,11 @@
         (option == OPT_GO).then(|| self.attach(export))
     }
 
-    /// "Metadata querying": `base:allocation` is the only context.
-    fn answer_meta_context(&mut self, option: u32, data: &[u8], exports: &dyn Exports) {
+    /// Handles LIST_META_CONTEXT and SET_META_CONTEXT ("Metadata querying"); `base:allocation` is the only
+    /// context.
+    fn reply_to_meta_context(&mut self, option: u32, data: &[u8], exports: &dyn Exports) {
         let Some(MetaContextOption { export, queries }) = parse_meta_context(data) else {
-            return self.put_contradicting_lengths(option);
+            return self.put_inconsistent_lengths(option);
         };
         if !self.has_structured_replies {
             return self.put_invalid(option, "structured replies were not negotiated");
@@ -201,17 +205,19 @@
         self.put_option_reply(option, REP_ACK, &[]);
     }
 
-    /// A context selected for another export does not count ("NBD_OPT_SET_META_CONTEXT").
+    /// Enters transmission for an export. A metadata context that was selected for another export is dropped
+    /// ("NBD_OPT_SET_META_CONTEXT").
     fn attach(&mut self, export: Export) -> SessionEvent {
         self.allocation_export = self.allocation_export.take().filter(|name| *name == export.name);
         self.state = State::Transmission(export.clone());
         SessionEvent::Attached(export)
     }
 
-    /// DF makes sense only with structured replies.
+    /// The transmission flags of an export. DF is offered only with structured replies, because simple
+    /// replies are not fragmented.
     fn transmission_flags(&self, export: &Export) -> u16 {
-        let supported = if self.has_structured_replies { u16::MAX } else { !SEND_DF };
-        HAS_FLAGS | export.flags & supported
+        let allowed_flags = if self.has_structured_replies { u16::MAX } else { !SEND_DF };
+        HAS_FLAGS | export.flags & allowed_flags
     }
 
     fn put_option_reply(&mut self, option: u32, kind: u32, data: &[u8]) {
@@ -226,7 +232,7 @@
         self.put_option_reply(option, REP_ERR_INVALID, reason.as_bytes());
     }
 
-    fn put_contradicting_lengths(&mut self, option: u32) {
+    fn put_inconsistent_lengths(&mut self, option: u32) {
         self.put_invalid(option, "lengths within the option contradict its length");
     }
 
--- a/crates/nbd/src/server/option_data.rs
+++ b/crates/nbd/src/server/option_data.rs
@@ -1,14 +1,14 @@
-//! The data of options.
+//! Decoding of the data of options.
 
 use winnow::binary::{be_u16, be_u32};
 
-use crate::proto::{MAX_STRING, numbers};
+use crate::proto::{MAX_STRING, parse_numbers};
 
 /// The data of INFO and GO.
 pub(super) struct InfoOption {
     pub(super) export: String,
-    /// The kinds of information that are asked for.
-    pub(super) kinds: Vec<u16>,
+    /// The types of information that the client requests.
+    pub(super) info_types: Vec<u16>,
 }
 
 /// The data of LIST_META_CONTEXT and SET_META_CONTEXT.
@@ -17,31 +17,31 @@
     pub(super) queries: Vec<String>,
 }
 
-/// Nothing where lengths within the data contradict its length.
+/// `None` if the lengths inside the data do not match the data's length, or a string is invalid.
 pub(super) fn parse_info(data: &[u8]) -> Option<InfoOption> {
-    let (export, mut rest) = string(data)?;
-    let count = numbers(&mut rest, be_u16)?;
-    let kinds: Option<Vec<u16>> = (0..count).map(|_| numbers(&mut rest, be_u16)).collect();
-    let kinds = kinds?;
-    rest.is_empty().then_some(InfoOption { export, kinds })
+    let (export, mut rest) = parse_string(data)?;
+    let count = parse_numbers(&mut rest, be_u16)?;
+    let info_types: Option<Vec<u16>> = (0..count).map(|_| parse_numbers(&mut rest, be_u16)).collect();
+    let info_types = info_types?;
+    rest.is_empty().then_some(InfoOption { export, info_types })
 }
 
-/// Nothing where lengths within the data contradict its length.
+/// `None` if the lengths inside the data do not match the data's length, or a string is invalid.
 pub(super) fn parse_meta_context(data: &[u8]) -> Option<MetaContextOption> {
-    let (export, mut rest) = string(data)?;
-    let count = numbers(&mut rest, be_u32)?;
+    let (export, mut rest) = parse_string(data)?;
+    let count = parse_numbers(&mut rest, be_u32)?;
     let mut queries = Vec::new();
     for _ in 0..count {
-        let (query, after) = string(rest)?;
+        let (query, remaining) = parse_string(rest)?;
         queries.push(query);
-        rest = after;
+        rest = remaining;
     }
     rest.is_empty().then_some(MetaContextOption { export, queries })
 }
 
-/// A string, and what follows it.
-fn string(mut data: &[u8]) -> Option<(String, &[u8])> {
-    let length = numbers(&mut data, be_u32)? as usize;
+/// Reads a string; returns it and the data after it.
+fn parse_string(mut data: &[u8]) -> Option<(String, &[u8])> {
+    let length = parse_numbers(&mut data, be_u32)? as usize;
     if length > MAX_STRING {
         return None;
     }
--- a/crates/nbd/src/server/transmission.rs
+++ b/crates/nbd/src/server/transmission.rs
@@ -6,10 +6,10 @@
 use crate::ProtocolError;
 use crate::proto::{
     Chunk, Command, Errno, Export, REQUEST_HEADER_BYTES, REQUEST_MAGIC, Request, RequestHeader, put_chunk,
-    put_simple, request_header,
+    put_simple_reply, read_request_header,
 };
 
-/// Why a request cannot be served.
+/// Why a request is rejected.
 struct Rejection {
     errno: Errno,
     reason: &'static str,
@@ -26,16 +26,17 @@
         self.command == Command::Write.number()
     }
 
-    /// Bytes that follow the header.
+    /// Length of the payload after the header, bytes.
     fn payload_length(&self) -> usize {
         if self.is_write() { self.length as usize } else { 0 }
     }
 }
 
 impl Session {
-    /// Rejects the request whose header has come, instead of waiting for a buffer: its error reply is written now, and its
-    /// payload is discarded as it comes. False where that cannot be: a disconnect has no reply, and a cookie that is open has
-    /// one to come.
+    /// Rejects the request whose header was received, instead of waiting for a buffer: its error reply is
+    /// written now, and its payload is discarded as it is received. Returns false if the request cannot be
+    /// rejected: a disconnect has no reply, and if the cookie is already open, the reply to its request is
+    /// still pending.
     pub fn reject(&mut self, errno: Errno, message: String) -> bool {
         let can_reject = |header: &RequestHeader| {
             header.command != Command::Disc.number() && !self.open_cookies.contains(&header.cookie)
@@ -46,12 +47,12 @@
         true
     }
 
-    /// Reads a request: its header first, then, once there is a buffer, the rest.
+    /// Reads a request in two steps: first its header, then, in the next call, its payload.
     pub(super) fn receive_request(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
         self.discard_payload(input);
         match self.pending_header {
             None => self.receive_header(input),
-            Some(_) => self.receive_rest(input),
+            Some(_) => self.receive_payload(input),
         }
     }
 
@@ -64,23 +65,25 @@
     fn receive_header(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
         let State::Transmission(export) = &self.state else { return Ok(SessionEvent::More) };
         let Some(bytes) = input.first_chunk::<REQUEST_HEADER_BYTES>() else { return Ok(SessionEvent::More) };
-        let header = request_header(bytes);
+        let header = read_request_header(bytes);
         if header.magic != REQUEST_MAGIC {
-            return Err(ProtocolError::Magic { place: "a request", found: header.magic.into() });
+            return Err(ProtocolError::WrongMagic { message: "a request", found: header.magic.into() });
         }
-        let bound = export.blocks.maximum;
-        // Discarding a payload beyond the bound could take without end: the text allows to disconnect.
-        if header.is_write() && header.length > bound {
-            return Err(ProtocolError::LongPayload { length: header.length, bound });
+        let limit = export.blocks.maximum;
+        // A payload over the limit is not discarded, which could take arbitrarily long: the specification
+        // permits the server to disconnect.
+        if header.is_write() && header.length > limit {
+            return Err(ProtocolError::PayloadTooLong { length: header.length, limit });
         }
         input.advance(REQUEST_HEADER_BYTES);
-        let holds_data = matches!(Command::from_number(header.command), Some(Command::Write | Command::Read));
-        let bytes = if holds_data { header.length.min(bound) } else { 0 };
+        let needs_buffer =
+            matches!(Command::from_number(header.command), Some(Command::Write | Command::Read));
+        let bytes = if needs_buffer { header.length.min(limit) } else { 0 };
         self.pending_header = Some(header);
         Ok(SessionEvent::Pending { bytes })
     }
 
-    fn receive_rest(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
+    fn receive_payload(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
         let State::Transmission(export) = &self.state else { return Ok(SessionEvent::More) };
         let Some(header) = &self.pending_header else { return Ok(SessionEvent::More) };
         if input.len() < header.payload_length() {
@@ -90,10 +93,10 @@
             return Err(ProtocolError::ReusedCookie(header.cookie));
         }
         let payload = input.split_to(header.payload_length()).freeze();
-        let validated = self.validate(header, export);
+        let command = self.validate(header, export);
         let RequestHeader { cookie, flags, offset, length, .. } = *header;
         self.pending_header = None;
-        Ok(match validated {
+        Ok(match command {
             Ok(Command::Disc) => {
                 self.state = State::Ended;
                 SessionEvent::Disconnected
@@ -109,7 +112,7 @@
         })
     }
 
-    /// The command of a request that can be served.
+    /// Checks a request, and returns its command.
     fn validate(&self, header: &RequestHeader, export: &Export) -> Result<Command, Rejection> {
         let command = Command::from_number(header.command).ok_or(Rejection::invalid("unknown command"))?;
         if command == Command::Disc {
@@ -132,7 +135,8 @@
         Ok(command)
     }
 
-    /// Writes one chunk of a structured reply; the bytes of a data chunk are returned, to follow the output uncopied.
+    /// Writes one chunk of a structured reply, except the bytes of a data chunk. These are returned, so that
+    /// the caller can send them after the output without copying them.
     pub fn put_chunk(&mut self, cookie: u64, chunk: Chunk, is_last: bool) -> Option<Bytes> {
         if is_last {
             self.open_cookies.remove(&cookie);
@@ -140,19 +144,19 @@
         put_chunk(&mut self.output, cookie, chunk, is_last)
     }
 
-    /// Writes a simple reply of success; a read's data must follow it.
+    /// Writes a successful simple reply; for a read, the caller must send the data after it.
     pub fn put_simple_reply(&mut self, cookie: u64) {
         self.open_cookies.remove(&cookie);
-        put_simple(&mut self.output, cookie, 0);
+        put_simple_reply(&mut self.output, cookie, 0);
     }
 
-    /// Writes a request's final reply of failure, in the form that was negotiated.
+    /// Writes the final reply of a failed request, as a structured reply if these were negotiated.
     pub fn put_error(&mut self, cookie: u64, errno: Errno, message: String) {
         self.open_cookies.remove(&cookie);
         if self.has_structured_replies {
             put_chunk(&mut self.output, cookie, Chunk::Error { errno, message, offset: None }, true);
         } else {
-            put_simple(&mut self.output, cookie, errno.number());
+            put_simple_reply(&mut self.output, cookie, errno.number());
         }
     }
 }
--- a/crates/nbd/tests/golden.rs
+++ b/crates/nbd/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden examples of the wire: recorded messages that every later version has to write and read byte for byte.
+//! Golden test of the wire format: recorded messages that every later version must write and read byte for
+//! byte.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use umbertray_nbd::client::Negotiation;
@@ -24,7 +25,7 @@
     }
 }
 
-/// The transcript of one example: a line a message, its bytes in hex.
+/// A transcript of all examples: one line per message, with its bytes in hex.
 #[derive(Default)]
 struct Transcript(String);
 
@@ -54,15 +55,17 @@
     out
 }
 
-fn export_name(name: &str) -> Vec<u8> {
+/// The data of an INFO or GO option that requests no information.
+fn info_data(name: &str) -> Vec<u8> {
     let mut data = (name.len() as u32).to_be_bytes().to_vec();
     data.extend_from_slice(name.as_bytes());
     data.extend_from_slice(&[0, 0]);
     data
 }
 
-fn meta_context(query: &str) -> Vec<u8> {
-    let mut data = export_name("vol");
+/// The data of a LIST_META_CONTEXT or SET_META_CONTEXT option with one query.
+fn meta_context_data(query: &str) -> Vec<u8> {
+    let mut data = info_data("vol");
     data.truncate(7);
     data.extend_from_slice(&1u32.to_be_bytes());
     data.extend_from_slice(&(query.len() as u32).to_be_bytes());
@@ -70,14 +73,14 @@
     data
 }
 
-/// Hands all of the input over and returns what the session wrote.
+/// Passes all of the input to the session, and returns its result and its output.
 fn receive(session: &mut Session, input: &[u8]) -> (Result<(), ProtocolError>, Bytes) {
     let mut buffer = BytesMut::from(input);
     let result = loop {
         match session.receive(&mut buffer, &OneExport) {
             Ok(SessionEvent::More) => break Ok(()),
             Ok(_) => {}
-            Err(fault) => break Err(fault),
+            Err(error) => break Err(error),
         }
     };
     (result, session.output().split().freeze())
@@ -88,10 +91,10 @@
     let mut input = client_flags();
     if structured {
         input.put(option(OPT_STRUCTURED_REPLY, &[]));
-        input.put(option(OPT_SET_META_CONTEXT, &meta_context(BASE_ALLOCATION)));
+        input.put(option(OPT_SET_META_CONTEXT, &meta_context_data(BASE_ALLOCATION)));
     }
-    input.put(option(OPT_GO, &export_name("vol")));
-    receive(&mut session, &input).0.expect("a right negotiation");
+    input.put(option(OPT_GO, &info_data("vol")));
+    receive(&mut session, &input).0.expect("a valid negotiation");
     session
 }
 
@@ -114,23 +117,23 @@
     ]
 }
 
-fn options(transcript: &mut Transcript) {
+fn record_options(transcript: &mut Transcript) {
     let mut session = Session::new(Limits::default());
     transcript.bytes("greeting", &receive(&mut session, &[]).1);
     let flags = client_flags();
-    receive(&mut session, &flags).0.expect("right flags");
+    receive(&mut session, &flags).0.expect("valid flags");
     let examples: [(&str, u32, Vec<u8>); 11] = [
         ("unknown option", 4711, b"what".to_vec()),
         ("list", OPT_LIST, vec![]),
         ("list with data", OPT_LIST, b"junk".to_vec()),
-        ("info", OPT_INFO, export_name("vol")),
-        ("info of no export", OPT_INFO, export_name("other")),
+        ("info", OPT_INFO, info_data("vol")),
+        ("info of no export", OPT_INFO, info_data("other")),
         ("malformed info", OPT_INFO, vec![0, 0]),
-        ("meta contexts before structured replies", OPT_LIST_META_CONTEXT, meta_context("")),
+        ("meta contexts before structured replies", OPT_LIST_META_CONTEXT, meta_context_data("")),
         ("structured replies", OPT_STRUCTURED_REPLY, vec![]),
-        ("list meta contexts", OPT_LIST_META_CONTEXT, meta_context("base:")),
-        ("set meta context", OPT_SET_META_CONTEXT, meta_context(BASE_ALLOCATION)),
-        ("go", OPT_GO, export_name("vol")),
+        ("list meta contexts", OPT_LIST_META_CONTEXT, meta_context_data("base:")),
+        ("set meta context", OPT_SET_META_CONTEXT, meta_context_data(BASE_ALLOCATION)),
+        ("go", OPT_GO, info_data("vol")),
     ];
     for (name, number, data) in examples {
         let (result, written) = receive(&mut session, &option(number, &data));
@@ -138,16 +141,16 @@
         transcript.bytes(&format!("option, {name}"), &written);
     }
     let mut session = Session::new(Limits::default());
-    receive(&mut session, &flags).0.expect("right flags");
+    receive(&mut session, &flags).0.expect("valid flags");
     let (_, written) = receive(&mut session, &option(OPT_EXPORT_NAME, b"vol"));
     transcript.bytes("option, export name", &written);
     let mut session = Session::new(Limits::default());
-    receive(&mut session, &flags).0.expect("right flags");
+    receive(&mut session, &flags).0.expect("valid flags");
     let (_, written) = receive(&mut session, &option(OPT_ABORT, &[]));
     transcript.bytes("option, abort", &written);
 }
 
-fn replies(transcript: &mut Transcript) {
+fn record_replies(transcript: &mut Transcript) {
     for structured in [false, true] {
         let form = if structured { "structured" } else { "simple" };
         let mut session = session_in_transmission(structured);
@@ -157,7 +160,7 @@
             }
             let mut bytes = BytesMut::new();
             put_request(&mut bytes, &request);
-            receive(&mut session, &bytes).0.expect("a right request");
+            receive(&mut session, &bytes).0.expect("a valid request");
         }
         let data = session.put_chunk(1, Chunk::Data { offset: 4096, data: Bytes::from(vec![9; 8]) }, true);
         let mut written = session.output().split();
@@ -172,7 +175,7 @@
     for request in commands().into_iter().filter(|request| [1, 7].contains(&request.cookie)) {
         let mut bytes = BytesMut::new();
         put_request(&mut bytes, &request);
-        receive(&mut session, &bytes).0.expect("a right request");
+        receive(&mut session, &bytes).0.expect("a valid request");
     }
     session.put_chunk(1, Chunk::Hole { offset: 4096, length: 512 }, true);
     transcript.bytes("structured reply, hole", &session.output().split());
@@ -184,7 +187,7 @@
     }
 }
 
-fn refused_requests(transcript: &mut Transcript) {
+fn record_rejected_requests(transcript: &mut Transcript) {
     let request = |command: u16, flags: u16, offset: u64, length: u32| {
         let mut out = BytesMut::new();
         out.put_u32(REQUEST_MAGIC);
@@ -212,25 +215,25 @@
         }
     }
     let (result, _) = receive(&mut session_in_transmission(false), &[0; 28]);
-    transcript.text("wrong magic", &result.expect_err("no request").to_string());
+    transcript.text("wrong magic", &result.expect_err("the magic number is wrong").to_string());
     let mut session = Session::new(Limits::default());
     let (result, _) = receive(&mut session, &[255; 4]);
-    transcript.text("wrong client flags", &result.expect_err("no client").to_string());
+    transcript.text("wrong client flags", &result.expect_err("the flags are invalid").to_string());
 }
 
-fn client_side(transcript: &mut Transcript) {
-    let wishes = [
+fn record_client_messages(transcript: &mut Transcript) {
+    let negotiations = [
         ("attach", Negotiation::Export { name: "vol".into(), structured: true }),
         ("attach plainly", Negotiation::Export { name: "vol".into(), structured: false }),
         ("list", Negotiation::List),
     ];
-    for (name, wish) in wishes {
-        let (mut client, mut session) = (Client::new(wish), Session::new(Limits::default()));
+    for (name, negotiation) in negotiations {
+        let (mut client, mut session) = (Client::new(negotiation), Session::new(Limits::default()));
         let mut to_client = BytesMut::from(&receive(&mut session, &[]).1[..]);
         for turn in 0..4 {
             while !to_client.is_empty() {
                 let before = to_client.len();
-                client.receive(&mut to_client).expect("a right server");
+                client.receive(&mut to_client).expect("a correct server");
                 if to_client.len() == before {
                     break;
                 }
@@ -250,9 +253,9 @@
 #[test]
 fn negotiation_replies_and_errors_match_recorded_bytes() {
     let mut transcript = Transcript::default();
-    options(&mut transcript);
-    replies(&mut transcript);
-    refused_requests(&mut transcript);
-    client_side(&mut transcript);
+    record_options(&mut transcript);
+    record_replies(&mut transcript);
+    record_rejected_requests(&mut transcript);
+    record_client_messages(&mut transcript);
     assert!(transcript.0 == RECORDED, "differs from tests/golden/nbd.txt:\n{}", transcript.0);
 }
