--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -42,7 +42,7 @@
     pub takeover: Takeover,
 }
 
-/// A running coordinator. Dropping it aborts its tasks immediately, without a graceful shutdown.
+/// A running coordinator. Dropping it aborts its tasks immediately, with the effect of killing the process.
 pub struct RunningCoordinator {
     /// The address that it listens at.
     pub address: SocketAddr,
--- a/crates/coordinator/src/store_connection.rs
+++ b/crates/coordinator/src/store_connection.rs
@@ -41,7 +41,7 @@
         let reply = tokio::time::timeout(ORDER_TIMEOUT, exchange(store, run_id, &mut socket, order));
         let reply = reply.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         if let Err(error) = &reply {
-            tracing::info!(%store, %error, "no reply to order");
+            tracing::info!(%store, %error, "order not answered");
             socket = None;
         }
         if events.send(LoopEvent::OrderFinished { token, reply: reply.ok() }).is_err() {
--- a/crates/nbd/src/error.rs
+++ b/crates/nbd/src/error.rs
@@ -27,7 +27,7 @@
     /// The client has sent more options than [`Limits`](crate::Limits) allows.
     #[error("client sent {0} options without entering transmission")]
     TooManyOptions(u32),
-    /// The client selected an export that does not exist with EXPORT_NAME, which has no error reply.
+    /// With EXPORT_NAME, which has no error reply, the client selected an export that does not exist.
     #[error("export {0:?} does not exist, and EXPORT_NAME has no error reply")]
     NoSuchExport(String),
     /// A payload is too long.
--- a/crates/nbd/src/proto/types.rs
+++ b/crates/nbd/src/proto/types.rs
@@ -119,7 +119,7 @@
     }
 
     /// Whether the command changes the export.
-    pub fn writes(self) -> bool {
+    pub fn modifies_export(self) -> bool {
         matches!(self, Command::Write | Command::Trim | Command::WriteZeroes)
     }
 }
--- a/crates/nbd/src/server/negotiation.rs
+++ b/crates/nbd/src/server/negotiation.rs
@@ -70,7 +70,7 @@
         }
         if option == OPT_ABORT {
             self.put_option_reply(option, REP_ACK, &[]);
-            return Ok(Some(self.end()));
+            return Ok(Some(self.disconnect()));
         }
         if self.is_shutting_down {
             return Ok(self.reject_during_shutdown(option));
@@ -78,7 +78,7 @@
         self.reply_to_option(option, &data, exports)
     }
 
-    fn end(&mut self) -> SessionEvent {
+    fn disconnect(&mut self) -> SessionEvent {
         self.state = State::Ended;
         SessionEvent::Disconnected
     }
@@ -87,7 +87,7 @@
     /// the session ends instead.
     fn reject_during_shutdown(&mut self, option: u32) -> Option<SessionEvent> {
         if option == OPT_EXPORT_NAME {
-            return Some(self.end());
+            return Some(self.disconnect());
         }
         self.put_option_reply(option, REP_ERR_SHUTDOWN, b"the server is shutting down");
         None
--- a/crates/nbd/src/server/transmission.rs
+++ b/crates/nbd/src/server/transmission.rs
@@ -47,7 +47,8 @@
         true
     }
 
-    /// Reads a request in two steps: first its header, then, in the next call, its payload.
+    /// Reads a request in two steps: first its header; then, in the next call, for which the caller has a
+    /// buffer, its payload.
     pub(super) fn receive_request(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
         self.discard_payload(input);
         match self.pending_header {
@@ -171,7 +172,7 @@
         return Err(Rejection::invalid("a range that is not a multiple of the minimum block size"));
     }
     if header.offset.checked_add(length).is_none_or(|end| end > export.size) {
-        let errno = if command.writes() { Errno::NoSpc } else { Errno::Inval };
+        let errno = if command.modifies_export() { Errno::NoSpc } else { Errno::Inval };
         return Err(Rejection { errno, reason: "a range beyond the export's end" });
     }
     if command == Command::Read && header.length > export.blocks.maximum {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -53,7 +53,7 @@
     pub seed: u64,
 }
 
-/// A running relay. Dropping it aborts its tasks immediately, without a graceful shutdown.
+/// A running relay. Dropping it aborts its tasks immediately, with the effect of killing the process.
 pub struct RunningRelay {
     /// The address that it listens at.
     pub address: SocketAddr,
