--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -181,7 +181,7 @@
     )
     .await
     .expect("the relay is running");
-    wait_for_log(&[("message", "loop of relays"), ("upstream", "l2"), ("path", "\"l1\", \"l2\"")]).await;
+    wait_for_log(&[("message", "relay loop detected"), ("upstream", "l2"), ("path", "\"l1\", \"l2\"")]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
