--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use umbertray::interface::{
-    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Report, StoreId,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, LoadReport, Op, OpId, Outcome, StoreId,
     StoreState, VolumeId,
 };
 use umbertray::scheduler::Scheduler;
@@ -99,7 +99,7 @@
         })
     }
 
-    fn report(&self, load: &Load) -> Report {
+    fn report(&self, load: &Load) -> LoadReport {
         let values = load.0.iter().map(|&value| f64::from(value));
         self.report_fields.iter().cloned().zip(values).collect()
     }
@@ -125,7 +125,7 @@
         let endpoints = entries.iter().map(|entry| self.endpoint(entry)).collect();
         match scope {
             0 => Ok(EndpointListUpdate::Changes(endpoints)),
-            2 => Ok(EndpointListUpdate::Whole(endpoints)),
+            2 => Ok(EndpointListUpdate::Complete(endpoints)),
             3 => Ok(EndpointListUpdate::Cached(endpoints)),
             other => Err(Malformed::UnknownScope(other)),
         }
--- a/crates/fakes/src/list/connection.rs
+++ b/crates/fakes/src/list/connection.rs
@@ -105,7 +105,7 @@
         Some(store) => {
             directory.stores.get(&store).map(|listed| FromList::Changes(vec![published_entry(store, listed)]))
         }
-        None => Some(directory.full_list()),
+        None => Some(directory.complete_list()),
     };
     let due = Instant::now() + directory.delay;
     if let Some(response) = response {
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -55,7 +55,7 @@
     }
 
     /// The complete list.
-    pub(super) fn full_list(&self) -> FromList {
+    pub(super) fn complete_list(&self) -> FromList {
         FromList::Full(self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect())
     }
 
@@ -64,7 +64,7 @@
         Some(match *request {
             ToList::Hello { .. } => FromList::Welcome { term: 0 },
             _ if self.is_failing => FromList::Failed,
-            ToList::Watch | ToList::Fetch => self.full_list(),
+            ToList::Watch | ToList::Fetch => self.complete_list(),
             ToList::Lookup { token, volume, extent, .. } => FromList::Location {
                 token,
                 place: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
--- a/crates/fakes/src/platform/discovery.rs
+++ b/crates/fakes/src/platform/discovery.rs
@@ -48,7 +48,7 @@
 }
 
 impl Entries {
-    fn full_list(&self) -> String {
+    fn complete_list(&self) -> String {
         list_line(self.version, true, &self.by_uid.values().cloned().collect::<Vec<_>>())
     }
 }
@@ -128,22 +128,23 @@
         // Hazard: a change between reading the list and subscribing would be missed. So the subscription
         // comes first.
         let changes = lines.subscribe();
-        let full_list = entries.lock().expect("no thread panics while it holds the lock").full_list();
+        let complete_list = entries.lock().expect("no thread panics while it holds the lock").complete_list();
         let is_watch = request.target.contains("watch=1");
         recorder.send_modify(|targets| targets.push(request.target.into()));
         if is_watch {
-            return serve_watch(stream, &full_list, changes).await;
+            return serve_watch(stream, &complete_list, changes).await;
         }
-        if stream.write_all(&response(200, &[], full_list.as_bytes(), false)).await.is_err() {
+        if stream.write_all(&response(200, &[], complete_list.as_bytes(), false)).await.is_err() {
             return;
         }
     }
 }
 
 /// Sends the complete list, then changes and heartbeats until the client sends data or closes the connection.
-async fn serve_watch(mut stream: TcpStream, full_list: &str, mut changes: broadcast::Receiver<String>) {
+async fn serve_watch(mut stream: TcpStream, complete_list: &str, mut changes: broadcast::Receiver<String>) {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let mut written = stream.write_all(head.as_bytes()).await.and(write_line(&mut stream, full_list).await);
+    let mut written =
+        stream.write_all(head.as_bytes()).await.and(write_line(&mut stream, complete_list).await);
     while written.is_ok() {
         let mut unexpected = [0];
         written = tokio::select! {
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use umbertray::interface::{
-    Action, AttemptResult, EndpointListUpdate, Event, Op, OpId, Outcome, Report, Settings, StoreId,
+    Action, AttemptResult, EndpointListUpdate, Event, LoadReport, Op, OpId, Outcome, Settings, StoreId,
     StoreState, VolumeId,
 };
 use umbertray::scheduler::Scheduler;
@@ -242,7 +242,7 @@
             op_ended: had_ended,
             plan_rate_used: None,
             units_elsewhere: 0.0,
-            report: Report::new(),
+            report: LoadReport::new(),
         };
         if let AttemptOutcome::Response(response) = outcome {
             self.on_response(id.op, response, &mut result);
@@ -276,7 +276,7 @@
                 let report = report.unwrap_or(&response.body);
                 (Outcome::Succeeded, parse_load_report(report, &self.settings.report_fields))
             }
-            other => (scheduler_outcome(other), Report::new()),
+            other => (scheduler_outcome(other), LoadReport::new()),
         };
         self.events.push(Event::HealthChecked { store, outcome, report });
     }
@@ -286,7 +286,7 @@
         self.stores.watch_recovered();
         self.endpoints_known |= !list.stores.is_empty();
         let update = if list.is_complete {
-            EndpointListUpdate::Whole(changes.endpoints)
+            EndpointListUpdate::Complete(changes.endpoints)
         } else {
             EndpointListUpdate::Changes(changes.endpoints)
         };
--- a/crates/http-api/src/outcomes.rs
+++ b/crates/http-api/src/outcomes.rs
@@ -1,6 +1,6 @@
 //! Converts what an attempt returned: to outcomes for the scheduler, retry reasons and load reports.
 
-use umbertray::interface::{Outcome, Report};
+use umbertray::interface::{LoadReport, Outcome};
 use umbertray_http::{Headers, client};
 use umbertray_lifecycle::reason::RetryReason;
 
@@ -58,7 +58,7 @@
 
 /// Parses a load report: `name=value` pairs separated by commas. Pairs with a name outside of `known_fields`
 /// or an invalid value are skipped.
-pub(crate) fn parse_load_report(text: &[u8], known_fields: &[String]) -> Report {
+pub(crate) fn parse_load_report(text: &[u8], known_fields: &[String]) -> LoadReport {
     let parts = std::str::from_utf8(text).unwrap_or_default().split(',');
     let pairs = parts.filter_map(|part| part.trim().split_once('='));
     let known = pairs.filter(|(name, _)| known_fields.iter().any(|known| known == name));
--- a/crates/http-gateway/src/listener.rs
+++ b/crates/http-gateway/src/listener.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use tokio::task::yield_now;
 use tokio::time::sleep;
-use umbertray_socket::{AcceptError, accept_error};
+use umbertray_socket::{AcceptError, classify_accept_error};
 
 use crate::client::{ClientConnection, if_ready};
 use crate::event_loop::{EventLoop, Phase};
@@ -34,7 +34,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!(%error, "accepting a client connection failed");
-                wait_before_retry(&event_loop, accept_error(&error)).await;
+                wait_before_retry(&event_loop, classify_accept_error(&error)).await;
                 continue;
             }
         };
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -101,7 +101,7 @@
 /// After a restart, discovery counts versions from the beginning. The older version is rejected on a watch,
 /// but accepted as a complete list.
 #[tokio::test]
-async fn restarted_versions_with_whole_list_are_accepted() {
+async fn restarted_versions_with_complete_list_are_accepted() {
     in_paused_time(async {
         let test_watch =
             TestWatch::new(Delivery::Pushed, &[Behavior::ListThenSilent(5), Behavior::ListThenHeartbeats(3)]);
@@ -116,7 +116,7 @@
 /// A complete list resets the failure count, so a silent watch after it is not given the long timeout of an
 /// outage.
 #[tokio::test]
-async fn watch_silent_after_whole_list_is_abandoned_soon() {
+async fn watch_silent_after_complete_list_is_abandoned_soon() {
     in_paused_time(async {
         let mut behaviors = vec![Behavior::ConnectStalled; 8];
         behaviors.extend([Behavior::WatchSilent(1), Behavior::ListThenHeartbeats(2)]);
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -59,7 +59,7 @@
         // Hazard: a reader that prefers the other one of the two fields would see a different next request
         // (section 11.2).
         if has_coding {
-            return Err(Malformed::LengthAndCoding);
+            return Err(Malformed::ConflictingFraming);
         }
         let is_decimal = length.iter().all(u8::is_ascii_digit) && lengths.next().is_none();
         let length =
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -39,7 +39,7 @@
     Host,
     /// The message specifies two framings of its body (section 6.3).
     #[error("Content-Length stands with Transfer-Encoding")]
-    LengthAndCoding,
+    ConflictingFraming,
     /// A `Content-Length` that is not one decimal number.
     #[error("Content-Length is not one decimal number")]
     Length,
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -108,11 +108,11 @@
     assert_eq!(error_with_fields("Content-Length: 5\r\nContent-Length: 5"), Malformed::Length);
     assert_eq!(
         error_with_fields("Content-Length: 5\r\nTransfer-Encoding: chunked"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     assert_eq!(
         error_with_fields("Transfer-Encoding: chunked\r\ncontent-length: 5"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     for coding in ["gzip, chunked", "identity", "chunked, chunked", "xchunked", ""] {
         assert_eq!(
@@ -135,7 +135,7 @@
                   Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
                   GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     reader.bytes.extend_from_slice(hidden.as_bytes());
-    assert_eq!(reader.next_event(), Err(Malformed::LengthAndCoding));
+    assert_eq!(reader.next_event(), Err(Malformed::ConflictingFraming));
 }
 
 #[test]
@@ -192,7 +192,7 @@
     );
     assert_eq!(
         malformed_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     assert_eq!(
         malformed_response(&format!(
--- a/crates/routing/src/core/attempts.rs
+++ b/crates/routing/src/core/attempts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use umbertray::interface::{AttemptResult, Event, OpId, Outcome, Report, StoreId, StoreState};
+use umbertray::interface::{AttemptResult, Event, LoadReport, OpId, Outcome, StoreId, StoreState};
 use umbertray_store_protocol::store::{Attempt, ToStore};
 
 use super::Core;
@@ -21,7 +21,7 @@
     pub(super) received_at: Option<Duration>,
     pub(super) plan_rate_used: Option<f64>,
     pub(super) units_elsewhere: f64,
-    pub(super) report: Report,
+    pub(super) report: LoadReport,
 }
 
 impl Core {
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -73,17 +73,17 @@
         self.schedule_query_retry();
     }
 
-    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_full_list: bool) {
+    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_complete_list: bool) {
         let endpoints = self.apply_endpoints(stores);
-        if is_full_list {
+        if is_complete_list {
             self.stores.mark_unlisted_gone(self.now, &endpoints);
         }
         let forget_at = self.now + self.gone_store_retention() + self.settings.tick;
         self.timers.set(forget_at, Timer::ForgetStores);
         let pending = self.pending_restore.as_mut();
         let restored = pending.and_then(|pending| pending.on_list(self.now, stores, &endpoints));
-        let update = if is_full_list {
-            EndpointListUpdate::Whole(endpoints)
+        let update = if is_complete_list {
+            EndpointListUpdate::Complete(endpoints)
         } else {
             EndpointListUpdate::Changes(endpoints)
         };
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -35,7 +35,7 @@
     /// The change log could not be written.
     #[error("change log: {0}")]
     ChangeLog(#[from] ChangeLogError),
-    /// Some gateways did not receive the full list or try all connections in time.
+    /// Some gateways did not receive the complete list or try all connections in time.
     #[error("{late} of {gateways} gateways did not become steady within {limit:?}")]
     NotSteady {
         /// Gateways that are not steady.
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -30,9 +30,9 @@
     pub gateway: u32,
     /// Calls of its core by its event loop, including those before its restarts.
     pub turns: u64,
-    /// Stores in the last full list, without those marked as gone.
+    /// Stores in the last complete list, without those marked as gone.
     pub listed: u64,
-    /// Full lists received since its start.
+    /// Complete lists received since its start.
     pub whole_lists: u64,
     /// Entries received in changes of the list since its start.
     pub deltas: u64,
@@ -51,9 +51,9 @@
 pub(crate) struct Counters {
     /// Calls of the core by the gateway's event loop, including those before the gateway's restarts.
     pub(super) turns: AtomicU64,
-    /// Stores in the last full list, without those marked as gone.
+    /// Stores in the last complete list, without those marked as gone.
     pub(super) listed: AtomicU64,
-    /// Full lists received.
+    /// Complete lists received.
     pub(super) whole_lists: AtomicU64,
     /// Entries received in changes of the list.
     pub(super) deltas: AtomicU64,
--- a/crates/scale/src/measurement/stage.rs
+++ b/crates/scale/src/measurement/stage.rs
@@ -19,7 +19,7 @@
 use crate::worker::{Reply, StoreEntry, WorkerCommand};
 use crate::worker_process::WorkerProcess;
 
-/// Time limit for all gateways to hold the full list and to try all connections, and to apply the last
+/// Time limit for all gateways to hold the complete list and to try all connections, and to apply the last
 /// change.
 pub(super) const STEADY_TIMEOUT: Duration = Duration::from_secs(240);
 
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    /// Waits until each hollow gateway holds the full list and has made, or failed to make, a connection to
+    /// Waits until each hollow gateway holds the complete list and has made, or failed to make, a connection to
     /// each store. Returns the time since `since`.
     pub(crate) async fn wait_until_steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
         let stores = u64::from(self.plan.stores);
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/moments.rs
@@ -131,7 +131,7 @@
             let before = seen.iter().map(|seen| seen.deltas).max().unwrap_or_default();
             let ongoing = self.begin_disruption(moment).await?;
             let notified = u64::from(self.zone(1, present).await?);
-            // A gateway that lags too far behind receives a full list instead of the changes.
+            // A gateway that lags too far behind receives a complete list instead of the changes.
             let late =
                 self.wait_for_all(|seen| seen.deltas >= before + notified || seen.whole_lists > 1).await?;
             moments.push(self.finish_disruption(ongoing, late).await?);
@@ -151,7 +151,7 @@
     }
 
     /// The list's process is killed and restarted at its address, so that all gateways reconnect and receive
-    /// a full list.
+    /// a complete list.
     async fn list_killed(&mut self, setup: &Setup) -> Result<Moment, ScaleError> {
         let (seen, _) = self.look().await?;
         let lists_before: std::collections::BTreeMap<u32, u64> =
--- a/crates/socket/src/errors.rs
+++ b/crates/socket/src/errors.rs
@@ -23,7 +23,7 @@
 }
 
 /// Classifies an error of accept(2) by its manual page, sections "Error handling" and "Errors".
-pub fn accept_error(error: &io::Error) -> AcceptError {
+pub fn classify_accept_error(error: &io::Error) -> AcceptError {
     use Errno::{
         ECONNABORTED, EHOSTDOWN, EHOSTUNREACH, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM,
         ENONET, ENOPROTOOPT, EOPNOTSUPP, EPERM, EPROTO,
--- a/crates/socket/src/lib.rs
+++ b/crates/socket/src/lib.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-pub use errors::{AcceptError, accept_error, is_local_error};
+pub use errors::{AcceptError, classify_accept_error, is_local_error};
 pub use halves::{ReadHalf, WriteHalf};
 
 /// Wait before a connect is retried after a failure that is local to this machine.
@@ -237,13 +237,13 @@
 /// transiently. Cancel safe.
 ///
 /// # Errors
-/// Descriptors or memory are exhausted, or the listener cannot be used any more; [`accept_error`] tells
+/// Descriptors or memory are exhausted, or the listener cannot be used any more; [`classify_accept_error`] tells
 /// which.
 pub async fn accept(listener: &TcpListener) -> io::Result<(Socket, SocketAddr)> {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => return Ok((Socket(stream), peer)),
-            Err(error) if accept_error(&error) == AcceptError::Transient => {}
+            Err(error) if classify_accept_error(&error) == AcceptError::Transient => {}
             Err(error) => return Err(error),
         }
     }
--- a/crates/socket/tests/errors.rs
+++ b/crates/socket/tests/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use nix::errno::Errno;
-use umbertray_socket::{AcceptError, accept_error, is_local_error, retry_interrupted};
+use umbertray_socket::{AcceptError, classify_accept_error, is_local_error, retry_interrupted};
 
 #[test]
 fn accept_errors_are_classified_by_remedy() {
@@ -17,7 +17,7 @@
     ];
     for (expected, errors) in cases {
         for error in errors {
-            assert_eq!(accept_error(&io::Error::from(error)), expected, "{error}");
+            assert_eq!(classify_accept_error(&io::Error::from(error)), expected, "{error}");
         }
     }
 }
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -52,7 +52,7 @@
     let mut now = Duration::from_secs(1000);
     let endpoint =
         |n| Endpoint { store: StoreId(n), shard: n, zone: 0, started_at: None, state: StoreState::Ready };
-    let list = Event::EndpointList(EndpointListUpdate::Whole((0..stores).map(endpoint).collect()));
+    let list = Event::EndpointList(EndpointListUpdate::Complete((0..stores).map(endpoint).collect()));
     let mut events = vec![Event::Start { seed: 1, settings: settings() }, list];
     events.extend((0..open_ops).map(|id| Event::OpArrived(op(id, volumes, stores))));
     let mut next_id = open_ops;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -64,7 +64,7 @@
     /// Only the stores that changed; all others keep their entries.
     Changes(Vec<Endpoint>),
     /// The complete list: a store that it does not name is gone.
-    Whole(Vec<Endpoint>),
+    Complete(Vec<Endpoint>),
     /// The complete list as this gateway last held it, possibly outdated.
     Cached(Vec<Endpoint>),
     /// A request for the list failed or a subscription broke; the previous list stays in use.
@@ -120,7 +120,7 @@
 }
 
 /// A store's load report: pairs of field name and value.
-pub type Report = Vec<(String, f64)>;
+pub type LoadReport = Vec<(String, f64)>;
 
 /// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
@@ -144,7 +144,7 @@
     /// to this gateway.
     pub units_elsewhere: f64,
     /// The store's load report; empty: none received.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// What a gateway has learned about a store, as far as it is worth keeping beyond the gateway's run.
@@ -260,7 +260,7 @@
         /// The outcome of the check.
         outcome: Outcome,
         /// The store's load report; empty: none received.
-        report: Report,
+        report: LoadReport,
     },
 }
 
--- a/src/scheduler/endpoint_list.rs
+++ b/src/scheduler/endpoint_list.rs
@@ -56,7 +56,7 @@
                 return;
             }
             EndpointListUpdate::Changes(endpoints) => endpoints,
-            EndpointListUpdate::Whole(endpoints) | EndpointListUpdate::Cached(endpoints) => {
+            EndpointListUpdate::Complete(endpoints) | EndpointListUpdate::Cached(endpoints) => {
                 self.remove_unlisted(&endpoints);
                 endpoints
             }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -269,7 +269,7 @@
         self.drain_until.retain(|id, _| !is_ready(*id));
         self.list = list;
         for gateway in 0..self.gateways.len() {
-            let update = EndpointListUpdate::Whole(self.list.clone());
+            let update = EndpointListUpdate::Complete(self.list.clone());
             self.deliver(gateway, vec![Event::EndpointList(update)]);
         }
     }
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use umbertray::interface::{
-    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, Op, OpId, Outcome, Report, Settings, StoreId,
-    StoreState, VolumeId,
+    Action, AttemptResult, Endpoint, EndpointListUpdate, Event, LoadReport, Op, OpId, Outcome, Settings,
+    StoreId, StoreState, VolumeId,
 };
 use umbertray::scheduler::Scheduler;
 
@@ -53,7 +53,7 @@
         let mut gateway = TestGateway { scheduler: Scheduler::default(), now: START, sweep_at: START };
         gateway.deliver(vec![
             Event::Start { seed: 1, settings: settings() },
-            Event::EndpointList(EndpointListUpdate::Whole(list)),
+            Event::EndpointList(EndpointListUpdate::Complete(list)),
         ]);
         gateway.sweep(2);
         gateway
@@ -90,7 +90,7 @@
             op_ended: true,
             plan_rate_used: None,
             units_elsewhere: 0.0,
-            report: Report::new(),
+            report: LoadReport::new(),
         };
         self.deliver(vec![Event::AttemptFinished(result)]);
     }
@@ -140,7 +140,7 @@
         gateway.sweep(1);
     }
     assert!(gateway.now > gone_at + Duration::from_secs(2));
-    gateway.deliver(vec![Event::EndpointList(EndpointListUpdate::Whole(
+    gateway.deliver(vec![Event::EndpointList(EndpointListUpdate::Complete(
         (0..100).map(|id| endpoint(id, StoreState::Ready)).collect(),
     ))]);
     assert_eq!(
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -278,7 +278,7 @@
         match due {
             DueEvent::Notified => self.deliver(
                 gateway,
-                vec![Event::EndpointList(EndpointListUpdate::Whole(vec![self.endpoint(gateway)]))],
+                vec![Event::EndpointList(EndpointListUpdate::Complete(vec![self.endpoint(gateway)]))],
             ),
             DueEvent::Restart => {
                 self.runs[gateway].number += 1;
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -166,7 +166,7 @@
         };
         let list = (0..STORES).map(|i| Simulation::endpoint(i, None, StoreState::Ready)).collect();
         let start = Event::Start { seed: 1, settings: settings() };
-        simulation.deliver(Cause::None, vec![start, Event::EndpointList(EndpointListUpdate::Whole(list))]);
+        simulation.deliver(Cause::None, vec![start, Event::EndpointList(EndpointListUpdate::Complete(list))]);
         simulation
     }
 
