--- a/crates/cli/tests/platform/bad_peers.rs
+++ b/crates/cli/tests/platform/bad_peers.rs
@@ -131,7 +131,7 @@
     // before the first.
     let last = clients.pop().expect("there are 120 clients").response().await.expect("a complete response");
     assert_eq!(last.head.status, 503);
-    let retry_after = last.head.headers.one("Retry-After").expect("not repeated").expect("present");
+    let retry_after = last.head.headers.single("Retry-After").expect("not repeated").expect("present");
     assert_eq!(retry_after, b"0.400");
     let mut rejected = 0;
     for client in &mut clients {
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -40,7 +40,7 @@
 /// Whether the store has received the request with this id.
 fn has_received(store: &Store, n: u64) -> bool {
     let correlation_id = |headers: &umbertray_http::Headers| {
-        headers.one("X-Correlation-Id").expect("not repeated").map(<[u8]>::to_vec)
+        headers.single("X-Correlation-Id").expect("not repeated").map(<[u8]>::to_vec)
     };
     let expected = Some(format!("{n:016x}").into_bytes());
     store.requests().iter().any(|(_, request)| correlation_id(&request.headers) == expected)
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/serving.rs
@@ -29,7 +29,8 @@
         requests.iter().all(|(connection, _)| *connection == requests[0].0),
         "one connection serves all requests"
     );
-    let left = requests[0].1.headers.one("X-Time-Left-Ms").expect("not repeated").expect("present").to_vec();
+    let left =
+        requests[0].1.headers.single("X-Time-Left-Ms").expect("not repeated").expect("present").to_vec();
     let left: u64 = String::from_utf8(left).expect("text").parse().expect("a number");
     assert!((1500..2000).contains(&left), "milliseconds left: {left}");
 }
@@ -110,7 +111,7 @@
     let ids: Vec<_> = other
         .requests()
         .into_iter()
-        .map(|(_, r)| r.headers.one("X-Correlation-Id").map(|v| v.map(<[u8]>::to_vec)))
+        .map(|(_, r)| r.headers.single("X-Correlation-Id").map(|v| v.map(<[u8]>::to_vec)))
         .collect();
     assert_eq!(ids, [Ok(Some(b"0000000000000004".to_vec()))], "no op of the client that disconnected");
 }
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -186,7 +186,7 @@
     let mode = Arc::new(AtomicU8::new(StoreMode::Serve as u8));
     let current_mode = mode.clone();
     let act = move |_: usize, request: &StoreRequest| {
-        let id = request.headers.one("X-Correlation-Id").ok().flatten().unwrap_or_default();
+        let id = request.headers.single("X-Correlation-Id").ok().flatten().unwrap_or_default();
         let id = String::from_utf8_lossy(id).into_owned();
         let mode = StoreMode::of(current_mode.load(Ordering::Relaxed));
         let at = record.now();
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -260,10 +260,10 @@
         result.plan_rate_used =
             header_number(headers, protocol::PLAN_RATE_USED).map(|percent| percent / 100.0);
         result.units_elsewhere = header_number(headers, protocol::UNITS_ELSEWHERE).unwrap_or_default();
-        let report = headers.one(protocol::LOAD_REPORT).ok().flatten().unwrap_or_default();
+        let report = headers.single(protocol::LOAD_REPORT).ok().flatten().unwrap_or_default();
         result.report = parse_load_report(report, &self.settings.report_fields);
         if result.outcome == Outcome::Succeeded {
-            let content_type = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
+            let content_type = headers.single("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
             self.respond(op, FinalResponse::Succeeded { content_type, body: response.body });
             result.op_ended = true;
         }
@@ -272,7 +272,7 @@
     fn on_health_checked(&mut self, store: StoreId, outcome: &AttemptOutcome) {
         let (outcome, report) = match outcome {
             AttemptOutcome::Response(response) if response.head.status == 200 => {
-                let report = response.head.headers.one(protocol::LOAD_REPORT).ok().flatten();
+                let report = response.head.headers.single(protocol::LOAD_REPORT).ok().flatten();
                 let report = report.unwrap_or(&response.body);
                 (Outcome::Succeeded, parse_load_report(report, &self.settings.report_fields))
             }
--- a/crates/http-api/src/outcomes.rs
+++ b/crates/http-api/src/outcomes.rs
@@ -20,7 +20,7 @@
 }
 
 fn response_outcome(response: &client::Response) -> Outcome {
-    let not_executed = response.head.headers.one(protocol::NOT_EXECUTED);
+    let not_executed = response.head.headers.single(protocol::NOT_EXECUTED);
     let not_executed = not_executed.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
     match response.head.status {
         200 => Outcome::Succeeded,
@@ -52,7 +52,7 @@
 
 /// A non-negative number in a header field; `None` if it is missing or cannot be parsed.
 pub(crate) fn header_number(headers: &Headers, name: &str) -> Option<f64> {
-    let text = std::str::from_utf8(headers.one(name).ok().flatten()?).ok()?;
+    let text = std::str::from_utf8(headers.single(name).ok().flatten()?).ok()?;
     parse_number(text.trim())
 }
 
--- a/crates/http-api/src/request.rs
+++ b/crates/http-api/src/request.rs
@@ -113,7 +113,7 @@
             let message = format!("{}: not {} hex digits", protocol::REQUEST_ID, protocol::HEX_DIGITS);
             return error(400, message);
         }
-        let Ok(idempotency_key) = request.headers.one(protocol::IDEMPOTENCY_KEY) else {
+        let Ok(idempotency_key) = request.headers.single(protocol::IDEMPOTENCY_KEY) else {
             return error(400, format!("{} stands more than once", protocol::IDEMPOTENCY_KEY));
         };
         let time_left = parse_time_left(required_header(request, protocol::TIME_LEFT)?)?;
@@ -242,7 +242,7 @@
 
 /// The value of a header field that must occur exactly once.
 fn required_header<'a>(request: &'a Request, name: &'static str) -> Result<&'a str, RequestError> {
-    match request.headers.one(name) {
+    match request.headers.single(name) {
         Ok(Some(value)) => match std::str::from_utf8(value) {
             Ok(value) => Ok(value.trim()),
             Err(_) => error(400, format!("{name} is not text")),
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -291,8 +291,8 @@
     reader.bytes.extend_from_slice(&bytes);
     let Ok(RequestEvent::Request(sent)) = reader.next_event() else { panic!("our own request is read") };
     assert_eq!((&*sent.method, &*sent.target, &sent.body[..]), ("PUT", target, &b"data"[..]));
-    assert_eq!(sent.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
-    let left = std::str::from_utf8(sent.headers.one("X-Time-Left-Ms").expect("once").expect("present"))
+    assert_eq!(sent.headers.single("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
+    let left = std::str::from_utf8(sent.headers.single("X-Time-Left-Ms").expect("once").expect("present"))
         .expect("text");
     assert!((500..=700).contains(&left.parse::<u64>().expect("a number")), "what is left: {left}");
     assert!(sent.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
@@ -424,7 +424,7 @@
     assert!(harness.core.start_attempt(first, harness.now + ms(500)).is_ok(), "rule 3: within the grace");
     assert_eq!(
         harness.core.start_attempt(first, harness.now + ms(1000)),
-        Err(DenialReason::DrainGraceOver),
+        Err(DenialReason::DrainGraceExpired),
         "rule 3: beyond the grace"
     );
     for dropped in [1, 0] {
@@ -766,7 +766,7 @@
         if let Some((attempt, _)) = started_attempts(&early).first() {
             assert_eq!(
                 harness.core.start_attempt(*attempt, harness.now),
-                Err(DenialReason::DrainGraceOver),
+                Err(DenialReason::DrainGraceExpired),
                 "rule 3: decided on the earlier list"
             );
         }
--- a/crates/http-gateway/src/attempt.rs
+++ b/crates/http-gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 use umbertray_http::client::{self, Response, ResponseReader};
 use umbertray_http_api::{AttemptId, AttemptOutcome, StoreId, protocol};
 use umbertray_lifecycle::attempt::propagated_deadline_holds;
-use umbertray_lifecycle::check::observe;
+use umbertray_lifecycle::check::record_violation;
 use umbertray_lifecycle::reason::StoreCloseReason;
 
 use crate::event_loop::EventLoop;
@@ -112,7 +112,7 @@
 /// Counts and logs a propagated deadline that no longer held when the request was written, because this
 /// process was held up or the store reads slowly.
 fn check_propagated_deadline(event_loop: &EventLoop, attempt: AttemptId, write_duration: Duration) {
-    observe(&event_loop.counters, propagated_deadline_holds(write_duration), |violation| {
+    record_violation(&event_loop.counters, propagated_deadline_holds(write_duration), |violation| {
         let id = event_loop.request_id(attempt).unwrap_or_default();
         tracing::warn!(
             request_id = id, op = attempt.op.0, elapsed = ?write_duration, %violation,
@@ -147,14 +147,17 @@
         let (response, is_end) = match read {
             Ok(1..) => (reader.response(), false),
             Ok(0) => (reader.on_close(), true),
-            Err(error) => return broken(StoreCloseReason::AnswerBroken, &error),
+            Err(error) => return broken(StoreCloseReason::ResponseMalformed, &error),
         };
         if !memory.reserve(reader.known_body_size()) {
             return too_large(event_loop, &connection, reader.known_body_size(), at);
         }
         match response {
             Ok(None) if is_end => {
-                return broken(StoreCloseReason::AnswerBroken, &"closed before the response was complete");
+                return broken(
+                    StoreCloseReason::ResponseMalformed,
+                    &"closed before the response was complete",
+                );
             }
             Ok(None) => {}
             Ok(Some(response)) => {
@@ -164,7 +167,7 @@
                 let outcome = finish_response(event_loop, connection, response, memory, is_reusable);
                 return Finished { outcome, at };
             }
-            Err(error) => return broken(StoreCloseReason::AnswerBroken, &error),
+            Err(error) => return broken(StoreCloseReason::ResponseMalformed, &error),
         }
     }
 }
@@ -182,7 +185,7 @@
     if is_reusable {
         event_loop.pools.release(connection);
     } else {
-        record_close(event_loop, &connection, StoreCloseReason::LastAnswer, &"connection not reusable");
+        record_close(event_loop, &connection, StoreCloseReason::LastResponse, &"connection not reusable");
     }
     AttemptOutcome::Response(response)
 }
@@ -193,7 +196,7 @@
     size: usize,
     at: Duration,
 ) -> Finished {
-    let reason = StoreCloseReason::AnswerTooLarge;
+    let reason = StoreCloseReason::ResponseTooLarge;
     event_loop.counters.count(reason);
     tracing::warn!(store = %connection.address, size, %reason, "store response exceeds the memory limit");
     Finished { outcome: AttemptOutcome::Broken, at }
--- a/crates/http-gateway/src/client/mod.rs
+++ b/crates/http-gateway/src/client/mod.rs
@@ -15,10 +15,10 @@
 use umbertray_http::connection::{CloseDemand, ConnectionState, Event, NextStep, State};
 use umbertray_http::server::{Request, RequestEvent, RequestReader};
 use umbertray_http_api::{ClientId, FinalResponse, RequestError};
-use umbertray_lifecycle::check::{check, observe};
+use umbertray_lifecycle::check::{assert_rule, record_violation};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
-use umbertray_lifecycle::limits::HOLD_UP;
-use umbertray_lifecycle::reason::{CloseReason, RefusalReason, Violation};
+use umbertray_lifecycle::limits::MAX_PROCESS_PAUSE;
+use umbertray_lifecycle::reason::{CloseReason, RejectionReason, Violation};
 use umbertray_lifecycle::{Decision, Timeouts};
 use umbertray_socket::Socket;
 
@@ -67,7 +67,7 @@
     /// The final response of an operation.
     Final(FinalResponse),
     /// An error response.
-    Error(RequestError, RefusalReason),
+    Error(RequestError, RejectionReason),
 }
 
 /// The connection of one client.
@@ -112,7 +112,8 @@
         event_loop.clients.insert(id, demand_raised.clone());
         let limits = event_loop.limits();
         let timeouts = limits.timeouts;
-        let first_request = if reject { timeouts.first_request_rejecting } else { timeouts.first_request };
+        let first_request =
+            if reject { timeouts.first_request_without_capacity } else { timeouts.first_request };
         let now = Instant::now();
         ClientConnection {
             event_loop,
@@ -207,7 +208,7 @@
     /// sent since may still be in transit, held back by a receive window that was closed.
     fn request_read_deadline(&self, now: Instant) -> Instant {
         let started_at = self.event_loop.clock.instant(self.request_started_at);
-        (started_at + self.event_loop.limits().timeouts.request_read).max(now + HOLD_UP)
+        (started_at + self.event_loop.limits().timeouts.request_read).max(now + MAX_PROCESS_PAUSE)
     }
 
     /// Applies changed limits. An idle connection uses the new limits, a connection without a request uses
@@ -232,13 +233,13 @@
     }
 
     fn check_rule(&self, decision: Decision<Violation>) {
-        check(&self.event_loop.counters, decision, |violation| {
+        assert_rule(&self.event_loop.counters, decision, |violation| {
             tracing::error!(connection_id = self.id, %violation, "lifecycle rule violated");
         });
     }
 
     fn observe_rule(&self, request_id: &str, decision: Decision<Violation>) {
-        observe(&self.event_loop.counters, decision, |violation| {
+        record_violation(&self.event_loop.counters, decision, |violation| {
             tracing::warn!(connection_id = self.id, request_id, %violation, "lifecycle rule violated");
         });
     }
--- a/crates/http-gateway/src/client/reading.rs
+++ b/crates/http-gateway/src/client/reading.rs
@@ -6,7 +6,7 @@
 use tokio::time::timeout_at;
 use umbertray_http::connection::{Event, State};
 use umbertray_http::server::{self, RequestEvent};
-use umbertray_lifecycle::reason::RefusalReason;
+use umbertray_lifecycle::reason::RejectionReason;
 
 use super::{ClientConnection, PreparedResponse, if_ready};
 use crate::response::malformed_request;
@@ -66,7 +66,7 @@
                 }
                 Err(error) => {
                     let error = malformed_request(&error);
-                    self.prepared_response = PreparedResponse::Error(error, RefusalReason::Malformed);
+                    self.prepared_response = PreparedResponse::Error(error, RejectionReason::Malformed);
                     return Some(Event::RequestInvalid);
                 }
             }
--- a/crates/http-gateway/src/client/responding.rs
+++ b/crates/http-gateway/src/client/responding.rs
@@ -9,7 +9,7 @@
 use umbertray_http::connection::{CloseDemand, Event, ResponseKind};
 use umbertray_http::server::{self, Request, RequestEvent};
 use umbertray_http_api::{FinalResponse, RequestError, protocol};
-use umbertray_lifecycle::reason::{CloseReason, RefusalReason};
+use umbertray_lifecycle::reason::{CloseReason, RejectionReason};
 use umbertray_lifecycle::{connection, request};
 
 use super::{ClientConnection, PendingOp, PreparedResponse, if_ready};
@@ -71,7 +71,7 @@
             Err(error) => {
                 let is_duplicate = error.status == DUPLICATE_ID;
                 let reason =
-                    if is_duplicate { RefusalReason::DuplicateId } else { RefusalReason::NotAnOperation };
+                    if is_duplicate { RejectionReason::DuplicateId } else { RejectionReason::NotAnOperation };
                 self.prepared_response = PreparedResponse::Error(error, reason);
                 return Some(Event::RequestInvalid);
             }
@@ -143,7 +143,7 @@
 
     fn rejection(&self, is_last: bool) -> Bytes {
         let is_draining = self.close_reason == Some(CloseReason::Draining);
-        let reason = if is_draining { RefusalReason::Draining } else { RefusalReason::NoCapacity };
+        let reason = if is_draining { RejectionReason::Draining } else { RejectionReason::NoCapacity };
         self.event_loop.counters.count(reason);
         let open = self.event_loop.clients.len();
         let demand = self.state.demand();
@@ -156,10 +156,10 @@
         self.observe_rule("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
         let message = "the request did not come whole in its time".into();
         let error = RequestError { status: 408, message };
-        self.error_response(&error, RefusalReason::RequestReadTimeout)
+        self.error_response(&error, RejectionReason::RequestReadTimeout)
     }
 
-    fn error_response(&self, error: &RequestError, reason: RefusalReason) -> Bytes {
+    fn error_response(&self, error: &RequestError, reason: RejectionReason) -> Bytes {
         self.event_loop.counters.count(reason);
         tracing::debug!(
             connection_id = self.id, status = error.status, error = error.message, %reason,
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -320,7 +320,7 @@
     }
 
     fn close_idle_connections(&self, address: SocketAddr) {
-        let reason = StoreCloseReason::StoreLeft;
+        let reason = StoreCloseReason::StoreGoneOrMoved;
         let closed = self.pools.close_idle(address);
         (0..closed).for_each(|_| self.counters.count(reason));
         tracing::debug!(store = %address, closed, %reason, "store connections closed");
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -164,7 +164,7 @@
             (NextStep::Write { response: ResponseKind::RequestTimeout, .. }, _) => {
                 Some(CloseReason::RequestReadTimeout)
             }
-            (NextStep::Write { response: ResponseKind::Error, .. }, _) => Some(CloseReason::RequestRefused),
+            (NextStep::Write { response: ResponseKind::Error, .. }, _) => Some(CloseReason::RequestInvalid),
             (NextStep::Write { response: ResponseKind::Rejection, .. }, _) => {
                 demanded().or(Some(CloseReason::NoCapacity))
             }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// The field occurs more than once.
-    pub fn one<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, DuplicateField> {
+    pub fn single<'a>(&'a self, name: &'a str) -> Result<Option<&'a [u8]>, DuplicateField> {
         let mut all = self.all(name);
         let first = all.next();
         if all.next().is_some() { Err(DuplicateField) } else { Ok(first) }
@@ -47,7 +47,7 @@
         let has_coding = self.all("Transfer-Encoding").next().is_some();
         let mut lengths = self.all("Content-Length");
         let Some(length) = lengths.next() else {
-            let is_chunked = self.one("Transfer-Encoding").is_ok_and(|coding| {
+            let is_chunked = self.single("Transfer-Encoding").is_ok_and(|coding| {
                 coding.is_some_and(|coding| coding.trim_ascii().eq_ignore_ascii_case(b"chunked"))
             });
             return match (has_coding, is_chunked) {
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -82,7 +82,7 @@
         ("GET", "/g", b"", false),
     ];
     assert_eq!(parsed, expected);
-    assert_eq!(complete[0].headers.one("x-own"), Ok(Some(&b"1"[..])));
+    assert_eq!(complete[0].headers.single("x-own"), Ok(Some(&b"1"[..])));
 }
 
 #[test]
@@ -266,5 +266,5 @@
     let bytes = server::response(429, &[("Retry-After", b"0.110")], b"", true);
     let read = read_responses(&[bytes.to_vec()]).expect("our own message");
     assert_eq!((read[0].head.status, read[0].head.persists), (429, false));
-    assert_eq!(read[0].head.headers.one("retry-after"), Ok(Some(&b"0.110"[..])));
+    assert_eq!(read[0].head.headers.single("retry-after"), Ok(Some(&b"0.110"[..])));
 }
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::Decision;
-use crate::limits::{HOLD_UP, TIME_LEFT_SLACK};
+use crate::limits::{MAX_PROCESS_PAUSE, TIME_LEFT_SLACK};
 use crate::reason::{DenialReason, Violation};
 
 /// State of the request that an attempt belongs to.
@@ -71,7 +71,7 @@
     check_request_open(start.request)?;
     check_may_run_again(start)?;
     store_accepts(&start.store, start.now)?;
-    if start.now < start.deadline { Ok(()) } else { Err(DenialReason::DeadlineOver) }
+    if start.now < start.deadline { Ok(()) } else { Err(DenialReason::DeadlineExpired) }
 }
 
 fn check_request_open(request: RequestStatus) -> Decision<DenialReason> {
@@ -94,10 +94,10 @@
 
 /// The part of a drain grace in which an attempt may begin.
 ///
-/// Hazard: the process may be paused for [`HOLD_UP`] between this decision and the first byte, and the grace
+/// Hazard: the process may be paused for [`MAX_PROCESS_PAUSE`] between this decision and the first byte, and the grace
 /// has to cover that pause (standing page, "More than these days").
 pub fn usable_drain_grace(grace: Duration) -> Duration {
-    grace.saturating_sub(HOLD_UP)
+    grace.saturating_sub(MAX_PROCESS_PAUSE)
 }
 
 /// Whether the deadline that was propagated to a store was still correct when the last byte of the request
@@ -122,7 +122,7 @@
     }
     match store.draining_since {
         Some(since) if now >= since + usable_drain_grace(store.drain_grace) => {
-            Err(DenialReason::DrainGraceOver)
+            Err(DenialReason::DrainGraceExpired)
         }
         _ => Ok(()),
     }
--- a/crates/lifecycle/src/check.rs
+++ b/crates/lifecycle/src/check.rs
@@ -7,14 +7,14 @@
 ///
 /// # Panics
 /// In debug builds, on a violation. It is a bug of this program, whatever the peers and the system do.
-pub fn check(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
-    observe(counters, decision, log);
+pub fn assert_rule(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
+    record_violation(counters, decision, log);
     debug_assert!(decision.is_ok(), "lifecycle rule violated: {decision:?}");
 }
 
 /// Counts a violation of a time limit, if the decision is one, and passes it to `log`. The cause may be that
 /// the process was paused for longer than the rules allow for.
-pub fn observe(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
+pub fn record_violation(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
     let Err(violation) = decision else { return };
     counters.count(violation);
     log(violation);
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -37,10 +37,10 @@
 /// as lost, on new connections too.
 ///
 /// # Errors
-/// [`Violation::ClosedOwingResponse`].
+/// [`Violation::ClosedWithPendingResponse`].
 pub fn may_close(obligation: Obligation, peer: Peer) -> Decision<Violation> {
     match (obligation, peer) {
-        (Obligation::Response, Peer::Open) => Err(Violation::ClosedOwingResponse),
+        (Obligation::Response, Peer::Open) => Err(Violation::ClosedWithPendingResponse),
         _ => Ok(()),
     }
 }
@@ -58,10 +58,10 @@
 /// Invariant: every request that was read is answered before the exit. Source: the protocol page, "Figures".
 ///
 /// # Errors
-/// [`Violation::ExitOwingResponse`].
+/// [`Violation::ExitWithPendingResponse`].
 pub fn may_exit(obligations: impl IntoIterator<Item = Obligation>) -> Decision<Violation> {
     let has_pending = obligations.into_iter().any(|obligation| obligation == Obligation::Response);
-    if has_pending { Err(Violation::ExitOwingResponse) } else { Ok(()) }
+    if has_pending { Err(Violation::ExitWithPendingResponse) } else { Ok(()) }
 }
 
 /// Whether a client that stopped within a request got its error or close in time, `waited` after the first
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -9,7 +9,7 @@
 
 /// The longest pause of the process between reading its clock and writing that the limits have to tolerate.
 /// Standing page, "More than these days".
-pub const HOLD_UP: Duration = Duration::from_millis(150);
+pub const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
 /// The time left that an attempt sends to its store may exceed what the client has left by this much. The
 /// operators' terms.
--- a/crates/lifecycle/src/reason.rs
+++ b/crates/lifecycle/src/reason.rs
@@ -74,7 +74,7 @@
         /// The request asked for the connection to be closed after its response.
         LastResponse = "last_response",
         /// The client sent bytes that are not an HTTP request, or a request that cannot be served.
-        RequestRefused = "request_refused",
+        RequestInvalid = "request_refused",
         /// A request was not received completely in time.
         RequestReadTimeout = "request_read_timeout",
         /// No byte of a first request was received in time.
@@ -98,11 +98,11 @@
         /// The request's client has closed its connection.
         ClientGone = "client_gone",
         /// The attempt's deadline has passed.
-        DeadlineOver = "deadline_over",
+        DeadlineExpired = "deadline_over",
         /// The endpoint list no longer contains the store.
         StoreGone = "store_gone",
         /// The store is draining, and the drain grace since this gateway was notified has expired.
-        DrainGraceOver = "drain_grace_over",
+        DrainGraceExpired = "drain_grace_over",
         /// An earlier attempt may have run, and the request is not idempotent or its deduplication window has
         /// passed.
         MayHaveRun = "may_have_run",
@@ -133,7 +133,7 @@
 
 reasons! {
     /// Why a request was answered with an error without any attempt.
-    RefusalReason in Refusal {
+    RejectionReason in Refusal {
         /// It is not an HTTP request, or one that cannot be served.
         Malformed = "malformed",
         /// It names no operation, or one that is not allowed.
@@ -159,13 +159,13 @@
         /// Its file descriptor was needed for a connection to another store.
         Evicted = "evicted",
         /// The store is gone, or has another address.
-        StoreLeft = "store_left",
+        StoreGoneOrMoved = "store_left",
         /// The response announced that it is the last one, or was delimited by the end of the connection.
-        LastAnswer = "last_answer",
+        LastResponse = "last_answer",
         /// The response could not be parsed, or ended before it was complete.
-        AnswerBroken = "answer_broken",
+        ResponseMalformed = "answer_broken",
         /// The response needs more memory than is available for it.
-        AnswerTooLarge = "answer_too_large",
+        ResponseTooLarge = "answer_too_large",
         /// The attempt ended before its response was received: it timed out, was cancelled, or was not
         /// written completely.
         AttemptEnded = "attempt_ended",
@@ -177,9 +177,9 @@
     /// may be caused by a paused process; every other violation is a bug of this program.
     Violation in Violation {
         /// This side closed a connection with a response pending.
-        ClosedOwingResponse = "closed_owing_response",
+        ClosedWithPendingResponse = "closed_owing_response",
         /// The process exited with a response pending.
-        ExitOwingResponse = "exit_owing_response",
+        ExitWithPendingResponse = "exit_owing_response",
         /// A client that stopped within a request got neither an error nor a close in time.
         BadClientKeptWaiting = "bad_client_kept_waiting",
         /// A request got its final response after its deadline and the slack.
--- a/crates/lifecycle/src/timeouts.rs
+++ b/crates/lifecycle/src/timeouts.rs
@@ -3,15 +3,18 @@
 //!
 //! A timeout is a ratio of a setting, and never exceeds what the limit of a page allows. Such a limit is the
 //! time from an action of a peer until the peer sees the response. The process may be paused once before it
-//! reads the clock that starts the timeout, and once before it writes, so that two [`HOLD_UP`]s are
+//! reads the clock that starts the timeout, and once before it writes, so that two [`MAX_PROCESS_PAUSE`]s are
 //! subtracted from each limit.
 
 use std::time::Duration;
 
-use crate::limits::{BAD_CLIENT_LIMIT, CONNECTIONS_AFTER_SIGTERM, HOLD_UP, KILL_MARGIN, MAX_KILL_AFTER};
+use crate::limits::{
+    BAD_CLIENT_LIMIT, CONNECTIONS_AFTER_SIGTERM, KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE,
+};
 
 /// Maximum timeout after which a misbehaving client has to get an error or a close.
-pub const MAX_BAD_CLIENT_WAIT: Duration = BAD_CLIENT_LIMIT.saturating_sub(HOLD_UP).saturating_sub(HOLD_UP);
+pub const MAX_BAD_CLIENT_WAIT: Duration =
+    BAD_CLIENT_LIMIT.saturating_sub(MAX_PROCESS_PAUSE).saturating_sub(MAX_PROCESS_PAUSE);
 
 /// The timeout for the rest of a message whose first bytes were received: `wanted`, within the limit for
 /// misbehaving clients.
@@ -66,7 +69,7 @@
     /// From a connection's accept until its first byte.
     pub first_request: Duration,
     /// The same if there is no capacity for the connection.
-    pub first_request_rejecting: Duration,
+    pub first_request_without_capacity: Duration,
     /// For a client to read a response.
     pub response_write: Duration,
     /// From the shutdown of sending until the close, while received bytes are discarded.
@@ -103,7 +106,7 @@
         Timeouts {
             request_read: bounded_wait(request_read),
             first_request: request_read,
-            first_request_rejecting: bounded_wait(times.connect_timeout),
+            first_request_without_capacity: bounded_wait(times.connect_timeout),
             response_write: bounded_wait(request_read),
             linger: bounded_wait(times.longest_deadline.mul_f64(LINGER_RATIO)),
             client_idle: idle,
--- a/crates/lifecycle/tests/rules.rs
+++ b/crates/lifecycle/tests/rules.rs
@@ -4,7 +4,7 @@
 
 use umbertray_lifecycle::attempt::{self, AttemptStart, Idempotency, RequestStatus, StoreStatus};
 use umbertray_lifecycle::connection::{self, Obligation, Peer};
-use umbertray_lifecycle::limits::HOLD_UP;
+use umbertray_lifecycle::limits::MAX_PROCESS_PAUSE;
 use umbertray_lifecycle::reason::{CloseReason, DenialReason, StoreCloseReason, Violation};
 use umbertray_lifecycle::{Counters, check, store_connection};
 
@@ -37,7 +37,11 @@
             AttemptStart { request: RequestStatus::ClientGone, ..START },
             Err(DenialReason::ClientGone),
         ),
-        ("deadline passed", AttemptStart { now: START.deadline, ..START }, Err(DenialReason::DeadlineOver)),
+        (
+            "deadline passed",
+            AttemptStart { now: START.deadline, ..START },
+            Err(DenialReason::DeadlineExpired),
+        ),
         ("may have run", repeated(Idempotency::NotIdempotent), Err(DenialReason::MayHaveRun)),
         ("within deduplication window", repeated(Idempotency::DeduplicatedFor(ms(1001))), Ok(())),
         (
@@ -61,18 +65,18 @@
 /// Guards against attempts to stores whose drain grace has expired: a process that was paused between its
 /// decision and the first byte sent such an attempt.
 #[test]
-fn drain_grace_is_shortened_by_a_hold_up() {
+fn drain_grace_is_shortened_by_a_process_pause() {
     let grace = START.store.drain_grace;
-    for grace_left in [HOLD_UP, HOLD_UP / 2, Duration::ZERO] {
+    for grace_left in [MAX_PROCESS_PAUSE, MAX_PROCESS_PAUSE / 2, Duration::ZERO] {
         let notified_at = START.now + grace_left - grace;
         assert_eq!(
             attempt::may_begin(&to_draining_store(notified_at)),
-            Err(DenialReason::DrainGraceOver),
+            Err(DenialReason::DrainGraceExpired),
             "{grace_left:?} left"
         );
     }
-    assert_eq!(attempt::may_begin(&to_draining_store(START.now + HOLD_UP + ms(1) - grace)), Ok(()));
-    assert_eq!(attempt::usable_drain_grace(HOLD_UP / 2), Duration::ZERO);
+    assert_eq!(attempt::may_begin(&to_draining_store(START.now + MAX_PROCESS_PAUSE + ms(1) - grace)), Ok(()));
+    assert_eq!(attempt::usable_drain_grace(MAX_PROCESS_PAUSE / 2), Duration::ZERO);
 }
 
 #[test]
@@ -80,7 +84,8 @@
     for obligation in [Obligation::None, Obligation::Response, Obligation::LingeringClose] {
         for peer in [Peer::Open, Peer::Closed, Peer::NotReading] {
             let has_pending_response = obligation == Obligation::Response && peer == Peer::Open;
-            let expected = if has_pending_response { Err(Violation::ClosedOwingResponse) } else { Ok(()) };
+            let expected =
+                if has_pending_response { Err(Violation::ClosedWithPendingResponse) } else { Ok(()) };
             assert_eq!(connection::may_close(obligation, peer), expected, "{obligation:?}, {peer:?}");
         }
         let may_exit = connection::may_exit([Obligation::None, obligation]);
@@ -106,8 +111,8 @@
         .for_each(|reason| counters.count(reason));
     counters.count(StoreCloseReason::IdleTimeout);
     let mut logged = Vec::new();
-    check::observe(&counters, Err(Violation::AnsweredLate), |violation| logged.push(violation));
-    check::observe(&counters, Ok(()), |violation| logged.push(violation));
+    check::record_violation(&counters, Err(Violation::AnsweredLate), |violation| logged.push(violation));
+    check::record_violation(&counters, Ok(()), |violation| logged.push(violation));
     assert_eq!(logged, [Violation::AnsweredLate]);
     assert_eq!(counters.get(CloseReason::IdleTimeout), 2);
     let expected = "close.idle_timeout=2 store_close.idle_timeout=1 violation.answered_late=1";
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use umbertray_lifecycle::limits::{BAD_CLIENT_LIMIT, HOLD_UP, KILL_MARGIN, MAX_KILL_AFTER};
+use umbertray_lifecycle::limits::{BAD_CLIENT_LIMIT, KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
 
 /// Durations in milliseconds, from 0.05 s to 600 s, as settings may contain them.
@@ -26,17 +26,20 @@
 }
 
 #[test]
-fn bad_client_waits_leave_a_hold_up_on_either_side_of_the_limit() {
+fn bad_client_waits_leave_a_process_pause_on_either_side_of_the_limit() {
     for settings in all_settings() {
         let timeouts = Timeouts::from_settings(&settings);
         let bad_client_waits = [
             timeouts.request_read,
-            timeouts.first_request_rejecting,
+            timeouts.first_request_without_capacity,
             timeouts.response_write,
             timeouts.linger,
         ];
         for wait in bad_client_waits {
-            assert!(HOLD_UP + wait + HOLD_UP <= BAD_CLIENT_LIMIT, "{wait:?} with {settings:?}");
+            assert!(
+                MAX_PROCESS_PAUSE + wait + MAX_PROCESS_PAUSE <= BAD_CLIENT_LIMIT,
+                "{wait:?} with {settings:?}"
+            );
         }
     }
 }
