--- a/crates/cli/src/config/error.rs
+++ b/crates/cli/src/config/error.rs
@@ -91,6 +91,6 @@
 }
 
 fn conflict_line(conflict: &Conflict) -> String {
-    let Conflict { place, version, actor, yours, theirs, .. } = conflict;
-    format!("{place}: yours is {yours}, {actor} made it {theirs} in version {version}")
+    let Conflict { path, version, actor, yours, theirs, .. } = conflict;
+    format!("{path}: yours is {yours}, {actor} made it {theirs} in version {version}")
 }
--- a/crates/cli/src/config/print.rs
+++ b/crates/cli/src/config/print.rs
@@ -16,7 +16,7 @@
 pub(super) fn document(document: &Document) {
     match document {
         Document::Complete(settings) => output::print(&settings.as_script()),
-        Document::OwnPart(settings) => output::print(&settings.own_script()),
+        Document::OwnPart(settings) => output::print(&settings.local_script()),
     }
 }
 
@@ -28,18 +28,19 @@
     let volumes = (path.key.kind == Kind::Plan).then(|| version.volume_count(&path.key.name));
     if log.json {
         let path = path.to_string();
-        let row = json!({ "place": path, "before": before, "after": edit.value(), "volumes": volumes });
+        let row =
+            json!({ "place": path, "before": before, "after": edit.display_value(), "volumes": volumes });
         output::print_json(&row);
         return;
     }
     let before = before.map_or("nothing".into(), |value| value.to_string());
     let affected = volumes.map_or(String::new(), |count| format!(" ({count} volumes)"));
-    output::print_line(&format!("{path}: {before} -> {}{affected}", edit.value()));
+    output::print_line(&format!("{path}: {before} -> {}{affected}", edit.display_value()));
 }
 
 pub(super) fn version(log: &LogArguments, version: &Version) {
     if log.json {
-        output::print(&String::from_utf8_lossy(&version.configuration.bytes()));
+        output::print(&String::from_utf8_lossy(&version.configuration.to_bytes()));
         return;
     }
     output::print_line(&format!("# Version {}", version.number));
@@ -59,7 +60,7 @@
     }
     output::print_line(&format!("{version}  {at}  {}: {}", change.actor, change.reason));
     for edit in change.edits.iter().take(MAX_EDITS_LISTED) {
-        output::print_line(&format!("    {} -> {}", edit.path(), edit.value()));
+        output::print_line(&format!("    {} -> {}", edit.path(), edit.display_value()));
     }
     if change.edits.len() > MAX_EDITS_LISTED {
         output::print_line(&format!("    and {} more", change.edits.len() - MAX_EDITS_LISTED));
--- a/crates/cli/src/config/read.rs
+++ b/crates/cli/src/config/read.rs
@@ -45,7 +45,7 @@
     newest_version(&log.changes)?;
     let history = log::history(&Disk::read_only(&log.changes), 0)?;
     let affects_path =
-        |committed: &&CommittedChange| committed.change.edits.iter().any(|edit| edit.path().meets(path));
+        |committed: &&CommittedChange| committed.change.edits.iter().any(|edit| edit.path().overlaps(path));
     let last = history.iter().rev().find(affects_path);
     let last = last.ok_or_else(|| ConfigError::NeverChanged(path.clone()))?;
     print::committed_change(log, last);
--- a/crates/cli/src/config/write.rs
+++ b/crates/cli/src/config/write.rs
@@ -53,7 +53,7 @@
         print::edit(log, edit, &head.configuration, head);
     }
     let author = AuthorArguments { actor: "plan".into(), reason: "dry run".into(), id: None };
-    let (_, steps) = change_log.plan(&new_change(author, base, edits, &arguments.allow))?;
+    let (_, steps) = change_log.preview(&new_change(author, base, edits, &arguments.allow))?;
     if !log.json {
         let volumes = steps.iter().filter(|step| changes_a_volume(step)).count();
         output::print_line(&format!(
@@ -79,8 +79,8 @@
     if version < 2 || version > newest {
         return Err(ConfigError::NotRevertible { version, newest });
     }
-    let before = log::version(change_log.layer(), version - 1)?;
-    let after = log::version(change_log.layer(), version)?;
+    let before = log::version(change_log.storage(), version - 1)?;
+    let after = log::version(change_log.storage(), version)?;
     let edits = after.configuration.diff(&before.configuration);
     commit(&mut change_log, log, new_change(author, version, edits, allow))
 }
@@ -95,7 +95,7 @@
 
 /// The base version of the change that is already committed under the author's id, if there is one.
 fn committed_base(change_log: &Log, author: &AuthorArguments) -> Result<Option<u64>, ConfigError> {
-    let base = author.id.as_deref().map(|id| change_log.base_of(id)).transpose();
+    let base = author.id.as_deref().map(|id| change_log.committed_base(id)).transpose();
     Ok(base.map_err(LogError::Disk)?.flatten())
 }
 
@@ -118,7 +118,7 @@
     } else {
         umbertray_config_log::version::document(&calls, &[]).map_err(ConfigError::Configuration)?
     };
-    Ok(Configuration::of_calls(&document.calls()))
+    Ok(Configuration::from_calls(&document.calls()))
 }
 
 /// Parses the edits that the arguments describe, in the order script, set, put, remove.
@@ -128,7 +128,9 @@
         edits.extend(script_edits(file, base, log)?);
     }
     for argument in &arguments.set {
-        edits.push(Edit::set(argument).map_err(|error| ConfigError::InvalidSet(error.to_string()))?);
+        edits.push(
+            Edit::parse_set_edit(argument).map_err(|error| ConfigError::InvalidSet(error.to_string()))?,
+        );
     }
     for argument in &arguments.put {
         edits.push(parse_put(argument)?);
@@ -143,7 +145,7 @@
 fn script_edits(file: &FsPath, base: Option<u64>, log: &Log) -> Result<Vec<Edit>, ConfigError> {
     let wanted = read_script(file)?;
     let older_base = base.filter(|base| *base != log.head().number);
-    let older_base = older_base.map(|base| log::version(log.layer(), base)).transpose()?;
+    let older_base = older_base.map(|base| log::version(log.storage(), base)).transpose()?;
     let base = older_base.as_ref().unwrap_or(log.head());
     Ok(base.configuration.diff(&wanted))
 }
--- a/crates/cli/src/measure/changes/stream.rs
+++ b/crates/cli/src/measure/changes/stream.rs
@@ -19,7 +19,7 @@
 
 /// Creates a log whose first version is the demo's configuration with this many additional volumes.
 pub(super) fn new_log(storage: Box<dyn Storage>, volumes: u64) -> Result<Log, MeasureError> {
-    let mut configuration = Configuration::of_calls(&settings_document()?.calls());
+    let mut configuration = Configuration::from_calls(&settings_document()?.calls());
     for number in 0..volumes {
         configuration.entities.insert(volume_key(&format!("v{number}")), Arc::new(volume_fields("basic")));
     }
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -90,15 +90,15 @@
     let export = &connection.export;
     output::print_json(&json!({
         "name": export.name, "size": export.size, "flags": export.flags,
-        "minimum_block": export.blocks.minimum, "preferred_block": export.blocks.preferred,
-        "maximum_payload": export.blocks.maximum,
+        "minimum_block": export.block_sizes.minimum, "preferred_block": export.block_sizes.preferred,
+        "maximum_payload": export.block_sizes.maximum,
     }));
     Ok(())
 }
 
 async fn read(target: Target, range: Range) -> Result<(), CommandError> {
     let connection = connect(target).await?;
-    let max_payload = u64::from(connection.export.blocks.maximum);
+    let max_payload = u64::from(connection.export.block_sizes.maximum);
     let end = range.offset + u64::from(range.length);
     let mut offset = range.offset;
     while offset < end {
@@ -113,7 +113,7 @@
 
 async fn write(target: Target, start: u64, fua: bool) -> Result<(), CommandError> {
     let connection = connect(target).await?;
-    let max_payload = u64::from(connection.export.blocks.maximum);
+    let max_payload = u64::from(connection.export.block_sizes.maximum);
     let flags = if fua { CMD_FLAG_FUA } else { 0 };
     let mut offset = start;
     loop {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -146,11 +146,11 @@
     }
 
     fn complete(&self) -> Result<SettingsDocument, CommandError> {
-        umbertray_config::parse_whole(&self.file, &self.calls).map_err(CommandError::Settings)
+        umbertray_config::parse_settings(&self.file, &self.calls).map_err(CommandError::Settings)
     }
 
     fn own_part(&self) -> Result<SettingsDocument, CommandError> {
-        umbertray_config::own_part(&self.file, &self.calls).map_err(CommandError::Settings)
+        umbertray_config::parse_local_settings(&self.file, &self.calls).map_err(CommandError::Settings)
     }
 
     /// The script's own settings with the shared settings of the change log.
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -22,7 +22,7 @@
 /// bytes.
 async fn open_raw_session(gateway: &RunningGateway) -> (TcpStream, Client, BytesMut) {
     let mut stream = TcpStream::connect(gateway.addresses[0]).await.expect("the gateway listens");
-    let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured: false });
+    let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured_replies: false });
     let mut input = BytesMut::new();
     loop {
         let step = client.receive(&mut input).expect("the server follows the protocol");
@@ -31,7 +31,7 @@
             stream.write_all(&[byte]).await.expect("the gateway reads");
         }
         match step {
-            ClientEvent::More => _ = stream.read_buf(&mut input).await.expect("the gateway responds"),
+            ClientEvent::Incomplete => _ = stream.read_buf(&mut input).await.expect("the gateway responds"),
             _ => return (stream, client, input),
         }
     }
--- a/crates/config-log/src/chain/format.rs
+++ b/crates/config-log/src/chain/format.rs
@@ -33,7 +33,7 @@
     /// The end of a segment's file name.
     pub suffix: &'static str,
     /// The file name of a new segment until it is completely written and synced.
-    pub temporary: &'static str,
+    pub temporary_name: &'static str,
 }
 
 impl LogFormat {
--- a/crates/config-log/src/chain/writer.rs
+++ b/crates/config-log/src/chain/writer.rs
@@ -240,7 +240,7 @@
     fn begin_segment(&mut self, header: SegmentHeader) -> io::Result<()> {
         let start = header.version;
         let bytes = self.format.encode_empty_segment(header).ok_or(io::ErrorKind::FileTooLarge)?;
-        self.storage.put(self.format.temporary, &self.format.file_name(start), &bytes)?;
+        self.storage.put(self.format.temporary_name, &self.format.file_name(start), &bytes)?;
         self.segment_start = start;
         self.segment_bytes = bytes.len();
         self.base_bytes = bytes.len();
--- a/crates/config-log/src/change.rs
+++ b/crates/config-log/src/change.rs
@@ -48,7 +48,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Conflict {
     /// The path of the rejected change's edit.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub path: String,
     /// The value that the rejected change sets.
     pub yours: String,
     /// The value that the committed change set.
@@ -161,11 +162,11 @@
         for their_edit in &committed.edits {
             let their_path = their_edit.path();
             let same_key = our_edits.get(their_edit.key()).into_iter().flatten();
-            for (path, our_edit) in same_key.filter(|(path, _)| path.meets(&their_path)) {
+            for (path, our_edit) in same_key.filter(|(path, _)| path.overlaps(&their_path)) {
                 conflicts.push(Conflict {
-                    place: path.to_string(),
-                    yours: our_edit.value(),
-                    theirs: their_edit.value(),
+                    path: path.to_string(),
+                    yours: our_edit.display_value(),
+                    theirs: their_edit.display_value(),
                     version,
                     actor: committed.actor.clone(),
                 });
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -61,7 +61,7 @@
 
 /// The content of the header of a segment that begins after the version `head`.
 fn encode_checkpoint(head: &Version, completed: &VecDeque<CompletedChange>) -> Checkpoint {
-    (head.configuration.bytes(), completed.clone())
+    (head.configuration.to_bytes(), completed.clone())
 }
 
 impl Log {
@@ -71,7 +71,7 @@
     /// # Errors
     /// [`LogError`] if the log is damaged or the file system fails.
     pub fn open(storage: Box<dyn Storage>, max_segment_bytes: usize) -> Result<Log, LogError> {
-        let empty = || Version::empty().configuration.bytes();
+        let empty = || Version::empty().configuration.to_bytes();
         let opened = HashChain::open::<CommittedChange>(storage, &CHANGES, max_segment_bytes, empty)?;
         let (chain, found) = opened;
         let segment_start = found.header.version;
@@ -99,7 +99,7 @@
     }
 
     /// The storage of the log's folder, for reading.
-    pub fn layer(&self) -> &dyn Storage {
+    pub fn storage(&self) -> &dyn Storage {
         self.chain.storage()
     }
 
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// [`ChangeRejected`] if the change could not be committed.
-    pub fn plan(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
+    pub fn preview(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
         validate(change)?;
         let head = self.head.number;
         if change.base > head {
@@ -157,7 +157,7 @@
     ///
     /// # Errors
     /// Those of the file system, and an error if the log is damaged.
-    pub fn base_of(&self, id: &str) -> io::Result<Option<u64>> {
+    pub fn committed_base(&self, id: &str) -> io::Result<Option<u64>> {
         let Some(completed) = self.completed_by_id.get(id) else { return Ok(None) };
         let since = self.history(completed.version - 1)?;
         let committed = since.into_iter().find(|committed| committed.version == completed.version);
@@ -180,7 +180,7 @@
                 Err(ChangeRejected::IdTaken { id: change.id, version })
             };
         }
-        let (next, steps) = self.plan(&change)?;
+        let (next, steps) = self.preview(&change)?;
         let hash = self.append_to_chain(&change)?;
         let committed = CommittedChange { version: next.number, hash, change };
         self.record_completed(completed_change(&committed));
@@ -192,7 +192,7 @@
     fn append_to_chain(&mut self, change: &Change) -> io::Result<Hash> {
         let segment_start = self.chain.segment_start();
         let checkpoint = || encode_checkpoint(&self.head, &self.completed);
-        let written = self.chain.append(segment::body(change), checkpoint);
+        let written = self.chain.append(segment::encode_body(change), checkpoint);
         self.clear_changes_if_rolled(segment_start);
         written
     }
@@ -202,7 +202,7 @@
     /// # Errors
     /// Those of the file system, and an error if the log is damaged.
     pub fn history(&self, after: u64) -> io::Result<Vec<CommittedChange>> {
-        history(self.layer(), after).map_err(|error| match error {
+        history(self.storage(), after).map_err(|error| match error {
             LogError::Disk(error) => error,
             broken => io::Error::other(broken.to_string()),
         })
--- a/crates/config-log/src/log/history.rs
+++ b/crates/config-log/src/log/history.rs
@@ -168,7 +168,7 @@
 
 fn verify_checkpoint(storage: &dyn Storage, start: u64, rebuilt: &Version) -> Result<(), LogError> {
     let segment = read_segment(storage, start)?;
-    if segment.header.checkpoint == rebuilt.configuration.bytes() {
+    if segment.header.checkpoint == rebuilt.configuration.to_bytes() {
         return Ok(());
     }
     let reason = "its checkpoint differs from the state rebuilt from the changes before it".into();
--- a/crates/config-log/src/log_copy.rs
+++ b/crates/config-log/src/log_copy.rs
@@ -27,7 +27,7 @@
     /// # Errors
     /// [`LogError`] if the copy is damaged or the file system fails.
     pub fn open(storage: Box<dyn Storage>) -> Result<(LogCopy, Option<Replica>), LogError> {
-        let empty = || Version::empty().configuration.bytes();
+        let empty = || Version::empty().configuration.to_bytes();
         let (chain, opened) = HashChain::open::<Entry>(storage, &CHANGES, SEGMENT_BYTES, empty)?;
         let OpenedLog { header, entries } = opened;
         let mut copy = LogCopy { chain };
@@ -67,5 +67,5 @@
 }
 
 fn checkpoint(state: &Replica) -> Checkpoint {
-    (state.version.configuration.bytes(), VecDeque::new())
+    (state.version.configuration.to_bytes(), VecDeque::new())
 }
--- a/crates/config-log/src/model/configuration.rs
+++ b/crates/config-log/src/model/configuration.rs
@@ -20,7 +20,7 @@
 impl Configuration {
     /// The configuration that a script's calls define. Calls that define settings of a single gateway are
     /// ignored.
-    pub fn of_calls(calls: &[FunctionCall]) -> Configuration {
+    pub fn from_calls(calls: &[FunctionCall]) -> Configuration {
         let mut entities = OrdMap::new();
         let mut request_rules = Vec::new();
         for call in calls {
@@ -35,7 +35,7 @@
                 }
                 _ => continue,
             };
-            let key = Key::new(kind, call.first.as_str().unwrap_or_default());
+            let key = Key::new(kind, call.positional.as_str().unwrap_or_default());
             entities.insert(key, Arc::new(call.named.clone()));
         }
         let requests = Fields::from([(RULES_FIELD.to_string(), Value::Array(request_rules))]);
@@ -76,7 +76,7 @@
 
     /// Encodes the configuration: a line of JSON for each entity, in order. Equal configurations have equal
     /// bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         for entity in &self.entities {
             // Serializing strings and numbers to memory cannot fail.
@@ -113,7 +113,7 @@
 
 fn request_rule(call: &FunctionCall) -> Value {
     let mut rule = serde_json::Map::from_iter(call.named.clone());
-    rule.insert(KINDS_FIELD.into(), call.first.clone());
+    rule.insert(KINDS_FIELD.into(), call.positional.clone());
     Value::Object(rule)
 }
 
--- a/crates/config-log/src/model/edit.rs
+++ b/crates/config-log/src/model/edit.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// [`InvalidEdit`] with the text and the reason.
-    pub fn set(text: &str) -> Result<Edit, InvalidEdit> {
+    pub fn parse_set_edit(text: &str) -> Result<Edit, InvalidEdit> {
         Edit::parse_set(text).map_err(|reason| InvalidEdit { text: text.into(), reason })
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The new value at the path, for display.
-    pub fn value(&self) -> String {
+    pub fn display_value(&self) -> String {
         match self {
             Edit::Set { value, .. } => value.to_string(),
             Edit::Put { fields, .. } => serde_json::to_string(fields).unwrap_or_default(),
--- a/crates/config-log/src/model/path.rs
+++ b/crates/config-log/src/model/path.rs
@@ -16,7 +16,7 @@
 
 impl Path {
     /// Whether the paths overlap: they are equal, or one is the entity that contains the field of the other.
-    pub fn meets(&self, other: &Path) -> bool {
+    pub fn overlaps(&self, other: &Path) -> bool {
         self.key == other.key
             && match (&self.field, &other.field) {
                 (Some(one), Some(other)) => one == other,
--- a/crates/config-log/src/problem.rs
+++ b/crates/config-log/src/problem.rs
@@ -30,7 +30,7 @@
     #[error("the configuration would have no volume, no request rules or no rules")]
     Incomplete,
     /// An entity has invalid fields.
-    #[error("{path}: {}", problem.what)]
+    #[error("{path}: {}", problem.message)]
     InvalidEntity {
         /// The entity.
         path: Path,
--- a/crates/config-log/src/segment.rs
+++ b/crates/config-log/src/segment.rs
@@ -7,7 +7,7 @@
 
 /// The magic and the file names of the log of changes.
 pub const CHANGES: LogFormat =
-    LogFormat { magic: b"UMBCHG", prefix: "changes-", suffix: ".log", temporary: "changes.new" };
+    LogFormat { magic: b"UMBCHG", prefix: "changes-", suffix: ".log", temporary_name: "changes.new" };
 
 /// A change and its position in the history.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
 }
 
 /// Encodes a change as the body of an entry, in JSON.
-pub fn body(change: &Change) -> Vec<u8> {
+pub fn encode_body(change: &Change) -> Vec<u8> {
     // Serializing strings and numbers to memory cannot fail.
     serde_json::to_vec(change).unwrap_or_default()
 }
@@ -42,6 +42,6 @@
 /// A hash of a change without its time. It distinguishes a change that is sent again, possibly with another
 /// time, from a different change under the same id.
 pub fn fingerprint(change: &Change) -> u64 {
-    let without_time = body(&Change { at: 0, ..change.clone() });
+    let without_time = encode_body(&Change { at: 0, ..change.clone() });
     u64::from_le_bytes(*chain_hash(&[0; 32], &without_time).first_chunk().unwrap_or(&[0; 8]))
 }
--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -51,7 +51,7 @@
         }
         Version {
             number: 0,
-            configuration: Configuration::of_calls(&document.calls()),
+            configuration: Configuration::from_calls(&document.calls()),
             op_types: Arc::new(settings.op_types.clone()),
             type_rules: Arc::new(settings.type_rules.clone()),
             rules: Arc::new(settings.rules.clone()),
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -273,6 +273,6 @@
 fn canonical_requests(rules: &[TypeRule], op_types: &[OpType]) -> Fields {
     let calls: Vec<FunctionCall> = rules.iter().map(|rule| canonical::request(rule, op_types)).collect();
     let requests = Key::new(Kind::Requests, "");
-    let entities = Configuration::of_calls(&calls).entities;
+    let entities = Configuration::from_calls(&calls).entities;
     entities.get(&requests).map_or_else(Fields::new, |fields| (**fields).clone())
 }
--- a/crates/config-log/tests/chain.rs
+++ b/crates/config-log/tests/chain.rs
@@ -10,7 +10,7 @@
 use umbertray_snapshot::sim::{SimulatedDisk, StorageFault};
 
 const TEST_FORMAT: LogFormat =
-    LogFormat { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", temporary: "kept.new" };
+    LogFormat { magic: b"UMBKPT", prefix: "kept-", suffix: ".seg", temporary_name: "kept.new" };
 
 /// Size of a segment, bytes. Small, so that each segment holds only a few bodies.
 const MAX_SEGMENT_BYTES: usize = 200;
--- a/crates/config-log/tests/golden.rs
+++ b/crates/config-log/tests/golden.rs
@@ -87,7 +87,7 @@
     let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), SEGMENT_BYTES).expect("an empty folder");
     let document = umbertray_config::read("golden.star", SCRIPT.into()).expect("a valid script");
-    let first = log.head().configuration.diff(&Configuration::of_calls(&document.calls()));
+    let first = log.head().configuration.diff(&Configuration::from_calls(&document.calls()));
     commit(&mut log, first, vec![]);
     let limit = |value| vec![set(Kind::Plan, "limited", "limit", value)];
     commit(&mut log, limit(json!(70.0)), vec![]);
@@ -142,7 +142,7 @@
     assert_eq!(log.hash(), fresh.hash());
     for number in 0..=19 {
         let version = log::version(&disk, number).expect("each version can be rebuilt");
-        let expected = log::version(fresh.layer(), number).expect("each version can be rebuilt");
+        let expected = log::version(fresh.storage(), number).expect("each version can be rebuilt");
         assert_eq!(version.configuration, expected.configuration, "version {number}");
     }
     let reasons = log.history(0).expect("an intact log").into_iter().map(|committed| committed.change.reason);
--- a/crates/config-log/tests/log/commits.rs
+++ b/crates/config-log/tests/log/commits.rs
@@ -33,7 +33,7 @@
         panic!("both are based on version 1")
     };
     assert_eq!(
-        (conflicts[0].place.as_str(), conflicts[0].theirs.as_str(), conflicts[0].actor.as_str()),
+        (conflicts[0].path.as_str(), conflicts[0].theirs.as_str(), conflicts[0].actor.as_str()),
         ("plan/p0:weight", "3.0", "ann")
     );
     assert_eq!(log.head().number, 2);
--- a/crates/config-log/tests/log/following.rs
+++ b/crates/config-log/tests/log/following.rs
@@ -35,7 +35,7 @@
     steps.extend(follower.poll(&disk).expect("an intact log"));
     let numbers: Vec<u64> = steps.iter().map(|(version, _)| version.number).collect();
     assert_eq!(numbers, (2..=31).collect::<Vec<_>>());
-    assert_eq!(follower.replica.version.configuration.bytes(), log.head().configuration.bytes());
+    assert_eq!(follower.replica.version.configuration.to_bytes(), log.head().configuration.to_bytes());
     assert_eq!(steps[0].1, [SettingsChange::Volume(1)]);
     // A follower that missed removed segments catches up from a checkpoint, and the indices of its plans and
     // volumes stay the same.
@@ -51,7 +51,7 @@
         .expect("a successful write");
     let caught_up = lagging.poll(&newest).expect("an intact log");
     assert_eq!(caught_up.last().map(|(version, _)| version.number), Some(31));
-    assert_eq!(lagging.replica.version.configuration.bytes(), log.head().configuration.bytes());
+    assert_eq!(lagging.replica.version.configuration.to_bytes(), log.head().configuration.to_bytes());
     // A follower rejects a log that was replaced by an older one or that has a different history.
     let committed: CommittedChange = log::history(&disk, 29).expect("an intact log").remove(0);
     assert_eq!(committed.version, 30);
--- a/crates/config-log/tests/log/main.rs
+++ b/crates/config-log/tests/log/main.rs
@@ -33,7 +33,7 @@
 [volume("v%d" % n, size = 1 * MiB, plan = "p%d" % (n % 3)) for n in range(4)]
 "#;
     let document = umbertray_config::read("start.star", script.into()).expect("a valid script");
-    Configuration::of_calls(&document.calls())
+    Configuration::from_calls(&document.calls())
 }
 
 fn change(id: &str, base: u64, edits: Vec<Edit>) -> Change {
--- a/crates/config-log/tests/log/model.rs
+++ b/crates/config-log/tests/log/model.rs
@@ -49,13 +49,16 @@
         let entities =
             entities.iter().map(|(key, fields)| (key.clone(), std::sync::Arc::new(fields.clone())));
         let calls = Configuration { entities: entities.collect() }.calls();
-        document(&calls, &[]).ok().map(|document| Configuration::of_calls(&document.calls()))
+        document(&calls, &[]).ok().map(|document| Configuration::from_calls(&document.calls()))
     }
 
     /// Commits a change. Returns whether it is valid, or the versions that it conflicts with.
     fn commit(&mut self, change: &Change) -> Result<bool, Vec<u64>> {
         let overlaps = |other: &Change| {
-            other.edits.iter().any(|theirs| change.edits.iter().any(|ours| ours.path().meets(&theirs.path())))
+            other
+                .edits
+                .iter()
+                .any(|theirs| change.edits.iter().any(|ours| ours.path().overlaps(&theirs.path())))
         };
         let since = self.changes.iter().zip(1..).filter(|(_, version)| *version > change.base);
         let conflicting: Vec<u64> =
@@ -90,7 +93,7 @@
         }) {
             return Ok(false);
         }
-        self.versions.push((validated_entities, validated.bytes()));
+        self.versions.push((validated_entities, validated.to_bytes()));
         self.changes.push(change.clone());
         Ok(true)
     }
@@ -107,7 +110,7 @@
         let entities =
             initial.entities.iter().map(|(key, fields)| (key.clone(), (**fields).clone())).collect();
         let mut model = Model::default();
-        model.versions.push((entities, initial.bytes()));
+        model.versions.push((entities, initial.to_bytes()));
         model.changes.push(change("import", 0, vec![]));
         for (n, (bits, more, behind)) in steps.iter().enumerate() {
             let count = u32::from(more % 3) + 1;
@@ -133,7 +136,7 @@
         }
         drop(log);
         let rebuilt = model.versions.iter().zip(1..).all(|((_, bytes), number)| {
-            log::version(&disk, number).expect("rebuilt").configuration.bytes() == *bytes
+            log::version(&disk, number).expect("rebuilt").configuration.to_bytes() == *bytes
         });
         rebuilt && log::verify(&disk).expect("an intact log") == model.changes.len() as u64
     }
--- a/crates/config-log/tests/log/versions.rs
+++ b/crates/config-log/tests/log/versions.rs
@@ -69,7 +69,7 @@
     assert!(started.elapsed() < Duration::from_secs(30), "{:?}", started.elapsed());
     let again =
         Version::from_configuration(version.number, &version.configuration).expect("a valid configuration");
-    assert_eq!(again.configuration.bytes(), version.configuration.bytes());
+    assert_eq!(again.configuration.to_bytes(), version.configuration.to_bytes());
     assert_eq!(
         (again.total_volumes(), again.volume_count("p2")),
         (version.total_volumes(), version.volume_count("p2"))
--- a/crates/config-log/tests/log_copy.rs
+++ b/crates/config-log/tests/log_copy.rs
@@ -29,7 +29,7 @@
     let disk = SimulatedDisk::default();
     let mut log = Log::open(Box::new(disk.clone()), 1 << 20).expect("a folder");
     let document = umbertray_config::read("shared.star", SHARED.into()).expect("a valid script");
-    commit(&mut log, Configuration::default().diff(&Configuration::of_calls(&document.calls())));
+    commit(&mut log, Configuration::default().diff(&Configuration::from_calls(&document.calls())));
     for weight in 2..=versions {
         let (key, field) = (Key::new(Kind::Plan, "p"), "weight".into());
         commit(&mut log, vec![Edit::Set { key, field, value: json!(weight as f64) }]);
@@ -100,7 +100,7 @@
     let header = umbertray_config_log::segment::SegmentHeader {
         version: 50,
         hash: [7; 32],
-        checkpoint: state.version.configuration.bytes(),
+        checkpoint: state.version.configuration.to_bytes(),
         completed: Default::default(),
     };
     copy.append(&Update::Checkpoint(header), Some(&state)).expect("the disk works");
--- a/crates/config-log/tests/sizes.rs
+++ b/crates/config-log/tests/sizes.rs
@@ -30,7 +30,7 @@
 "#
     );
     let document = umbertray_config::read("start.star", script).expect("a valid script");
-    Configuration::of_calls(&document.calls())
+    Configuration::from_calls(&document.calls())
 }
 
 fn change(id: &str, base: u64, edits: Vec<Edit>) -> Change {
@@ -66,7 +66,7 @@
 
 #[test]
 fn checkpoint_has_documented_size_per_volume() {
-    let bytes = |volumes| configuration(volumes).bytes().len();
+    let bytes = |volumes| configuration(volumes).to_bytes().len();
     assert_eq!((bytes(1100) - bytes(100)) / 1000, documented("volume in a checkpoint of the log"));
     let change =
         CompletedChange { id: "1800000000000000000-12345".into(), version: 4000, fingerprint: u64::MAX };
--- a/crates/config/src/arguments.rs
+++ b/crates/config/src/arguments.rs
@@ -127,13 +127,13 @@
     }
 
     /// Reads the positional argument as a non-empty list of strings. A single string counts as a list of one.
-    pub fn first_texts(&mut self) -> Vec<String> {
-        self.strings("the first argument", &self.call.first)
+    pub fn positional_texts(&mut self) -> Vec<String> {
+        self.strings("the first argument", &self.call.positional)
     }
 
     /// Reads the positional argument as a string; of a list, the last string.
-    pub fn first_text(&mut self) -> String {
-        self.first_texts().pop().unwrap_or_default()
+    pub fn positional_text(&mut self) -> String {
+        self.positional_texts().pop().unwrap_or_default()
     }
 
     fn strings(&mut self, name: &str, value: &Value) -> Vec<String> {
@@ -153,7 +153,7 @@
 
     /// Records a problem for every argument that was not read. Must be called after all arguments have been
     /// read.
-    pub fn end(mut self) {
+    pub fn reject_unread(mut self) {
         let known = self.names_read.join(", ");
         for name in self.call.named.keys() {
             if !self.names_read.contains(&name.as_str()) {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -97,7 +97,7 @@
     }
 
     /// The part of that script that defines the settings of the gateway itself.
-    pub fn own_script(&self) -> String {
+    pub fn local_script(&self) -> String {
         as_script(&[canonical::gateway(self), canonical::bounds(&self.settings.bounds)])
     }
 
--- a/crates/config/src/function_call.rs
+++ b/crates/config/src/function_call.rs
@@ -13,7 +13,7 @@
     /// The function's name.
     pub function: &'static str,
     /// The positional argument; null if there is none.
-    pub first: Value,
+    pub positional: Value,
     /// The named arguments.
     pub named: BTreeMap<String, Value>,
     /// Name of the script file; empty for a synthetic call.
@@ -28,19 +28,19 @@
     /// Creates a call that does not come from a script. Fields that are null are omitted.
     pub fn synthetic(
         function: &'static str,
-        first: Value,
+        positional: Value,
         fields: impl IntoIterator<Item = (&'static str, Value)>,
     ) -> FunctionCall {
         let given = fields.into_iter().filter(|(_, value)| !value.is_null());
         let named = given.map(|(name, value)| (name.to_string(), value)).collect();
-        FunctionCall { function, first, named, file: String::new(), line: 0, column: 0 }
+        FunctionCall { function, positional, named, file: String::new(), line: 0, column: 0 }
     }
 
     /// The call as a line of a script, without the trailing line feed.
     pub fn as_script(&self) -> String {
         let mut arguments = Vec::new();
-        if !self.first.is_null() {
-            arguments.push(literal(&self.first));
+        if !self.positional.is_null() {
+            arguments.push(literal(&self.positional));
         }
         arguments.extend(self.named.iter().map(|(name, value)| format!("{name} = {}", literal(value))));
         format!("{}({})", self.function, arguments.join(", "))
@@ -52,7 +52,7 @@
             file: self.file.clone(),
             line: self.line,
             column: self.column,
-            what: format!("{}: {message}", self.function),
+            message: format!("{}: {message}", self.function),
         }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -34,7 +34,7 @@
 /// # Errors
 /// All problems with the script or its settings.
 pub fn read(file: &str, text: String) -> Result<SettingsDocument, Vec<Problem>> {
-    parse_whole(file, &evaluate_script(file, text)?)
+    parse_settings(file, &evaluate_script(file, text)?)
 }
 
 /// Evaluates a coordinator's script and validates its settings.
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// All problems with the calls, or all calls of other functions.
-pub fn parse_whole(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
+pub fn parse_settings(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check_functions(calls, &SETTINGS_FUNCTIONS, "does not belong in settings")?;
     document(file, calls)
 }
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// All problems with the calls, or all calls that define shared settings.
-pub fn own_part(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
+pub fn parse_local_settings(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check_functions(
         calls,
         &LOCAL_FUNCTIONS,
--- a/crates/config/src/parse/deployment.rs
+++ b/crates/config/src/parse/deployment.rs
@@ -20,7 +20,7 @@
 /// Parses a call of `plan`.
 pub fn plan(call: &FunctionCall, problems: &mut Vec<Problem>) -> Plan {
     let mut args = Arguments::new(call, problems);
-    let name = args.first_text();
+    let name = args.positional_text();
     let weight = args.number("weight", 1e-6..=MAX_NUMBER, Some(1.0));
     let rate = args.number("rate", 1e-6..=MAX_NUMBER, None);
     let reserve = args.number("reserve", 0.0..=MAX_NUMBER, Some(0.0));
@@ -31,7 +31,7 @@
     if let Some(limit) = limit.as_ref().filter(|limit| limit.rate < reserve) {
         args.problem(format!("limit {} is under reserve {reserve}", limit.rate));
     }
-    args.end();
+    args.reject_unread();
     Plan { name, weight, rate, reserve, limit, is_removed: false }
 }
 
@@ -51,7 +51,7 @@
 /// Parses a call of `volume`.
 pub fn volume(call: &FunctionCall, plans: IndexOf, problems: &mut Vec<Problem>) -> Volume {
     let mut args = Arguments::new(call, problems);
-    let name = args.first_text();
+    let name = args.positional_text();
     let size = args.count("size", BLOCK_BYTES..=MAX_VOLUME_BYTES, None);
     if !size.is_multiple_of(BLOCK_BYTES) {
         args.problem(format!("size = {size} is not a multiple of {BLOCK_BYTES}"));
@@ -65,6 +65,6 @@
         args.problem(format!("there is no plan {plan_name:?}"));
     }
     let gateways = args.count("gateways", 1..=10_000, Some(1)) as u32;
-    args.end();
+    args.reject_unread();
     Volume { name, size, plan: plan.unwrap_or(0), gateways, is_removed: false }
 }
--- a/crates/config/src/parse/limits.rs
+++ b/crates/config/src/parse/limits.rs
@@ -23,7 +23,7 @@
         capacity: args.optional("capacity", 1e-6..=MAX_NUMBER),
         retry_budget,
     };
-    args.end();
+    args.reject_unread();
     rules
 }
 
@@ -67,6 +67,6 @@
     if request_bytes as usize > bytes / 2 {
         args.problem(format!("request_bytes {request_bytes} is over half of bytes {bytes}"));
     }
-    args.end();
+    args.reject_unread();
     bounds
 }
--- a/crates/config/src/parse/operations.rs
+++ b/crates/config/src/parse/operations.rs
@@ -23,7 +23,7 @@
 /// Parses a call of `op_type`.
 pub fn op_type(call: &FunctionCall, problems: &mut Vec<Problem>) -> OpType {
     let mut args = Arguments::new(call, problems);
-    let name = args.first_text();
+    let name = args.positional_text();
     let target_latency = args.duration("target_latency", 0.001..=MAX_DURATION_SECONDS, None);
     let op_timeout = args.duration("op_timeout", 0.001..=MAX_DURATION_SECONDS, None);
     if op_timeout < target_latency {
@@ -32,7 +32,7 @@
     let priority_weight = args.number("utility", 1e-6..=MAX_NUMBER, None);
     let idempotency = idempotency(&mut args);
     let ordered_by_key = args.flag("in_order");
-    args.end();
+    args.reject_unread();
     OpType { name, target_latency, op_timeout, priority_weight, idempotency, ordered_by_key }
 }
 
@@ -65,13 +65,13 @@
     if op_type.is_none() {
         args.problem(format!("there is no op type {op_type_name:?}"));
     }
-    args.end();
+    args.reject_unread();
     TypeRule { kinds, max_length, op_type: op_type.unwrap_or(0) }
 }
 
 fn operation_kinds(args: &mut Arguments) -> Vec<OperationKind> {
     let mut kinds = Vec::new();
-    for name in args.first_texts() {
+    for name in args.positional_texts() {
         match KINDS.iter().find(|(known, _)| *known == name) {
             Some((_, kind)) => kinds.push(*kind),
             None => {
--- a/crates/config/src/parse/process.rs
+++ b/crates/config/src/parse/process.rs
@@ -30,7 +30,7 @@
     let seed = args.count("seed", 0..=MAX_SEED, Some(0));
     let Identity { name, zone } = identity(&mut args, &format!("gateway-{seed}"));
     let settings = settings(&mut args, shared);
-    args.end();
+    args.reject_unread();
     SettingsDocument { listen, endpoint_list, coordinator, seed, state, changes, name, zone, settings }
 }
 
@@ -73,7 +73,7 @@
         address(&mut args, name, &text)
     });
     let folder = args.text("folder", None);
-    args.end();
+    args.reject_unread();
     if problems.is_empty() {
         Ok(CoordinatorSettings { listen, endpoint_list, folder })
     } else {
@@ -97,7 +97,7 @@
         args.problem("changes is missing: a folder, or a list of relays");
     }
     let folder = args.optional_text("folder");
-    args.end();
+    args.reject_unread();
     match changes {
         Some(changes) if problems.is_empty() => Ok(RelaySettings { listen, name, zone, changes, folder }),
         _ => Err(problems),
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -36,14 +36,14 @@
     named: SmallMap<String, Value>,
 ) -> anyhow::Result<NoneType> {
     let location = eval.call_stack_top_location().map(|span| span.resolve());
-    let first = first.map(Value::to_json_value).transpose()?.unwrap_or_default();
+    let positional = first.map(Value::to_json_value).transpose()?.unwrap_or_default();
     let mut named_values = BTreeMap::new();
     for (name, value) in named {
         named_values.insert(name, value.to_json_value()?);
     }
     let call = FunctionCall {
         function,
-        first,
+        positional,
         named: named_values,
         file: location.as_ref().map_or_else(String::new, |location| location.file.clone()),
         line: location.as_ref().map_or(0, |location| location.span.begin.line + 1),
@@ -223,7 +223,7 @@
     match span {
         Some(location) => {
             let begin = location.span.begin;
-            Problem { file: location.file, line: begin.line + 1, column: begin.column + 1, what: message }
+            Problem { file: location.file, line: begin.line + 1, column: begin.column + 1, message }
         }
         None => Problem::for_file(file, message),
     }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -94,7 +94,7 @@
     let broken = problems("plan(\"p\", rate = 1)\nplan(\n");
     assert!(broken[0].line >= 2, "{broken:?}");
     let unknown = problems("plan(\"p\", rate = 1)\nplant(\"q\")\n");
-    assert!(unknown[0].line == 2 && unknown[0].what.contains("plant"), "{unknown:?}");
+    assert!(unknown[0].line == 2 && unknown[0].message.contains("plant"), "{unknown:?}");
     let failing = problems("x = 1\ny = [1][5]\n");
     assert_eq!(failing[0].line, 2, "{failing:?}");
 }
@@ -135,9 +135,9 @@
                   changes = [\"a/r1=10.0.0.1:7200\", \"b/r2=10.0.0.2:7200\"], \
                   vouch = 1, name = \"g\", zone = \"b\")";
     let calls = umbertray_config::evaluate("s.star", script.into()).expect("a script");
-    let document = umbertray_config::own_part("s.star", &calls).expect("valid settings");
-    let again = umbertray_config::evaluate("again", document.own_script()).expect("a script");
-    assert_eq!(umbertray_config::own_part("again", &again), Ok(document));
+    let document = umbertray_config::parse_local_settings("s.star", &calls).expect("valid settings");
+    let again = umbertray_config::evaluate("again", document.local_script()).expect("a script");
+    assert_eq!(umbertray_config::parse_local_settings("again", &again), Ok(document));
 }
 
 #[test]
--- a/crates/control-plane/src/coordinator/requests.rs
+++ b/crates/control-plane/src/coordinator/requests.rs
@@ -51,12 +51,12 @@
                 if let Some(record) = claim.record {
                     self.log(record);
                 }
-                FromList::Location { token, place: Some(claim.location) }
+                FromList::Location { token, location: Some(claim.location) }
             }
             ToList::Shards { token, volume } => {
                 FromList::Shards { token, shards: self.state.map.shards(volume).into_iter().collect() }
             }
-            ToList::Move { token, span: range, shard } => {
+            ToList::Move { token, range, shard } => {
                 let number = self.plan_move(range, shard).map_err(|rejected| rejected.to_string());
                 FromList::Move { token, number }
             }
@@ -65,7 +65,7 @@
                     self.abandon_move(number);
                 }
                 let status = self.move_status(number);
-                FromList::MoveStatus { token, state: status.text, over: status.has_ended }
+                FromList::MoveStatus { token, state: status.text, is_finished: status.has_ended }
             }
         };
         self.send(connection, response);
@@ -76,7 +76,7 @@
     fn on_lookup(&mut self, lookup: DeferredLookup) {
         let location = self.state.map.location(lookup.volume, lookup.extent);
         if location.map_or(0, |location| location.epoch) >= lookup.min_epoch {
-            let response = FromList::Location { token: lookup.token, place: location };
+            let response = FromList::Location { token: lookup.token, location };
             return self.send(lookup.connection, response);
         }
         if self.deferred_lookups.len() >= MAX_DEFERRED_LOOKUPS {
@@ -98,7 +98,7 @@
             false
         });
         for LookupResponse { connection, token, location } in ready {
-            self.send(connection, FromList::Location { token, place: Some(location) });
+            self.send(connection, FromList::Location { token, location: Some(location) });
         }
     }
 
--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -89,7 +89,7 @@
             return Err(OrderReply::StaleTerm(self.term));
         }
         self.term = term;
-        let range = *order.span();
+        let range = *order.range();
         let current = self.fences_within(&range);
         if current.iter().any(|(_, fence)| fence.move_number > number) {
             return Err(OrderReply::WrongState);
--- a/crates/control-plane/src/moves.rs
+++ b/crates/control-plane/src/moves.rs
@@ -140,29 +140,29 @@
         let to_target = |order| Some(AddressedOrder { shard: self.target, order });
         match (self.phase, &self.step) {
             (Phase::Finished, _) => None,
-            (Phase::Copying, Step::First) => to_target(Order::Prepare { span: range, epoch }),
-            (Phase::Copying, Step::TrackChanges) => to_source(Order::TrackChanges { span: range }),
+            (Phase::Copying, Step::First) => to_target(Order::Prepare { range, epoch }),
+            (Phase::Copying, Step::TrackChanges) => to_source(Order::TrackChanges { range }),
             (Phase::Copying | Phase::Fenced, Step::Fetch(copied)) => {
-                to_source(Order::FetchNext { span: range, copied: *copied })
+                to_source(Order::FetchNext { range, copied: *copied })
             }
-            (_, Step::Put(content)) => to_target(Order::Put { span: range, epoch, content: content.clone() }),
-            (Phase::Fenced, Step::First) => to_source(Order::Fence { span: range, epoch }),
-            (_, Step::FetchExecuted) => to_source(Order::FetchExecuted { span: range }),
+            (_, Step::Put(content)) => to_target(Order::Put { range, epoch, content: content.clone() }),
+            (Phase::Fenced, Step::First) => to_source(Order::Fence { range, epoch }),
+            (_, Step::FetchExecuted) => to_source(Order::FetchExecuted { range }),
             (_, Step::RecordExecuted(executed)) => {
-                to_target(Order::RecordExecuted { span: range, epoch, marks: executed.clone() })
+                to_target(Order::RecordExecuted { range, epoch, executed_ops: executed.clone() })
             }
-            (_, Step::Sync) => to_target(Order::Sync { span: range, epoch }),
-            (Phase::Committed, Step::First) => to_target(Order::Activate { span: range, epoch }),
-            (Phase::Committed, _) => to_source(Order::Clear { span: range, epoch }),
+            (_, Step::Sync) => to_target(Order::Sync { range, epoch }),
+            (Phase::Committed, Step::First) => to_target(Order::Activate { range, epoch }),
+            (Phase::Committed, _) => to_source(Order::Clear { range, epoch }),
             (Phase::RolledBack, Step::First) => {
-                to_source(Order::Reactivate { span: range, epoch: self.rollback_epoch() })
+                to_source(Order::Reactivate { range, epoch: self.rollback_epoch() })
             }
-            (Phase::Abandoned, Step::First) => to_source(Order::StopTracking { span: range }),
-            (Phase::RolledBack | Phase::Abandoned, _) => to_target(Order::Clear { span: range, epoch }),
+            (Phase::Abandoned, Step::First) => to_source(Order::StopTracking { range }),
+            (Phase::RolledBack | Phase::Abandoned, _) => to_target(Order::Clear { range, epoch }),
             // These steps do not occur in these phases; if one did, repeating the phase's first order would
             // be safe.
-            (Phase::Copying, _) => to_target(Order::Prepare { span: range, epoch }),
-            (Phase::Fenced, _) => to_source(Order::Fence { span: range, epoch }),
+            (Phase::Copying, _) => to_target(Order::Prepare { range, epoch }),
+            (Phase::Fenced, _) => to_source(Order::Fence { range, epoch }),
         }
     }
 
--- a/crates/control-plane/src/relay/downstreams/follower.rs
+++ b/crates/control-plane/src/relay/downstreams/follower.rs
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn set_progress(&mut self, progress: ProgressSummary, now: Duration) {
-        if progress.levels.first() != self.progress.levels.first() {
+        if progress.version_counts.first() != self.progress.version_counts.first() {
             self.progress_since = now;
         }
         self.progress = progress;
@@ -104,7 +104,7 @@
 
     /// The entry for the progress summary if the follower is a gateway that has not applied the head yet.
     pub(super) fn lagging(&self, now: Duration, head: u64) -> Option<LaggingMember> {
-        let applied = self.progress.levels.first().filter(|count| count.version < head)?;
+        let applied = self.progress.version_counts.first().filter(|count| count.version < head)?;
         if self.role != Role::Gateway {
             return None;
         }
--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use umbertray_store_protocol::changes::{
-    FromUpstream, MAX_PART, Position, ProgressSummary, RefusalReason, Role, ToUpstream,
+    FromUpstream, MAX_PART, Position, ProgressSummary, RejectionReason, Role, ToUpstream,
 };
 
 use self::checkpoint_slots::CheckpointSlots;
@@ -81,7 +81,7 @@
 
     pub(super) fn on_connected(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         if self.followers.len() >= self.max_followers {
-            context.send(connection, FromUpstream::Refused { reason: RefusalReason::TooManyFollowers });
+            context.send(connection, FromUpstream::Rejected { reason: RejectionReason::TooManyFollowers });
             let reason = DisconnectReason::TooManyFollowers;
             context.actions.push(Action::Close { connection, reason });
             return;
@@ -96,7 +96,7 @@
 
     pub(super) fn on_malformed(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         if self.followers.contains_key(&connection) {
-            self.refuse_violation(connection, context);
+            self.reject_violation(connection, context);
         }
     }
 
@@ -108,20 +108,20 @@
         }
     }
 
-    fn refuse(
+    fn reject(
         &mut self,
         connection: ConnectionId,
-        refusal: RefusalReason,
+        rejection: RejectionReason,
         reason: DisconnectReason,
         context: &mut Context<'_>,
     ) {
-        context.send(connection, FromUpstream::Refused { reason: refusal });
+        context.send(connection, FromUpstream::Rejected { reason: rejection });
         self.disconnect(connection, reason, context);
     }
 
-    fn refuse_violation(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
-        let refusal = RefusalReason::ProtocolViolation;
-        self.refuse(connection, refusal, DisconnectReason::ProtocolViolation, context);
+    fn reject_violation(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
+        let rejection = RejectionReason::ProtocolViolation;
+        self.reject(connection, rejection, DisconnectReason::ProtocolViolation, context);
     }
 
     pub(super) fn on_frame(
@@ -134,7 +134,7 @@
         follower.last_received_at = context.now;
         let is_hello = matches!(frame, ToUpstream::Hello { .. });
         if is_hello == follower.hello_received {
-            return self.refuse_violation(connection, context);
+            return self.reject_violation(connection, context);
         }
         match frame {
             ToUpstream::Hello { name, role, .. } => self.on_hello(connection, name, role, context),
@@ -146,12 +146,12 @@
             ToUpstream::Progress(progress) => self.on_progress(connection, progress, context),
             ToUpstream::QueryHash { version } => {
                 if let Some(hash) = context.suffix.hash_at(version) {
-                    context.send(connection, FromUpstream::HashAt { at: Position { version, hash } });
+                    context.send(connection, FromUpstream::HashAt { position: Position { version, hash } });
                 }
             }
             ToUpstream::Heartbeat => {}
             // The event loop answers status requests, which are sent without a hello.
-            ToUpstream::Status => self.refuse_violation(connection, context),
+            ToUpstream::Status => self.reject_violation(connection, context),
         }
     }
 
@@ -163,7 +163,7 @@
         follower.hello_received = true;
         if is_upstream || name == self.own_name {
             context.log(RelayEvent::LoopDetected { upstream: name, path: self.path.clone() });
-            return self.refuse(connection, RefusalReason::Loop, DisconnectReason::Loop, context);
+            return self.reject(connection, RejectionReason::Loop, DisconnectReason::Loop, context);
         }
         let hello = FromUpstream::Hello { name: self.own_name.clone(), path: self.path.clone() };
         context.send(connection, hello);
@@ -173,7 +173,7 @@
     fn on_follow(&mut self, connection: ConnectionId, after: Position, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get_mut(&connection) else { return };
         if follower.cursor.is_some() {
-            return self.refuse_violation(connection, context);
+            return self.reject_violation(connection, context);
         }
         match context.suffix.check_position(&after) {
             Ok(()) => {
@@ -182,9 +182,9 @@
             }
             // The announcement tells the follower from which version entries can be sent.
             Err(Gap::Trimmed) => self.on_follower_behind(connection, after.version, context),
-            Err(Gap::Fork) => self.refuse(connection, RefusalReason::Fork, DisconnectReason::Fork, context),
+            Err(Gap::Fork) => self.reject(connection, RejectionReason::Fork, DisconnectReason::Fork, context),
             Err(Gap::Ahead) => {
-                self.refuse(connection, RefusalReason::Ahead, DisconnectReason::ProtocolViolation, context);
+                self.reject(connection, RejectionReason::Ahead, DisconnectReason::ProtocolViolation, context);
             }
         }
     }
@@ -203,7 +203,7 @@
                 follower.in_flight = in_flight;
                 self.send_entries(connection, context);
             }
-            None => self.refuse_violation(connection, context),
+            None => self.reject_violation(connection, context),
         }
     }
 
@@ -222,7 +222,7 @@
             follower.in_flight += ENTRY_FRAME_OVERHEAD + part.len() as u32;
             follower.cursor = Some(cursor.advanced_to(entry, end));
             let frame = FromUpstream::Entry {
-                at: entry.at,
+                position: entry.at,
                 length: entry.body.len() as u32,
                 offset: cursor.offset as u32,
                 part,
@@ -239,14 +239,14 @@
         context: &mut Context<'_>,
     ) {
         let suffix = context.suffix;
-        let held = suffix.checkpoint().filter(|held| held.at.version == version);
+        let held = suffix.checkpoint().filter(|held| held.position.version == version);
         let (Some(_), Some(bytes)) = (held, suffix.checkpoint_bytes()) else {
             // A newer checkpoint was announced to the follower since its request, or is announced now.
             self.checkpoint_slots.release(connection);
             return self.announce(connection, context);
         };
         if offset > 0 && offset >= bytes.len() {
-            return self.refuse_violation(connection, context);
+            return self.reject_violation(connection, context);
         }
         if let Err(after) = self.checkpoint_slots.acquire(connection, context.now) {
             return context.send(connection, FromUpstream::RetryAfter { after });
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_store_protocol::changes::{FromUpstream, Position, ProgressSummary, RefusalReason, ToUpstream};
+use umbertray_store_protocol::changes::{
+    FromUpstream, Position, ProgressSummary, RejectionReason, ToUpstream,
+};
 
 use crate::ConnectionId;
 
@@ -152,7 +154,7 @@
     Unrequested,
     /// The upstream rejected this node.
     #[error("refused: {0:?}")]
-    Refused(RefusalReason),
+    Rejected(RejectionReason),
     /// The node already has its maximum number of followers.
     #[error("too many followers")]
     TooManyFollowers,
@@ -172,7 +174,7 @@
                 | DisconnectReason::WrongName
                 | DisconnectReason::ProtocolViolation
                 | DisconnectReason::Unrequested
-                | DisconnectReason::Refused(RefusalReason::Fork | RefusalReason::Loop)
+                | DisconnectReason::Rejected(RejectionReason::Fork | RejectionReason::Loop)
         )
     }
 }
--- a/crates/control-plane/src/relay/log_suffix.rs
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -116,7 +116,7 @@
     /// Discards everything held and starts again from a checkpoint.
     pub(super) fn reset(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
         self.clear();
-        self.base = Some(checkpoint.at);
+        self.base = Some(checkpoint.position);
         self.replace_checkpoint(checkpoint, bytes);
     }
 
@@ -162,6 +162,6 @@
 
     /// Whether entries right after the checkpoint were trimmed, so that a new follower cannot start from it.
     pub(super) fn has_outgrown_checkpoint(&self) -> bool {
-        self.checkpoint().is_some_and(|checkpoint| checkpoint.at.version < self.oldest_version())
+        self.checkpoint().is_some_and(|checkpoint| checkpoint.position.version < self.oldest_version())
     }
 }
--- a/crates/control-plane/src/relay/progress.rs
+++ b/crates/control-plane/src/relay/progress.rs
@@ -7,12 +7,12 @@
 
 /// Why a follower's summary is rejected; `None` if it is plausible.
 pub(super) fn rejection_reason(summary: &ProgressSummary, role: Role, head: u64) -> Option<&'static str> {
-    let is_descending = summary.levels.is_sorted_by(|one, next| one.version > next.version);
-    let members: u64 = summary.levels.iter().map(|count| u64::from(count.members)).sum();
-    let has_future_version = summary.levels.iter().any(|count| count.version > head);
+    let is_descending = summary.version_counts.is_sorted_by(|one, next| one.version > next.version);
+    let members: u64 = summary.version_counts.iter().map(|count| u64::from(count.members)).sum();
+    let has_future_version = summary.version_counts.iter().any(|count| count.version > head);
     if has_future_version || summary.lagging.iter().any(|member| member.version > head) {
         Some("a version that is not written yet")
-    } else if !is_descending || summary.levels.iter().any(|count| count.members == 0) {
+    } else if !is_descending || summary.version_counts.iter().any(|count| count.members == 0) {
         Some("version counts out of order or zero")
     } else if members > u64::from(MAX_MEMBERS) {
         Some("more members than the maximum of a fleet")
@@ -30,18 +30,18 @@
 /// Invariant: a sum never overstates how many members have applied a version. Where there are more version
 /// counts than the maximum, the lowest ones are merged under the lowest version.
 pub(super) fn add(sum: &mut ProgressSummary, other: &ProgressSummary) {
-    for count in &other.levels {
-        match sum.levels.binary_search_by(|known| count.version.cmp(&known.version)) {
+    for count in &other.version_counts {
+        match sum.version_counts.binary_search_by(|known| count.version.cmp(&known.version)) {
             Ok(index) => {
-                let members = &mut sum.levels[index].members;
+                let members = &mut sum.version_counts[index].members;
                 *members = members.saturating_add(count.members).min(MAX_MEMBERS);
             }
-            Err(index) => sum.levels.insert(index, *count),
+            Err(index) => sum.version_counts.insert(index, *count),
         }
     }
-    while sum.levels.len() > MAX_VERSION_COUNTS
-        && let Some(lowest) = sum.levels.pop()
-        && let Some(above) = sum.levels.last_mut()
+    while sum.version_counts.len() > MAX_VERSION_COUNTS
+        && let Some(lowest) = sum.version_counts.pop()
+        && let Some(above) = sum.version_counts.last_mut()
     {
         let members = above.members.saturating_add(lowest.members).min(MAX_MEMBERS);
         *above = VersionCount { version: lowest.version, members };
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -192,7 +192,7 @@
     fn progress(&self, now: Duration) -> ProgressSummary {
         match self.config.role {
             Role::Gateway => ProgressSummary {
-                levels: vec![VersionCount { version: self.applied_version, members: 1 }],
+                version_counts: vec![VersionCount { version: self.applied_version, members: 1 }],
                 lagging: Vec::new(),
             },
             Role::Relay => self.downstreams.progress(now, self.suffix.head().unwrap_or_default().version),
@@ -205,7 +205,7 @@
         let Some(length) = length.filter(|_| !self.contradicts_committed(at)) else {
             return actions.push(rejected);
         };
-        let checkpoint = Checkpoint { at, digest: digest(&bytes), length };
+        let checkpoint = Checkpoint { position: at, digest: digest(&bytes), length };
         match (self.suffix.head(), self.suffix.hash_at(at.version)) {
             // The log's segments between the head and the checkpoint were deleted before the owner had read
             // them.
@@ -252,7 +252,7 @@
         let connected = upstreams.into_iter().flat_map(Upstreams::connected_names);
         RelayStatus {
             head: self.suffix.head().unwrap_or_default(),
-            checkpoint: self.suffix.checkpoint().map(|checkpoint| checkpoint.at.version),
+            checkpoint: self.suffix.checkpoint().map(|checkpoint| checkpoint.position.version),
             oldest_version: self.suffix.oldest_version(),
             path: self.downstreams.path().to_vec(),
             source: upstreams.and_then(Upstreams::source_name).map(str::to_string),
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -18,16 +18,16 @@
     pub(super) fn on_hash(
         &mut self,
         peer: usize,
-        at: Position,
+        position: Position,
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let session = self.peers[peer].session_mut();
-        let query =
-            session.and_then(|session| session.queried_version.take_if(|queried| *queried == at.version));
+        let query = session
+            .and_then(|session| session.queried_version.take_if(|queried| *queried == position.version));
         if query.is_none() {
             return Err(DisconnectReason::Unrequested);
         }
-        self.compare_position(peer, at, context)
+        self.compare_position(peer, position, context)
     }
 
     /// Compares a position that an upstream reported with the log suffix and with the pending entries.
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -92,7 +92,8 @@
         let Some(download) = download else { return Err(DisconnectReason::Unrequested) };
         let length = download.checkpoint.length as usize;
         let expected_length = length.saturating_sub(offset as usize).min(MAX_PART);
-        let is_next = version == download.checkpoint.at.version && offset as usize == download.bytes.len();
+        let is_next =
+            version == download.checkpoint.position.version && offset as usize == download.bytes.len();
         if !is_next || part.len() != expected_length {
             return Err(DisconnectReason::ProtocolViolation);
         }
@@ -114,7 +115,7 @@
     fn request_part(&mut self, context: &mut Context<'_>) {
         let Some(download) = &self.checkpoint_transfer.download else { return };
         let Some(connection) = self.peers[download.peer].connection() else { return };
-        let version = download.checkpoint.at.version;
+        let version = download.checkpoint.position.version;
         let offset = download.bytes.len() as u32;
         context.send(connection, ToUpstream::Fetch { version, offset });
     }
@@ -128,7 +129,7 @@
         context: &mut Context<'_>,
     ) {
         let upstream = self.peers[peer].name.clone();
-        let at = checkpoint.at;
+        let at = checkpoint.position;
         if context.suffix.head().is_some_and(|head| head.version >= at.version) {
             return context.suffix.replace_checkpoint(checkpoint, bytes);
         }
@@ -158,7 +159,7 @@
     fn quorum_checkpoint(&self, is_wanted: impl Fn(&Checkpoint) -> bool) -> Option<Checkpoint> {
         let reported = || self.peers.iter().filter_map(Peer::checkpoint);
         let has_quorum = |one: &Checkpoint| reported().filter(|other| other == one).count() >= self.quorum;
-        reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.at.version)
+        reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.position.version)
     }
 
     /// Whether no upstream can send the entries after the head, although at least one upstream has later
@@ -177,7 +178,8 @@
         is_needed: bool,
         now: Duration,
     ) -> Option<Checkpoint> {
-        let newest = self.quorum_checkpoint(|one| head.is_none_or(|head| one.at.version > head.version));
+        let newest =
+            self.quorum_checkpoint(|one| head.is_none_or(|head| one.position.version > head.version));
         let transfer = &mut self.checkpoint_transfer;
         if newest.is_none() {
             transfer.ahead_since = None;
@@ -193,8 +195,9 @@
         let head = suffix.head()?;
         let held = suffix.checkpoint()?;
         self.quorum_checkpoint(|one| {
-            let is_newer = one.at.version > held.at.version && one.at.version <= head.version;
-            is_newer && !suffix.contradicts(one.at)
+            let is_newer =
+                one.position.version > held.position.version && one.position.version <= head.version;
+            is_newer && !suffix.contradicts(one.position)
         })
     }
 
@@ -217,8 +220,8 @@
     }
 
     fn fetch(&mut self, checkpoint: Checkpoint, context: &mut Context<'_>) {
-        if self.contradicts_committed(checkpoint.at) {
-            return self.halt(checkpoint.at.version, context);
+        if self.contradicts_committed(checkpoint.position) {
+            return self.halt(checkpoint.position.version, context);
         }
         let Some(peer) = self.best_checkpoint_peer(checkpoint, context.now) else { return };
         let transfer_seconds = checkpoint.length / MIN_BYTES_PER_SECOND;
@@ -244,7 +247,7 @@
     /// connects to all upstreams.
     fn on_quorum_missing(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        let newest = self.peers.iter().filter_map(Peer::checkpoint).max_by_key(|one| one.at.version);
+        let newest = self.peers.iter().filter_map(Peer::checkpoint).max_by_key(|one| one.position.version);
         let transfer = &mut self.checkpoint_transfer;
         let missing_since = *transfer.no_quorum_since.get_or_insert(now);
         if now < missing_since + MAX_QUORUM_DELAY {
@@ -254,7 +257,7 @@
         let may_log = transfer.no_quorum_logged_at.is_none_or(|at| now >= at + NO_QUORUM_LOG_INTERVAL);
         if let Some(newest) = newest.filter(|_| may_log) {
             transfer.no_quorum_logged_at = Some(now);
-            context.log(RelayEvent::CheckpointQuorumMissing { version: newest.at.version });
+            context.log(RelayEvent::CheckpointQuorumMissing { version: newest.position.version });
         }
     }
 }
--- a/crates/control-plane/src/relay/upstreams/mod.rs
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -142,9 +142,9 @@
             FromUpstream::Head { head, oldest_version, checkpoint } => {
                 self.on_head(peer, head, oldest_version, checkpoint)
             }
-            FromUpstream::HashAt { at } => self.on_hash(peer, at, context),
-            FromUpstream::Entry { at, length, offset, part } => {
-                self.on_entry_part(peer, &EntryPart { at, length, offset, bytes: part }, context)
+            FromUpstream::HashAt { position } => self.on_hash(peer, position, context),
+            FromUpstream::Entry { position, length, offset, part } => {
+                self.on_entry_part(peer, &EntryPart { position, length, offset, bytes: part }, context)
             }
             FromUpstream::CheckpointPart { version, offset, part } => {
                 self.on_checkpoint_part(peer, version, offset, &part, context)
@@ -153,7 +153,7 @@
                 self.on_retry_after(peer, context.now + after);
                 Ok(())
             }
-            FromUpstream::Refused { reason } => Err(DisconnectReason::Refused(reason)),
+            FromUpstream::Rejected { reason } => Err(DisconnectReason::Rejected(reason)),
             FromUpstream::Heartbeat => Ok(()),
             // This node never requests a status from an upstream.
             FromUpstream::Status(_) => Err(DisconnectReason::ProtocolViolation),
@@ -180,8 +180,8 @@
             session.count_unrequested_frame(now)?;
         }
         let is_hello = matches!(frame, FromUpstream::Hello { .. });
-        let is_refusal = matches!(frame, FromUpstream::Refused { .. });
-        if !is_refusal && is_hello == session.hello_received {
+        let is_rejection = matches!(frame, FromUpstream::Rejected { .. });
+        if !is_rejection && is_hello == session.hello_received {
             return Err(DisconnectReason::ProtocolViolation);
         }
         Ok(())
@@ -250,7 +250,8 @@
             head.version < previous.head.version
                 || head.version == previous.head.version && head.hash != previous.head.hash
         });
-        let is_checkpoint_ahead = checkpoint.is_some_and(|checkpoint| checkpoint.at.version > head.version);
+        let is_checkpoint_ahead =
+            checkpoint.is_some_and(|checkpoint| checkpoint.position.version > head.version);
         if is_backwards || is_checkpoint_ahead || oldest_version > head.version {
             return Err(DisconnectReason::ProtocolViolation);
         }
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -22,7 +22,7 @@
 
 /// A part of an entry, as received in one frame.
 pub(super) struct EntryPart {
-    pub(super) at: Position,
+    pub(super) position: Position,
     /// Length of the complete entry in bytes.
     pub(super) length: u32,
     pub(super) offset: u32,
@@ -37,14 +37,16 @@
 
 /// An entry whose parts are still arriving.
 struct PartialEntry {
-    at: Position,
+    position: Position,
     length: u32,
     body: BytesMut,
 }
 
 impl PartialEntry {
     fn continues_with(&self, part: &EntryPart) -> bool {
-        self.at == part.at && self.length == part.length && self.body.len() == part.offset as usize
+        self.position == part.position
+            && self.length == part.length
+            && self.body.len() == part.offset as usize
     }
 }
 
@@ -123,7 +125,7 @@
         }
         let end = self.end(head);
         let is_next = match &self.partial {
-            None => part.offset == 0 && part.at.version == end.version.saturating_add(1),
+            None => part.offset == 0 && part.position.version == end.version.saturating_add(1),
             Some(partial) => partial.continues_with(part),
         };
         if !is_next {
@@ -132,7 +134,8 @@
         if part.bytes.len() != part.expected_length() {
             return Err(DisconnectReason::ProtocolViolation);
         }
-        let new_partial = || PartialEntry { at: part.at, length: part.length, body: BytesMut::new() };
+        let new_partial =
+            || PartialEntry { position: part.position, length: part.length, body: BytesMut::new() };
         let partial = self.partial.get_or_insert_with(new_partial);
         partial.body.extend_from_slice(&part.bytes);
         let is_complete = partial.body.len() == part.length as usize;
@@ -153,13 +156,13 @@
         now: Duration,
     ) -> Result<(), DisconnectReason> {
         let body = complete.body.freeze();
-        if end.after_change(&body) != complete.at {
+        if end.after_change(&body) != complete.position {
             return Err(DisconnectReason::BrokenChain);
         }
         self.progress_at = now;
         self.pending_since.get_or_insert(now);
         self.pending_bytes += ENTRY_OVERHEAD + body.len();
-        self.pending.push_back(Entry { at: complete.at, body });
+        self.pending.push_back(Entry { at: complete.position, body });
         Ok(())
     }
 }
--- a/crates/control-plane/tests/explore/store.rs
+++ b/crates/control-plane/tests/explore/store.rs
@@ -40,7 +40,7 @@
         };
         match order {
             Order::Prepare { epoch, .. } if planted_bug == PlantedBug::ActivatedBeforeFenced => {
-                _ = self.fences.take(term, number, &Order::Activate { span: RANGE, epoch: *epoch });
+                _ = self.fences.take(term, number, &Order::Activate { range: RANGE, epoch: *epoch });
             }
             Order::Prepare { .. } if check == OrderCheck::Apply => {
                 (self.data, self.content_from) = (Vec::new(), None);
@@ -57,11 +57,11 @@
             }
             Order::FetchExecuted { .. } => {
                 let mark =
-                    |op: &u64| ExecutedOp { gateway_run: *op, op: *op, extent: EXTENT, remembered_for: 1 };
+                    |op: &u64| ExecutedOp { gateway_run: *op, op: *op, extent: EXTENT, remaining_micros: 1 };
                 return OrderReply::ExecutedOps(self.executed.iter().map(mark).collect());
             }
-            Order::RecordExecuted { marks, .. } if planted_bug != PlantedBug::ExecutedOpsNotMoved => {
-                self.executed.extend(marks.iter().map(|mark| mark.op));
+            Order::RecordExecuted { executed_ops, .. } if planted_bug != PlantedBug::ExecutedOpsNotMoved => {
+                self.executed.extend(executed_ops.iter().map(|executed| executed.op));
             }
             Order::Clear { .. } if self.fences.closed(&RANGE) => {
                 (self.data, self.content_from) = (Vec::new(), None);
--- a/crates/control-plane/tests/explore/world/mod.rs
+++ b/crates/control-plane/tests/explore/world/mod.rs
@@ -93,7 +93,7 @@
         };
         world.start_coordinator();
         world.send_operator_request(ToList::Claim { token: 0, volume: VOLUME, extent: EXTENT, shard: 0 });
-        world.send_operator_request(ToList::Move { token: 0, span: RANGE, shard: 1 });
+        world.send_operator_request(ToList::Move { token: 0, range: RANGE, shard: 1 });
         world
     }
 
@@ -113,7 +113,7 @@
         // Gateway 0 knows the location after the first move, gateway 1 does not.
         world.known_by_gateway[0] = Location { shard: 1, epoch: 1 };
         world.ops[0].stage = Stage::InTransit(world.known_by_gateway[0]);
-        world.send_operator_request(ToList::Move { token: 0, span: RANGE, shard: 0 });
+        world.send_operator_request(ToList::Move { token: 0, range: RANGE, shard: 0 });
         world
     }
 
@@ -186,7 +186,7 @@
             }
             Effect::Output(Output::Send {
                 connection,
-                message: FromList::Location { place: Some(location), .. },
+                message: FromList::Location { location: Some(location), .. },
             }) => {
                 self.on_location(connection, location);
             }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -14,7 +14,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn span(volume: u64) -> ExtentRange {
+fn range(volume: u64) -> ExtentRange {
     ExtentRange { volume, start: 2, end: 900 }
 }
 
@@ -24,7 +24,7 @@
     for volume in 1..=6 {
         let claimed = |extent| Record::Claimed { volume, extent, shard: 4 };
         records.extend([claimed(2), claimed(3), claimed(899)]);
-        let planned = Move::new(span(volume), 4, 5, 1);
+        let planned = Move::new(range(volume), 4, 5, 1);
         records.push(Record::Planned { number: volume, planned });
     }
     for (number, phase) in (1..).zip(PHASES) {
--- a/crates/control-plane/tests/relay/fault_cases.rs
+++ b/crates/control-plane/tests/relay/fault_cases.rs
@@ -5,7 +5,7 @@
 use umbertray_control_plane::relay::{
     DisconnectReason, MAX_CHECKPOINT_TRANSFERS, MAX_SUFFIX_BYTES, RelayEvent,
 };
-use umbertray_store_protocol::changes::{RefusalReason, Role};
+use umbertray_store_protocol::changes::{RejectionReason, Role};
 
 use crate::network::{Direction, Id, Network};
 use crate::{MAX_APPLY_DELAY, tree};
@@ -233,7 +233,10 @@
     let fork = |event: &&RelayEvent| {
         matches!(
             event,
-            RelayEvent::UpstreamDisconnected { reason: DisconnectReason::Refused(RefusalReason::Fork), .. }
+            RelayEvent::UpstreamDisconnected {
+                reason: DisconnectReason::Rejected(RejectionReason::Fork),
+                ..
+            }
         )
     };
     assert!(logged.iter().filter(fork).count() >= 3);
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -69,13 +69,13 @@
     assert_eq!(queried, Some(harness.connections[&one]));
     assert_eq!(harness.appended_versions(), []);
     let at = harness.log.position_at(4).expect("written");
-    harness.receive(&one, FromUpstream::HashAt { at });
+    harness.receive(&one, FromUpstream::HashAt { position: at });
     assert_eq!(harness.appended_versions(), [4]);
     assert!(
         harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 9 })).is_some(),
         "the last pending version is queried next"
     );
-    harness.receive(&one, FromUpstream::HashAt { at });
+    harness.receive(&one, FromUpstream::HashAt { position: at });
     assert_eq!(
         harness.disconnected(),
         [(one.as_str(), DisconnectReason::Unrequested)],
@@ -133,7 +133,7 @@
     let old = Position { version: 1, hash: [1; 32] };
     let at = |head, from| FromUpstream::Head { head, oldest_version: from, checkpoint: None };
     let entry = |at, length, offset, part: &'static [u8]| FromUpstream::Entry {
-        at,
+        position: at,
         length,
         offset,
         part: Bytes::from_static(part),
--- a/crates/control-plane/tests/relay/follower_harness.rs
+++ b/crates/control-plane/tests/relay/follower_harness.rs
@@ -101,14 +101,14 @@
 
     pub(crate) fn announce_head(&mut self, name: &str, head: Position, oldest_version: u64) {
         let (at, bytes) = self.log.checkpoint(oldest_version);
-        let checkpoint = Checkpoint { at, digest: digest(&bytes), length: bytes.len() as u32 };
+        let checkpoint = Checkpoint { position: at, digest: digest(&bytes), length: bytes.len() as u32 };
         self.receive(name, FromUpstream::Head { head, oldest_version, checkpoint: Some(checkpoint) });
     }
 
     pub(crate) fn entry(&mut self, name: &str, entry: &Entry) {
         let length = entry.body.len() as u32;
         let part = entry.body.clone();
-        self.receive(name, FromUpstream::Entry { at: entry.at, length, offset: 0, part });
+        self.receive(name, FromUpstream::Entry { position: entry.at, length, offset: 0, part });
     }
 
     pub(crate) fn entries(&mut self, name: &str, after: u64) {
@@ -127,7 +127,7 @@
         let queries: Vec<(ConnectionId, u64)> = self.actions.iter().filter_map(hash_query).collect();
         for (connection, version) in queries {
             let at = self.log.position_at(version).expect("written");
-            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { at } });
+            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { position: at } });
         }
     }
 
--- a/crates/control-plane/tests/relay/lies.rs
+++ b/crates/control-plane/tests/relay/lies.rs
@@ -82,9 +82,9 @@
                 self.falsify_checkpoint_part(version, offset, part)
             }
             FromUpstream::Hello { name, path } => self.falsify_hello(name, path, names),
-            FromUpstream::HashAt { mut at } if self == Lie::Hashes => {
-                at.hash[0] ^= 1;
-                vec![FromUpstream::HashAt { at }]
+            FromUpstream::HashAt { mut position } if self == Lie::Hashes => {
+                position.hash[0] ^= 1;
+                vec![FromUpstream::HashAt { position }]
             }
             FromUpstream::Heartbeat if self == Lie::Noise => return vec![noise()],
             frame => vec![frame],
@@ -100,20 +100,22 @@
     }
 
     fn falsify_entry(self, frame: FromUpstream) -> Vec<FromUpstream> {
-        let FromUpstream::Entry { mut at, length, offset, part } = frame else { return vec![frame] };
+        let FromUpstream::Entry { mut position, length, offset, part } = frame else { return vec![frame] };
         match self {
             Lie::Edited => {
                 let mut edited = part.to_vec();
                 edited.iter_mut().take(1).for_each(|byte| *byte ^= 1);
-                vec![FromUpstream::Entry { at, length, offset, part: edited.into() }]
+                vec![FromUpstream::Entry { position, length, offset, part: edited.into() }]
             }
             Lie::Hashes => {
-                at.hash[0] ^= 1;
-                vec![FromUpstream::Entry { at, length, offset, part }]
+                position.hash[0] ^= 1;
+                vec![FromUpstream::Entry { position, length, offset, part }]
             }
             Lie::Withheld | Lie::Noise => Vec::new(),
-            Lie::Empty => vec![FromUpstream::Entry { at, length: 9, offset: 0, part: Bytes::new() }; 50],
-            _ => vec![FromUpstream::Entry { at, length, offset, part }],
+            Lie::Empty => {
+                vec![FromUpstream::Entry { position, length: 9, offset: 0, part: Bytes::new() }; 50]
+            }
+            _ => vec![FromUpstream::Entry { position, length, offset, part }],
         }
     }
 
@@ -128,7 +130,8 @@
         match self {
             Lie::FarAhead => {
                 let head = Position { version: head.version + 1_000_000_000 + nth, hash: [9; 32] };
-                let checkpoint = checkpoint.map(|held| Checkpoint { at: head, digest: [8; 32], ..held });
+                let checkpoint =
+                    checkpoint.map(|held| Checkpoint { position: head, digest: [8; 32], ..held });
                 vec![FromUpstream::Head { head, oldest_version, checkpoint }]
             }
             Lie::Backwards if nth % 3 == 2 => {
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -19,7 +19,7 @@
     let mut all = std::collections::BTreeMap::new();
     for member in network.members.iter().take(3) {
         let summary = member.node.as_ref().map(|node| node.status(network.now).progress).unwrap_or_default();
-        for level in summary.levels {
+        for level in summary.version_counts {
             *all.entry(level.version).or_insert(0) += level.members;
         }
     }
@@ -101,7 +101,7 @@
 #[test]
 fn progress_summary_implausible_is_ignored_and_logged_once() {
     let one = |name: &str, version| LaggingMember { name: name.into(), version, lag_seconds: 1 };
-    let summary_of = |levels: Vec<VersionCount>, lagging| ProgressSummary { levels, lagging };
+    let summary_of = |version_counts: Vec<VersionCount>, lagging| ProgressSummary { version_counts, lagging };
     for (summary, role) in [
         (summary_of(vec![level(101, 1)], vec![]), Role::Relay),
         (summary_of(vec![level(100, 1_000_000)], vec![]), Role::Relay),
@@ -135,14 +135,18 @@
         report_progress(
             &mut node,
             connection,
-            ProgressSummary { levels: vec![level(nth, 1)], lagging: vec![] },
+            ProgressSummary { version_counts: vec![level(nth, 1)], lagging: vec![] },
         );
     }
     let summary = node.status(Duration::ZERO).progress;
-    assert_eq!(summary.levels.len(), MAX_VERSION_COUNTS);
-    assert_eq!(summary.levels.iter().map(|level| level.members).sum::<u32>(), 50);
-    assert_eq!(summary.levels[0], level(59, 1));
-    assert_eq!(summary.levels[MAX_VERSION_COUNTS - 1], level(10, 35), "the lowest versions are merged");
+    assert_eq!(summary.version_counts.len(), MAX_VERSION_COUNTS);
+    assert_eq!(summary.version_counts.iter().map(|level| level.members).sum::<u32>(), 50);
+    assert_eq!(summary.version_counts[0], level(59, 1));
+    assert_eq!(
+        summary.version_counts[MAX_VERSION_COUNTS - 1],
+        level(10, 35),
+        "the lowest versions are merged"
+    );
     assert_eq!(summary.lagging.len(), MAX_LAGGING);
     assert_eq!((summary.lagging[0].name.as_str(), summary.lagging[0].version), ("member-010", 10));
 }
--- a/crates/control-plane/tests/relay/single_node.rs
+++ b/crates/control-plane/tests/relay/single_node.rs
@@ -9,7 +9,7 @@
     Action, Config, ConfigError, DisconnectReason, Entry, Event, MAX_SUFFIX_BYTES, Origin, RelayEvent,
     RelayNode, Upstream,
 };
-use umbertray_store_protocol::changes::{FromUpstream, Position, RefusalReason, Role, ToUpstream};
+use umbertray_store_protocol::changes::{FromUpstream, Position, RejectionReason, Role, ToUpstream};
 
 use crate::reference_log::Log;
 
@@ -69,28 +69,28 @@
 }
 
 #[test]
-fn follower_violating_protocol_is_refused_with_reason() {
+fn follower_violating_protocol_is_rejected_with_reason() {
     let other = Position { version: 2, hash: [1; 32] };
     let ahead = Position { version: 9, hash: [1; 32] };
     let hello = || ToUpstream::Hello { name: "below".into(), zone: "a".into(), role: Role::Relay };
     for (frame, reason, expected_close) in [
-        (ToUpstream::Follow { after: other }, RefusalReason::Fork, DisconnectReason::Fork),
-        (ToUpstream::Follow { after: ahead }, RefusalReason::Ahead, DisconnectReason::ProtocolViolation),
+        (ToUpstream::Follow { after: other }, RejectionReason::Fork, DisconnectReason::Fork),
+        (ToUpstream::Follow { after: ahead }, RejectionReason::Ahead, DisconnectReason::ProtocolViolation),
         (
             ToUpstream::WindowUpdate { bytes: 1 },
-            RefusalReason::ProtocolViolation,
+            RejectionReason::ProtocolViolation,
             DisconnectReason::ProtocolViolation,
         ),
         (
             ToUpstream::Fetch { version: 0, offset: 5000 },
-            RefusalReason::ProtocolViolation,
+            RejectionReason::ProtocolViolation,
             DisconnectReason::ProtocolViolation,
         ),
-        (hello(), RefusalReason::ProtocolViolation, DisconnectReason::ProtocolViolation),
+        (hello(), RejectionReason::ProtocolViolation, DisconnectReason::ProtocolViolation),
     ] {
         let (mut node, connection) = relay();
         let actions = node.handle(Duration::ZERO, Event::FromFollower { connection, frame });
-        assert_eq!(sent_frames(&actions), [&FromUpstream::Refused { reason }]);
+        assert_eq!(sent_frames(&actions), [&FromUpstream::Rejected { reason }]);
         assert_eq!(close_reason(&actions), Some(expected_close));
         assert_eq!(node.status(Duration::ZERO).followers, 0);
     }
--- a/crates/coordinator/src/client.rs
+++ b/crates/coordinator/src/client.rs
@@ -40,8 +40,8 @@
 ///
 /// # Errors
 /// [`RequestError`] if there is no valid response, or the move is rejected.
-pub async fn request_move(address: SocketAddr, span: ExtentRange, shard: u32) -> Result<u64, RequestError> {
-    match request(address, ToList::Move { token: TOKEN, span, shard }).await? {
+pub async fn request_move(address: SocketAddr, range: ExtentRange, shard: u32) -> Result<u64, RequestError> {
+    match request(address, ToList::Move { token: TOKEN, range, shard }).await? {
         FromList::Move { number, .. } => number.map_err(RequestError::Rejected),
         _ => Err(RequestError::UnexpectedReply { address }),
     }
@@ -58,7 +58,7 @@
     abandon: bool,
 ) -> Result<(String, bool), RequestError> {
     match request(address, ToList::MoveStatus { token: TOKEN, number, abandon }).await? {
-        FromList::MoveStatus { state, over, .. } => Ok((state, over)),
+        FromList::MoveStatus { state, is_finished, .. } => Ok((state, is_finished)),
         _ => Err(RequestError::UnexpectedReply { address }),
     }
 }
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -11,7 +11,7 @@
 use crate::CoordinatorError;
 
 const FORMAT: LogFormat =
-    LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary: "map.new" };
+    LogFormat { magic: b"UMBMAP", prefix: "map-", suffix: ".log", temporary_name: "map.new" };
 
 /// Size beyond which a new segment begins, bytes; twice the segment's initial size if that is more.
 const MAX_SEGMENT_GROWTH: usize = 4 << 20;
--- a/crates/coordinator/src/log/tests.rs
+++ b/crates/coordinator/src/log/tests.rs
@@ -21,10 +21,10 @@
 fn record_batches() -> Vec<Vec<Record>> {
     let mut batches = vec![vec![Record::Term(1)]];
     for volume in 1..=6 {
-        let span = ExtentRange { volume, start: 2, end: 900 };
+        let range = ExtentRange { volume, start: 2, end: 900 };
         let claimed = |extent| Record::Claimed { volume, extent, shard: 4 };
         batches.push(vec![claimed(2), claimed(899)]);
-        batches.push(vec![Record::Planned { number: volume, planned: Move::new(span, 4, 5, 1) }]);
+        batches.push(vec![Record::Planned { number: volume, planned: Move::new(range, 4, 5, 1) }]);
     }
     let entered = |number, phase| vec![Record::Entered { number, phase }];
     batches.extend([
--- a/crates/fakes/src/client/mod.rs
+++ b/crates/fakes/src/client/mod.rs
@@ -51,10 +51,10 @@
         let event = client.receive(&mut input).map_err(io::Error::other)?;
         stream.write_all(&client.output().split()).await?;
         match event {
-            ClientEvent::More if stream.read_buf(&mut input).await? == 0 => {
+            ClientEvent::Incomplete if stream.read_buf(&mut input).await? == 0 => {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            ClientEvent::More => {}
+            ClientEvent::Incomplete => {}
             event => return Ok((stream, client, input, event)),
         }
     }
@@ -73,13 +73,13 @@
 
 impl Connection {
     /// Connects to the server at `address` and negotiates the export `name`, with structured replies if
-    /// `structured` is set.
+    /// `structured_replies` is set.
     ///
     /// # Errors
     /// Fails when the connection fails, the negotiation is malformed, or the server does not offer the
     /// export.
-    pub async fn open(address: SocketAddr, name: &str, structured: bool) -> io::Result<Connection> {
-        let negotiation = Negotiation::Export { name: name.into(), structured };
+    pub async fn open(address: SocketAddr, name: &str, structured_replies: bool) -> io::Result<Connection> {
+        let negotiation = Negotiation::Export { name: name.into(), structured_replies };
         let (stream, client, input, event) = negotiate(address, negotiation).await?;
         let ClientEvent::Ready(export) = event else {
             return Err(io::Error::other(format!("the server did not offer the export {name:?}")));
--- a/crates/fakes/src/client/reply.rs
+++ b/crates/fakes/src/client/reply.rs
@@ -105,7 +105,7 @@
         }
         let (cookie, is_last) = match &reply {
             Reply::Simple { cookie, .. } => (*cookie, true),
-            Reply::Chunk { cookie, done, .. } => (*cookie, *done),
+            Reply::Chunk { cookie, is_last, .. } => (*cookie, *is_last),
         };
         let Some(request) = self.by_cookie.get_mut(&cookie) else {
             return self
--- a/crates/fakes/src/disk/moves.rs
+++ b/crates/fakes/src/disk/moves.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use umbertray_control_plane::fence::OrderCheck;
-use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use umbertray_store_protocol::orders::{
+    ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES,
+};
 
 use super::{ExecutedAt, InMemoryDisk, RunKey};
 
@@ -21,7 +23,7 @@
             Ok(check) => check,
             Err(reply) => return reply,
         };
-        let range = *order.span();
+        let range = *order.range();
         match order {
             Order::Prepare { .. } if check == OrderCheck::Apply => self.clear_range(&range),
             Order::Prepare { .. } | Order::Sync { .. } | Order::Activate { .. } => {}
@@ -33,7 +35,9 @@
                 return OrderReply::ExtentsLeft(remaining as u64);
             }
             Order::FetchExecuted { .. } => return OrderReply::ExecutedOps(self.executed_ops(clock, &range)),
-            Order::RecordExecuted { marks, .. } => self.record_executed(clock, range.volume, marks),
+            Order::RecordExecuted { executed_ops, .. } => {
+                self.record_executed(clock, range.volume, executed_ops)
+            }
             Order::Clear { .. } => {
                 if self.fences.closed(&range) {
                     self.clear_range(&range);
@@ -48,7 +52,7 @@
     /// Number of bytes that this disk holds of a range, counted in full pages.
     pub fn holds(&self, range: &ExtentRange) -> usize {
         let held = self.pages.iter().filter(|((volume, extent), _)| range.contains(*volume, *extent));
-        held.map(|(_, pages)| pages.len() * PAGE).sum()
+        held.map(|(_, pages)| pages.len() * PAGE_BYTES).sum()
     }
 
     /// Counts a change of an extent, and marks the extent to be copied again by each move that tracks it.
@@ -108,7 +112,7 @@
             return;
         }
         let page = |(number, bytes): &(u32, Bytes)| {
-            let mut page = Box::new([0; PAGE]);
+            let mut page = Box::new([0; PAGE_BYTES]);
             page.copy_from_slice(bytes);
             (*number, page)
         };
@@ -124,15 +128,15 @@
             gateway_run: *run,
             op: *op,
             extent: at.extent,
-            remembered_for: at.until.saturating_sub(clock),
+            remaining_micros: at.until.saturating_sub(clock),
         };
         in_range.map(executed_op).collect()
     }
 
     /// Remembers operations that were executed at the source of a move.
     fn record_executed(&mut self, clock: u64, volume: u64, executed: &[ExecutedOp]) {
-        for ExecutedOp { gateway_run, op, extent, remembered_for } in executed {
-            let until = clock + remembered_for;
+        for ExecutedOp { gateway_run, op, extent, remaining_micros } in executed {
+            let until = clock + remaining_micros;
             self.remember_executed((*gateway_run, *op), ExecutedAt { volume, extent: *extent, until });
         }
     }
--- a/crates/fakes/src/disk/pages.rs
+++ b/crates/fakes/src/disk/pages.rs
@@ -3,12 +3,12 @@
 use std::ops::Range;
 
 use bytes::BytesMut;
-use umbertray_store_protocol::orders::PAGE;
+use umbertray_store_protocol::orders::PAGE_BYTES;
 use umbertray_store_protocol::store::{Attempt, DataRange, OperationKind};
 
 use super::InMemoryDisk;
 
-pub(super) type Page = Box<[u8; PAGE]>;
+pub(super) type Page = Box<[u8; PAGE_BYTES]>;
 
 /// A part of a range that was read.
 pub(crate) struct ReadPart {
@@ -30,9 +30,9 @@
         for PageSlice { page, offset_in_page, bytes } in page_slices(attempt.offset, attempt.length) {
             let within = offset_in_page..offset_in_page + bytes.len();
             if attempt.kind == OperationKind::Write {
-                let page = pages.entry(page).or_insert_with(|| Box::new([0; PAGE]));
+                let page = pages.entry(page).or_insert_with(|| Box::new([0; PAGE_BYTES]));
                 page[within].copy_from_slice(&attempt.data[bytes]);
-            } else if bytes.len() == PAGE {
+            } else if bytes.len() == PAGE_BYTES {
                 pages.remove(&page);
             } else if let Some(page) = pages.get_mut(&page) {
                 page[within].fill(0);
@@ -83,9 +83,9 @@
     let (offset, length) = (offset as usize, length as usize);
     let mut position = 0;
     std::iter::from_fn(move || {
-        let offset_in_page = (offset + position) % PAGE;
-        let size = (PAGE - offset_in_page).min(length - position);
-        let page = ((offset + position) / PAGE) as u32;
+        let offset_in_page = (offset + position) % PAGE_BYTES;
+        let size = (PAGE_BYTES - offset_in_page).min(length - position);
+        let page = ((offset + position) / PAGE_BYTES) as u32;
         let bytes = position..position + size;
         position += size;
         (size > 0).then_some(PageSlice { page, offset_in_page, bytes })
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -67,13 +67,13 @@
             ToList::Watch | ToList::Fetch => self.complete_list(),
             ToList::Lookup { token, volume, extent, .. } => FromList::Location {
                 token,
-                place: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
+                location: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
             },
             ToList::Claim { token, volume, extent, shard } => {
                 // The first claim is permanent; later claims get its shard.
                 let shard = *self.extent_shards.entry((volume, extent)).or_insert(shard);
                 self.volume_shards.entry(volume).or_default().insert(shard);
-                FromList::Location { token, place: Some(location(shard)) }
+                FromList::Location { token, location: Some(location(shard)) }
             }
             ToList::Shards { token, volume } => {
                 let shards = self.volume_shards.get(&volume).into_iter().flatten().copied().collect();
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -113,7 +113,7 @@
         if self.fault.full || self.queue.len() >= self.power.queue {
             return Admission::QueueFull(job);
         }
-        if job.attempt.kind.writes() && !self.fault.sits.is_zero() {
+        if job.attempt.kind.modifies_extent() && !self.fault.sits.is_zero() {
             self.deferred.push((now + self.fault.sits, job));
         } else {
             self.queue.push_back(job);
--- a/crates/fakes/src/store/records.rs
+++ b/crates/fakes/src/store/records.rs
@@ -13,7 +13,7 @@
         ResultCode::Rejected => "Full",
         ResultCode::Fenced => "Fenced",
         ResultCode::Cancelled => "Cancelled",
-        ResultCode::NotHere => "Elsewhere",
+        ResultCode::ExtentNotHeld => "Elsewhere",
         ResultCode::StaleEpoch => "Stale",
     }
 }
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -352,7 +352,7 @@
     }
 
     async fn change_settings(self) -> io::Result<()> {
-        let edits = self.spec.edits.iter().map(|text| Edit::set(text)).collect::<Result<_, _>>();
+        let edits = self.spec.edits.iter().map(|text| Edit::parse_set_edit(text)).collect::<Result<_, _>>();
         self.testbed.commit(edits.map_err(io::Error::other)?).await
     }
 
--- a/crates/fault-tests/src/scenario/testbed.rs
+++ b/crates/fault-tests/src/scenario/testbed.rs
@@ -76,7 +76,7 @@
         }
         if scenario.uses_change_log {
             _ = std::fs::remove_dir_all(testbed.log_folder());
-            let initial = Configuration::of_calls(&scenario.document.calls());
+            let initial = Configuration::from_calls(&scenario.document.calls());
             testbed.commit(Configuration::default().diff(&initial)).await?;
         }
         for number in 0..scenario.gateways as usize {
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -187,7 +187,7 @@
             for call in calls.iter().filter(|call| call.function == function) {
                 let mut args = Arguments::new(call, &mut problems);
                 read(&mut args);
-                args.end();
+                args.reject_unread();
             }
         };
         let (mut client_loads, mut faults, mut parameters) = (Vec::new(), Vec::new(), Vec::new());
@@ -195,7 +195,7 @@
         read_calls("trouble", &mut |args| faults.push(read_fault(args, &volumes)));
         read_calls("day", &mut |args| parameters.push(read_parameters(args)));
         let script_problem =
-            |what: &str| Problem { file: file.into(), line: 0, column: 0, what: what.into() };
+            |what: &str| Problem { file: file.into(), line: 0, column: 0, message: what.into() };
         if parameters.len() != 1 {
             problems.push(script_problem("the script must call day exactly once"));
         }
@@ -274,7 +274,7 @@
 }
 
 fn read_load(args: &mut Arguments, volumes: &[String]) -> ClientLoad {
-    let name = args.first_text();
+    let name = args.positional_text();
     let volume = volume_index(args, &name, volumes);
     let read_fraction = args.number("reads", 0.0..=1.0, Some(0.6));
     let flush_fraction = args.number("flushes", 0.0..=1.0, Some(0.02));
@@ -294,7 +294,7 @@
 }
 
 fn read_fault(args: &mut Arguments, volumes: &[String]) -> ScriptedFault {
-    let name = args.first_text();
+    let name = args.positional_text();
     let kind = FAULT_KINDS.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
     if kind.is_none() {
         let known = FAULT_KINDS.map(|(name, _)| name).join(", ");
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -94,8 +94,8 @@
 
 /// The part of a drain grace in which an attempt may begin.
 ///
-/// Hazard: the process may be paused for [`MAX_PROCESS_PAUSE`] between this decision and the first byte, and the grace
-/// has to cover that pause (standing page, "More than these days").
+/// Hazard: the process may be paused for [`MAX_PROCESS_PAUSE`] between this decision and the first byte, and
+/// the grace has to cover that pause (standing page, "More than these days").
 pub fn usable_drain_grace(grace: Duration) -> Duration {
     grace.saturating_sub(MAX_PROCESS_PAUSE)
 }
--- a/crates/nbd-gateway/src/session/exports.rs
+++ b/crates/nbd-gateway/src/session/exports.rs
@@ -27,7 +27,7 @@
             description: format!("plan {}", self.0.plans[volume.plan].name),
             size: volume.size,
             flags,
-            blocks: BlockSizes { minimum: MINIMUM_BLOCK_BYTES, preferred, maximum },
+            block_sizes: BlockSizes { minimum: MINIMUM_BLOCK_BYTES, preferred, maximum },
         }
     }
 }
--- a/crates/nbd-gateway/src/session/input.rs
+++ b/crates/nbd-gateway/src/session/input.rs
@@ -91,9 +91,9 @@
         while self.may_read() {
             let exports = VolumeExports(self.context.current_settings.load_full());
             match self.session.receive(&mut self.input, &exports)? {
-                SessionEvent::More => break,
-                SessionEvent::Attached(export) => self.on_attached(&exports, &export),
-                SessionEvent::Pending { bytes } => self.request_buffer(bytes),
+                SessionEvent::Incomplete => break,
+                SessionEvent::ExportSelected(export) => self.on_export_selected(&exports, &export),
+                SessionEvent::HeaderReceived { bytes } => self.request_buffer(bytes),
                 SessionEvent::Request(request) => self.on_request(request),
                 SessionEvent::Rejected { errno, reason, .. } => {
                     tracing::debug!(connection_id = self.id.0, ?errno, reason, "request rejected");
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    fn on_attached(&mut self, exports: &VolumeExports, export: &Export) {
+    fn on_export_selected(&mut self, exports: &VolumeExports, export: &Export) {
         self.volume = exports.0.volume_indices.get(&export.name).copied();
         self.message_started_at = self.last_read_at;
         tracing::info!(connection_id = self.id.0, export = export.name, "session attached");
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -65,7 +65,7 @@
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).expect("a log");
         let mut writer = Writer { folder, log };
         let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
-        let wanted = Configuration::of_calls(&document.calls());
+        let wanted = Configuration::from_calls(&document.calls());
         writer.commit(Configuration::default().diff(&wanted));
         writer
     }
@@ -207,7 +207,7 @@
     let at = |update: &Update| Position { version: update.version(), hash: update.hash() };
     let Some(Update::Checkpoint(head)) = updates.first() else { panic!("a checkpoint comes first") };
     let length = head.checkpoint.len() as u32;
-    let checkpoint = Checkpoint { at: at(&updates[0]), digest: digest(&head.checkpoint), length };
+    let checkpoint = Checkpoint { position: at(&updates[0]), digest: digest(&head.checkpoint), length };
     let bytes = Bytes::copy_from_slice(&head.checkpoint);
     let entries = updates.iter().filter_map(|update| match update {
         Update::Entry(entry) => Some((at(update), entry.body.clone())),
--- a/crates/nbd-gateway/tests/relays/faulty_peers.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -32,7 +32,7 @@
             connection
                 .send(FromUpstream::Head {
                     head,
-                    oldest_version: checkpoint.at.version,
+                    oldest_version: checkpoint.position.version,
                     checkpoint: Some(checkpoint),
                 })
                 .await;
@@ -71,7 +71,7 @@
 /// The frame of an entry with its complete body.
 fn entry(at: Position, body: &[u8]) -> Bytes {
     let part = Bytes::copy_from_slice(body);
-    FromUpstream::Entry { at, length: body.len() as u32, offset: 0, part }.frame()
+    FromUpstream::Entry { position: at, length: body.len() as u32, offset: 0, part }.frame()
 }
 
 /// Makes the bytes that are sent in place of the entry that follows a position.
@@ -137,7 +137,7 @@
     let top_relays =
         [start_folder_relay("h1", &writer.folder).await, start_folder_relay("h2", &writer.folder).await];
     let honest = folder_contents(&writer.folder);
-    let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
+    let forged = segment::encode_body(&change(honest.head.version, vec![add_volume_edit("forged")]));
     let forged_head = honest.head.after_change(&forged);
     let (address, _serving) = start_fake_relay(
         "liar",
@@ -182,7 +182,7 @@
     drop(start_gateway(quorum_one_source(vec![upstream_of("h1", &top_relays[0])])).await);
     wait_until_unlocked(&state).await;
     let honest = folder_contents(&writer.folder);
-    let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
+    let forged = segment::encode_body(&change(honest.head.version, vec![add_volume_edit("forged")]));
     let forged_head = honest.head.after_change(&forged);
     let (address, _serving) = start_fake_relay(
         "liar-again",
--- a/crates/nbd-gateway/tests/relays/slow.rs
+++ b/crates/nbd-gateway/tests/relays/slow.rs
@@ -70,7 +70,7 @@
     let requesting = async {
         // Sends requests until the relay has closed the connection.
         while non_reader.stream.writable().await.is_ok() {
-            let frame = ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 };
+            let frame = ToUpstream::Fetch { version: checkpoint.position.version, offset: 0 };
             match non_reader.stream.try_write(&umbertray_store_protocol::Message::frame(&frame)) {
                 Err(error) if error.kind() != std::io::ErrorKind::WouldBlock => return,
                 _ => tokio::task::yield_now().await,
@@ -81,7 +81,7 @@
     wait_for_log(&[("peer", &peer), ("reason", "the peer does not read")]).await;
     // The relay still serves others.
     let mut other = FrameConnection::connect_as_follower(top.address, "other").await;
-    other.send(ToUpstream::Fetch { version: checkpoint.at.version, offset: 0 }).await;
+    other.send(ToUpstream::Fetch { version: checkpoint.position.version, offset: 0 }).await;
     other
         .receive_until("a part", |frame| matches!(frame, FromUpstream::CheckpointPart { .. }).then_some(()))
         .await;
--- a/crates/nbd/src/client.rs
+++ b/crates/nbd/src/client.rs
@@ -31,7 +31,7 @@
         /// The chunk's content.
         chunk: Chunk,
         /// Whether it is the last chunk of the reply.
-        done: bool,
+        is_last: bool,
     },
 }
 
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
     /// The next message is incomplete; read more bytes.
-    More,
+    Incomplete,
     /// Negotiation has ended: this export is selected, and requests may be sent.
     Ready(Export),
     /// The names of the exports, after [`Negotiation::List`].
@@ -58,7 +58,7 @@
         /// The export's name.
         name: String,
         /// Whether to negotiate structured replies and the metadata context `base:allocation`.
-        structured: bool,
+        structured_replies: bool,
     },
 }
 
@@ -99,7 +99,7 @@
         let name =
             if let Negotiation::Export { name, .. } = &negotiation { name.clone() } else { String::new() };
         let description = String::new();
-        let export = Export { name, description, size: 0, flags: 0, blocks: DEFAULT_BLOCKS };
+        let export = Export { name, description, size: 0, flags: 0, block_sizes: DEFAULT_BLOCKS };
         Client {
             negotiation,
             state: State::Greeting,
@@ -144,7 +144,7 @@
     /// greeting is incomplete.
     fn receive_greeting(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
         if input.len() < GREETING_BYTES {
-            return Ok(Some(ClientEvent::More));
+            return Ok(Some(ClientEvent::Incomplete));
         }
         let first_magic = input.get_u64();
         let second_magic = input.get_u64();
@@ -161,11 +161,11 @@
     fn put_options(&mut self) {
         match self.negotiation.clone() {
             Negotiation::List => self.put_option(OPT_LIST, &[]),
-            Negotiation::Export { name, structured } => {
+            Negotiation::Export { name, structured_replies } => {
                 let mut data = BytesMut::new();
                 data.put_u32(name.len() as u32);
                 data.put_slice(name.as_bytes());
-                if structured {
+                if structured_replies {
                     self.put_option(OPT_STRUCTURED_REPLY, &[]);
                     let mut context_data = data.clone();
                     context_data.put_u32(1);
@@ -189,7 +189,7 @@
     /// Reads an option reply. Returns an event only if the reply is incomplete or negotiation has ended.
     fn receive_option_reply(&mut self, input: &mut BytesMut) -> Result<Option<ClientEvent>, ProtocolError> {
         let Some(mut header) = input.get(..OPTION_REPLY_HEADER_BYTES) else {
-            return Ok(Some(ClientEvent::More));
+            return Ok(Some(ClientEvent::Incomplete));
         };
         let magic = header.get_u64();
         if magic != OPTION_REPLY {
@@ -202,7 +202,7 @@
             return Err(ProtocolError::PayloadTooLong { length, limit: MAX_REPLY_BYTES });
         }
         if input.len() < OPTION_REPLY_HEADER_BYTES + length as usize {
-            return Ok(Some(ClientEvent::More));
+            return Ok(Some(ClientEvent::Incomplete));
         }
         input.advance(OPTION_REPLY_HEADER_BYTES);
         let mut data = input.split_to(length as usize).freeze();
@@ -236,7 +236,7 @@
                 self.export.flags = data.get_u16();
             }
             INFO_BLOCK_SIZE if data.len() == 12 => {
-                self.export.blocks = BlockSizes {
+                self.export.block_sizes = BlockSizes {
                     minimum: data.get_u32(),
                     preferred: data.get_u32(),
                     maximum: data.get_u32(),
@@ -247,7 +247,9 @@
     }
 
     fn receive_reply(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
-        let Some(mut header) = input.get(..SIMPLE_REPLY_HEADER_BYTES) else { return Ok(ClientEvent::More) };
+        let Some(mut header) = input.get(..SIMPLE_REPLY_HEADER_BYTES) else {
+            return Ok(ClientEvent::Incomplete);
+        };
         match header.get_u32() {
             SIMPLE_REPLY_MAGIC => Ok(self.receive_simple_reply(input)),
             STRUCTURED_REPLY_MAGIC => self.receive_chunk(input),
@@ -263,7 +265,7 @@
         let cookie = header.get_u64();
         let data_length = self.reads.get(&cookie).copied().filter(|_| error == 0).unwrap_or(0) as usize;
         if input.len() < SIMPLE_REPLY_HEADER_BYTES + data_length {
-            return ClientEvent::More;
+            return ClientEvent::Incomplete;
         }
         input.advance(SIMPLE_REPLY_HEADER_BYTES);
         self.reads.remove(&cookie);
@@ -274,7 +276,7 @@
 
     /// Reads a chunk of a structured reply whose magic number is complete in `input`.
     fn receive_chunk(&mut self, input: &mut BytesMut) -> Result<ClientEvent, ProtocolError> {
-        let Some(mut header) = input.get(4..CHUNK_HEADER_BYTES) else { return Ok(ClientEvent::More) };
+        let Some(mut header) = input.get(4..CHUNK_HEADER_BYTES) else { return Ok(ClientEvent::Incomplete) };
         let flags = header.get_u16();
         let kind = header.get_u16();
         let cookie = header.get_u64();
@@ -283,16 +285,16 @@
             return Err(ProtocolError::PayloadTooLong { length, limit: MAX_REPLY_BYTES });
         }
         if input.len() < CHUNK_HEADER_BYTES + length as usize {
-            return Ok(ClientEvent::More);
+            return Ok(ClientEvent::Incomplete);
         }
         input.advance(CHUNK_HEADER_BYTES);
         let chunk = read_chunk(kind, input.split_to(length as usize).freeze()).ok_or(
             ProtocolError::InvalidReply("unknown kind of chunk, or a length that does not fit the kind"),
         )?;
-        let done = flags & CHUNK_DONE != 0;
-        if done {
+        let is_last = flags & CHUNK_DONE != 0;
+        if is_last {
             self.reads.remove(&cookie);
         }
-        Ok(ClientEvent::Reply(Reply::Chunk { cookie, chunk, done }))
+        Ok(ClientEvent::Reply(Reply::Chunk { cookie, chunk, is_last }))
     }
 }
--- a/crates/nbd/src/proto/types.rs
+++ b/crates/nbd/src/proto/types.rs
@@ -164,7 +164,7 @@
     /// The transmission flags.
     pub flags: u16,
     /// The block sizes.
-    pub blocks: BlockSizes,
+    pub block_sizes: BlockSizes,
 }
 
 /// An extent in a metadata context: a range whose bytes have the same state.
--- a/crates/nbd/src/server/mod.rs
+++ b/crates/nbd/src/server/mod.rs
@@ -44,12 +44,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
     /// The next message is incomplete; read more bytes.
-    More,
+    Incomplete,
     /// Negotiation has ended: the client has selected this export. Requests follow.
-    Attached(Export),
+    ExportSelected(Export),
     /// The header of a request has been received. Call [`Session::receive`] again once a buffer is available
     /// for the request, or reject it with [`Session::reject`].
-    Pending {
+    HeaderReceived {
         /// Size of the buffer that the request needs for a write's payload or a read's data, bytes.
         bytes: u32,
     },
@@ -156,7 +156,7 @@
                 State::Transmission(_) => Some(self.receive_request(input)?),
                 State::Ended => {
                     input.clear();
-                    Some(SessionEvent::More)
+                    Some(SessionEvent::Incomplete)
                 }
             };
             if let Some(event) = event {
--- a/crates/nbd/src/server/negotiation.rs
+++ b/crates/nbd/src/server/negotiation.rs
@@ -29,7 +29,7 @@
         input: &mut BytesMut,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
         if input.len() < CLIENT_FLAGS_BYTES {
-            return Ok(Some(SessionEvent::More));
+            return Ok(Some(SessionEvent::Incomplete));
         }
         let flags = input.get_u32();
         let known_flags = u32::from(FLAG_FIXED_NEWSTYLE | FLAG_NO_ZEROES);
@@ -48,7 +48,9 @@
         input: &mut BytesMut,
         exports: &dyn Exports,
     ) -> Result<Option<SessionEvent>, ProtocolError> {
-        let Some(mut header) = input.get(..OPTION_HEADER_BYTES) else { return Ok(Some(SessionEvent::More)) };
+        let Some(mut header) = input.get(..OPTION_HEADER_BYTES) else {
+            return Ok(Some(SessionEvent::Incomplete));
+        };
         let magic = header.get_u64();
         if magic != IHAVEOPT {
             return Err(ProtocolError::WrongMagic { message: "an option", found: magic });
@@ -60,7 +62,7 @@
             return Err(ProtocolError::OptionTooLong { option, length, limit });
         }
         if input.len() < OPTION_HEADER_BYTES + length as usize {
-            return Ok(Some(SessionEvent::More));
+            return Ok(Some(SessionEvent::Incomplete));
         }
         input.advance(OPTION_HEADER_BYTES);
         let data = input.split_to(length as usize).freeze();
@@ -170,9 +172,9 @@
         }
         info.clear();
         info.put_u16(INFO_BLOCK_SIZE);
-        info.put_u32(export.blocks.minimum);
-        info.put_u32(export.blocks.preferred);
-        info.put_u32(export.blocks.maximum);
+        info.put_u32(export.block_sizes.minimum);
+        info.put_u32(export.block_sizes.preferred);
+        info.put_u32(export.block_sizes.maximum);
         self.put_option_reply(option, REP_INFO, &info);
         self.put_option_reply(option, REP_ACK, &[]);
         (option == OPT_GO).then(|| self.attach(export))
@@ -210,7 +212,7 @@
     fn attach(&mut self, export: Export) -> SessionEvent {
         self.allocation_export = self.allocation_export.take().filter(|name| *name == export.name);
         self.state = State::Transmission(export.clone());
-        SessionEvent::Attached(export)
+        SessionEvent::ExportSelected(export)
     }
 
     /// The transmission flags of an export. DF is offered only with structured replies, because simple
--- a/crates/nbd/src/server/transmission.rs
+++ b/crates/nbd/src/server/transmission.rs
@@ -64,13 +64,15 @@
     }
 
     fn receive_header(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
-        let State::Transmission(export) = &self.state else { return Ok(SessionEvent::More) };
-        let Some(bytes) = input.first_chunk::<REQUEST_HEADER_BYTES>() else { return Ok(SessionEvent::More) };
+        let State::Transmission(export) = &self.state else { return Ok(SessionEvent::Incomplete) };
+        let Some(bytes) = input.first_chunk::<REQUEST_HEADER_BYTES>() else {
+            return Ok(SessionEvent::Incomplete);
+        };
         let header = read_request_header(bytes);
         if header.magic != REQUEST_MAGIC {
             return Err(ProtocolError::WrongMagic { message: "a request", found: header.magic.into() });
         }
-        let limit = export.blocks.maximum;
+        let limit = export.block_sizes.maximum;
         // A payload over the limit is not discarded, which could take arbitrarily long: the specification
         // permits the server to disconnect.
         if header.is_write() && header.length > limit {
@@ -81,14 +83,14 @@
             matches!(Command::from_number(header.command), Some(Command::Write | Command::Read));
         let bytes = if needs_buffer { header.length.min(limit) } else { 0 };
         self.pending_header = Some(header);
-        Ok(SessionEvent::Pending { bytes })
+        Ok(SessionEvent::HeaderReceived { bytes })
     }
 
     fn receive_payload(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
-        let State::Transmission(export) = &self.state else { return Ok(SessionEvent::More) };
-        let Some(header) = &self.pending_header else { return Ok(SessionEvent::More) };
+        let State::Transmission(export) = &self.state else { return Ok(SessionEvent::Incomplete) };
+        let Some(header) = &self.pending_header else { return Ok(SessionEvent::Incomplete) };
         if input.len() < header.payload_length() {
-            return Ok(SessionEvent::More);
+            return Ok(SessionEvent::Incomplete);
         }
         if self.open_cookies.contains(&header.cookie) {
             return Err(ProtocolError::ReusedCookie(header.cookie));
@@ -163,7 +165,7 @@
 }
 
 fn validate_range(command: Command, header: &RequestHeader, export: &Export) -> Result<(), Rejection> {
-    let minimum = u64::from(export.blocks.minimum);
+    let minimum = u64::from(export.block_sizes.minimum);
     let length = u64::from(header.length);
     if length == 0 {
         return Err(Rejection::invalid("an empty range"));
@@ -175,7 +177,7 @@
         let errno = if command.modifies_export() { Errno::NoSpc } else { Errno::Inval };
         return Err(Rejection { errno, reason: "a range beyond the export's end" });
     }
-    if command == Command::Read && header.length > export.blocks.maximum {
+    if command == Command::Read && header.length > export.block_sizes.maximum {
         return Err(Rejection::invalid("a read over the maximum block size"));
     }
     Ok(())
--- a/crates/nbd/tests/golden.rs
+++ b/crates/nbd/tests/golden.rs
@@ -16,9 +16,9 @@
 impl Exports for OneExport {
     fn find(&self, name: &str) -> Option<Export> {
         let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
-        let blocks = BlockSizes { minimum: 512, preferred: 4096, maximum: 65536 };
+        let block_sizes = BlockSizes { minimum: 512, preferred: 4096, maximum: 65536 };
         let (name, description) = (name.to_string(), "a volume".to_string());
-        (name == "vol").then_some(Export { name, description, size: 1 << 20, flags, blocks })
+        (name == "vol").then_some(Export { name, description, size: 1 << 20, flags, block_sizes })
     }
     fn names(&self) -> Vec<String> {
         vec!["vol".into()]
@@ -78,7 +78,7 @@
     let mut buffer = BytesMut::from(input);
     let result = loop {
         match session.receive(&mut buffer, &OneExport) {
-            Ok(SessionEvent::More) => break Ok(()),
+            Ok(SessionEvent::Incomplete) => break Ok(()),
             Ok(_) => {}
             Err(error) => break Err(error),
         }
@@ -223,8 +223,8 @@
 
 fn record_client_messages(transcript: &mut Transcript) {
     let negotiations = [
-        ("attach", Negotiation::Export { name: "vol".into(), structured: true }),
-        ("attach plainly", Negotiation::Export { name: "vol".into(), structured: false }),
+        ("attach", Negotiation::Export { name: "vol".into(), structured_replies: true }),
+        ("attach plainly", Negotiation::Export { name: "vol".into(), structured_replies: false }),
         ("list", Negotiation::List),
     ];
     for (name, negotiation) in negotiations {
--- a/crates/nbd/tests/session.rs
+++ b/crates/nbd/tests/session.rs
@@ -15,9 +15,9 @@
 impl Exports for OneExport {
     fn find(&self, name: &str) -> Option<Export> {
         let flags = SEND_FLUSH | SEND_FUA | SEND_TRIM | SEND_WRITE_ZEROES | SEND_DF | CAN_MULTI_CONN;
-        let blocks = BlockSizes { minimum: 512, preferred: 4096, maximum: 65536 };
+        let block_sizes = BlockSizes { minimum: 512, preferred: 4096, maximum: 65536 };
         let (name, description) = (name.to_string(), "a volume".to_string());
-        (name == "vol").then_some(Export { name, description, size: 1 << 20, flags, blocks })
+        (name == "vol").then_some(Export { name, description, size: 1 << 20, flags, block_sizes })
     }
     fn names(&self) -> Vec<String> {
         vec!["vol".into()]
@@ -57,8 +57,8 @@
         buffer.put_slice(piece);
         loop {
             match session.receive(&mut buffer, &OneExport) {
-                Ok(SessionEvent::More) => break,
-                Ok(SessionEvent::Pending { .. }) => {}
+                Ok(SessionEvent::Incomplete) => break,
+                Ok(SessionEvent::HeaderReceived { .. }) => {}
                 Ok(event) => events.push(event),
                 Err(error) => return (events, Err(error), session.output().split().freeze()),
             }
@@ -96,7 +96,8 @@
     option(&mut input, OPT_GO, &info_data("vol"));
     let (events, result, _) = feed(&mut session, &input, usize::MAX);
     assert!(
-        matches!(&events[..], [SessionEvent::Attached(export)] if export.name == "vol") && result.is_ok()
+        matches!(&events[..], [SessionEvent::ExportSelected(export)] if export.name == "vol")
+            && result.is_ok()
     );
     session
 }
@@ -143,7 +144,7 @@
         option(&mut input, OPT_EXPORT_NAME, b"vol");
         let mut session = Session::new(Limits::default());
         let (events, _, out) = feed(&mut session, &input, usize::MAX);
-        assert!(matches!(events[..], [SessionEvent::Attached(_)]));
+        assert!(matches!(events[..], [SessionEvent::ExportSelected(_)]));
         assert_eq!(out.len(), 18 + 10 + padding);
     }
     let mut input = client_flags();
@@ -222,7 +223,7 @@
         to_client.put_slice(&session.output().split());
         let event = client.receive(&mut to_client).expect("a correct server");
         to_server.put_slice(&client.output().split());
-        if event != ClientEvent::More {
+        if event != ClientEvent::Incomplete {
             return event;
         }
         assert_ne!(session.receive(&mut to_server, &OneExport), Ok(SessionEvent::Request(read(0))));
@@ -235,7 +236,7 @@
 
 #[test]
 fn client_and_server_exchange_requests_and_replies() {
-    let negotiation = |structured| Negotiation::Export { name: "vol".into(), structured };
+    let negotiation = |structured| Negotiation::Export { name: "vol".into(), structured_replies: structured };
     let mut session = Session::new(Limits::default());
     assert_eq!(
         exchange(&mut Client::new(Negotiation::List), &mut session),
@@ -248,7 +249,7 @@
         assert!(matches!(&event, ClientEvent::Ready(export) if export.size == 1 << 20), "{event:?}");
         client.request(&read(1));
         let mut input = client.output().split();
-        assert_eq!(session.receive(&mut input, &OneExport), Ok(SessionEvent::Pending { bytes: 1024 }));
+        assert_eq!(session.receive(&mut input, &OneExport), Ok(SessionEvent::HeaderReceived { bytes: 1024 }));
         assert_eq!(session.receive(&mut input, &OneExport), Ok(SessionEvent::Request(read(1))));
         let chunks = [
             Chunk::Data { offset: 512, data: Bytes::from_static(&[7; 512]) },
@@ -267,11 +268,11 @@
             continue;
         }
         for (i, chunk) in chunks.iter().enumerate() {
-            let done = i + 1 == chunks.len();
-            let data = session.put_chunk(1, chunk.clone(), done);
+            let is_last = i + 1 == chunks.len();
+            let data = session.put_chunk(1, chunk.clone(), is_last);
             let mut out = session.output().split();
             data.into_iter().for_each(|data| out.put_slice(&data));
-            let expected = Reply::Chunk { cookie: 1, chunk: chunk.clone(), done };
+            let expected = Reply::Chunk { cookie: 1, chunk: chunk.clone(), is_last };
             assert_eq!(client.receive(&mut out), Ok(ClientEvent::Reply(expected)));
         }
         assert_eq!(session.open_requests(), 0);
@@ -287,7 +288,7 @@
         let mut input = if transmission { BytesMut::new() } else { client_flags() };
         input.put_slice(&bytes);
         _ = feed(&mut session, &input, 3);
-        let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured: true });
+        let mut client = Client::new(Negotiation::Export { name: "vol".into(), structured_replies: true });
         exchange(&mut client, &mut Session::new(Limits::default()));
         let mut replies = BytesMut::new();
         replies.put_u32(STRUCTURED_REPLY_MAGIC);
@@ -327,8 +328,8 @@
             buffer.put_slice(piece);
             loop {
                 match session.receive(&mut buffer, &OneExport).expect("a correct client") {
-                    SessionEvent::More => break,
-                    SessionEvent::Pending { bytes } => {
+                    SessionEvent::Incomplete => break,
+                    SessionEvent::HeaderReceived { bytes } => {
                         rejected.push((bytes, session.reject(Errno::NoMem, "full".into())));
                     }
                     event => accepted.push(event),
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -40,14 +40,14 @@
             FromList::Full(stores) => self.on_endpoint_list(&stores, true),
             FromList::Changes(stores) => self.on_endpoint_list(&stores, false),
             FromList::Failed => self.on_list_failed(),
-            FromList::Location { token, place } => {
+            FromList::Location { token, location } => {
                 self.map_unavailable = false;
                 match self.locations.take_query(token) {
                     Some(DirectoryQuery::Lookup(extent, waiting, _)) => {
-                        self.on_lookup(extent, waiting, place);
+                        self.on_lookup(extent, waiting, location);
                     }
                     Some(DirectoryQuery::Claim(extent, shard, number)) => {
-                        self.on_claim(extent, shard, number, place);
+                        self.on_claim(extent, shard, number, location);
                     }
                     Some(DirectoryQuery::Shards(..)) | None => {}
                 }
--- a/crates/routing/src/core/results.rs
+++ b/crates/routing/src/core/results.rs
@@ -28,7 +28,7 @@
         let sent = in_flight.filter(|attempt| attempt.status == AttemptStatus::Sent);
         let sent_until = sent.map(|attempt| attempt.deadline).max();
         let may_run_until = fragment.may_run_until().max(sent_until).filter(|at| *at > self.now);
-        let must_wait = fragment.kind.writes() && result != FinalResult::Succeeded;
+        let must_wait = fragment.kind.modifies_extent() && result != FinalResult::Succeeded;
         match may_run_until.filter(|_| must_wait) {
             Some(at) => self.timers.set(at, Timer::Fragment(id)),
             None => self.deliver_result(id),
--- a/crates/routing/src/core/stores.rs
+++ b/crates/routing/src/core/stores.rs
@@ -135,7 +135,7 @@
         let kind = fragment.kind;
         let volume = fragment.volume;
         let outcome = outcome(&result, fragment);
-        if result.code == Ok(ResultCode::NotHere) {
+        if result.code == Ok(ResultCode::ExtentNotHeld) {
             self.locations.forget((self.volumes[volume], range.extent));
         }
         if outcome == Outcome::Succeeded && kind == OperationKind::Status {
@@ -157,7 +157,7 @@
         Ok(ResultCode::Succeeded) if is_complete(result, fragment) => Outcome::Succeeded,
         Ok(ResultCode::Succeeded | ResultCode::Failed) => Outcome::Failed,
         Ok(ResultCode::Rejected) => Outcome::Rejected,
-        Ok(ResultCode::Fenced | ResultCode::StaleEpoch | ResultCode::NotHere) => Outcome::NotSent,
+        Ok(ResultCode::Fenced | ResultCode::StaleEpoch | ResultCode::ExtentNotHeld) => Outcome::NotSent,
         Ok(ResultCode::Cancelled) => Outcome::Cancelled,
         Err(_) => Outcome::Unknown,
     }
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -224,11 +224,11 @@
                 ToList::Watch | ToList::Fetch => FromList::Full((0..3).map(listed_store).collect()),
                 ToList::Lookup { token, extent, .. } => FromList::Location {
                     token,
-                    place: self.extent_shards.get(&extent).map(|shard| location_at(*shard)),
+                    location: self.extent_shards.get(&extent).map(|shard| location_at(*shard)),
                 },
                 ToList::Claim { token, extent, shard, .. } => {
                     let shard = *self.extent_shards.entry(extent).or_insert(shard);
-                    FromList::Location { token, place: Some(location_at(shard)) }
+                    FromList::Location { token, location: Some(location_at(shard)) }
                 }
                 ToList::Shards { token, .. } => {
                     let mut shards: Vec<u32> = self.extent_shards.values().copied().collect();
--- a/crates/scale/src/change_log.rs
+++ b/crates/scale/src/change_log.rs
@@ -57,7 +57,7 @@
         let disk = Disk::open(folder).map_err(ChangeLogError::Folder)?;
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).map_err(ChangeLogError::Open)?;
         let mut writer = Writer { log };
-        let first = Configuration::of_calls(&document.calls());
+        let first = Configuration::from_calls(&document.calls());
         writer.commit(writer.log.head().configuration.diff(&first))?;
         Ok(writer)
     }
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -49,8 +49,8 @@
     pub changes_per_second: f64,
     /// Restarts of hollow gateways per hour in the plan, over the whole fleet.
     pub restarts_per_hour: f64,
-    /// Seconds from the first gateway's start until all gateways held the complete list and had made or failed to
-    /// make all their connections.
+    /// Seconds from the first gateway's start until all gateways held the complete list and had made or
+    /// failed to make all their connections.
     pub start_seconds: f64,
     /// Bytes on list and store connections during the start, per gateway.
     pub start_bytes: f64,
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -130,8 +130,8 @@
         Ok(())
     }
 
-    /// Waits until each hollow gateway holds the complete list and has made, or failed to make, a connection to
-    /// each store. Returns the time since `since`.
+    /// Waits until each hollow gateway holds the complete list and has made, or failed to make, a connection
+    /// to each store. Returns the time since `since`.
     pub(crate) async fn wait_until_steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
         let stores = u64::from(self.plan.stores);
         loop {
--- a/crates/socket/src/lib.rs
+++ b/crates/socket/src/lib.rs
@@ -237,8 +237,8 @@
 /// transiently. Cancel safe.
 ///
 /// # Errors
-/// Descriptors or memory are exhausted, or the listener cannot be used any more; [`classify_accept_error`] tells
-/// which.
+/// Descriptors or memory are exhausted, or the listener cannot be used any more; [`classify_accept_error`]
+/// tells which.
 pub async fn accept(listener: &TcpListener) -> io::Result<(Socket, SocketAddr)> {
     loop {
         match listener.accept().await {
--- a/crates/store-protocol/src/changes/codec.rs
+++ b/crates/store-protocol/src/changes/codec.rs
@@ -39,14 +39,14 @@
 }
 
 pub(super) fn put_checkpoint(out: &mut BytesMut, checkpoint: &Checkpoint) {
-    put_position(out, &checkpoint.at);
+    put_position(out, &checkpoint.position);
     out.put_slice(&checkpoint.digest);
     out.put_u32(checkpoint.length);
 }
 
 pub(super) fn read_checkpoint(fields: &mut FieldReader) -> Result<Checkpoint, FrameError> {
     let checkpoint =
-        Checkpoint { at: read_position(fields)?, digest: read_hash(fields)?, length: fields.u32()? };
+        Checkpoint { position: read_position(fields)?, digest: read_hash(fields)?, length: fields.u32()? };
     if checkpoint.length <= MAX_CHECKPOINT {
         Ok(checkpoint)
     } else {
@@ -72,7 +72,7 @@
 
 impl ProgressSummary {
     pub(super) fn put(&self, out: &mut BytesMut) {
-        put_list(out, &self.levels, |out, level| {
+        put_list(out, &self.version_counts, |out, level| {
             out.put_u64(level.version);
             out.put_u32(level.members);
         });
@@ -90,7 +90,7 @@
             Ok(LaggingMember { name: read_name(fields)?, version: fields.u64()?, lag_seconds: fields.u32()? })
         };
         Ok(ProgressSummary {
-            levels: read_bounded_list(fields, MAX_VERSION_COUNTS, read_count)?,
+            version_counts: read_bounded_list(fields, MAX_VERSION_COUNTS, read_count)?,
             lagging: read_bounded_list(fields, MAX_LAGGING, read_member)?,
         })
     }
--- a/crates/store-protocol/src/changes/from_upstream.rs
+++ b/crates/store-protocol/src/changes/from_upstream.rs
@@ -18,7 +18,7 @@
 
 /// Why an upstream rejects a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// The follower's version has another hash at this relay.
     Fork,
     /// The follower is this relay itself, or one of its direct or indirect upstreams.
@@ -31,14 +31,14 @@
     TooManyFollowers,
 }
 
-impl RefusalReason {
+impl RejectionReason {
     /// All reasons, in the order of their codes on the wire.
-    const ALL: [RefusalReason; 5] = [
-        RefusalReason::Fork,
-        RefusalReason::Loop,
-        RefusalReason::Ahead,
-        RefusalReason::ProtocolViolation,
-        RefusalReason::TooManyFollowers,
+    const ALL: [RejectionReason; 5] = [
+        RejectionReason::Fork,
+        RejectionReason::Loop,
+        RejectionReason::Ahead,
+        RejectionReason::ProtocolViolation,
+        RejectionReason::TooManyFollowers,
     ];
 }
 
@@ -66,13 +66,13 @@
     /// The response to [`ToUpstream::QueryHash`].
     HashAt {
         /// The version and its hash.
-        at: Position,
+        position: Position,
     },
     /// A part of a change. A change is split only if it is longer than [`MAX_PART`](super::MAX_PART); its
     /// parts are sent in order, one directly after the other.
     Entry {
         /// The position after the change.
-        at: Position,
+        position: Position,
         /// Size of the complete change, bytes.
         length: u32,
         /// Offset of the part in the change, bytes.
@@ -96,9 +96,9 @@
         after: Duration,
     },
     /// The follower is rejected; the connection closes.
-    Refused {
+    Rejected {
         /// Why the follower is rejected.
-        reason: RefusalReason,
+        reason: RejectionReason,
     },
     /// Keeps the connection alive, and confirms that the previously sent state is still current.
     Heartbeat,
@@ -117,7 +117,7 @@
             FromUpstream::Entry { .. } => 100,
             FromUpstream::CheckpointPart { .. } => 101,
             FromUpstream::RetryAfter { .. } => 102,
-            FromUpstream::Refused { .. } => 103,
+            FromUpstream::Rejected { .. } => 103,
             FromUpstream::Heartbeat => 104,
             FromUpstream::HashAt { .. } => 105,
             FromUpstream::Status(_) => 106,
@@ -137,8 +137,8 @@
                 out.put_u64(*oldest_version);
                 put_option(out, checkpoint.as_ref(), put_checkpoint);
             }
-            FromUpstream::Entry { at, length, offset, .. } => {
-                put_position(out, at);
+            FromUpstream::Entry { position, length, offset, .. } => {
+                put_position(out, position);
                 out.put_u32(*length);
                 out.put_u32(*offset);
             }
@@ -147,9 +147,9 @@
                 out.put_u32(*offset);
             }
             FromUpstream::RetryAfter { after } => out.put_u32(after.as_millis() as u32),
-            FromUpstream::Refused { reason } => out.put_u8(*reason as u8),
+            FromUpstream::Rejected { reason } => out.put_u8(*reason as u8),
             FromUpstream::Heartbeat => {}
-            FromUpstream::HashAt { at } => put_position(out, at),
+            FromUpstream::HashAt { position } => put_position(out, position),
             FromUpstream::Status(status) => status.put(out),
         }
     }
@@ -177,13 +177,13 @@
                 checkpoint: fields.option(read_checkpoint)?,
             },
             100 => {
-                let at = read_position(fields)?;
+                let position = read_position(fields)?;
                 let length = fields.u32()?;
                 let offset = fields.u32()?;
                 if length > MAX_BODY {
                     return Err(fields.invalid("length", length.into()));
                 }
-                FromUpstream::Entry { at, length, offset, part: read_part(fields, offset, length)? }
+                FromUpstream::Entry { position, length, offset, part: read_part(fields, offset, length)? }
             }
             101 => {
                 let version = fields.u64()?;
@@ -203,11 +203,11 @@
             }
             103 => {
                 let code = fields.u8()?;
-                let reason = RefusalReason::ALL.get(usize::from(code)).copied();
-                FromUpstream::Refused { reason: reason.ok_or_else(|| fields.invalid("why", code.into()))? }
+                let reason = RejectionReason::ALL.get(usize::from(code)).copied();
+                FromUpstream::Rejected { reason: reason.ok_or_else(|| fields.invalid("why", code.into()))? }
             }
             104 => FromUpstream::Heartbeat,
-            105 => FromUpstream::HashAt { at: read_position(fields)? },
+            105 => FromUpstream::HashAt { position: read_position(fields)? },
             106 => FromUpstream::Status(Status::read(fields)?),
             _ => return Err(fields.unknown_kind()),
         })
--- a/crates/store-protocol/src/changes/mod.rs
+++ b/crates/store-protocol/src/changes/mod.rs
@@ -13,7 +13,7 @@
 
 use sha2::{Digest, Sha256};
 
-pub use from_upstream::{FromUpstream, RefusalReason};
+pub use from_upstream::{FromUpstream, RejectionReason};
 pub use to_upstream::ToUpstream;
 
 /// A SHA-256 hash.
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Checkpoint {
     /// The position of the state.
-    pub at: Position,
+    pub position: Position,
     /// Hash of the checkpoint's bytes.
     pub digest: Hash,
     /// Size of the checkpoint, bytes.
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProgressSummary {
     /// Number of members by applied version, newest version first.
-    pub levels: Vec<VersionCount>,
+    pub version_counts: Vec<VersionCount>,
     /// Lagging members, oldest applied version first.
     pub lagging: Vec<LaggingMember>,
 }
--- a/crates/store-protocol/src/list/from_list.rs
+++ b/crates/store-protocol/src/list/from_list.rs
@@ -28,7 +28,7 @@
         /// The token of the request.
         token: u64,
         /// The extent's location, if it has one.
-        place: Option<Location>,
+        location: Option<Location>,
     },
     /// The response to [`ToList::Shards`].
     Shards {
@@ -51,7 +51,7 @@
         /// The move's state, as a text for operators.
         state: String,
         /// Whether the move has finished.
-        over: bool,
+        is_finished: bool,
     },
 }
 
@@ -79,9 +79,9 @@
                 put_list(out, entries, put_store);
             }
             FromList::Failed => {}
-            FromList::Location { token, place } => {
+            FromList::Location { token, location } => {
                 out.put_u64(*token);
-                put_option(out, place.as_ref(), put_location);
+                put_option(out, location.as_ref(), put_location);
             }
             FromList::Move { token, number } => {
                 out.put_u64(*token);
@@ -91,10 +91,10 @@
                     Err(reason) => put_text(out, reason),
                 }
             }
-            FromList::MoveStatus { token, state, over } => {
+            FromList::MoveStatus { token, state, is_finished } => {
                 out.put_u64(*token);
                 put_text(out, state);
-                out.put_u8((*over).into());
+                out.put_u8((*is_finished).into());
             }
             FromList::Shards { token, shards } => {
                 out.put_u64(*token);
@@ -112,7 +112,7 @@
             66 => FromList::Full(fields.list(read_store)?),
             67 => FromList::Changes(fields.list(read_store)?),
             68 => FromList::Failed,
-            69 => FromList::Location { token: fields.u64()?, place: fields.option(read_location)? },
+            69 => FromList::Location { token: fields.u64()?, location: fields.option(read_location)? },
             70 => FromList::Shards { token: fields.u64()?, shards: fields.list(FieldReader::u32)? },
             71 => {
                 let token = fields.u64()?;
@@ -120,9 +120,11 @@
                 let number = if is_rejected { Err(fields.text()?) } else { Ok(fields.u64()?) };
                 FromList::Move { token, number }
             }
-            72 => {
-                FromList::MoveStatus { token: fields.u64()?, state: fields.text()?, over: fields.u8()? != 0 }
-            }
+            72 => FromList::MoveStatus {
+                token: fields.u64()?,
+                state: fields.text()?,
+                is_finished: fields.u8()? != 0,
+            },
             _ => return Err(fields.unknown_kind()),
         })
     }
--- a/crates/store-protocol/src/list/to_list.rs
+++ b/crates/store-protocol/src/list/to_list.rs
@@ -53,7 +53,7 @@
         /// Identifies the response.
         token: u64,
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The target shard.
         shard: u32,
     },
@@ -99,8 +99,8 @@
             ToList::Lookup { token, volume, extent, min_epoch } => {
                 put_numbers(out, [*token, *volume, *extent, *min_epoch]);
             }
-            ToList::Move { token, span, shard } => {
-                put_numbers(out, [*token, span.volume, span.start, span.end]);
+            ToList::Move { token, range, shard } => {
+                put_numbers(out, [*token, range.volume, range.start, range.end]);
                 out.put_u32(*shard);
             }
             ToList::MoveStatus { token, number, abandon } => {
@@ -138,7 +138,7 @@
             6 => ToList::Shards { token: fields.u64()?, volume: fields.u64()? },
             7 => ToList::Move {
                 token: fields.u64()?,
-                span: ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? },
+                range: ExtentRange { volume: fields.u64()?, start: fields.u64()?, end: fields.u64()? },
                 shard: fields.u32()?,
             },
             8 => {
--- a/crates/store-protocol/src/orders/codec.rs
+++ b/crates/store-protocol/src/orders/codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, BytesMut};
 
-use super::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use super::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES};
 use crate::FrameError;
 use crate::fields::{FieldReader, put_list, put_numbers, put_option};
 
@@ -27,14 +27,14 @@
     Ok(ExtentContent {
         extent: fields.u64()?,
         change_count: fields.u64()?,
-        pages: fields.list(|fields| Ok((fields.u32()?, fields.bytes(PAGE)?)))?,
+        pages: fields.list(|fields| Ok((fields.u32()?, fields.bytes(PAGE_BYTES)?)))?,
     })
 }
 
 fn put_executed_ops(out: &mut BytesMut, ops: &[ExecutedOp]) {
     out.put_u32(ops.len() as u32);
     for op in ops {
-        put_numbers(out, [op.gateway_run, op.op, op.extent, op.remembered_for]);
+        put_numbers(out, [op.gateway_run, op.op, op.extent, op.remaining_micros]);
     }
 }
 
@@ -47,7 +47,7 @@
             gateway_run: fields.u64()?,
             op: fields.u64()?,
             extent: fields.u64()?,
-            remembered_for: fields.u64()?,
+            remaining_micros: fields.u64()?,
         })
     };
     (0..count).map(|_| read_op(fields)).collect()
@@ -74,7 +74,7 @@
 
     pub(crate) fn put(&self, out: &mut BytesMut) {
         out.put_u8(self.code());
-        put_range(out, self.span());
+        put_range(out, self.range());
         match self {
             Order::Prepare { epoch, .. }
             | Order::Fence { epoch, .. }
@@ -92,31 +92,36 @@
                 out.put_u64(*epoch);
                 put_content(out, content);
             }
-            Order::RecordExecuted { epoch, marks, .. } => {
+            Order::RecordExecuted { epoch, executed_ops, .. } => {
                 out.put_u64(*epoch);
-                put_executed_ops(out, marks);
+                put_executed_ops(out, executed_ops);
             }
         }
     }
 
     pub(crate) fn read(fields: &mut FieldReader) -> Result<Order, FrameError> {
         let code = fields.u8()?;
-        let span = read_range(fields)?;
+        let range = read_range(fields)?;
         Ok(match code {
-            0 => Order::Prepare { span, epoch: fields.u64()? },
-            1 => Order::TrackChanges { span },
-            2 => {
-                Order::FetchNext { span, copied: fields.option(|fields| Ok((fields.u64()?, fields.u64()?)))? }
-            }
-            3 => Order::Put { span, epoch: fields.u64()?, content: read_content(fields)? },
-            4 => Order::Fence { span, epoch: fields.u64()? },
-            5 => Order::FetchExecuted { span },
-            6 => Order::RecordExecuted { span, epoch: fields.u64()?, marks: read_executed_ops(fields)? },
-            7 => Order::Sync { span, epoch: fields.u64()? },
-            8 => Order::Activate { span, epoch: fields.u64()? },
-            9 => Order::Clear { span, epoch: fields.u64()? },
-            10 => Order::StopTracking { span },
-            11 => Order::Reactivate { span, epoch: fields.u64()? },
+            0 => Order::Prepare { range, epoch: fields.u64()? },
+            1 => Order::TrackChanges { range },
+            2 => Order::FetchNext {
+                range,
+                copied: fields.option(|fields| Ok((fields.u64()?, fields.u64()?)))?,
+            },
+            3 => Order::Put { range, epoch: fields.u64()?, content: read_content(fields)? },
+            4 => Order::Fence { range, epoch: fields.u64()? },
+            5 => Order::FetchExecuted { range },
+            6 => Order::RecordExecuted {
+                range,
+                epoch: fields.u64()?,
+                executed_ops: read_executed_ops(fields)?,
+            },
+            7 => Order::Sync { range, epoch: fields.u64()? },
+            8 => Order::Activate { range, epoch: fields.u64()? },
+            9 => Order::Clear { range, epoch: fields.u64()? },
+            10 => Order::StopTracking { range },
+            11 => Order::Reactivate { range, epoch: fields.u64()? },
             other => return Err(fields.invalid("order", other.into())),
         })
     }
--- a/crates/store-protocol/src/orders/mod.rs
+++ b/crates/store-protocol/src/orders/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 /// Size of a page, bytes; an extent's content is sent in pages.
-pub const PAGE: usize = 4096;
+pub const PAGE_BYTES: usize = 4096;
 
 /// A range of a volume's extents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
@@ -39,7 +39,7 @@
     /// The extent's change count. The coordinator returns it to the source once the copy has arrived at the
     /// target; if the extent has changed since, the source has it copied again.
     pub change_count: u64,
-    /// Page numbers and contents, [`PAGE`] bytes each.
+    /// Page numbers and contents, [`PAGE_BYTES`] bytes each.
     pub pages: Vec<(u32, Bytes)>,
 }
 
@@ -53,7 +53,7 @@
     /// The extent that the op changed.
     pub extent: u64,
     /// How much longer the op must be remembered, microseconds.
-    pub remembered_for: u64,
+    pub remaining_micros: u64,
 }
 
 /// An order of the coordinator to the source or the target store of a move.
@@ -63,7 +63,7 @@
     /// before [`Order::Activate`].
     Prepare {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
@@ -71,12 +71,12 @@
     /// written.
     TrackChanges {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
     },
     /// To the source: return the next extent to copy.
     FetchNext {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The extent whose copy has arrived at the target, and the change count of that copy.
         copied: Option<(u64, u64)>,
     },
@@ -85,7 +85,7 @@
     /// crash of the target, or the target must respond [`OrderReply::WrongState`] for the range from then on.
     Put {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
         /// The content.
@@ -95,35 +95,35 @@
     /// extents that are left to copy.
     Fence {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
     /// To the source, after the fence: return the executed ops that may be repeated.
     FetchExecuted {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
     },
     /// To the target: remember ops that were executed at the source.
     RecordExecuted {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
         /// The executed ops.
-        marks: Vec<ExecutedOp>,
+        executed_ops: Vec<ExecutedOp>,
     },
     /// To the target: make everything that it has received for the range durable before the response.
     Sync {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
     /// To the target: serve the range at this epoch from now on.
     Activate {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
@@ -131,7 +131,7 @@
     /// intended for the target.
     Reactivate {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
@@ -139,14 +139,14 @@
     /// original data after the target serves the range.
     Clear {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
         /// The epoch.
         epoch: u64,
     },
     /// To the source: stop tracking changes of the range; no extent is to be copied any more.
     StopTracking {
         /// The range.
-        span: ExtentRange,
+        range: ExtentRange,
     },
 }
 
@@ -187,20 +187,20 @@
     }
 
     /// The range that the order is about.
-    pub fn span(&self) -> &ExtentRange {
+    pub fn range(&self) -> &ExtentRange {
         match self {
-            Order::Prepare { span, .. }
-            | Order::TrackChanges { span }
-            | Order::FetchNext { span, .. }
-            | Order::Put { span, .. }
-            | Order::Fence { span, .. }
-            | Order::FetchExecuted { span }
-            | Order::RecordExecuted { span, .. }
-            | Order::Sync { span, .. }
-            | Order::Activate { span, .. }
-            | Order::Reactivate { span, .. }
-            | Order::Clear { span, .. }
-            | Order::StopTracking { span } => span,
+            Order::Prepare { range, .. }
+            | Order::TrackChanges { range }
+            | Order::FetchNext { range, .. }
+            | Order::Put { range, .. }
+            | Order::Fence { range, .. }
+            | Order::FetchExecuted { range }
+            | Order::RecordExecuted { range, .. }
+            | Order::Sync { range, .. }
+            | Order::Activate { range, .. }
+            | Order::Reactivate { range, .. }
+            | Order::Clear { range, .. }
+            | Order::StopTracking { range } => range,
         }
     }
 }
--- a/crates/store-protocol/src/store/mod.rs
+++ b/crates/store-protocol/src/store/mod.rs
@@ -39,7 +39,7 @@
     ];
 
     /// Whether the operation changes the extent.
-    pub fn writes(self) -> bool {
+    pub fn modifies_extent(self) -> bool {
         matches!(self, OperationKind::Write | OperationKind::Zero | OperationKind::Trim)
     }
 }
@@ -94,7 +94,7 @@
     /// The store stopped working on the attempt; it may have been executed.
     Cancelled,
     /// This store does not hold the extent. The attempt was not executed.
-    NotHere,
+    ExtentNotHeld,
     /// The range has moved; [`AttemptResult::epoch`] has the newer epoch. The attempt was not executed and
     /// never will be.
     StaleEpoch,
@@ -108,7 +108,7 @@
         ResultCode::Rejected,
         ResultCode::Fenced,
         ResultCode::Cancelled,
-        ResultCode::NotHere,
+        ResultCode::ExtentNotHeld,
         ResultCode::StaleEpoch,
     ];
 }
--- a/crates/store-protocol/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -5,10 +5,12 @@
 use umbertray_store_protocol::changes::{
     Checkpoint, FromUpstream, LaggingMember, MAX_BODY, MAX_CHANGE_FRAME, MAX_CHECKPOINT, MAX_LAGGING,
     MAX_NAME, MAX_PART, MAX_PATH, MAX_RETRY_AFTER, MAX_VERSION_COUNTS, Position, ProgressSummary,
-    RefusalReason, Role, Status, ToUpstream, VersionCount,
+    RejectionReason, Role, Status, ToUpstream, VersionCount,
 };
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
-use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use umbertray_store_protocol::orders::{
+    ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES,
+};
 use umbertray_store_protocol::store::{
     Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
@@ -33,27 +35,27 @@
 }
 
 const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
+const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remaining_micros: 4 };
 
 fn content() -> ExtentContent {
-    ExtentContent { extent: 3, change_count: 4, pages: vec![(7, Bytes::from(vec![1; PAGE]))] }
+    ExtentContent { extent: 3, change_count: 4, pages: vec![(7, Bytes::from(vec![1; PAGE_BYTES]))] }
 }
 
 fn orders() -> [Order; 12] {
-    let (span, epoch) = (RANGE, 6);
+    let (range, epoch) = (RANGE, 6);
     [
-        Order::Prepare { span, epoch },
-        Order::TrackChanges { span },
-        Order::FetchNext { span, copied: Some((3, 4)) },
-        Order::Put { span, epoch, content: ExtentContent { pages: vec![], ..content() } },
-        Order::Fence { span, epoch },
-        Order::FetchExecuted { span },
-        Order::RecordExecuted { span, epoch, marks: vec![EXECUTED_OP] },
-        Order::Sync { span, epoch },
-        Order::Activate { span, epoch },
-        Order::Reactivate { span, epoch },
-        Order::Clear { span, epoch },
-        Order::StopTracking { span },
+        Order::Prepare { range, epoch },
+        Order::TrackChanges { range },
+        Order::FetchNext { range, copied: Some((3, 4)) },
+        Order::Put { range, epoch, content: ExtentContent { pages: vec![], ..content() } },
+        Order::Fence { range, epoch },
+        Order::FetchExecuted { range },
+        Order::RecordExecuted { range, epoch, executed_ops: vec![EXECUTED_OP] },
+        Order::Sync { range, epoch },
+        Order::Activate { range, epoch },
+        Order::Reactivate { range, epoch },
+        Order::Clear { range, epoch },
+        Order::StopTracking { range },
     ]
 }
 
@@ -146,7 +148,7 @@
         ToList::Watch,
         ToList::Fetch,
         ToList::Lookup { token: 1, volume: 2, extent: 3, min_epoch: 4 },
-        ToList::Move { token: 1, span: ExtentRange { volume: 2, start: 3, end: 4 }, shard: 5 },
+        ToList::Move { token: 1, range: ExtentRange { volume: 2, start: 3, end: 4 }, shard: 5 },
         ToList::MoveStatus { token: 1, number: 2, abandon: true },
         ToList::Claim { token: 1, volume: 2, extent: 3, shard: 4 },
         ToList::Shards { token: 1, volume: 2 },
@@ -156,12 +158,12 @@
         FromList::Full(vec![entry(None), entry(Some(5))]),
         FromList::Changes(vec![entry(Some(5))]),
         FromList::Failed,
-        FromList::Location { token: 1, place: Some(Location { shard: 2, epoch: 3 }) },
-        FromList::Location { token: 1, place: None },
+        FromList::Location { token: 1, location: Some(Location { shard: 2, epoch: 3 }) },
+        FromList::Location { token: 1, location: None },
         FromList::Shards { token: 1, shards: vec![1, 2] },
         FromList::Move { token: 1, number: Ok(2) },
         FromList::Move { token: 1, number: Err("why".into()) },
-        FromList::MoveStatus { token: 1, state: "over".into(), over: true },
+        FromList::MoveStatus { token: 1, state: "over".into(), is_finished: true },
     ];
     assert_round_trip(&messages);
     messages.iter().for_each(|message| assert_eq!(&FromList::read_back(message), message));
@@ -228,15 +230,17 @@
 const POSITION: Position = Position { version: 7, hash: [5; 32] };
 
 fn checkpoint() -> Checkpoint {
-    Checkpoint { at: POSITION, digest: [6; 32], length: 9 }
+    Checkpoint { position: POSITION, digest: [6; 32], length: 9 }
 }
 
 #[test]
 fn change_frames_written_read_back_equal() {
     let name = || "relay-1".to_string();
     let lagging = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
-    let progress =
-        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![lagging] };
+    let progress = ProgressSummary {
+        version_counts: vec![VersionCount { version: 7, members: 3 }],
+        lagging: vec![lagging],
+    };
     assert_round_trip(&[
         ToUpstream::Hello { name: name(), zone: "a".into(), role: Role::Gateway },
         ToUpstream::Follow { after: POSITION },
@@ -257,11 +261,11 @@
         FromUpstream::Path(vec![name()]),
         FromUpstream::Head { head: POSITION, oldest_version: 3, checkpoint: Some(checkpoint()) },
         FromUpstream::Head { head: Position::START, oldest_version: 0, checkpoint: None },
-        FromUpstream::HashAt { at: POSITION },
-        FromUpstream::Entry { at: POSITION, length: 9, offset: 2, part: part.clone() },
+        FromUpstream::HashAt { position: POSITION },
+        FromUpstream::Entry { position: POSITION, length: 9, offset: 2, part: part.clone() },
         FromUpstream::CheckpointPart { version: 7, offset: 3, part },
         FromUpstream::RetryAfter { after: MAX_RETRY_AFTER },
-        FromUpstream::Refused { reason: RefusalReason::Loop },
+        FromUpstream::Rejected { reason: RejectionReason::Loop },
         FromUpstream::Heartbeat,
         FromUpstream::Status(Status {
             name: name(),
@@ -309,19 +313,19 @@
     let long_name = "n".repeat(MAX_NAME + 1);
     let hello = |name: &str| ToUpstream::Hello { name: name.into(), zone: "a".into(), role: Role::Relay };
     assert_eq!(field(to_upstream(hello(&long_name))), "name");
-    let levels = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS + 1];
+    let version_counts = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS + 1];
     assert_eq!(
-        field(to_upstream(ToUpstream::Progress(ProgressSummary { levels, lagging: vec![] }))),
+        field(to_upstream(ToUpstream::Progress(ProgressSummary { version_counts, lagging: vec![] }))),
         "count"
     );
     let lagging = vec![LaggingMember { name: "g".into(), version: 1, lag_seconds: 1 }; MAX_LAGGING + 1];
     assert_eq!(
-        field(to_upstream(ToUpstream::Progress(ProgressSummary { levels: vec![], lagging }))),
+        field(to_upstream(ToUpstream::Progress(ProgressSummary { version_counts: vec![], lagging }))),
         "count"
     );
     assert_eq!(field(from_upstream(FromUpstream::Path(vec!["r".into(); MAX_PATH + 1]))), "count");
     let entry = |length, offset, part: usize| FromUpstream::Entry {
-        at: POSITION,
+        position: POSITION,
         length,
         offset,
         part: Bytes::from(vec![0; part]),
@@ -364,8 +368,8 @@
 fn progress_summary_at_bounds_is_accepted() {
     let name = "n".repeat(MAX_NAME);
     let lagging = vec![LaggingMember { name, version: 1, lag_seconds: 1 }; MAX_LAGGING];
-    let levels = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS];
-    let progress = ToUpstream::Progress(ProgressSummary { levels, lagging });
+    let version_counts = vec![VersionCount { version: 1, members: 1 }; MAX_VERSION_COUNTS];
+    let progress = ToUpstream::Progress(ProgressSummary { version_counts, lagging });
     assert_eq!(ToUpstream::read_back(&progress), progress);
 }
 
--- a/crates/store-protocol/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -5,11 +5,13 @@
 
 use bytes::{Bytes, BytesMut};
 use umbertray_store_protocol::changes::{
-    Checkpoint, FromUpstream, LaggingMember, Position, ProgressSummary, RefusalReason, Role, Status,
+    Checkpoint, FromUpstream, LaggingMember, Position, ProgressSummary, RejectionReason, Role, Status,
     ToUpstream, VersionCount,
 };
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
-use umbertray_store_protocol::orders::{ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE};
+use umbertray_store_protocol::orders::{
+    ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES,
+};
 use umbertray_store_protocol::store::{
     Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
@@ -17,22 +19,22 @@
 
 const RECORDED: &str = include_str!("golden/frames.txt");
 const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remembered_for: 4 };
+const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remaining_micros: 4 };
 const RESULT_CODES: [ResultCode; 7] = [
     ResultCode::Succeeded,
     ResultCode::Failed,
     ResultCode::Rejected,
     ResultCode::Fenced,
     ResultCode::Cancelled,
-    ResultCode::NotHere,
+    ResultCode::ExtentNotHeld,
     ResultCode::StaleEpoch,
 ];
-const REFUSAL_REASONS: [RefusalReason; 5] = [
-    RefusalReason::Fork,
-    RefusalReason::Loop,
-    RefusalReason::Ahead,
-    RefusalReason::ProtocolViolation,
-    RefusalReason::TooManyFollowers,
+const REJECTION_REASONS: [RejectionReason; 5] = [
+    RejectionReason::Fork,
+    RejectionReason::Loop,
+    RejectionReason::Ahead,
+    RejectionReason::ProtocolViolation,
+    RejectionReason::TooManyFollowers,
 ];
 const POSITION: Position = Position { version: 7, hash: [5; 32] };
 
@@ -77,20 +79,20 @@
 }
 
 fn orders() -> [Order; 12] {
-    let (span, epoch) = (RANGE, 6);
+    let (range, epoch) = (RANGE, 6);
     [
-        Order::Prepare { span, epoch },
-        Order::TrackChanges { span },
-        Order::FetchNext { span, copied: Some((3, 4)) },
-        Order::Put { span, epoch, content: content(vec![(7, Bytes::from(vec![1; PAGE]))]) },
-        Order::Fence { span, epoch },
-        Order::FetchExecuted { span },
-        Order::RecordExecuted { span, epoch, marks: vec![EXECUTED_OP] },
-        Order::Sync { span, epoch },
-        Order::Activate { span, epoch },
-        Order::Reactivate { span, epoch },
-        Order::Clear { span, epoch },
-        Order::StopTracking { span },
+        Order::Prepare { range, epoch },
+        Order::TrackChanges { range },
+        Order::FetchNext { range, copied: Some((3, 4)) },
+        Order::Put { range, epoch, content: content(vec![(7, Bytes::from(vec![1; PAGE_BYTES]))]) },
+        Order::Fence { range, epoch },
+        Order::FetchExecuted { range },
+        Order::RecordExecuted { range, epoch, executed_ops: vec![EXECUTED_OP] },
+        Order::Sync { range, epoch },
+        Order::Activate { range, epoch },
+        Order::Reactivate { range, epoch },
+        Order::Clear { range, epoch },
+        Order::StopTracking { range },
     ]
 }
 
@@ -150,7 +152,7 @@
             ToList::Watch,
             ToList::Fetch,
             ToList::Lookup { token: 1, volume: 2, extent: 3, min_epoch: 4 },
-            ToList::Move { token: 1, span: ExtentRange { volume: 2, start: 3, end: 4 }, shard: 5 },
+            ToList::Move { token: 1, range: ExtentRange { volume: 2, start: 3, end: 4 }, shard: 5 },
             ToList::MoveStatus { token: 1, number: 2, abandon: true },
             ToList::Claim { token: 1, volume: 2, extent: 3, shard: 4 },
             ToList::Shards { token: 1, volume: 2 },
@@ -175,12 +177,12 @@
             ]),
             FromList::Changes(vec![entry("127.0.0.1:80", EndpointState::Gone, Some(5))]),
             FromList::Failed,
-            FromList::Location { token: 1, place: Some(Location { shard: 2, epoch: 3 }) },
-            FromList::Location { token: 1, place: None },
+            FromList::Location { token: 1, location: Some(Location { shard: 2, epoch: 3 }) },
+            FromList::Location { token: 1, location: None },
             FromList::Shards { token: 1, shards: vec![1, 2] },
             FromList::Move { token: 1, number: Ok(2) },
             FromList::Move { token: 1, number: Err("why".into()) },
-            FromList::MoveStatus { token: 1, state: "over".into(), over: true },
+            FromList::MoveStatus { token: 1, state: "over".into(), is_finished: true },
         ],
     );
 }
@@ -188,8 +190,10 @@
 fn change_frames(transcript: &mut Transcript) {
     let name = || "relay-1".to_string();
     let lagging = LaggingMember { name: name(), version: 6, lag_seconds: 5 };
-    let progress =
-        ProgressSummary { levels: vec![VersionCount { version: 7, members: 3 }], lagging: vec![lagging] };
+    let progress = ProgressSummary {
+        version_counts: vec![VersionCount { version: 7, members: 3 }],
+        lagging: vec![lagging],
+    };
     let hello = |role| ToUpstream::Hello { name: name(), zone: "a".into(), role };
     transcript.frames(
         "to upstream",
@@ -205,15 +209,15 @@
             ToUpstream::Status,
         ],
     );
-    let checkpoint = Checkpoint { at: POSITION, digest: [6; 32], length: 9 };
+    let checkpoint = Checkpoint { position: POSITION, digest: [6; 32], length: 9 };
     let part = Bytes::from_static(b"part");
     let mut from_upstream = vec![
         FromUpstream::Hello { name: name(), path: vec!["top".into(), name()] },
         FromUpstream::Path(vec![name()]),
         FromUpstream::Head { head: POSITION, oldest_version: 3, checkpoint: Some(checkpoint) },
         FromUpstream::Head { head: Position::START, oldest_version: 0, checkpoint: None },
-        FromUpstream::HashAt { at: POSITION },
-        FromUpstream::Entry { at: POSITION, length: 9, offset: 2, part: part.clone() },
+        FromUpstream::HashAt { position: POSITION },
+        FromUpstream::Entry { position: POSITION, length: 9, offset: 2, part: part.clone() },
         FromUpstream::CheckpointPart { version: 7, offset: 3, part },
         FromUpstream::RetryAfter { after: std::time::Duration::from_millis(1500) },
         FromUpstream::Heartbeat,
@@ -226,7 +230,7 @@
             progress,
         }),
     ];
-    from_upstream.extend(REFUSAL_REASONS.map(|reason| FromUpstream::Refused { reason }));
+    from_upstream.extend(REJECTION_REASONS.map(|reason| FromUpstream::Rejected { reason }));
     transcript.frames("from upstream", &from_upstream);
 }
 
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -66,13 +66,13 @@
 #[test]
 fn map_requests_have_sizes_of_the_page() {
     let (token, volume, extent) = (1, 2, 3);
-    let place = Some(Location { shard: 4, epoch: 5 });
+    let location = Some(Location { shard: 4, epoch: 5 });
     assert_eq!(
         ToList::Lookup { token, volume, extent, min_epoch: 0 }.frame().len(),
         documented_size("lookup")
     );
     assert_eq!(ToList::Claim { token, volume, extent, shard: 4 }.frame().len(), documented_size("claim"));
-    assert_eq!(FromList::Location { token, place }.frame().len(), documented_size("place"));
+    assert_eq!(FromList::Location { token, location }.frame().len(), documented_size("place"));
     assert_eq!(ToList::Hello { run: 1 }.frame().len(), documented_size("hello"));
     assert_eq!(
         FromList::Welcome { term: 1 }.frame().len(),
