--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -47,7 +47,7 @@
     let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
     let bytes = Disk::read_only(folder).read(&name, MAX_FILE_BYTES);
     let parsed = format::parse_file(&bytes.map_err(CommandError::io(path.display()))?);
-    let generation = parsed.as_ref().map_or(0, |file| file.head.generation);
+    let generation = parsed.as_ref().map_or(0, |file| file.header.generation);
     Ok(vec![(name, generation, parsed)])
 }
 
@@ -63,15 +63,15 @@
 }
 
 fn file_row(name: &str, file: &ParsedFile, now: Stamp) -> Value {
-    let age = match decide::age(file.entry.at, now) {
+    let age = match decide::age(file.snapshot.taken_at, now) {
         Age::Known(age) => json!(age.as_secs_f64()),
         Age::Unknown => json!("very old"),
     };
-    let saved = &file.entry.saved;
+    let state = &file.snapshot.state;
     json!({
-        "file": name, "gateway": file.head.gateway, "settings": file.head.digest,
-        "generation": file.head.generation, "entries": file.entries, "torn_bytes": file.torn_bytes,
-        "age_s": age, "stores": saved.stores.len(), "volumes": saved.volumes.len(),
+        "file": name, "gateway": file.header.gateway, "settings": file.header.digest,
+        "generation": file.header.generation, "entries": file.record_count, "torn_bytes": file.torn_bytes,
+        "age_s": age, "stores": state.stores.len(), "volumes": state.volumes.len(),
     })
 }
 
@@ -84,12 +84,12 @@
 
 /// Whether the file can be read to its end and has the generation that its name states.
 fn is_complete((_, generation, parsed): &FoundFile) -> bool {
-    parsed.as_ref().is_ok_and(|file| file.torn_bytes == 0 && file.head.generation == *generation)
+    parsed.as_ref().is_ok_and(|file| file.torn_bytes == 0 && file.header.generation == *generation)
 }
 
 fn export(path: &Path) -> Result<(), CommandError> {
     let newest = find_files(path)?.into_iter().find_map(|(_, _, parsed)| parsed.ok());
     let newest = newest.ok_or_else(|| CommandError::NoValidState { path: path.display().to_string() })?;
-    output::print_line(&serde_json::to_string_pretty(&newest.entry)?);
+    output::print_line(&serde_json::to_string_pretty(&newest.snapshot)?);
     Ok(())
 }
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -54,7 +54,7 @@
         let found = files(&Disk::read_only(&folder.join("state"))).ok()?;
         let newest = found.into_iter().filter_map(|(_, generation, read)| Some((generation, read.ok()?)));
         let read = newest.max_by_key(|(generation, _)| *generation)?.1;
-        read.entry.saved.volumes.first().map(|volume| volume.reserved_tokens)
+        read.snapshot.state.volumes.first().map(|volume| volume.reserved_tokens)
     };
     let waiting = async {
         while reserved().is_none_or(|reserved| reserved < tokens) {
--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -68,7 +68,7 @@
 
 impl Fences {
     /// Whether an op that was sent with this epoch may run on an extent.
-    pub fn check(&self, volume: u64, extent: u64, epoch: u64) -> EpochCheck {
+    pub fn check_epoch(&self, volume: u64, extent: u64, epoch: u64) -> EpochCheck {
         let fence = self.volumes.get(&volume).and_then(|ranges| ranges.get(extent)).unwrap_or(UNTOUCHED);
         match fence.state {
             // Hazard: the target's epoch enters the map only when the move is committed. A gateway that
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// The reply to send to the coordinator if the order is not accepted.
-    pub fn take(&mut self, term: u64, number: u64, order: &Order) -> Result<OrderCheck, OrderReply> {
+    pub fn apply_order(&mut self, term: u64, number: u64, order: &Order) -> Result<OrderCheck, OrderReply> {
         if term < self.term {
             return Err(OrderReply::StaleTerm(self.term));
         }
@@ -106,7 +106,7 @@
     }
 
     /// Whether no extent of a range is served here, or will be by the present move.
-    pub fn closed(&self, range: &ExtentRange) -> bool {
+    pub fn is_closed(&self, range: &ExtentRange) -> bool {
         self.fences_within(range).iter().all(|(_, fence)| fence.state == FenceState::Closed)
     }
 
--- a/crates/control-plane/tests/explore/store.rs
+++ b/crates/control-plane/tests/explore/store.rs
@@ -34,13 +34,13 @@
         order: &Order,
         planted_bug: PlantedBug,
     ) -> OrderReply {
-        let check = match self.fences.take(term, number, order) {
+        let check = match self.fences.apply_order(term, number, order) {
             Ok(check) => check,
             Err(rejection) => return rejection,
         };
         match order {
             Order::Prepare { epoch, .. } if planted_bug == PlantedBug::ActivatedBeforeFenced => {
-                _ = self.fences.take(term, number, &Order::Activate { range: RANGE, epoch: *epoch });
+                _ = self.fences.apply_order(term, number, &Order::Activate { range: RANGE, epoch: *epoch });
             }
             Order::Prepare { .. } if check == OrderCheck::Apply => {
                 (self.data, self.content_from) = (Vec::new(), None);
@@ -63,7 +63,7 @@
             Order::RecordExecuted { executed_ops, .. } if planted_bug != PlantedBug::ExecutedOpsNotMoved => {
                 self.executed.extend(executed_ops.iter().map(|executed| executed.op));
             }
-            Order::Clear { .. } if self.fences.closed(&RANGE) => {
+            Order::Clear { .. } if self.fences.is_closed(&RANGE) => {
                 (self.data, self.content_from) = (Vec::new(), None);
             }
             Order::StopTracking { .. } => _ = self.tracked_by.remove(&number),
@@ -98,7 +98,7 @@
     }
 
     pub(crate) fn check_epoch(&self, epoch: u64) -> EpochCheck {
-        self.fences.check(VOLUME, EXTENT, epoch)
+        self.fences.check_epoch(VOLUME, EXTENT, epoch)
     }
 
     pub(crate) fn serves(&self, shard: u32, locations: &BTreeSet<Location>) -> bool {
--- a/crates/coordinator/src/lease.rs
+++ b/crates/coordinator/src/lease.rs
@@ -168,7 +168,7 @@
             lease_duration: LEASE_DURATION,
         });
     }
-    let disk = Disk::open_over(folder).map_err(|error| match error.kind() {
+    let disk = Disk::open_replacing_lock(folder).map_err(|error| match error.kind() {
         // Another process took the folder over first.
         io::ErrorKind::WouldBlock => CoordinatorError::Locked { folder: folder.into() },
         _ => disk_error(error),
--- a/crates/fakes/src/disk/mod.rs
+++ b/crates/fakes/src/disk/mod.rs
@@ -129,7 +129,7 @@
         if attempt.kind == OperationKind::Flush {
             return None;
         }
-        match self.fences.check(attempt.volume, attempt.extent, attempt.epoch) {
+        match self.fences.check_epoch(attempt.volume, attempt.extent, attempt.epoch) {
             EpochCheck::Current => None,
             EpochCheck::Stale(epoch) => Some(Applied::StaleEpoch(epoch)),
             EpochCheck::NotActiveYet => Some(Applied::NotActiveYet),
--- a/crates/fakes/src/disk/moves.rs
+++ b/crates/fakes/src/disk/moves.rs
@@ -19,7 +19,7 @@
 impl InMemoryDisk {
     /// Executes a coordinator's order for the move `number`.
     pub(crate) fn execute_order(&mut self, clock: u64, term: u64, number: u64, order: &Order) -> OrderReply {
-        let check = match self.fences.take(term, number, order) {
+        let check = match self.fences.apply_order(term, number, order) {
             Ok(check) => check,
             Err(reply) => return reply,
         };
@@ -39,7 +39,7 @@
                 self.record_executed(clock, range.volume, executed_ops)
             }
             Order::Clear { .. } => {
-                if self.fences.closed(&range) {
+                if self.fences.is_closed(&range) {
                     self.clear_range(&range);
                 }
                 self.tracked.remove(&number);
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -11,7 +11,7 @@
     BufferGuard, Input, Output, ReplyPart, RequestHandler, RequestId, SessionId, Settings, Snapshot, StoreId,
 };
 use umbertray_snapshot::Stamp;
-use umbertray_snapshot::decide::{EVERY, PROMISED};
+use umbertray_snapshot::decide::{PROMISE_DURATION, SAVE_INTERVAL};
 use umbertray_snapshot::folder::{self, LoadResult};
 use umbertray_store_protocol::list::ToList;
 
@@ -132,7 +132,7 @@
             snapshot_writer: None,
             loaded_snapshot: None,
             snapshot_stamp: None,
-            next_snapshot_at: clock.now() + EVERY,
+            next_snapshot_at: clock.now() + SAVE_INTERVAL,
         }
     }
 
@@ -205,8 +205,8 @@
         }
         // The timestamp is taken first, so that a snapshot is never newer than its timestamp.
         self.snapshot_stamp = Some(folder::current_stamp());
-        self.next_snapshot_at = now + EVERY;
-        self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
+        self.next_snapshot_at = now + SAVE_INTERVAL;
+        self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISE_DURATION }])
     }
 
     /// Handles an event and returns the resulting input for the core, if any.
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotDelta {
     /// When the new state was taken.
-    pub at: Stamp,
+    pub taken_at: Stamp,
     /// How long all reserved tokens are promised from then on, including those of volumes that are not in the
     /// delta.
     pub promise_duration: Duration,
@@ -45,7 +45,7 @@
 /// Invariant (rule 7): a volume's reserved tokens in this state never exceed those that the gateway keeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CurrentSnapshot {
-    at: Stamp,
+    taken_at: Stamp,
     promise_duration: Duration,
     stores: BTreeMap<u64, StoreRecord>,
     volumes: BTreeMap<u64, VolumeRecord>,
@@ -136,14 +136,15 @@
 impl CurrentSnapshot {
     /// The state after a file's first snapshot.
     pub fn new(snapshot: StampedSnapshot) -> CurrentSnapshot {
-        let StampedSnapshot { at, saved: Snapshot { stores, volumes, promise_duration } } = snapshot;
-        CurrentSnapshot { at, promise_duration, stores: by_id(stores), volumes: by_id(volumes) }
+        let StampedSnapshot { taken_at, state: Snapshot { stores, volumes, promise_duration } } = snapshot;
+        CurrentSnapshot { taken_at, promise_duration, stores: by_id(stores), volumes: by_id(volumes) }
     }
 
-    /// The delta that brings a reader of this state to `snapshot`, taken at `at`, or close enough to it.
-    pub fn delta_to(&self, at: Stamp, snapshot: Snapshot) -> SnapshotDelta {
+    /// The delta that brings a reader of this state to `snapshot`, taken at `taken_at`, or close enough to
+    /// it.
+    pub fn delta_to(&self, taken_at: Stamp, snapshot: Snapshot) -> SnapshotDelta {
         SnapshotDelta {
-            at,
+            taken_at,
             promise_duration: snapshot.promise_duration,
             stores: difference(&self.stores, snapshot.stores),
             volumes: difference(&self.volumes, snapshot.volumes),
@@ -160,7 +161,7 @@
 
     /// Applies a delta to this state.
     pub fn apply(&mut self, delta: SnapshotDelta) {
-        self.at = delta.at;
+        self.taken_at = delta.taken_at;
         self.promise_duration = delta.promise_duration;
         apply_part(delta.stores, &mut self.stores);
         apply_part(delta.volumes, &mut self.volumes);
@@ -168,11 +169,11 @@
 
     /// The state as one snapshot, with items in the order of their ids.
     pub fn into_stamped_snapshot(self) -> StampedSnapshot {
-        let saved = Snapshot {
+        let state = Snapshot {
             stores: self.stores.into_values().collect(),
             volumes: self.volumes.into_values().collect(),
             promise_duration: self.promise_duration,
         };
-        StampedSnapshot { at: self.at, saved }
+        StampedSnapshot { taken_at: self.taken_at, state }
     }
 }
--- a/crates/snapshot/src/delta/tests.rs
+++ b/crates/snapshot/src/delta/tests.rs
@@ -46,14 +46,15 @@
 fn reader_of_deltas_never_reserves_more_and_stays_near() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck hands over what it generates")]
     fn holds(history: Vec<Vec<u32>>) -> bool {
-        let mut current = CurrentSnapshot::new(StampedSnapshot { at: stamp(0), saved: Snapshot::default() });
+        let mut current =
+            CurrentSnapshot::new(StampedSnapshot { taken_at: stamp(0), state: Snapshot::default() });
         history.iter().zip(1..).all(|(words, n)| {
             let mut words = words.clone();
             words.truncate(12);
             let now = generated(&words);
             current.apply(current.delta_to(stamp(n), now.clone()));
             let read = current.clone().into_stamped_snapshot();
-            let volumes_match = read.saved.volumes.iter().zip(&now.volumes).all(|(read, now)| {
+            let volumes_match = read.state.volumes.iter().zip(&now.volumes).all(|(read, now)| {
                 let rates_are_near = is_near(read.rate, now.rate, RATE_TOLERANCE)
                     && is_near(read.reported_rate, now.reported_rate, RATE_TOLERANCE);
                 read.volume == now.volume
@@ -61,7 +62,7 @@
                     && read.reserved_tokens <= now.reserved_tokens
                     && now.reserved_tokens <= read.reserved_tokens * RESERVED_TOKENS_GROWTH
             });
-            let stores_match = read.saved.stores.iter().zip(&now.stores).all(|(read, now)| {
+            let stores_match = read.state.stores.iter().zip(&now.stores).all(|(read, now)| {
                 let learned_values =
                     |store: &StoreRecord| store.learned.as_ref().map(|l| (l.latency, l.concurrency_limit));
                 let learned_is_near = match (learned_values(read), learned_values(now)) {
@@ -71,8 +72,8 @@
                 (read.store, read.state, read.incarnation) == (now.store, now.state, now.incarnation)
                     && learned_is_near
             });
-            let counts = (read.saved.volumes.len(), read.saved.stores.len());
-            read.at == stamp(n)
+            let counts = (read.state.volumes.len(), read.state.stores.len());
+            read.taken_at == stamp(n)
                 && volumes_match
                 && stores_match
                 && counts == (now.volumes.len(), now.stores.len())
@@ -87,9 +88,12 @@
 #[test]
 fn unchanged_state_gives_empty_delta_and_renews_promise() {
     let words: Vec<u32> = (0..100).map(|n| n * 0x0123_4567).collect();
-    let mut current = CurrentSnapshot::new(StampedSnapshot { at: stamp(1), saved: generated(&words) });
+    let mut current = CurrentSnapshot::new(StampedSnapshot { taken_at: stamp(1), state: generated(&words) });
     let delta = current.delta_to(stamp(2), generated(&words));
     assert!(delta.stores.set.is_empty() && delta.volumes.set.is_empty() && delta.volumes.removed.is_empty());
     current.apply(delta);
-    assert_eq!(current.into_stamped_snapshot(), StampedSnapshot { at: stamp(2), saved: generated(&words) });
+    assert_eq!(
+        current.into_stamped_snapshot(),
+        StampedSnapshot { taken_at: stamp(2), state: generated(&words) }
+    );
 }
--- a/crates/snapshot/src/folder.rs
+++ b/crates/snapshot/src/folder.rs
@@ -86,7 +86,7 @@
         let policy = WritePolicy::new(header, max_file_bytes);
         let mut store = SnapshotStore { storage, policy, current: None };
         let Some(file) = file else { return Ok((store, None, notes)) };
-        let saved_at = file.entry.at;
+        let saved_at = file.snapshot.taken_at;
         let loaded = load(file, digest, now);
         if loaded.age == Age::Unknown {
             notes.push(LoadNote::UnknownAge);
@@ -113,17 +113,19 @@
         loaded
     }
 
-    /// Saves the state taken at `at`. It is synced when this returns `Ok(true)`; `Ok(false)` if it is not yet
-    /// time to write. `now` is the time of a monotonic clock.
+    /// Saves the state taken at `taken_at`. It is synced when this returns `Ok(true)`; `Ok(false)` if it is
+    /// not yet time to write. `now` is the time of a monotonic clock.
     ///
     /// # Errors
     /// Those of the file system. The next call that writes begins a new file then.
-    pub fn save(&mut self, now: Duration, at: Stamp, saved: Snapshot) -> io::Result<bool> {
+    pub fn save(&mut self, now: Duration, taken_at: Stamp, state: Snapshot) -> io::Result<bool> {
         let decision = self.policy.decide(now);
         let written = match decision {
             WriteDecision::Wait => return Ok(false),
-            WriteDecision::Append => self.append(at, saved),
-            WriteDecision::NewFile(generation) => self.begin_file(generation, StampedSnapshot { at, saved }),
+            WriteDecision::Append => self.append(taken_at, state),
+            WriteDecision::NewFile(generation) => {
+                self.begin_file(generation, StampedSnapshot { taken_at, state })
+            }
         };
         match written {
             Ok(bytes) => {
@@ -138,9 +140,9 @@
     }
 
     /// Appends the difference from the state in the current file. Returns the number of bytes written.
-    fn append(&mut self, at: Stamp, saved: Snapshot) -> io::Result<usize> {
+    fn append(&mut self, taken_at: Stamp, state: Snapshot) -> io::Result<usize> {
         let mut current = self.current.take().ok_or(io::ErrorKind::NotFound)?;
-        let record = FileRecord::Delta(current.delta_to(at, saved));
+        let record = FileRecord::Delta(current.delta_to(taken_at, state));
         let bytes = encode(&record)?;
         let file = file_name(self.policy.header().generation);
         self.storage.append(&file, &bytes)?;
@@ -179,9 +181,9 @@
 }
 
 fn load(file: ParsedFile, digest: u64, now: Stamp) -> LoadResult {
-    let age = age(file.entry.at, now);
-    let mut snapshot = file.entry.saved;
-    if file.head.digest != digest {
+    let age = age(file.snapshot.taken_at, now);
+    let mut snapshot = file.snapshot.state;
+    if file.header.digest != digest {
         // The limits may have changed, so tokens reserved under the former limits are meaningless.
         snapshot.promise_duration = Duration::ZERO;
     }
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -38,9 +38,11 @@
 pub struct StampedSnapshot {
     /// The time before the scheduler returned the state. The state is therefore never older than this stamp
     /// indicates.
-    pub at: Stamp,
+    #[serde(rename = "at")]
+    pub taken_at: Stamp,
     /// The state.
-    pub saved: Snapshot,
+    #[serde(rename = "saved")]
+    pub state: Snapshot,
 }
 
 /// A record after the header.
@@ -73,11 +75,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedFile {
     /// The file's header.
-    pub head: FileHeader,
+    pub header: FileHeader,
     /// The state after the last complete record.
-    pub entry: StampedSnapshot,
+    pub snapshot: StampedSnapshot,
     /// Number of complete records after the header.
-    pub entries: usize,
+    pub record_count: usize,
     /// Bytes after the last complete record.
     pub torn_bytes: usize,
 }
@@ -95,9 +97,9 @@
 /// [`FormatError`] if the file holds no usable state.
 pub fn parse_file(bytes: &[u8]) -> Result<ParsedFile, FormatError> {
     let (version, mut bytes) = split_preamble(bytes)?;
-    let head: FileHeader = next_record(&mut bytes).ok_or(FormatError::NoHeader)?;
+    let header: FileHeader = next_record(&mut bytes).ok_or(FormatError::NoHeader)?;
     let mut current: Option<CurrentSnapshot> = None;
-    let mut entries = 0;
+    let mut record_count = 0;
     while let Some(record) = next_file_record(version, &mut bytes) {
         match (record, &mut current) {
             (record, Some(current)) => current.apply_record(record),
@@ -105,10 +107,10 @@
             // A delta is meaningless without the snapshot that it refers to.
             (FileRecord::Delta(_), None) => return Err(FormatError::Empty),
         }
-        entries += 1;
+        record_count += 1;
     }
-    let entry = current.ok_or(FormatError::Empty)?.into_stamped_snapshot();
-    Ok(ParsedFile { head, entry, entries, torn_bytes: bytes.len() })
+    let snapshot = current.ok_or(FormatError::Empty)?.into_stamped_snapshot();
+    Ok(ParsedFile { header, snapshot, record_count, torn_bytes: bytes.len() })
 }
 
 /// Checks the magic and the format version. Returns the version and the bytes after it.
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod decide {
     pub use crate::selection::{FoundFile, LoadNote};
     pub use crate::stamp::{Age, Stamp, age};
-    pub use crate::write_policy::{EVERY, PROMISED};
+    pub use crate::write_policy::{PROMISE_DURATION, SAVE_INTERVAL};
 }
 
 pub use folder::{LoadResult, SnapshotStore};
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -14,7 +14,7 @@
 /// started, which was never used.
 #[derive(Deserialize)]
 pub(crate) struct StampedSnapshotV1 {
-    at: Stamp,
+    taken_at: Stamp,
     stores: Vec<StoreRecordV1>,
     volumes: Vec<VolumeRecord>,
     promise_duration: Duration,
@@ -41,8 +41,8 @@
 
 impl From<StampedSnapshotV1> for StampedSnapshot {
     fn from(snapshot: StampedSnapshotV1) -> StampedSnapshot {
-        let StampedSnapshotV1 { at, stores, volumes, promise_duration } = snapshot;
+        let StampedSnapshotV1 { taken_at, stores, volumes, promise_duration } = snapshot;
         let stores = stores.into_iter().map(StoreRecord::from).collect();
-        StampedSnapshot { at, saved: Snapshot { stores, volumes, promise_duration } }
+        StampedSnapshot { taken_at, state: Snapshot { stores, volumes, promise_duration } }
     }
 }
--- a/crates/snapshot/src/selection.rs
+++ b/crates/snapshot/src/selection.rs
@@ -59,14 +59,14 @@
         match content {
             // A file under the name of another generation was put there by hand. Its position in the history
             // is unknown.
-            Ok(parsed) if parsed.head.generation != generation => {
+            Ok(parsed) if parsed.header.generation != generation => {
                 notes.push(LoadNote::Rejected { file, reason: FormatError::NoHeader });
             }
             Ok(parsed) => {
                 if parsed.torn_bytes > 0 {
                     notes.push(LoadNote::TornWrite { file, bytes: parsed.torn_bytes });
                 }
-                if parsed.head.digest != digest {
+                if parsed.header.digest != digest {
                     notes.push(LoadNote::OtherSettings);
                 }
                 return Ok(Selection { file: Some(parsed), next_generation, notes });
@@ -83,8 +83,8 @@
 fn check_ownership(files: &[FoundFile], gateway: u64) -> Result<(), FolderError> {
     for (file, _, content) in files {
         match content {
-            Ok(parsed) if parsed.head.gateway != gateway => {
-                return Err(FolderError::Foreign { found: parsed.head.gateway, expected: gateway });
+            Ok(parsed) if parsed.header.gateway != gateway => {
+                return Err(FolderError::Foreign { found: parsed.header.gateway, expected: gateway });
             }
             Err(FormatError::NewerVersion(version)) => {
                 return Err(FolderError::Newer { file: file.clone(), version: *version });
--- a/crates/snapshot/src/storage.rs
+++ b/crates/snapshot/src/storage.rs
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// `WouldBlock` if a third process acquired the new lock first; otherwise those of the file system.
-    pub fn open_over(folder: &Path) -> io::Result<Disk> {
+    pub fn open_replacing_lock(folder: &Path) -> io::Result<Disk> {
         fs::write(folder.join(TEMPORARY_LOCK_FILE), [])?;
         fs::rename(folder.join(TEMPORARY_LOCK_FILE), folder.join(LOCK_FILE))?;
         Disk::open(folder)
--- a/crates/snapshot/src/write_policy.rs
+++ b/crates/snapshot/src/write_policy.rs
@@ -9,12 +9,13 @@
 
 /// Interval between saves.
 ///
-/// Invariant: at most half of [`PROMISED`]. A gateway keeps the reserved tokens of its last two saves. They
-/// cover a save for the duration of its promise only if saves are no more frequent than this interval.
-pub const EVERY: Duration = Duration::from_secs(1);
+/// Invariant: at most half of [`PROMISE_DURATION`]. A gateway keeps the reserved tokens of its last two
+/// saves. They cover a save for the duration of its promise only if saves are no more frequent than this
+/// interval.
+pub const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long the reserved tokens of a save are promised.
-pub const PROMISED: Duration = Duration::from_secs(2);
+pub const PROMISE_DURATION: Duration = Duration::from_secs(2);
 
 /// Long-run limit on the rate of writing, bytes a second.
 const MAX_WRITE_RATE: f64 = (2 << 20) as f64;
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -148,7 +148,7 @@
     let mut bytes = format::file_preamble();
     bytes.extend(encode_record(&FileHeader { gateway, digest, generation }).expect("small"));
     bytes.extend(
-        encode_record(&FileRecord::Snapshot(StampedSnapshot { at: stamp(n), saved: saved(n, 0) }))
+        encode_record(&FileRecord::Snapshot(StampedSnapshot { taken_at: stamp(n), state: saved(n, 0) }))
             .expect("small"),
     );
     bytes
@@ -230,16 +230,18 @@
     let stores =
         vec![store(4, "127.0.0.1:700", 2, 1, 3, Some(learned)), store(5, "[::1]:701", 3, 2, 1, None)];
     let volumes = vec![VolumeRecord { volume: 6, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 }];
-    let saved = Snapshot { stores, volumes, promise_duration: Duration::from_secs(2) };
-    let head = FileHeader { gateway: 1, digest: 2, generation: 1 };
+    let state = Snapshot { stores, volumes, promise_duration: Duration::from_secs(2) };
+    let header = FileHeader { gateway: 1, digest: 2, generation: 1 };
     let read = |bytes| format::parse_file(bytes).expect("an intact file");
-    let entry = StampedSnapshot { at: stamp(6), saved };
-    let expected = ParsedFile { head: head.clone(), entry: entry.clone(), entries: 2, torn_bytes: 0 };
+    let snapshot = StampedSnapshot { taken_at: stamp(6), state };
+    let expected =
+        ParsedFile { header: header.clone(), snapshot: snapshot.clone(), record_count: 2, torn_bytes: 0 };
     assert_eq!(read(include_bytes!("version-1-stores.umb")), expected);
     let mut bytes = format::file_preamble();
-    let mut current = CurrentSnapshot::new(StampedSnapshot { at: stamp(5), saved: Snapshot::default() });
-    let delta = current.delta_to(stamp(6), entry.saved.clone());
-    bytes.extend(encode_record(&head).expect("small"));
+    let mut current =
+        CurrentSnapshot::new(StampedSnapshot { taken_at: stamp(5), state: Snapshot::default() });
+    let delta = current.delta_to(stamp(6), snapshot.state.clone());
+    bytes.extend(encode_record(&header).expect("small"));
     bytes.extend(
         encode_record(&FileRecord::Snapshot(current.clone().into_stamped_snapshot())).expect("small"),
     );
@@ -257,11 +259,11 @@
 fn version_1_file_is_readable() {
     let bytes = include_bytes!("version-1.umb");
     let read = format::parse_file(bytes).expect("version 1");
-    assert_eq!(read.head, FileHeader { gateway: 1, digest: 2, generation: 1 });
+    assert_eq!(read.header, FileHeader { gateway: 1, digest: 2, generation: 1 });
     let volume = VolumeRecord { volume: 5, rate: 1.0, reported_rate: 2.0, reserved_tokens: 3.0 };
-    let saved =
+    let state =
         Snapshot { stores: Vec::new(), volumes: vec![volume], promise_duration: Duration::from_secs(2) };
-    assert_eq!(read.entry, StampedSnapshot { at: stamp(5), saved });
+    assert_eq!(read.snapshot, StampedSnapshot { taken_at: stamp(5), state });
 }
 
 #[test]
