--- a/crates/cli/src/measure/pass_through.rs
+++ b/crates/cli/src/measure/pass_through.rs
@@ -64,8 +64,11 @@
         let number = self.last_number;
         let extent = request.offset / self.extent_bytes;
         let store = self.stores[extent as usize % self.stores.len()];
-        let forwarded =
-            ForwardedRequest { id: request.id, offset: request.offset, buffer_guard: request.hold.clone() };
+        let forwarded = ForwardedRequest {
+            id: request.id,
+            offset: request.offset,
+            buffer_guard: request.buffer_guard.clone(),
+        };
         self.forwarded.insert(number, forwarded);
         let message = ToStore::Attempt(Attempt {
             number,
@@ -82,7 +85,7 @@
             durable: request.durable,
             data: request.data,
         });
-        Output::ToStore { store, message, hold: Some(request.hold) }
+        Output::ToStore { store, message, buffer_guard: Some(request.buffer_guard) }
     }
 
     /// Converts a store's message to a part of the reply to its request. Stores count offsets from the
@@ -106,7 +109,7 @@
                 return None;
             }
         };
-        Some(Output::Reply { id, part, hold: buffer_guard })
+        Some(Output::Reply { id, part, buffer_guard })
     }
 }
 
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 use umbertray_fakes::fleet::Fleet;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 use umbertray_routing::settings::Volume;
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 use umbertray_routing::{Core, Input, Output, RequestHandler as _, Snapshot};
 use umbertray_snapshot::folder::{FILE_BYTES, current_stamp};
 use umbertray_snapshot::{Disk, LoadResult, SnapshotStore};
@@ -141,7 +141,7 @@
         zone: 0,
         state: 1,
         incarnation: 1,
-        learned: Some(LearnedFigures {
+        learned: Some(LearnedValues {
             latency: 0.01,
             concurrency_limit: 8.0,
             virtual_times: (0..VOLUMES_PER_STORE).map(|volume| (volume, 1.5)).collect(),
--- a/crates/config-log/src/guard.rs
+++ b/crates/config-log/src/guard.rs
@@ -105,7 +105,7 @@
             Some(Guarded { guard: Guard::Removal, effect: format!("volume {name:?} is removed") })
         }
         SettingsChange::Volume(index) => fewer_gateways(from, to, *index),
-        SettingsChange::Plan(_) | SettingsChange::Figures => None,
+        SettingsChange::Plan(_) | SettingsChange::Parameters => None,
     }
 }
 
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -107,7 +107,7 @@
             Some(current) => *current = op_type,
             None => op_types.push(op_type),
         }
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
@@ -132,7 +132,7 @@
         let canonical =
             if problems.is_empty() { canonical_requests(&rules, op_types) } else { fields.clone() };
         self.version.type_rules = Arc::new(rules);
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
@@ -140,7 +140,7 @@
         let rules = parse::rules(call, problems);
         let canonical = canonical::rules(&rules).named;
         self.version.rules = Arc::new(rules);
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
--- a/crates/config/src/parse/limits.rs
+++ b/crates/config/src/parse/limits.rs
@@ -13,13 +13,13 @@
     let retry_budget = retry_budget(&mut args);
     let rules = Rules {
         drain_grace: args.duration("drain_grace", 0.0..=MAX_DURATION_SECONDS, Some(1.0)),
-        slow_start_from: args.number("cold_from", 0.001..=1.0, Some(0.25)),
+        slow_start_fraction: args.number("cold_from", 0.001..=1.0, Some(0.25)),
         slow_start_duration: args.duration("cold_time", 0.0..=MAX_DURATION_SECONDS, Some(10.0)),
         slow_start_units: args.number("cold_units", 0.0..=MAX_NUMBER, Some(8.0)),
         slow_start_multiple: args.number("fall_multiple", 1.0..=1e3, Some(2.0)),
         slow_start_window: args.duration("fall_time", 0.001..=MAX_DURATION_SECONDS, Some(1.0)),
-        order_pause: args.duration("order_pause", 0.0..=MAX_DURATION_SECONDS, Some(0.5)),
-        poll_within: args.duration("ask_within", 0.01..=MAX_DURATION_SECONDS, Some(10.0)),
+        key_pause: args.duration("order_pause", 0.0..=MAX_DURATION_SECONDS, Some(0.5)),
+        poll_retry_interval: args.duration("ask_within", 0.01..=MAX_DURATION_SECONDS, Some(10.0)),
         capacity: args.optional("capacity", 1e-6..=MAX_NUMBER),
         retry_budget,
     };
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -291,7 +291,7 @@
 /// before the order pause after an unknown outcome has passed.
 pub(crate) fn order_by_key(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("5 order by key", "ms of the shortest wait after an unknown outcome");
-    let pause = micros(indexed.settings.rules.order_pause);
+    let pause = micros(indexed.settings.rules.key_pause);
     let mut by_key: HashMap<(u64, u64, u64), Vec<&Attempt>> = HashMap::new();
     let mut shortest = f64::INFINITY;
     for attempt in &indexed.attempts {
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -216,7 +216,7 @@
             mut store_power,
         ) = parameters;
         let rules = &document.settings.rules;
-        store_power.cold_from = rules.slow_start_from;
+        store_power.cold_from = rules.slow_start_fraction;
         store_power.cold_s = rules.slow_start_duration.as_secs_f64();
         store_power.fall_multiple = rules.slow_start_multiple;
         store_power.fall_s = rules.slow_start_window.as_secs_f64();
--- a/crates/nbd-gateway/src/changes/publisher.rs
+++ b/crates/nbd-gateway/src/changes/publisher.rs
@@ -42,7 +42,7 @@
         let mut merged = MergedChanges::default();
         for change in versions.iter().flat_map(|(_, changes)| changes) {
             match change {
-                SettingsChange::Figures | SettingsChange::Plan(_) => merged.has_new_parameters = true,
+                SettingsChange::Parameters | SettingsChange::Plan(_) => merged.has_new_parameters = true,
                 SettingsChange::Volume(volume) => _ = merged.volumes.insert(*volume),
                 SettingsChange::Removed(_) => merged.removed_volumes += 1,
             }
@@ -53,7 +53,7 @@
     /// Splits the changes into parts that the event loop applies one by one. If volumes were only removed,
     /// there is one empty part.
     fn parts(&self) -> Vec<Vec<SettingsChange>> {
-        let parameters = self.has_new_parameters.then_some(SettingsChange::Figures);
+        let parameters = self.has_new_parameters.then_some(SettingsChange::Parameters);
         let volumes = self.volumes.iter().map(|volume| SettingsChange::Volume(*volume));
         let changes: Vec<SettingsChange> = parameters.into_iter().chain(volumes).collect();
         if changes.is_empty() {
@@ -71,8 +71,8 @@
         let merged = MergedChanges::from_versions(&versions);
         let settings = Arc::new(newest.settings(&self.own_settings));
         self.current_settings.store(settings.clone());
-        for steps in merged.parts() {
-            let part = Input::SettingsChanged { settings: settings.clone(), steps };
+        for changes in merged.parts() {
+            let part = Input::SettingsChanged { settings: settings.clone(), changes };
             self.changes.send(part).await.map_err(|_| EventLoopEnded)?;
         }
         if merged.removed_volumes > 0 {
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -30,7 +30,7 @@
     /// The part.
     pub(crate) part: ReplyPart,
     /// To be kept until the part is sent.
-    pub(crate) hold: BufferGuard,
+    pub(crate) buffer_guard: BufferGuard,
 }
 
 /// Events that other tasks send to the loop.
@@ -245,16 +245,16 @@
 
     fn apply_output(&mut self, output: Output) -> Result<(), GatewayError> {
         match output {
-            Output::Reply { id: RequestId(session, cookie), part, hold } => {
+            Output::Reply { id: RequestId(session, cookie), part, buffer_guard } => {
                 if let Some(replies) = self.sessions.get(&session) {
-                    _ = replies.send(SessionReply { cookie, part, hold });
+                    _ = replies.send(SessionReply { cookie, part, buffer_guard });
                 }
             }
             Output::ConnectStore { store, address } => self.connect_store(store, address),
             Output::DisconnectStore { store } => _ = self.store_connections.remove(&store),
-            Output::ToStore { store, message, hold } => {
+            Output::ToStore { store, message, buffer_guard } => {
                 if let Some(connection) = self.store_connections.get(&store) {
-                    _ = connection.messages.send(StoreMessage { message, hold });
+                    _ = connection.messages.send(StoreMessage { message, buffer_guard });
                 }
             }
             Output::ToList(message) => self.send_service(message),
--- a/crates/nbd-gateway/src/session/input.rs
+++ b/crates/nbd-gateway/src/session/input.rs
@@ -148,7 +148,7 @@
     fn on_request(&mut self, request: umbertray_nbd::Request) {
         let started_at = self.message_started_at;
         let read_state = std::mem::replace(&mut self.read_state, ReadState::Ready);
-        let ReadState::BufferGranted(hold) = read_state else { return };
+        let ReadState::BufferGranted(buffer_guard) = read_state else { return };
         self.start_next_message();
         let Some(volume) = self.volume else { return };
         let Some(kind) = replies::operation_kind(request.command) else { return };
@@ -162,7 +162,7 @@
             durable: replies::is_durable(&request),
             data: request.payload,
             started_at,
-            hold,
+            buffer_guard,
         };
         _ = self.context.events.send(LoopEvent::CoreInput(Input::Request(request)));
     }
--- a/crates/nbd-gateway/src/session/mod.rs
+++ b/crates/nbd-gateway/src/session/mod.rs
@@ -201,13 +201,13 @@
         self.volume.is_some_and(is_removed)
     }
 
-    fn on_reply(&mut self, SessionReply { cookie, part, hold }: SessionReply) {
+    fn on_reply(&mut self, SessionReply { cookie, part, buffer_guard }: SessionReply) {
         let data = self.replies.write_part(&mut self.session, cookie, part);
         self.write_queue.push(self.session.output().split().freeze());
         if let Some(data) = data {
             self.write_queue.push(data);
         }
-        self.write_queue.hold_until_written(hold);
+        self.write_queue.hold_until_written(buffer_guard);
     }
 
     fn flush(&mut self) -> Result<(), CloseReason> {
--- a/crates/nbd-gateway/src/store_connection.rs
+++ b/crates/nbd-gateway/src/store_connection.rs
@@ -34,7 +34,7 @@
     /// The message.
     pub(crate) message: ToStore,
     /// To be kept until the message is sent.
-    pub(crate) hold: Option<BufferGuard>,
+    pub(crate) buffer_guard: Option<BufferGuard>,
 }
 
 type MessageReceiver = mpsc::UnboundedReceiver<StoreMessage>;
@@ -103,8 +103,8 @@
         let mut input = BytesMut::new();
         loop {
             match next_frame(&mut input).map_err(io::Error::other)? {
-                Some(FromStore::Welcome { store: lasting, shard, clock }) => {
-                    let connected = Input::StoreConnected { store: self.store, lasting, shard, clock };
+                Some(FromStore::Welcome { store: lasting_id, shard, clock }) => {
+                    let connected = Input::StoreConnected { store: self.store, lasting_id, shard, clock };
                     return Ok(EstablishedConnection { socket, input, connected });
                 }
                 Some(_) => return Err(io::Error::other("the store's first frame is not a welcome message")),
@@ -118,9 +118,9 @@
 
     async fn read(&self, mut reader: ReadHalf, mut input: BytesMut) -> io::Result<()> {
         loop {
-            let at = self.clock.now();
+            let received_at = self.clock.now();
             while let Some(message) = next_frame(&mut input).map_err(io::Error::other)? {
-                self.send(Input::FromStore { store: self.store, message, at });
+                self.send(Input::FromStore { store: self.store, message, received_at });
             }
             input.reserve(READ_BYTES);
             let idle_timeout = HEARTBEAT_INTERVAL * MAX_MISSED_HEARTBEATS;
@@ -136,7 +136,7 @@
 /// Writes messages, and heartbeats while idle, until the sender of messages is dropped.
 async fn write(mut writer: WriteHalf, mut messages: MessageReceiver) -> io::Result<()> {
     let mut batch = Vec::new();
-    let mut holds = Vec::new();
+    let mut buffer_guards = Vec::new();
     loop {
         // Cancel safe: messages stay in their channel.
         tokio::select! {
@@ -147,21 +147,21 @@
         }
         let mut queue = VecDeque::new();
         let mut frames = BytesMut::new();
-        for StoreMessage { message, hold } in batch.drain(..) {
+        for StoreMessage { message, buffer_guard } in batch.drain(..) {
             append_message(&message, &mut frames, &mut queue);
-            holds.push(hold);
+            buffer_guards.push(buffer_guard);
         }
         queue.push_back(frames.freeze());
         while !queue.is_empty() {
             let written = writer.write_vectored(&slices(&queue)).await?;
             advance(&mut queue, written);
         }
-        holds.clear();
+        buffer_guards.clear();
     }
 }
 
 fn heartbeat() -> StoreMessage {
-    StoreMessage { message: ToStore::HealthCheck { token: HEARTBEAT_TOKEN }, hold: None }
+    StoreMessage { message: ToStore::HealthCheck { token: HEARTBEAT_TOKEN }, buffer_guard: None }
 }
 
 /// Appends a message to `frames`. A payload is appended to `queue` without copying, after all frames that
--- a/crates/routing/src/core/attempts.rs
+++ b/crates/routing/src/core/attempts.rs
@@ -86,8 +86,8 @@
                 let units = self.settings.units(fragment.range.length);
                 let message = attempt_message(number, fragment, volume, units, clock, attempt.deadline);
                 let request = self.requests.get(&fragment.request);
-                let hold = request.map(|request| request.buffer_guard.clone());
-                self.outputs.push(Output::ToStore { store: store_id, message, hold });
+                let buffer_guard = request.map(|request| request.buffer_guard.clone());
+                self.outputs.push(Output::ToStore { store: store_id, message, buffer_guard });
             }
         }
     }
@@ -100,7 +100,7 @@
         let Some(attempt) = self.attempts.get(&number) else { return };
         if attempt.status == AttemptStatus::Sent {
             let message = ToStore::Cancel { number };
-            self.outputs.push(Output::ToStore { store: attempt.store, message, hold: None });
+            self.outputs.push(Output::ToStore { store: attempt.store, message, buffer_guard: None });
         } else {
             self.finish_attempt(number, Outcome::ConnectFailed, StoreReply::default());
         }
--- a/crates/routing/src/core/mod.rs
+++ b/crates/routing/src/core/mod.rs
@@ -122,17 +122,19 @@
         match input {
             Input::Request(request) => self.on_request(request),
             Input::SessionClosed(session) => self.on_session_closed(session),
-            Input::StoreConnected { store, lasting, shard, clock } => {
-                self.on_store_connected(store, lasting, shard, clock);
+            Input::StoreConnected { store, lasting_id, shard, clock } => {
+                self.on_store_connected(store, lasting_id, shard, clock);
             }
             Input::StoreUnreachable { store } | Input::StoreDisconnected { store } => {
                 self.on_store_disconnected(store);
             }
-            Input::FromStore { store, message, at } => self.on_store_message(store, message, at),
+            Input::FromStore { store, message, received_at } => {
+                self.on_store_message(store, message, received_at)
+            }
             Input::FromList(message) => self.on_list_message(message),
             Input::ListDisconnected => self.on_list_failed(),
             Input::CoordinatorDisconnected => self.on_coordinator_disconnected(),
-            Input::SettingsChanged { settings, steps } => self.on_settings_changed(settings, &steps),
+            Input::SettingsChanged { settings, changes } => self.on_settings_changed(settings, &changes),
             Input::TakeSnapshot { promise_duration } => {
                 self.promise_duration = promise_duration;
                 self.events.push(Event::TakeSnapshot { promise_duration });
@@ -152,7 +154,7 @@
         let new_volumes = settings.volumes.iter().skip(self.volumes.len());
         self.volumes.extend(new_volumes.map(|volume| volume_id(&volume.name)));
         let has_new_parameters =
-            |change: &SettingsChange| matches!(change, SettingsChange::Figures | SettingsChange::Plan(_));
+            |change: &SettingsChange| matches!(change, SettingsChange::Parameters | SettingsChange::Plan(_));
         if changes.iter().any(has_new_parameters) {
             self.events.push(Event::SettingsChanged { settings: settings.scheduler_settings() });
         }
@@ -218,7 +220,7 @@
             }
             Action::CheckHealth { store } => {
                 let message = ToStore::HealthCheck { token: self.now.as_micros() as u64 };
-                self.outputs.push(Output::ToStore { store, message, hold: None });
+                self.outputs.push(Output::ToStore { store, message, buffer_guard: None });
             }
             Action::Log(text) => self.outputs.push(Output::Log(text)),
             Action::Fatal(text) => self.outputs.push(Output::Fatal(text)),
--- a/crates/routing/src/core/requests.rs
+++ b/crates/routing/src/core/requests.rs
@@ -30,7 +30,7 @@
             op_type,
             durable: request.durable,
             deadline: request.started_at + self.settings.op_types[op_type].op_timeout,
-            buffer_guard: request.hold.clone(),
+            buffer_guard: request.buffer_guard.clone(),
             open_fragments: 0,
             fragments: Vec::new(),
             results: Vec::new(),
--- a/crates/routing/src/core/results.rs
+++ b/crates/routing/src/core/results.rs
@@ -58,11 +58,11 @@
         let result = combine(request.results.iter().copied(), idempotency);
         if result == FinalResult::Succeeded && request.kind == OperationKind::Status {
             let ranges = request.data_ranges.into_values().flatten().collect();
-            let hold = request.buffer_guard.clone();
-            self.outputs.push(Output::Reply { id, part: ReplyPart::DataRanges(ranges), hold });
+            let buffer_guard = request.buffer_guard.clone();
+            self.outputs.push(Output::Reply { id, part: ReplyPart::DataRanges(ranges), buffer_guard });
         }
-        let hold = request.buffer_guard;
-        self.outputs.push(Output::Reply { id, part: ReplyPart::Final(result), hold });
+        let buffer_guard = request.buffer_guard;
+        self.outputs.push(Output::Reply { id, part: ReplyPart::Final(result), buffer_guard });
     }
 
     pub(super) fn remove_if_finished(&mut self, id: u32) {
@@ -77,7 +77,7 @@
     /// Sends a part of a reply, if the request is open.
     pub(super) fn reply(&mut self, id: RequestId, part: ReplyPart) {
         if let Some(request) = self.requests.get(&id) {
-            self.outputs.push(Output::Reply { id, part, hold: request.buffer_guard.clone() });
+            self.outputs.push(Output::Reply { id, part, buffer_guard: request.buffer_guard.clone() });
         }
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -16,8 +16,8 @@
 mod locations;
 mod reply;
 mod restore;
-pub mod saved;
 pub mod settings;
+pub mod snapshot_records;
 mod stale_epoch;
 mod store_membership;
 mod timers;
@@ -33,8 +33,8 @@
 
 pub use self::core::Core;
 pub use reply::FinalResult;
-pub use saved::Snapshot;
 pub use settings::{Settings, SettingsChange};
+pub use snapshot_records::Snapshot;
 pub use umbertray::interface::StoreId;
 
 /// A client's session at this gateway. Ids are not reused within a run of the gateway.
@@ -70,7 +70,7 @@
     /// When the request's first byte was read; the operation timeout counts from here.
     pub started_at: Duration,
     /// Keeps the request's buffers reserved.
-    pub hold: BufferGuard,
+    pub buffer_guard: BufferGuard,
 }
 
 /// An input of the core: an event from a client, a store, a service or the caller.
@@ -84,7 +84,7 @@
         /// The store that the core asked to connect to.
         store: StoreId,
         /// The lasting id that the store reported.
-        lasting: u64,
+        lasting_id: u64,
         /// The shard that the store reported.
         shard: u32,
         /// The store's clock, microseconds.
@@ -108,7 +108,7 @@
         message: FromStore,
         /// When it was received. The time that the message then waits in this gateway does not count as the
         /// store's latency.
-        at: Duration,
+        received_at: Duration,
     },
     /// A message from the list and directory service.
     FromList(FromList),
@@ -123,7 +123,7 @@
         /// The settings from now on. Indices of plans and volumes do not change.
         settings: Arc<Settings>,
         /// What changed.
-        steps: Vec<SettingsChange>,
+        changes: Vec<SettingsChange>,
     },
     /// Request for a snapshot, which is returned by [`Output::SaveSnapshot`].
     TakeSnapshot {
@@ -183,7 +183,7 @@
         /// The part.
         part: ReplyPart,
         /// To be kept until the part is sent.
-        hold: BufferGuard,
+        buffer_guard: BufferGuard,
     },
     /// Connect to a store; [`Input::StoreConnected`] or [`Input::StoreUnreachable`] follows.
     ConnectStore {
@@ -204,7 +204,7 @@
         /// The message.
         message: ToStore,
         /// To be kept until the message is sent.
-        hold: Option<BufferGuard>,
+        buffer_guard: Option<BufferGuard>,
     },
     /// Send a message to the list and directory service.
     ToList(ToList),
--- a/crates/routing/src/restore.rs
+++ b/crates/routing/src/restore.rs
@@ -11,7 +11,7 @@
 use umbertray::interface::{Endpoint, Event, StoreId, StoreSnapshot, VolumeId, VolumeSnapshot};
 use umbertray_store_protocol::list::{EndpointState, ListedStore};
 
-use crate::saved::{LearnedFigures, Snapshot, StoreRecord, VolumeRecord};
+use crate::snapshot_records::{LearnedValues, Snapshot, StoreRecord, VolumeRecord};
 
 /// The parts of a loaded snapshot that are not restored yet.
 pub(crate) struct PendingRestore {
@@ -76,7 +76,7 @@
         Some(Event::Restore { age, promise_duration: Duration::ZERO, stores, volumes: Vec::new() })
     }
 
-    fn store_snapshot(&self, store: StoreId, learned: LearnedFigures) -> StoreSnapshot {
+    fn store_snapshot(&self, store: StoreId, learned: LearnedValues) -> StoreSnapshot {
         let with_volume_id = |(volume, time): (u64, f64)| Some((*self.volumes.get(&volume)?, time));
         StoreSnapshot {
             store,
@@ -135,15 +135,15 @@
     promise_duration: Duration,
 ) -> Snapshot {
     let lasting_id = |volume: VolumeId| lasting_ids.get(volume.0 as usize).copied();
-    let mut learned: HashMap<StoreId, LearnedFigures> = HashMap::new();
+    let mut learned: HashMap<StoreId, LearnedValues> = HashMap::new();
     for store in stores {
         let with_lasting_id = |(volume, time)| Some((lasting_id(volume)?, time));
-        let figures = LearnedFigures {
+        let values = LearnedValues {
             latency: store.latency,
             concurrency_limit: store.concurrency_limit,
             virtual_times: store.virtual_times.into_iter().filter_map(with_lasting_id).collect(),
         };
-        learned.insert(store.store, figures);
+        learned.insert(store.store, values);
     }
     let to_store_record = |(id, listed): (StoreId, ListedStore)| StoreRecord {
         store: listed.store,
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -93,7 +93,7 @@
     /// How long attempts may still be sent to a draining store.
     pub drain_grace: Duration,
     /// Fraction of its capacity that a store has right after its start.
-    pub slow_start_from: f64,
+    pub slow_start_fraction: f64,
     /// How long a store takes after its start to reach full capacity.
     pub slow_start_duration: Duration,
     /// Multiple of its capacity at which a store in slow start collapses.
@@ -103,11 +103,11 @@
     /// Units that a store can execute within the window right after its start.
     pub slow_start_units: f64,
     /// How long operations of the same key are paused after an attempt of unknown outcome.
-    pub order_pause: Duration,
+    pub key_pause: Duration,
     /// The retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
     /// Time within which a failed poll of the endpoint list is repeated.
-    pub poll_within: Duration,
+    pub poll_retry_interval: Duration,
     /// Units per second of all stores together, if known. Reservations must not exceed it.
     pub capacity: Option<f64>,
 }
@@ -181,7 +181,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsChange {
     /// Parameters of operation types, type rules or the operators' rules.
-    Figures,
+    Parameters,
     /// A plan that is new, was changed or was removed.
     Plan(usize),
     /// A volume that is new, or whose plan, size or number of gateways changed.
@@ -298,12 +298,12 @@
         put("limits.max_dispatches", self.max_attempts.to_string());
         put("limits.max_retry_after", seconds(self.max_retry_after));
         put("rules.drain_grace", seconds(rules.drain_grace));
-        put("rules.cold_from", rules.slow_start_from.to_string());
+        put("rules.cold_from", rules.slow_start_fraction.to_string());
         put("rules.cold_time", seconds(rules.slow_start_duration));
         put("rules.fall_multiple", rules.slow_start_multiple.to_string());
         put("rules.fall_time", seconds(rules.slow_start_window));
-        put("rules.order_pause", seconds(rules.order_pause));
-        put("rules.ask_within", seconds(rules.poll_within));
+        put("rules.order_pause", seconds(rules.key_pause));
+        put("rules.ask_within", seconds(rules.poll_retry_interval));
     }
 }
 
--- a/crates/routing/src/saved.rs
+++ b/crates/routing/src/snapshot_records.rs
@@ -23,12 +23,12 @@
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// The values learned of the store, if any.
-    pub learned: Option<LearnedFigures>,
+    pub learned: Option<LearnedValues>,
 }
 
 /// The values learned of a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LearnedFigures {
+pub struct LearnedValues {
     /// Average latency, in seconds.
     pub latency: f64,
     /// Concurrency limit: the most units in flight.
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -82,14 +82,14 @@
     Rules {
         capacity: None,
         drain_grace: ms(500),
-        slow_start_from: 0.5,
+        slow_start_fraction: 0.5,
         slow_start_duration: ms(2000),
         slow_start_multiple: 2.0,
         slow_start_window: ms(500),
         slow_start_units: 50.0,
-        order_pause: ms(100),
+        key_pause: ms(100),
         retry_budget: None,
-        poll_within: ms(1000),
+        poll_retry_interval: ms(1000),
     }
 }
 
@@ -190,8 +190,8 @@
                 }
             }
             Output::ConnectStore { store, .. } => {
-                let lasting = lasting_id(store.0);
-                inputs.push(Input::StoreConnected { store, lasting, shard: store.0, clock: 5 });
+                let lasting_id = lasting_id(store.0);
+                inputs.push(Input::StoreConnected { store, lasting_id, shard: store.0, clock: 5 });
             }
             Output::DisconnectStore { .. } | Output::Log(_) => {}
             Output::ToStore { store, message: ToStore::Attempt(attempt), .. } => {
@@ -259,8 +259,9 @@
             is_session_closed: false,
         };
         self.gateways[gateway].requests.insert(id, request);
-        let (data, hold, started_at) = (Bytes::from(data), Arc::new(()), self.now);
-        let request = Request { id, volume: 0, kind, offset, length, durable: false, data, started_at, hold };
+        let (data, buffer_guard, started_at) = (Bytes::from(data), Arc::new(()), self.now);
+        let request =
+            Request { id, volume: 0, kind, offset, length, durable: false, data, started_at, buffer_guard };
         self.deliver(gateway, vec![Input::Request(request)]);
     }
 
@@ -275,7 +276,7 @@
         let at = self.now;
         let data = |offset, length: u32| {
             let data = Bytes::from(vec![1; length as usize]);
-            Input::FromStore { store, message: FromStore::Data { number, offset, data }, at }
+            Input::FromStore { store, message: FromStore::Data { number, offset, data }, received_at: at }
         };
         let result = |code| {
             let result = AttemptResult {
@@ -288,7 +289,7 @@
                 load_report: Vec::new(),
                 data_ranges: Vec::new(),
             };
-            Input::FromStore { store, message: FromStore::AttemptResult(result), at }
+            Input::FromStore { store, message: FromStore::AttemptResult(result), received_at: at }
         };
         let mut inputs = Vec::new();
         if attempt.kind == OperationKind::Read && fault < 12 {
@@ -298,7 +299,7 @@
                 inputs.push(Input::FromStore {
                     store,
                     message: FromStore::Hole { number, offset: offset + half, length },
-                    at,
+                    received_at: at,
                 });
             }
         }
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 use umbertray_routing::Snapshot;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 
 use crate::format::{FileRecord, StampedSnapshot};
 use crate::stamp::Stamp;
@@ -107,7 +107,7 @@
     StoreRecord { learned: None, ..store.clone() }
 }
 
-fn is_learned_near(one: &LearnedFigures, other: &LearnedFigures) -> bool {
+fn is_learned_near(one: &LearnedValues, other: &LearnedValues) -> bool {
     is_near(one.latency, other.latency, 0.0)
         && is_near(one.concurrency_limit, other.concurrency_limit, 0.0)
         && one.virtual_times == other.virtual_times
--- a/crates/snapshot/src/delta/tests.rs
+++ b/crates/snapshot/src/delta/tests.rs
@@ -21,7 +21,7 @@
             reserved_tokens: value(word >> 12),
         });
     let stores = words.iter().zip(0..).filter(|(word, _)| is_present(&(*word >> 3))).map(|(word, store)| {
-        let learned = LearnedFigures {
+        let learned = LearnedValues {
             latency: value(word >> 16),
             concurrency_limit: value(word >> 20),
             virtual_times: vec![(1, value(word >> 24))],
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use umbertray_routing::Snapshot;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 
 use crate::format::StampedSnapshot;
 use crate::stamp::Stamp;
@@ -29,7 +29,7 @@
     state: u8,
     incarnation: u64,
     _age: Option<u64>,
-    learned: Option<LearnedFigures>,
+    learned: Option<LearnedValues>,
 }
 
 impl From<StoreRecordV1> for StoreRecord {
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Gen, QuickCheck};
 use umbertray_fakes::test_folder::TestFolder;
 use umbertray_routing::Snapshot;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 use umbertray_snapshot::delta::CurrentSnapshot;
 use umbertray_snapshot::folder::SnapshotStore;
 use umbertray_snapshot::format::{self, FileHeader, FileRecord, ParsedFile, StampedSnapshot};
@@ -222,7 +222,7 @@
 /// Later versions of the program must be able to read the recorded files of each format version.
 #[test]
 fn files_of_every_version_are_readable() {
-    let learned = LearnedFigures { latency: 0.25, concurrency_limit: 6.0, virtual_times: vec![(6, 1.5)] };
+    let learned = LearnedValues { latency: 0.25, concurrency_limit: 6.0, virtual_times: vec![(6, 1.5)] };
     let store = |store: u64, address: &str, shard, state, start, learned| {
         let address = address.parse().expect("an address");
         StoreRecord { store, address, shard, zone: 1, state, incarnation: start, learned }
