--- a/crates/cli/src/coordinator.rs
+++ b/crates/cli/src/coordinator.rs
@@ -97,7 +97,7 @@
     output::print_json(&json!({ "keeper": coordinator.address.to_string(), "term": coordinator.term }));
     tokio::select! {
         signal = serve::stop_signal() => signal,
-        ended = coordinator.ended() => Ok(ended?),
+        ended = coordinator.wait_until_ended() => Ok(ended?),
     }
 }
 
--- a/crates/cli/src/measure/testbed.rs
+++ b/crates/cli/src/measure/testbed.rs
@@ -83,7 +83,7 @@
                 Box::new(TimedHandler::new(PassThrough::new(&settings), busy_nanos.clone()))
             }
         };
-        let gateway = umbertray_nbd_gateway::start_hosting(handler, clock, settings, options).await?;
+        let gateway = umbertray_nbd_gateway::start_with_handler(handler, clock, settings, options).await?;
         Ok(MeasuredGateway { gateway, busy_nanos })
     }
 
@@ -144,7 +144,7 @@
         endpoint_list: fleet.list.address,
         coordinator: None,
         seed: SEED,
-        state,
+        state_folder: state,
         changes,
     }
 }
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -47,7 +47,7 @@
     output::print_json(&json!({ "relay": relay.address.to_string(), "name": name }));
     tokio::select! {
         signal = serve::stop_signal() => signal,
-        ended = relay.ended() => Ok(ended?),
+        ended = relay.wait_until_ended() => Ok(ended?),
     }
 }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -33,7 +33,7 @@
     output::print_json(&json!({ "nbd": addresses, "exports": gateway.exports() }));
     tokio::select! {
         signal = stop_signal() => signal?,
-        ended = gateway.ended() => return ended.map_err(CommandError::Ended),
+        ended = gateway.wait_until_ended() => return ended.map_err(CommandError::Ended),
     }
     gateway.stop().await.map_err(CommandError::Ended)
 }
@@ -72,7 +72,7 @@
     /// Uses the shared settings of the change log if the gateway follows one.
     fn new(document: SettingsDocument, changes: Option<ChangeSource>) -> PreparedGateway {
         let settings = match &changes {
-            Some(changes) => changes.at().version.settings(&document.settings),
+            Some(changes) => changes.replica().version.settings(&document.settings),
             None => document.settings,
         };
         let options = GatewayOptions {
@@ -80,7 +80,7 @@
             endpoint_list: document.endpoint_list,
             coordinator: document.coordinator,
             seed: document.seed,
-            state: document.state.map(Into::into),
+            state_folder: document.state.map(Into::into),
             changes,
         };
         PreparedGateway { settings: Arc::new(settings), options }
@@ -97,7 +97,7 @@
     let Some(changes) = open_changes(script.own_part()?).await? else {
         return Ok(PreparedGateway::new(script.complete()?, None));
     };
-    let document = script.with_log(changes.at())?;
+    let document = script.with_log(changes.replica())?;
     Ok(PreparedGateway::new(document, Some(changes)))
 }
 
@@ -182,7 +182,7 @@
                 quorum,
                 seed: own.seed,
                 start_timeout: RELAY_START_TIMEOUT,
-                state,
+                state_folder: state,
             };
             ChangeSource::Relays(Box::new(RelayedChanges::start(relays).await?))
         }
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -60,7 +60,7 @@
         endpoint_list: fleet.list.address,
         coordinator,
         seed,
-        state: None,
+        state_folder: None,
         changes: None,
     };
     umbertray_nbd_gateway::start(Arc::new(document.settings.clone()), options)
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -309,7 +309,7 @@
         endpoint_list: fleet.list.address,
         coordinator: None,
         seed: 1,
-        state: None,
+        state_folder: None,
         changes: None,
     };
     let started = umbertray_nbd_gateway::start(Arc::new(document.settings), options).await;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The reason why it stopped.
-    pub async fn ended(&mut self) -> Result<(), CoordinatorError> {
+    pub async fn wait_until_ended(&mut self) -> Result<(), CoordinatorError> {
         match (&mut self.event_loop).await {
             Ok(result) => result,
             Err(error) => Err(CoordinatorError::EventLoopFailed(error)),
--- a/crates/nbd-gateway/src/changes/log_copy.rs
+++ b/crates/nbd-gateway/src/changes/log_copy.rs
@@ -4,7 +4,7 @@
 
 use umbertray_config_log::log::LogError;
 use umbertray_config_log::{LogCopy, Replica, Update};
-use umbertray_relay::position;
+use umbertray_relay::replica_position;
 use umbertray_snapshot::Disk;
 
 use super::position_recorder::write_position;
@@ -46,7 +46,7 @@
     /// Records the applied version, which is synced when this returns.
     pub(super) fn record_applied(&self, state: &Replica) {
         if let Some(folder) = &self.folder {
-            write_position(folder, position(state));
+            write_position(folder, replica_position(state));
         }
     }
 }
--- a/crates/nbd-gateway/src/changes/mod.rs
+++ b/crates/nbd-gateway/src/changes/mod.rs
@@ -35,10 +35,10 @@
 
 impl ChangeSource {
     /// The configuration state that the gateway starts with.
-    pub fn at(&self) -> &Replica {
+    pub fn replica(&self) -> &Replica {
         match self {
             ChangeSource::Folder { follower, .. } => &follower.replica,
-            ChangeSource::Relays(relayed) => &relayed.at,
+            ChangeSource::Relays(relayed) => &relayed.replica,
         }
     }
 
--- a/crates/nbd-gateway/src/changes/position_recorder.rs
+++ b/crates/nbd-gateway/src/changes/position_recorder.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::watch;
 use umbertray_config_log::{Replica, applied_version};
-use umbertray_relay::position;
+use umbertray_relay::replica_position;
 use umbertray_store_protocol::changes::Position;
 
 /// Records positions in the background. If several positions arrive during a write, only the newest is
@@ -31,7 +31,7 @@
 
     /// Queues the position of a state to be recorded.
     pub(super) fn record(&self, state: &Replica) {
-        self.newest.send_replace(Some(position(state)));
+        self.newest.send_replace(Some(replica_position(state)));
     }
 }
 
--- a/crates/nbd-gateway/src/changes/relayed.rs
+++ b/crates/nbd-gateway/src/changes/relayed.rs
@@ -7,7 +7,7 @@
 use umbertray_config_log::chain::Corruption;
 use umbertray_config_log::follow::AppliedVersion;
 use umbertray_config_log::{Replica, Update, applied_version};
-use umbertray_relay::{ReplicationSource, follow, position};
+use umbertray_relay::{ReplicationSource, follow, replica_position};
 use umbertray_store_protocol::changes::Position;
 use umbertray_store_protocol::volume_id;
 
@@ -37,13 +37,13 @@
     pub start_timeout: Duration,
     /// The gateway's state folder, with the applied version and a copy of the log to start from when no relay
     /// can be reached.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
 }
 
 /// A gateway's position in the change log received from relays.
 pub struct RelayedChanges {
     /// The applied state.
-    pub at: Replica,
+    pub replica: Replica,
     source: ReplicationSource,
     log: DurableLog,
 }
@@ -65,22 +65,26 @@
     /// The configuration is rejected, the applied version cannot be read, or no usable version was received
     /// from the relays in time.
     pub async fn start(relays: RelaySource) -> Result<RelayedChanges, GatewayError> {
-        let RelaySource { name, zone, upstreams, quorum, seed, start_timeout, state: folder } = relays;
-        let applied_position =
-            folder.as_deref().map(applied_version::read).transpose().map_err(GatewayError::AppliedVersion)?;
+        let RelaySource { name, zone, upstreams, quorum, seed, start_timeout, state_folder } = relays;
+        let applied_position = state_folder
+            .as_deref()
+            .map(applied_version::read)
+            .transpose()
+            .map_err(GatewayError::AppliedVersion)?;
         let applied_position = applied_position.flatten().map(|(version, hash)| Position { version, hash });
-        let OpenedLog { mut log, state } = DurableLog::open(folder);
+        let OpenedLog { mut log, state } = DurableLog::open(state_folder);
         // A copy that ends before the applied version is outdated and not used.
         let state = state.filter(|state| {
-            applied_position
-                .is_none_or(|applied| state.version.number > applied.version || position(state) == applied)
+            applied_position.is_none_or(|applied| {
+                state.version.number > applied.version || replica_position(state) == applied
+            })
         });
-        let held_position = state.as_ref().map(position);
+        let held_position = state.as_ref().map(replica_position);
         let relays = upstreams.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ");
         let no_quorum = GatewayError::NoQuorum { quorum, relays, timeout: start_timeout };
         let seed = volume_id(&name) ^ seed;
         let mut source = follow((name, zone), (upstreams, quorum), (held_position, applied_position), seed)?;
-        let at = match state {
+        let replica = match state {
             Some(state) => state,
             None => {
                 let min_version = applied_position.map_or(1, |applied| applied.version);
@@ -91,16 +95,16 @@
                     .ok_or(no_quorum)?
             }
         };
-        log.record_applied(&at);
-        _ = source.applied.send(at.version.number).await;
-        Ok(RelayedChanges { at, source, log })
+        log.record_applied(&replica);
+        _ = source.applied.send(replica.version.number).await;
+        Ok(RelayedChanges { replica, source, log })
     }
 
     /// Applies the updates received from the relays until the event loop ends. Updates are decoded on
     /// blocking threads, and written to the gateway's own copy in the background after they were applied.
     pub(super) async fn follow(self: Box<Self>, publisher: &ChangePublisher) {
         let mut log_limit = LogRateLimit::default();
-        let RelayedChanges { mut at, mut source, log } = *self;
+        let RelayedChanges { mut replica, mut source, log } = *self;
         let writer = LogWriter::start(log, source.applied.clone());
         loop {
             // Cancel safe: updates stay in their channel.
@@ -110,19 +114,19 @@
             };
             let Some(batch) = batch else { return };
             let applying = tokio::task::spawn_blocking(move || {
-                let applied = apply(&mut at, batch);
-                (at, applied)
+                let applied = apply(&mut replica, batch);
+                (replica, applied)
             });
             let Ok((state, applied)) = applying.await else { return };
-            at = state;
+            replica = state;
             if let Some(error) = applied.corruption.filter(|_| log_limit.allow()) {
-                let version = at.version.number;
+                let version = replica.version.number;
                 tracing::error!(%error, version, "change log rejected");
             }
             if let Err(EventLoopEnded) = publisher.publish(applied.versions).await {
                 return;
             }
-            let applied = AppliedUpdates { updates: applied.updates, state: at.clone() };
+            let applied = AppliedUpdates { updates: applied.updates, state: replica.clone() };
             if let Err(WriterEnded) = writer.write(applied).await {
                 return;
             }
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -23,6 +23,6 @@
 
 pub use changes::{ChangeSource, RELAY_START_TIMEOUT, RelaySource, RelayedChanges};
 pub use error::GatewayError;
-pub use running::{GatewayOptions, RunningGateway, start, start_hosting};
+pub use running::{GatewayOptions, RunningGateway, start, start_with_handler};
 pub use umbertray_clock::Clock;
 pub use umbertray_config_log::applied_version::read as read_applied_version;
--- a/crates/nbd-gateway/src/running.rs
+++ b/crates/nbd-gateway/src/running.rs
@@ -32,7 +32,7 @@
     /// gateways may have the same seed.
     pub seed: u64,
     /// Folder for the state that is kept across restarts, if any.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// The change log to follow, if any, read up to the settings that the gateway starts with.
     pub changes: Option<ChangeSource>,
 }
@@ -56,11 +56,11 @@
     /// final reply, or when the longest operation timeout has passed.
     ///
     /// # Errors
-    /// Those of [`RunningGateway::ended`].
+    /// Those of [`RunningGateway::wait_until_ended`].
     pub async fn stop(mut self) -> Result<(), String> {
         _ = self.stop_sender.send(true);
         self.listeners.drain(..).for_each(|task| task.abort());
-        self.ended().await
+        self.wait_until_ended().await
     }
 
     /// Names of the volumes that clients can attach to now.
@@ -74,7 +74,7 @@
             .collect()
     }
 
-    /// Whether [`RunningGateway::ended`] would return at once.
+    /// Whether [`RunningGateway::wait_until_ended`] would return at once.
     pub fn has_ended(&self) -> bool {
         self.event_loop.is_finished()
     }
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// The core cannot continue, or the event loop panicked: the text of a [`GatewayError`].
-    pub async fn ended(&mut self) -> Result<(), String> {
+    pub async fn wait_until_ended(&mut self) -> Result<(), String> {
         let result = (&mut self.event_loop).await.unwrap_or_else(|error| Err(error.into()));
         result.map_err(|error| error.to_string())
     }
@@ -109,14 +109,14 @@
 pub async fn start(settings: Arc<Settings>, options: GatewayOptions) -> io::Result<RunningGateway> {
     let clock = Clock::start();
     let core = Core::new(settings.clone(), options.seed, clock.now());
-    start_hosting(Box::new(core), clock, settings, options).await
+    start_with_handler(Box::new(core), clock, settings, options).await
 }
 
 /// Starts a gateway whose event loop hosts another handler than [`Core`], used as a baseline in measurements.
 ///
 /// # Errors
 /// An address cannot be listened at.
-pub async fn start_hosting(
+pub async fn start_with_handler(
     core: Box<dyn RequestHandler>,
     clock: Clock,
     settings: Arc<Settings>,
@@ -127,7 +127,7 @@
     let run_id = run_id(clock, options.seed);
     let (change_sender, changes) = mpsc::channel(1);
     let snapshots = options
-        .state
+        .state_folder
         .and_then(|folder| snapshot_writer::open(&folder, options.seed, &settings, events.clone()));
     let services =
         ServiceAddresses { endpoint_list: options.endpoint_list, coordinator: options.coordinator };
@@ -135,7 +135,7 @@
     let event_loop = event_loop.with_snapshots(snapshots);
     let current_settings = Arc::new(ArcSwap::new(settings.clone()));
     let (removed_volumes, removed_volumes_receiver) = watch::channel(0);
-    let first_version = options.changes.as_ref().map_or(0, |source| source.at().version.number);
+    let first_version = options.changes.as_ref().map_or(0, |source| source.replica().version.number);
     let (applied_version_sender, applied_version) = watch::channel(first_version);
     let change_follower = options.changes.map(|source| {
         tokio::spawn(source.follow(ChangePublisher {
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -155,20 +155,20 @@
 
 pub(crate) fn relay_source(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> RelaySource {
     let (name, zone, start_timeout) = (name.into(), "z".into(), Duration::from_secs(30));
-    RelaySource { name, zone, upstreams, quorum, seed: 1, start_timeout, state: None }
+    RelaySource { name, zone, upstreams, quorum, seed: 1, start_timeout, state_folder: None }
 }
 
 pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
-    let state = relays.state.clone();
+    let state = relays.state_folder.clone();
     let relayed = RelayedChanges::start(relays).await?;
     let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
-    let settings = relayed.at.version.settings(&document.settings);
+    let settings = relayed.replica.version.settings(&document.settings);
     let options = GatewayOptions {
         listen: vec![any_port()],
         endpoint_list: SocketAddr::from(([127, 0, 0, 1], 1)),
         coordinator: None,
         seed: 1,
-        state,
+        state_folder: state,
         changes: Some(ChangeSource::Relays(Box::new(relayed))),
     };
     Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("the gateway listens"))
--- a/crates/nbd-gateway/tests/relays/faulty_peers.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -176,7 +176,7 @@
     // chained.
     let state = folder.join("trusting");
     let quorum_one_source = |upstreams| umbertray_nbd_gateway::RelaySource {
-        state: Some(state.clone()),
+        state_folder: Some(state.clone()),
         ..relay_source("trusting", upstreams, 1)
     };
     drop(start_gateway(quorum_one_source(vec![upstream_of("h1", &top_relays[0])])).await);
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -98,7 +98,7 @@
         [start_folder_relay("s1", &writer.folder).await, start_folder_relay("s2", &writer.folder).await];
     let state = folder.join("state");
     let with_state = |upstreams| umbertray_nbd_gateway::RelaySource {
-        state: Some(state.clone()),
+        state_folder: Some(state.clone()),
         ..relay_source("sg", upstreams, 2)
     };
     let upstreams = vec![upstream_of("s1", &top_relays[0]), upstream_of("s2", &top_relays[1])];
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// [`RelayError::EventLoopFailed`] if its event loop panicked.
-    pub async fn ended(&mut self) -> Result<(), RelayError> {
+    pub async fn wait_until_ended(&mut self) -> Result<(), RelayError> {
         (&mut self.event_loop).await.map_err(RelayError::EventLoopFailed)
     }
 }
@@ -100,7 +100,7 @@
 }
 
 /// The position in the change log that a replica's state corresponds to.
-pub fn position(state: &Replica) -> Position {
+pub fn replica_position(state: &Replica) -> Position {
     Position { version: state.version.number, hash: state.hash }
 }
 
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -72,7 +72,8 @@
         let (applied, host_counters) = (self.applied.clone(), counters.clone());
         record_applied_version(gateway, change_log::version_of(&settings), &counters, &applied);
         let host = CountingCore { core, gateway, counters: host_counters, applied };
-        let running = umbertray_nbd_gateway::start_hosting(Box::new(host), clock, settings, options).await;
+        let running =
+            umbertray_nbd_gateway::start_with_handler(Box::new(host), clock, settings, options).await;
         let running = running.map_err(|error| FleetError::Start { gateway, error })?;
         self.gateways.insert(gateway, HollowGateway { file, running: Some(running), counters });
         Ok(())
