--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -7,7 +7,7 @@
 use umbertray_config::SettingsDocument;
 use umbertray_coordinator::{CoordinatorOptions, RunningCoordinator, Takeover};
 use umbertray_fakes::fleet::Fleet;
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 use umbertray_nbd_gateway::RunningGateway;
 
 use crate::error::{CommandError, ScriptProblems};
@@ -34,8 +34,8 @@
 
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let document = document(arguments.gateways)?;
-    let power = Power { unit_ms: 1.0, ..Power::default() };
-    let fleet = Fleet::start(arguments.stores, power, 1).await.map_err(CommandError::io("stores"))?;
+    let performance = StorePerformance { unit_ms: 1.0, ..StorePerformance::default() };
+    let fleet = Fleet::start(arguments.stores, performance, 1).await.map_err(CommandError::io("stores"))?;
     let folder = std::env::temp_dir().join(format!("umbertray-demo-{}", std::process::id()));
     let coordinator = start_coordinator(&fleet, folder.clone()).await?;
     let gateways = start_gateways(arguments.gateways, &document, &fleet, &coordinator).await?;
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use serde_json::json;
-use umbertray_fakes::book::Book;
-use umbertray_fakes::list::{self, Listed};
-use umbertray_fakes::model::Power;
+use umbertray_fakes::event_log::EventLog;
+use umbertray_fakes::list::{self, ListEntry};
+use umbertray_fakes::model::StorePerformance;
 use umbertray_fakes::store::{self, Identity};
 use umbertray_store_protocol::list::EndpointState;
 
@@ -45,8 +45,9 @@
 async fn run_list(listen: SocketAddr, stores: Vec<SocketAddr>) -> Result<(), CommandError> {
     let list = list::start(listen).await.map_err(CommandError::io(listen))?;
     for (shard, address) in (0u32..).zip(stores) {
-        let listed = Listed { address, shard, zone: 0, state: EndpointState::Ready, start: 1, started: None };
-        list.list(u64::from(shard) + 1, listed);
+        let listed =
+            ListEntry { address, shard, zone: 0, state: EndpointState::Ready, incarnation: 1, started: None };
+        list.set_entry(u64::from(shard) + 1, listed);
     }
     print_address(list.address);
     serve::stop_signal().await
@@ -56,9 +57,9 @@
     let identity = Identity {
         store: id,
         shard,
-        power: Power::default(),
-        medium: Arc::default(),
-        book: Book::default(),
+        performance: StorePerformance::default(),
+        disk: Arc::default(),
+        event_log: EventLog::default(),
         seed: id,
     };
     let store = store::start(identity, listen, false).await.map_err(CommandError::io(listen))?;
--- a/crates/cli/src/measure/testbed.rs
+++ b/crates/cli/src/measure/testbed.rs
@@ -9,7 +9,7 @@
 use umbertray_config::SettingsDocument;
 use umbertray_fakes::client::Connection;
 use umbertray_fakes::fleet::Fleet;
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 use umbertray_nbd_gateway::{ChangeSource, Clock, GatewayOptions, RunningGateway};
 use umbertray_routing::{Core, RequestHandler, Settings};
 
@@ -118,8 +118,14 @@
 
 /// Starts stores so fast that only the gateway limits the throughput.
 pub(super) async fn start_fleet() -> Result<Fleet, MeasureError> {
-    let power = Power { cores: 16, unit_ms: 0.0005, queue: 100_000, put_off: 0.0, ..Power::default() };
-    Fleet::start(4, power, 1).await.map_err(MeasureError::Stores)
+    let performance = StorePerformance {
+        cores: 16,
+        unit_ms: 0.0005,
+        queue: 100_000,
+        put_off: 0.0,
+        ..StorePerformance::default()
+    };
+    Fleet::start(4, performance, 1).await.map_err(MeasureError::Stores)
 }
 
 /// The demo's settings, with plan rates as high as the stores' capacity, so that plans delay no request.
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use serde_json::json;
-use umbertray_fakes::client::{self, Connection, Ended, Whole};
+use umbertray_fakes::client::{self, CompleteReply, Connection, RequestOutcome};
 use umbertray_nbd::Command as NbdCommand;
 use umbertray_nbd::proto::CMD_FLAG_FUA;
 
@@ -80,7 +80,7 @@
 }
 
 async fn list_exports(address: SocketAddr) -> Result<(), CommandError> {
-    let names = client::names(address).await.map_err(CommandError::io(address))?;
+    let names = client::export_names(address).await.map_err(CommandError::io(address))?;
     output::print_json(&json!({ "exports": names }));
     Ok(())
 }
@@ -152,7 +152,7 @@
 }
 
 /// Returns the reply; fails if there is none or if it is an error.
-fn check_reply(reply: Ended) -> Result<Whole, CommandError> {
+fn check_reply(reply: RequestOutcome) -> Result<CompleteReply, CommandError> {
     let reply = reply.ok_or(CommandError::NoReply)?;
     match reply.error {
         None => Ok(reply),
--- a/crates/cli/tests/platform/bad_peers.rs
+++ b/crates/cli/tests/platform/bad_peers.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-use umbertray_fakes::platform::{Act, Discovery, Seen, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, StoreEvent, ok};
 
 use crate::common::{Node, op, within};
 
 /// Invalid requests, and the status that each gets before its connection is closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_get_error_and_close_and_reach_no_store() {
-    let (node, store, _discovery) = Node::start_with_store(|_| Act::Write(ok("never"))).await;
+    let (node, store, _discovery) = Node::start_with_store(|_| StoreAction::Write(ok("never"))).await;
     let valid = String::from_utf8(op("order", 0, 1, 2000)).expect("text");
     let with = |from: &str, to: &str| {
         assert!(valid.contains(from), "{from}");
@@ -46,7 +46,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn large_body_is_rejected_by_its_head_and_not_read() {
-    let (node, _store, _discovery) = Node::start_with_store(|_| Act::Hold).await;
+    let (node, _store, _discovery) = Node::start_with_store(|_| StoreAction::Hold).await;
     let mut client = node.connect().await;
     let head = String::from_utf8(op("order", 0, 1, 2000))
         .expect("text")
@@ -64,7 +64,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn id_of_open_request_is_rejected_as_duplicate() {
-    let (node, store, _discovery) = Node::start_with_store(|_| Act::Hold).await;
+    let (node, store, _discovery) = Node::start_with_store(|_| StoreAction::Hold).await;
     let mut first = node.connect().await;
     first.write(&op("look", 0, 7, 800)).await;
     within(5, "the first request at the store", store.until(|seen| !seen.is_empty())).await;
@@ -75,7 +75,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn partial_request_and_silence_time_out() {
-    let (node, _store, _discovery) = Node::start_with_store(|_| Act::Hold).await;
+    let (node, _store, _discovery) = Node::start_with_store(|_| StoreAction::Hold).await;
     let (mut partial, mut silent) = (node.connect().await, node.connect().await);
     let bytes = op("order", 0, 1, 2000);
     partial.write(&bytes[..bytes.len() - 2]).await;
@@ -88,7 +88,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections_by_hundreds_leave_capacity_for_clients() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Write(ok("served"))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     let node = Node::start(&discovery, 40).await;
     node.wait_until_ready().await;
@@ -117,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_over_capacity_are_answered_before_the_close() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Hold).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Hold).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     let node = Node::start(&discovery, 40).await;
     node.wait_until_ready().await;
@@ -153,13 +153,14 @@
     ];
     for response in malformed {
         let case = String::from_utf8_lossy(&response[..60.min(response.len())]).into_owned();
-        let (node, store, _discovery) = Node::start_with_store(move |_| Act::Write(response.clone())).await;
+        let (node, store, _discovery) =
+            Node::start_with_store(move |_| StoreAction::Write(response.clone())).await;
         let (status, body) = node.connect().await.request(&op("order", 0, 1, 1000)).await;
         assert_eq!((status, body), (500, String::new()), "{case}");
         within(
             5,
             "the close of its connection",
-            store.until(|seen| seen.contains(&Seen::Closed { connection: 0 })),
+            store.until(|seen| seen.contains(&StoreEvent::Closed { connection: 0 })),
         )
         .await;
         assert_eq!(store.requests().len(), 1, "{case}");
@@ -172,8 +173,10 @@
     let large = "x".repeat(400_000);
     let endless = [&b"HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n"[..], &[b'a'; 100_000]].concat();
     let body = large.clone();
-    let (node, _store, _discovery) =
-        Node::start_with_store(move |n| Act::Write(if n == 50 { endless.clone() } else { ok(&body) })).await;
+    let (node, _store, _discovery) = Node::start_with_store(move |n| {
+        StoreAction::Write(if n == 50 { endless.clone() } else { ok(&body) })
+    })
+    .await;
     let mut client = node.connect().await;
     for n in 0..50 {
         assert_eq!(
@@ -193,15 +196,16 @@
         &ok("second copy"),
     ]
     .concat();
-    let (node, store, _discovery) =
-        Node::start_with_store(move |n| Act::Write(if n == 0 { responses.clone() } else { ok("its own") }))
-            .await;
+    let (node, store, _discovery) = Node::start_with_store(move |n| {
+        StoreAction::Write(if n == 0 { responses.clone() } else { ok("its own") })
+    })
+    .await;
     let mut client = node.connect().await;
     assert_eq!(client.request(&op("order", 0, 1, 2000)).await, (200, "first".into()));
     within(
         5,
         "the close of the connection",
-        store.until(|seen| seen.contains(&Seen::Closed { connection: 0 })),
+        store.until(|seen| seen.contains(&StoreEvent::Closed { connection: 0 })),
     )
     .await;
     assert_eq!(client.request(&op("order", 0, 2, 2000)).await, (200, "its own".into()));
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 
 use crate::common::{Node, op, within};
 
@@ -28,8 +28,8 @@
 /// Number of requests that a store receives directly after a cold restart.
 async fn requests_to_cold_store(offset_seconds: i64, started_before: bool) -> usize {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
-    let other = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Write(ok("served"))).await.expect("loopback");
+    let other = Store::start(|_, _| StoreAction::Write(ok("served"))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     discovery.list("s1", other.address, 1, "ready");
     let list_restarted =
@@ -39,7 +39,8 @@
     }
     let node = Node::start(&discovery, 256).await;
     node.wait_until_ready().await;
-    within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
+    within(5, "the watch", discovery.wait_for_requests(|asked| asked.iter().any(|t| t.contains("watch=1"))))
+        .await;
     if !started_before {
         list_restarted();
         // The next watch event has been applied once its store serves.
--- a/crates/cli/tests/platform/common.rs
+++ b/crates/cli/tests/platform/common.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
-use umbertray_fakes::platform::{Act, Discovery, Store};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction};
 use umbertray_http::Limits;
 use umbertray_http::client::{self, Response, ResponseReader};
 
@@ -92,7 +92,7 @@
 
     /// Starts a gateway and a scripted store, which is the only one of shard 0.
     pub(crate) async fn start_with_store(
-        script: impl Fn(usize) -> Act + Send + Sync + 'static,
+        script: impl Fn(usize) -> StoreAction + Send + Sync + 'static,
     ) -> (Node, Store, Discovery) {
         Node::start_with_store_and_config(config, 256, script).await
     }
@@ -100,7 +100,7 @@
     pub(crate) async fn start_with_store_and_config(
         config: fn(SocketAddr, usize) -> String,
         sockets: usize,
-        script: impl Fn(usize) -> Act + Send + Sync + 'static,
+        script: impl Fn(usize) -> StoreAction + Send + Sync + 'static,
     ) -> (Node, Store, Discovery) {
         let discovery = Discovery::start().await.expect("loopback");
         let store = Store::start(move |n, _| script(n)).await.expect("loopback");
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -6,7 +6,7 @@
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 
 use crate::common::{ClientConnection, Node, config, config_with_long_deadlines, op, within};
 
@@ -82,7 +82,7 @@
     let body = large.clone();
     let (mut node, store, _discovery) =
         Node::start_with_store_and_config(config_with_long_deadlines, 256, move |n| {
-            if n == 0 { Act::Write(ok(&body)) } else { Act::Hold }
+            if n == 0 { StoreAction::Write(ok(&body)) } else { StoreAction::Hold }
         })
         .await;
     let mut clients = Vec::new();
@@ -120,7 +120,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_on_sigterm_are_answered_before_exit() {
     let (mut node, store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Hold).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| StoreAction::Hold).await;
     let mut client = node.connect().await;
     client.write(&[1, 2, 3].map(|n| op("order", 0, n, 20_000)).concat()).await;
     within(5, "the first request at the store", store.until(|seen| !seen.is_empty())).await;
@@ -139,8 +139,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_on_closing_idle_connection_is_ignored_without_reset() {
     let (mut node, store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let mut idle = node.connect().await;
     assert_eq!(idle.request(&op("order", 0, 1, 3000)).await.0, 200);
     node.signal(Signal::SIGTERM);
@@ -153,8 +155,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_idle_too_long_is_closed_without_reset() {
     let (node, store, _discovery) =
-        Node::start_with_store_and_config(config_with_short_idle_timeout, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_short_idle_timeout, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let mut idle = node.connect().await;
     assert_eq!(idle.request(&op("order", 0, 1, 3000)).await.0, 200);
     assert_half_closed(&mut idle, &op("order", 0, 2, 3000)).await;
@@ -167,8 +171,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_begun_late_in_idle_time_has_its_own_timeout() {
     let (node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_short_idle_timeout, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_short_idle_timeout, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let mut client = node.connect().await;
     assert_eq!(client.request(&op("order", 0, 1, 3000)).await.0, 200);
     let bytes = op("order", 0, 2, 3000);
@@ -197,7 +203,7 @@
     // An attempt in which this test itself is delayed proves nothing, and is repeated.
     for _ in 0..3 {
         let (mut node, _store, _discovery) =
-            Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Hold).await;
+            Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| StoreAction::Hold).await;
         let mut partial = node.connect().await;
         node.signal(Signal::SIGTERM);
         wait_for_listener_close(&node).await;
@@ -216,7 +222,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn process_on_sigterm_ends_once_clients_have_closed() {
     let (mut node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Hold).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| StoreAction::Hold).await;
     let mut partial = node.connect().await;
     node.signal(Signal::SIGTERM);
     wait_for_listener_close(&node).await;
@@ -232,7 +238,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn partial_request_over_capacity_gets_503() {
     let (node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 40, |_| Act::Write(ok("served"))).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 40, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let mut partial = node.connect().await;
     assert_eq!(partial.request(&op("order", 0, 1, 3000)).await.0, 200);
     partial.write(&op("order", 0, 2, 3000)[..40]).await;
@@ -251,7 +260,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn client_with_fresh_last_response_is_not_evicted_first() {
     let (node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 40, |_| Act::Write(ok("served"))).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 40, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let mut idle = Vec::new();
     for n in 0..21 {
         let mut client = node.connect().await;
@@ -299,7 +311,7 @@
 }
 
 async fn start_serving_store() -> Store {
-    Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback")
+    Store::start(|_, _| StoreAction::Write(ok("served"))).await.expect("loopback")
 }
 
 /// A proxy to discovery; while it is down its connections are reset and new ones are not forwarded.
--- a/crates/cli/tests/platform/failing_calls.rs
+++ b/crates/cli/tests/platform/failing_calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tokio::task::JoinSet;
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 use umbertray_fakes::shim::{self, CallFaults};
 
 use crate::common::{Node, config, op, within};
@@ -32,7 +32,7 @@
 /// and how many had no response.
 async fn count_responses(faults: CallFaults) -> (u64, u64) {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Write(ok(&"served".repeat(200)))).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Write(ok(&"served".repeat(200)))).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     let node =
         Node::start_with_environment(&config(discovery.address, 256), &faults.environment(&shim_library()))
--- a/crates/cli/tests/platform/reloads.rs
+++ b/crates/cli/tests/platform/reloads.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_fakes::platform::{Act, Discovery, Seen, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, StoreEvent, ok};
 
 use crate::common::{Node, config, op, within};
 
@@ -26,7 +26,7 @@
     moved.list("s0", store.address, 0, "ready");
     std::fs::write(&node.config, config(moved.address)).expect("the test's own file");
     node.signal(Signal::SIGHUP);
-    let watched = moved.until_asked(|asked| asked.iter().any(|target| target.contains("watch=1")));
+    let watched = moved.wait_for_requests(|asked| asked.iter().any(|target| target.contains("watch=1")));
     within(5, "the watch at the new address", watched).await;
     moved
 }
@@ -35,7 +35,7 @@
 /// after 0.9 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_after_reload_uses_deadlines_in_force() {
-    let script = |_| Act::WriteAfter(Duration::from_millis(2300), ok("served"));
+    let script = |_| StoreAction::WriteAfter(Duration::from_millis(2300), ok("served"));
     let (mut node, store, _first) =
         Node::start_with_store_and_config(config_with_short_deadline, 256, script).await;
     let _moved = reload(&node, &store, |discovery| config_with_deadline(6.0, discovery)).await;
@@ -53,7 +53,7 @@
 /// stayed open for the former timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_after_reload_use_idle_timeout_in_force() {
-    let (node, store, _first) = Node::start_with_store(|_| Act::Write(ok("served"))).await;
+    let (node, store, _first) = Node::start_with_store(|_| StoreAction::Write(ok("served"))).await;
     let (mut first, mut second) = (node.connect().await, node.connect().await);
     first.write(&op("order", 0, 1, 3000)).await;
     second.write(&op("look", 0, 2, 2000)).await;
@@ -62,9 +62,9 @@
     }
     let shorter = |discovery| config(discovery, 256).replace(r#""connIdleS":20.0"#, r#""connIdleS":0.6"#);
     let _moved = reload(&node, &store, shorter).await;
-    let all_closed = |seen: &Vec<Seen>| {
+    let all_closed = |seen: &Vec<StoreEvent>| {
         let mut expected = seen.iter().filter_map(|event| match event {
-            Seen::Request { connection, .. } => Some(Seen::Closed { connection: *connection }),
+            StoreEvent::Request { connection, .. } => Some(StoreEvent::Closed { connection: *connection }),
             _ => None,
         });
         expected.all(|close| seen.contains(&close))
@@ -79,7 +79,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reloads_in_a_row_apply_completely_or_not_at_all() {
     const ROUNDS: u64 = 10;
-    let (node, store, first) = Node::start_with_store(|_| Act::Write(ok("served"))).await;
+    let (node, store, first) = Node::start_with_store(|_| StoreAction::Write(ok("served"))).await;
     let invalidate: [fn(String) -> String; 5] = [
         |text| text[..text.len() / 2].to_string(),
         |text| text.replace(r#""connIdleS":20.0"#, r#""connIdleS":"soon""#),
--- a/crates/cli/tests/platform/serving.rs
+++ b/crates/cli/tests/platform/serving.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use umbertray_fakes::platform::{Act, Discovery, Seen, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, StoreEvent, ok};
 
 use crate::common::{Node, op, within};
 
 /// Whether the store has seen this connection close.
-fn is_closed(connection: u64) -> impl Fn(&Vec<Seen>) -> bool {
-    move |seen| seen.contains(&Seen::Closed { connection })
+fn is_closed(connection: u64) -> impl Fn(&Vec<StoreEvent>) -> bool {
+    move |seen| seen.contains(&StoreEvent::Closed { connection })
 }
 
 /// Idle time of a store connection between two requests: more than a sixteenth of the connect timeout.
@@ -16,7 +16,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn ops_after_idle_pauses_reuse_one_store_connection() {
-    let (node, store, _discovery) = Node::start_with_store(|n| Act::Write(ok(&format!("body {n}")))).await;
+    let (node, store, _discovery) =
+        Node::start_with_store(|n| StoreAction::Write(ok(&format!("body {n}")))).await;
     let mut client = node.connect().await;
     for n in 0..20 {
         let op_type = if n % 2 == 0 { "look" } else { "order" };
@@ -37,8 +38,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_connection_closed_after_last_byte_may_have_executed_op() {
-    let (node, store, _discovery) =
-        Node::start_with_store(|n| if n % 2 == 0 { Act::Close } else { Act::Write(ok("served")) }).await;
+    let (node, store, _discovery) = Node::start_with_store(|n| {
+        if n % 2 == 0 { StoreAction::Close } else { StoreAction::Write(ok("served")) }
+    })
+    .await;
     let mut client = node.connect().await;
     assert_eq!(
         client.request(&op("look", 0, 1, 2000)).await,
@@ -57,7 +60,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn store_refusing_connections_never_executed_op() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Hold).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Hold).await.expect("loopback");
     discovery.list("s0", store.address, 0, "ready");
     drop(store);
     let node = Node::start(&discovery, 256).await;
@@ -68,7 +71,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn store_connection_closed_while_idle_is_not_written_to() {
-    let (node, store, _discovery) = Node::start_with_store(|_| Act::WriteAndClose(ok("once"))).await;
+    let (node, store, _discovery) = Node::start_with_store(|_| StoreAction::WriteAndClose(ok("once"))).await;
     let mut client = node.connect().await;
     for n in 0..5 {
         assert_eq!(client.request(&op("order", 0, n, 2000)).await, (200, "once".into()));
@@ -79,7 +82,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn op_past_deadline_is_answered_and_store_connection_closed() {
-    let (node, store, _discovery) = Node::start_with_store(|_| Act::Hold).await;
+    let (node, store, _discovery) = Node::start_with_store(|_| StoreAction::Hold).await;
     let began = Instant::now();
     let (status, _) = node.connect().await.request(&op("look", 0, 1, 400)).await;
     let took = began.elapsed();
@@ -90,9 +93,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn client_that_leaves_while_its_op_waits_cancels_it() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Write(ok("late"))).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Write(ok("late"))).await.expect("loopback");
     discovery.list("s1", store.address, 1, "ready");
-    let other = Store::start(|_, _| Act::Write(ok("here"))).await.expect("loopback");
+    let other = Store::start(|_, _| StoreAction::Write(ok("here"))).await.expect("loopback");
     discovery.list("s0", other.address, 0, "draining");
     let node = Node::start(&discovery, 256).await;
     node.wait_until_ready().await;
@@ -118,7 +121,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_are_answered_in_order() {
-    let (node, _store, _discovery) = Node::start_with_store(|n| Act::Write(ok(&n.to_string()))).await;
+    let (node, _store, _discovery) = Node::start_with_store(|n| StoreAction::Write(ok(&n.to_string()))).await;
     let mut client = node.connect().await;
     let all: Vec<u8> = (0..60).flat_map(|n| op("look", 0, n, 2000)).collect();
     client.write(&all).await;
@@ -130,22 +133,23 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn watch_with_unreadable_event_is_restarted_and_list_kept() {
-    let (node, _store, discovery) = Node::start_with_store(|_| Act::Write(ok("served"))).await;
+    let (node, _store, discovery) = Node::start_with_store(|_| StoreAction::Write(ok("served"))).await;
     let complete_lists = |asked: &Vec<String>| asked.iter().filter(|target| !target.contains('?')).count();
-    within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
-    discovery.say("{\"rev\":9}");
+    within(5, "the watch", discovery.wait_for_requests(|asked| asked.iter().any(|t| t.contains("watch=1"))))
+        .await;
+    discovery.send_line("{\"rev\":9}");
     within(
         5,
         "a new request for the complete list",
-        discovery.until_asked(|asked| complete_lists(asked) == 2),
+        discovery.wait_for_requests(|asked| complete_lists(asked) == 2),
     )
     .await;
     assert_eq!(node.connect().await.request(&op("look", 0, 1, 2000)).await.0, 200);
-    discovery.say(r#"{"rev":0,"all":true,"targets":[]}"#);
+    discovery.send_line(r#"{"rev":0,"all":true,"targets":[]}"#);
     within(
         5,
         "a request for the complete list after an older version",
-        discovery.until_asked(|asked| complete_lists(asked) == 3),
+        discovery.wait_for_requests(|asked| complete_lists(asked) == 3),
     )
     .await;
     assert_eq!(node.connect().await.request(&op("look", 0, 2, 2000)).await.0, 200);
@@ -154,8 +158,8 @@
 /// Connections to a store's former address must not be used: another process may listen there later.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_with_new_address_is_reached_there() {
-    let (node, before, discovery) = Node::start_with_store(|_| Act::Write(ok("before"))).await;
-    let now = Store::start(|_, _| Act::Write(ok("now"))).await.expect("loopback");
+    let (node, before, discovery) = Node::start_with_store(|_| StoreAction::Write(ok("before"))).await;
+    let now = Store::start(|_, _| StoreAction::Write(ok("now"))).await.expect("loopback");
     let mut client = node.connect().await;
     assert_eq!(client.request(&op("look", 0, 0, 2000)).await, (200, "before".into()));
     discovery.list("s0", now.address, 0, "ready");
--- a/crates/cli/tests/platform/signals.rs
+++ b/crates/cli/tests/platform/signals.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use nix::sys::signal::Signal;
-use umbertray_fakes::platform::{Act, Discovery, ok};
+use umbertray_fakes::platform::{Discovery, StoreAction, ok};
 
 use crate::common::{Node, config, config_with_long_deadlines, config_with_subscription, op, within};
 
@@ -25,7 +25,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sigterm_answers_present_and_new_requests_and_exits() {
     let (mut node, store, _discovery) =
-        Node::start_with_store(|_| Act::WriteAfter(Duration::from_millis(300), ok("in the end"))).await;
+        Node::start_with_store(|_| StoreAction::WriteAfter(Duration::from_millis(300), ok("in the end")))
+            .await;
     let (mut in_flight, mut idle) = (node.connect().await, node.connect().await);
     in_flight.write(&op("look", 0, 1, 2000)).await;
     within(5, "the op at the store", store.until(|seen| !seen.is_empty())).await;
@@ -49,7 +50,7 @@
 /// them.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_after_sigterm_are_answered_before_sigkill() {
-    let (mut node, store, _discovery) = Node::start_with_store(|_| Act::Hold).await;
+    let (mut node, store, _discovery) = Node::start_with_store(|_| StoreAction::Hold).await;
     let began = Instant::now();
     node.signal(Signal::SIGTERM);
     let mut clients = Vec::new();
@@ -72,7 +73,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_before_sigterm_with_long_deadlines_are_answered_before_exit() {
     let (mut node, store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Hold).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| StoreAction::Hold).await;
     let mut clients = Vec::new();
     for n in 0..30 {
         let mut client = node.connect().await;
@@ -103,7 +104,8 @@
             .replace(r#""deadlineS":2.0"#, r#""deadlineS":0.6"#)
             .replace(r#""deadlineS":3.0"#, r#""deadlineS":0.6"#)
     };
-    let (mut node, _store, discovery) = Node::start_with_store_and_config(short, 256, |_| Act::Hold).await;
+    let (mut node, _store, discovery) =
+        Node::start_with_store_and_config(short, 256, |_| StoreAction::Hold).await;
     let mut client = node.connect().await;
     node.signal(Signal::SIGSTOP);
     let terminated_at = Instant::now();
@@ -125,8 +127,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_connections_after_sigterm_are_served_at_any_deadline() {
     let (mut node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     node.signal(Signal::SIGTERM);
     wait_until_not_ready(&node).await;
     for n in 0..3 {
@@ -139,7 +143,7 @@
 /// process, the module assumed that their clients had already waited through earlier attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn op_after_sigterm_with_deadline_past_exit_is_served() {
-    let store = |_| Act::WriteAfter(Duration::from_millis(100), ok("served"));
+    let store = |_| StoreAction::WriteAfter(Duration::from_millis(100), ok("served"));
     let (mut node, _store, _discovery) = Node::start_with_store(store).await;
     let mut client = node.connect().await;
     node.signal(Signal::SIGTERM);
@@ -154,8 +158,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_without_request_is_answered_after_listener_closed() {
     let (mut node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     let (mut silent, mut served) = (node.connect().await, node.connect().await);
     assert_eq!(served.request(&op("look", 0, 1, 20_000)).await.0, 200);
     node.signal(Signal::SIGTERM);
@@ -179,10 +185,10 @@
 
 async fn assert_sighup_moves_watch(config: fn(SocketAddr, usize) -> String) {
     let (node, store, first) =
-        Node::start_with_store_and_config(config, 256, |_| Act::Write(ok("served"))).await;
+        Node::start_with_store_and_config(config, 256, |_| StoreAction::Write(ok("served"))).await;
     let second = Discovery::start().await.expect("loopback");
     second.list("s0", store.address, 0, "ready");
-    within(5, "the first watch", first.until_asked(|asked| asked.len() >= 2)).await;
+    within(5, "the first watch", first.wait_for_requests(|asked| asked.len() >= 2)).await;
     std::fs::write(&node.config, "{\"name\":").expect("the test's own file");
     node.signal(Signal::SIGHUP);
     assert_eq!(
@@ -192,8 +198,12 @@
     );
     std::fs::write(&node.config, config(second.address, 256)).expect("the test's own file");
     node.signal(Signal::SIGHUP);
-    within(5, "the second watch", second.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1"))))
-        .await;
+    within(
+        5,
+        "the second watch",
+        second.wait_for_requests(|asked| asked.iter().any(|t| t.contains("watch=1"))),
+    )
+    .await;
     let first_watch_ended = async {
         while first.watches() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/cli/tests/platform/sizes.rs
+++ b/crates/cli/tests/platform/sizes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 
 use crate::common::{Node, config, op, within};
 
@@ -33,7 +33,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn list_of_1024_stores_is_applied_in_full_and_as_one_change() {
     let discovery = Discovery::start().await.expect("loopback");
-    let store = Store::start(|_, _| Act::Write(ok("served"))).await.expect("loopback");
+    let store = Store::start(|_, _| StoreAction::Write(ok("served"))).await.expect("loopback");
     let unused_address = "127.0.0.1:1".parse::<SocketAddr>().expect("an address");
     for shard in 0..STORES {
         discovery.list(&format!("{shard:->1000}"), store.address, shard, "ready");
@@ -48,11 +48,12 @@
             "a store of the complete list"
         );
     }
-    within(5, "the watch", discovery.until_asked(|asked| asked.iter().any(|t| t.contains("watch=1")))).await;
+    within(5, "the watch", discovery.wait_for_requests(|asked| asked.iter().any(|t| t.contains("watch=1"))))
+        .await;
     // All stores change twice, each time in one object: to an address at which no process listens, and back.
     let version = u64::from(STORES);
     for (n, (address, status)) in [(unused_address, 503), (store.address, 200)].into_iter().enumerate() {
-        discovery.say(&change_of_all(version + 1 + n as u64, address));
+        discovery.send_line(&change_of_all(version + 1 + n as u64, address));
         let change_applied = async {
             for id in 0.. {
                 let id = 10_000 * (n as u64 + 1) + id;
@@ -75,7 +76,8 @@
     let mut stores = Vec::new();
     for shard in 0..REACHED {
         let wait = Duration::from_millis(5);
-        let store = Store::start(move |_, _| Act::WriteAfter(wait, ok("served"))).await.expect("loopback");
+        let store =
+            Store::start(move |_, _| StoreAction::WriteAfter(wait, ok("served"))).await.expect("loopback");
         discovery.list(&format!("s{shard}"), store.address, shard, "ready");
         stores.push(store);
     }
--- a/crates/cli/tests/platform/stopped_clients.rs
+++ b/crates/cli/tests/platform/stopped_clients.rs
@@ -6,7 +6,7 @@
 
 use nix::sys::signal::Signal;
 use tokio::task::JoinSet;
-use umbertray_fakes::platform::{Act, ok};
+use umbertray_fakes::platform::{StoreAction, ok};
 
 use crate::common::{ClientConnection, Node, config, config_with_long_deadlines, op, within};
 
@@ -114,7 +114,7 @@
     ] as [fn(SocketAddr, usize) -> String; 4]
     {
         let (node, _store, discovery) =
-            Node::start_with_store_and_config(config, 256, |_| Act::Write(ok("served"))).await;
+            Node::start_with_store_and_config(config, 256, |_| StoreAction::Write(ok("served"))).await;
         let settings = config(discovery.address, 256);
         let deadlines = settings.split(r#""deadlineS":"#).nth(1).unwrap_or_default();
         assert_all_answered_in_time(&node, deadlines.get(..4).unwrap_or_default()).await;
@@ -138,8 +138,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_clients_after_reload_are_answered_within_limit() {
     let (node, _store, discovery) =
-        Node::start_with_store_and_config(config_with_longest_deadline, 256, |_| Act::Write(ok("served")))
-            .await;
+        Node::start_with_store_and_config(config_with_longest_deadline, 256, |_| {
+            StoreAction::Write(ok("served"))
+        })
+        .await;
     std::fs::write(&node.config, config_with_deadline(1.5, discovery.address)).expect("the test's own file");
     node.signal(Signal::SIGHUP);
     assert_all_answered_in_time(&node, "60 s, reloaded with 1.5 s").await;
@@ -150,7 +152,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn client_stopped_behind_open_request_gets_408_after_its_response() {
     let (node, _store, _discovery) =
-        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| Act::Hold).await;
+        Node::start_with_store_and_config(config_with_long_deadlines, 256, |_| StoreAction::Hold).await;
     let mut client = node.connect().await;
     let next = op("order", 0, 2, 2000);
     client.write(&[&op("order", 0, 1, 4000)[..], &next[..next.len() - 2]].concat()).await;
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -6,9 +6,9 @@
 
 use bytes::Bytes;
 use umbertray_config::SettingsDocument;
-use umbertray_fakes::client::{Connection, Ended, Whole};
+use umbertray_fakes::client::{CompleteReply, Connection, RequestOutcome};
 use umbertray_fakes::fleet::Fleet;
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 use umbertray_fakes::test_folder::TestFolder;
 use umbertray_fault_tests::load::{BLOCK, content, mark};
 use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
@@ -36,12 +36,19 @@
     umbertray_config::read("test.star", script).unwrap_or_else(|problems| panic!("{problems:#?}"))
 }
 
-pub(crate) fn fast_power() -> Power {
-    Power { unit_ms: 0.5, cold_from: 0.5, cold_s: 1.0, fall_multiple: 2.0, fall_s: 0.2, ..Power::default() }
+pub(crate) fn fast_performance() -> StorePerformance {
+    StorePerformance {
+        unit_ms: 0.5,
+        cold_from: 0.5,
+        cold_s: 1.0,
+        fall_multiple: 2.0,
+        fall_s: 0.2,
+        ..StorePerformance::default()
+    }
 }
 
 pub(crate) async fn start_fleet(stores: u32) -> Fleet {
-    Fleet::start(stores, fast_power(), 1).await.expect("stores start on loopback")
+    Fleet::start(stores, fast_performance(), 1).await.expect("stores start on loopback")
 }
 
 pub(crate) async fn start_gateway(fleet: &Fleet, seed: u64, document: &SettingsDocument) -> RunningGateway {
@@ -79,7 +86,7 @@
 }
 
 /// The marks that a read found, one for each block.
-pub(crate) fn read_marks(reply: &Ended, block: u64, blocks: u32) -> Vec<Option<u64>> {
+pub(crate) fn read_marks(reply: &RequestOutcome, block: u64, blocks: u32) -> Vec<Option<u64>> {
     let reply = expect_acked(reply);
     let bytes =
         reply.bytes(block * u64::from(BLOCK), blocks * BLOCK).expect("the reply covers its range once");
@@ -87,18 +94,21 @@
 }
 
 /// Returns the reply, which must be a success.
-pub(crate) fn expect_acked(reply: &Ended) -> &Whole {
+pub(crate) fn expect_acked(reply: &RequestOutcome) -> &CompleteReply {
     let reply = reply.as_ref().expect("a reply");
     assert_eq!(reply.error, None);
     reply
 }
 
-pub(crate) fn is_throttled(reply: &Ended) -> bool {
-    matches!(reply, Some(Whole { error: Some((Errno::NoMem, text)), .. }) if text.starts_with("throttled"))
+pub(crate) fn is_throttled(reply: &RequestOutcome) -> bool {
+    matches!(
+        reply,
+        Some(CompleteReply { error: Some((Errno::NoMem, text)), .. }) if text.starts_with("throttled")
+    )
 }
 
 /// Retries until the reply is not throttled, as clients do: a throttled request was not executed.
-pub(crate) async fn retry_throttled(request: impl AsyncFn() -> Ended) -> Ended {
+pub(crate) async fn retry_throttled(request: impl AsyncFn() -> RequestOutcome) -> RequestOutcome {
     let retrying = async {
         loop {
             let reply = request().await;
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -1,7 +1,7 @@
 //! Scripted fault scenarios with gateways in their own processes, judged by the traffic at the sockets.
 
 use crate::common::{assert_mostly_acked, run_fault_scenario};
-use umbertray_fakes::book::Seen;
+use umbertray_fakes::event_log::StoreEvent;
 use umbertray_fault_tests::record::Deed;
 
 async fn assert_scenario_tries_all_rules(name: &str, text: &str, seed: u64) {
@@ -43,10 +43,11 @@
 async fn ranges_migrated_under_load_lose_nothing() {
     let text = include_str!("../../../../days/fences.star");
     let (record, verdict) = run_fault_scenario("fences.star", text, 1).await;
-    let opened = |seen: &Seen| matches!(seen, Seen::Ordered { order, done: true, .. } if order == "open");
-    let stale = |seen: &Seen| matches!(seen, Seen::Answered { code, .. } if code == "Stale");
+    let opened =
+        |seen: &StoreEvent| matches!(seen, StoreEvent::Ordered { order, done: true, .. } if order == "open");
+    let stale = |seen: &StoreEvent| matches!(seen, StoreEvent::Answered { code, .. } if code == "Stale");
     let count =
-        |which: &dyn Fn(&Seen) -> bool| record.stores.iter().filter(|entry| which(&entry.seen)).count();
+        |which: &dyn Fn(&StoreEvent) -> bool| record.stores.iter().filter(|entry| which(&entry.seen)).count();
     assert!(count(&opened) >= 5, "{} moves", count(&opened));
     assert!(count(&stale) >= 5, "{} ops met a range that had moved", count(&stale));
     assert_mostly_acked(&verdict);
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -9,29 +9,29 @@
 };
 use bytes::Bytes;
 use nix::sys::signal::Signal;
-use umbertray_fakes::book::Seen;
 use umbertray_fakes::client::Connection;
+use umbertray_fakes::event_log::StoreEvent;
 use umbertray_fakes::fleet::Fleet;
-use umbertray_fakes::model::{Fault, Power};
+use umbertray_fakes::model::{Fault, StorePerformance};
 use umbertray_fault_tests::process::Gateway;
 use umbertray_nbd::Command;
 use umbertray_store_protocol::list::EndpointState;
 
 fn is_received(work: &'static str) -> impl Fn(&umbertray_fakes::Entry) -> bool {
-    move |entry| matches!(&entry.seen, Seen::Received { work: w, .. } if w == work)
+    move |entry| matches!(&entry.seen, StoreEvent::Received { work: w, .. } if w == work)
 }
 
 /// Matches the receipt of a one-block write with one of these marks, which identify a round of requests.
 fn is_block_write_marked(marks: RangeInclusive<u64>) -> impl Fn(&umbertray_fakes::Entry) -> bool {
     move |entry| {
-        matches!(&entry.seen, Seen::Received { work, length, mark, .. }
+        matches!(&entry.seen, StoreEvent::Received { work, length, mark, .. }
             if work == "Write" && *length == 4 * KIB && marks.contains(mark))
     }
 }
 
 /// Matches the result of an attempt that a store rejected by its fence.
 fn is_fenced(entry: &umbertray_fakes::Entry) -> bool {
-    matches!(&entry.seen, Seen::Answered { code, .. } if code == "Fenced")
+    matches!(&entry.seen, StoreEvent::Answered { code, .. } if code == "Fenced")
 }
 
 /// 1. A store dies in the middle of a read of which the client has received the first chunk.
@@ -41,21 +41,22 @@
     let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
     expect_acked(&within(5, "write", client.write(0, block_contents(7, 0, 64))).await);
-    fleet.get(1).expect("the store runs").die_after_chunks(1);
+    fleet.get(1).expect("the store runs").exit_after_chunks(1);
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
-    within(5, "the death of the store", fleet.book.until(1, |entry| entry.seen == Seen::Down)).await;
+    within(5, "the death of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down))
+        .await;
     let identity = fleet.kill(1).await.expect("it was running");
     fleet.restart(identity).await.expect("it starts again");
     let reply = within(5, "read", read).await.ok().flatten();
     assert_eq!(read_marks(&reply, 0, 64), vec![Some(7); 64]);
     // The second attempt requested only the rest.
-    let entries = fleet.book.entries();
+    let entries = fleet.event_log.entries();
     let reads = entries.iter().filter_map(|entry| match &entry.seen {
-        Seen::Received { work, offset, length, .. } if work == "Read" => Some((*offset, *length)),
+        StoreEvent::Received { work, offset, length, .. } if work == "Read" => Some((*offset, *length)),
         _ => None,
     });
     assert_eq!(reads.collect::<Vec<_>>(), [(0, 256 * KIB), (64 * KIB, 192 * KIB)]);
-    assert_eq!(client.strays(), [""; 0]);
+    assert_eq!(client.unmatched_replies(), [""; 0]);
 }
 
 /// 1, without a successor: there is still exactly one final reply, in time.
@@ -65,11 +66,12 @@
     let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
     expect_acked(&within(5, "write", client.write(0, block_contents(7, 0, 64))).await);
-    fleet.get(1).expect("the store runs").die_after_chunks(1);
+    fleet.get(1).expect("the store runs").exit_after_chunks(1);
     let sent_at = Instant::now();
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
-    within(5, "the death of the store", fleet.book.until(1, |entry| entry.seen == Seen::Down)).await;
-    fleet.list.state(1, EndpointState::Gone);
+    within(5, "the death of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down))
+        .await;
+    fleet.list.set_state(1, EndpointState::Gone);
     fleet.kill(1).await;
     let reply = within(4, "a reply", read).await.ok().flatten();
     assert!(is_throttled(&reply), "{reply:?}");
@@ -105,8 +107,8 @@
             })
             .collect();
         let of_this_round = is_block_write_marked(first_mark..=first_mark + 99);
-        within(5, "a write of the round at a store", fleet.book.until(1, of_this_round)).await;
-        leaving.cut();
+        within(5, "a write of the round at a store", fleet.event_log.until(1, of_this_round)).await;
+        leaving.abort();
         drop((reading, writes));
         let found = within(5, "the read of the remaining client", staying.read(0, 256 * KIB)).await;
         assert_eq!(read_marks(&found, 0, 64), vec![Some(3); 64]);
@@ -131,7 +133,7 @@
         // The final reply to a write is due after 1.0 s less the gateway's margin: the race is around that
         // time.
         let delay = Duration::from_millis(948 + 4 * u64::from(round));
-        fleet.fault(1, Fault { sits: delay, ..Fault::default() });
+        fleet.set_fault(1, Fault { write_delay: delay, ..Fault::default() });
         let writes: Vec<_> = (0..6u64)
             .map(|block| {
                 let mark = u64::from(round) * 10 + block + 10;
@@ -146,7 +148,7 @@
         for (block, mark, write) in writes {
             ended.push((block, mark, within(3, "a final reply", write).await.ok().flatten()));
         }
-        fleet.fault(1, Fault::default());
+        fleet.set_fault(1, Fault::default());
         for (block, written, reply) in ended {
             let found =
                 read_marks(&retry_throttled(async || client.read(block * 4096, 4096).await).await, block, 1)
@@ -164,7 +166,7 @@
         abandoned > 0 && mark > 1,
         "both outcomes occurred: {abandoned} abandoned, last acked mark {mark}"
     );
-    assert_eq!(client.strays(), [""; 0]);
+    assert_eq!(client.unmatched_replies(), [""; 0]);
 }
 
 /// 4. A store dies while the outcome of a write is unknown; the reply to the client is true at the successor.
@@ -174,9 +176,9 @@
     let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
     expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
-    fleet.fault(1, Fault { sits: Duration::from_millis(300), ..Fault::default() });
+    fleet.set_fault(1, Fault { write_delay: Duration::from_millis(300), ..Fault::default() });
     let write = client.send(Command::Write, 0, 0, 4096, block_contents(2, 0, 1));
-    within(5, "the write at the store", fleet.book.until(2, is_received("Write"))).await;
+    within(5, "the write at the store", fleet.event_log.until(2, is_received("Write"))).await;
     let identity = fleet.kill(1).await.expect("it was running");
     fleet.restart(identity).await.expect("it starts again");
     let reply = within(2, "a final reply", write).await.ok().flatten();
@@ -196,13 +198,13 @@
     );
     let (one, other) = (connect(&first).await, connect(&second).await);
     expect_acked(&within(5, "write", one.write(0, block_contents(1, 0, 1))).await);
-    fleet.fault(1, Fault { sits: Duration::from_millis(1300), ..Fault::default() });
+    fleet.set_fault(1, Fault { write_delay: Duration::from_millis(1300), ..Fault::default() });
     let late = within(3, "a final reply", one.write(0, block_contents(2, 0, 1))).await;
     assert!(is_throttled(&late), "{late:?}");
-    fleet.fault(1, Fault::default());
+    fleet.set_fault(1, Fault::default());
     expect_acked(&retry_throttled(async || other.write(0, block_contents(3, 0, 1)).await).await);
     // The store now processes the late write, and reports its result.
-    within(3, "the result of the late write", fleet.book.until(1, is_fenced)).await;
+    within(3, "the result of the late write", fleet.event_log.until(1, is_fenced)).await;
     for client in [&one, &other] {
         assert_eq!(read_marks(&retry_throttled(async || client.read(0, 4096).await).await, 0, 1), [Some(3)]);
     }
@@ -235,7 +237,7 @@
         assert!(reply.error.is_none() || is_throttled(&Some(reply)));
         ended += 1;
     }
-    assert_eq!((ended, client.strays()), (200, Vec::new()));
+    assert_eq!((ended, client.unmatched_replies()), (200, Vec::new()));
     expect_acked(&retry_throttled(async || client.write(0, block_contents(9, 0, 1)).await).await);
     let (took, exited_well) = gateway.stop(Duration::from_secs(5)).await.expect("it ends");
     assert!(exited_well && took < Duration::from_secs(4), "SIGTERM to exit: {took:?}");
@@ -262,7 +264,7 @@
         let first_mark = 1000 * incarnation + 1;
         let requests = flood(first_mark);
         let of_this_incarnation = is_block_write_marked(first_mark..=first_mark + 299);
-        within(5, "load", fleet.book.until(5, of_this_incarnation)).await;
+        within(5, "load", fleet.event_log.until(5, of_this_incarnation)).await;
         gateway.kill().await.expect("the test's own child process");
         for request in requests {
             within(5, "the end of each request", request).await.ok();
@@ -296,14 +298,14 @@
         }
     }
     assert!(served > 100, "cold stores are used: {served} of 2000");
-    assert!(!fleet.book.entries().iter().any(|entry| entry.seen == Seen::Fell));
+    assert!(!fleet.event_log.entries().iter().any(|entry| entry.seen == StoreEvent::Fell));
 }
 
 /// 9. Two seconds of overload, then one quiet client. Guards against throttling this client forever: ops that
 /// yield were sent only to stores with fast recent replies, and a store that gets no requests has none.
 #[tokio::test(flavor = "multi_thread")]
 async fn quiet_client_after_flood_is_served_again() {
-    let fleet = Fleet::start(4, Power::default(), 1).await.expect("stores start on loopback");
+    let fleet = Fleet::start(4, StorePerformance::default(), 1).await.expect("stores start on loopback");
     let script = include_str!("../../src/demo.star").replace("rate = 300", "rate = 2000");
     let document = umbertray_config::read("demo.star", script.replace("rate = 600", "rate = 2000"));
     let gateway = start_gateway(&fleet, 1, &document.expect("the demo's settings hold")).await;
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_fakes::book::Seen;
 use umbertray_fakes::client::Connection;
+use umbertray_fakes::event_log::StoreEvent;
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Fault;
 use umbertray_fault_tests::coordinator::CoordinatorProcess;
@@ -45,8 +45,8 @@
 /// The shards whose stores hold data of the first extent.
 fn shards_with_data(fleet: &Fleet) -> Vec<u32> {
     let holds = |shard: &u32| {
-        let store = fleet.get(fleet.of_shard(*shard).expect("a store")).expect("it runs");
-        store.identity().medium.lock().expect("not poisoned").holds(&extents(0, 1)) > 0
+        let store = fleet.get(fleet.store_of_shard(*shard).expect("a store")).expect("it runs");
+        store.identity().disk.lock().expect("not poisoned").held_bytes(&extents(0, 1)) > 0
     };
     (0..2).filter(holds).collect()
 }
@@ -68,12 +68,12 @@
 }
 
 fn executed_count(fleet: &Fleet) -> usize {
-    fleet.book.entries().iter().filter(|entry| matches!(entry.seen, Seen::Ran { .. })).count()
+    fleet.event_log.entries().iter().filter(|entry| matches!(entry.seen, StoreEvent::Ran { .. })).count()
 }
 
 fn stale_count(fleet: &Fleet) -> usize {
-    let is_stale = |seen: &Seen| matches!(seen, Seen::Answered { code, .. } if code == "Stale");
-    fleet.book.entries().iter().filter(|entry| is_stale(&entry.seen)).count()
+    let is_stale = |seen: &StoreEvent| matches!(seen, StoreEvent::Answered { code, .. } if code == "Stale");
+    fleet.event_log.entries().iter().filter(|entry| is_stale(&entry.seen)).count()
 }
 
 /// A gateway that was not notified of a move learns of it from its next op, which is sent on to the target;
@@ -120,21 +120,21 @@
     let client = connect(&gateway).await;
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     let source = shards_with_data(&fleet)[0];
-    let store = fleet.of_shard(source).expect("a store");
-    fleet.fault(store, Fault { lost: 1.0, ..Fault::default() });
+    let store = fleet.store_of_shard(source).expect("a store");
+    fleet.set_fault(store, Fault { lost: 1.0, ..Fault::default() });
     let before = executed_count(&fleet);
     let write = client.send(umbertray_nbd::Command::Write, 0, 0, 4096, block_contents(2, 0, 1));
     let count = before + 1;
     within(
         3,
         "the execution of the op",
-        fleet.book.until(count, |entry| matches!(entry.seen, Seen::Ran { .. })),
+        fleet.event_log.until(count, |entry| matches!(entry.seen, StoreEvent::Ran { .. })),
     )
     .await;
     move_first_extent(&coordinator, 1 - source).await;
     // The connection breaks: the gateway retries at the source, and is redirected to the target.
-    fleet.fault(store, Fault::default());
-    fleet.get(store).expect("it runs").cut_links();
+    fleet.set_fault(store, Fault::default());
+    fleet.get(store).expect("it runs").close_connections();
     let outcome = within(9, "a reply", write).await.ok().flatten();
     expect_acked(&outcome);
     assert_eq!(executed_count(&fleet), before + 1, "the record of the executed op was moved with its extent");
@@ -184,9 +184,10 @@
         let number =
             coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("it can be moved");
         // In each round, a different order of the move is the last one before the kill.
-        let orders = fleet.book.entries().iter().filter(|e| matches!(e.seen, Seen::Ordered { .. })).count();
+        let orders =
+            fleet.event_log.entries().iter().filter(|e| matches!(e.seen, StoreEvent::Ordered { .. })).count();
         let last = orders + 1 + round as usize % 9;
-        let ordered = fleet.book.until(last, |entry| matches!(entry.seen, Seen::Ordered { .. }));
+        let ordered = fleet.event_log.until(last, |entry| matches!(entry.seen, StoreEvent::Ordered { .. }));
         let write = retry_throttled(async || client.write(0, block_contents(10 + round, 0, 2)).await);
         let (_, outcome) = tokio::join!(tokio::time::timeout(Duration::from_millis(300), ordered), write);
         expect_acked(&outcome);
@@ -240,17 +241,18 @@
     expect_acked(&retry_throttled(async || first.write(0, block_contents(1, 0, 8)).await).await);
     let source = shards_with_data(&fleet)[0];
     // The store has received all writes when their gateway is stopped: none is still in the client's socket.
-    let (store, delay) = (fleet.of_shard(source).expect("a store"), Duration::from_millis(400));
-    fleet.fault(store, Fault { sits: delay, ..Fault::default() });
+    let (store, delay) = (fleet.store_of_shard(source).expect("a store"), Duration::from_millis(400));
+    fleet.set_fault(store, Fault { write_delay: delay, ..Fault::default() });
     let stalled_writes: Vec<_> = (0..4)
         .map(|block| {
             first.send(umbertray_nbd::Command::Write, 0, block * 4096, 4096, block_contents(2, block, 1))
         })
         .collect();
-    let is_received = |entry: &umbertray_fakes::Entry| matches!(entry.seen, Seen::Received { mark: 2, .. });
-    within(3, "all writes at the store", fleet.book.until(4, is_received)).await;
+    let is_received =
+        |entry: &umbertray_fakes::Entry| matches!(entry.seen, StoreEvent::Received { mark: 2, .. });
+    within(3, "all writes at the store", fleet.event_log.until(4, is_received)).await;
     stalled.signal(Signal::SIGSTOP).expect("it is running");
-    fleet.fault(store, Fault::default());
+    fleet.set_fault(store, Fault::default());
     move_first_extent(&coordinator, 1 - source).await;
     // Past the op timeout of the writes in flight.
     tokio::time::sleep(Duration::from_millis(1300)).await;
@@ -274,11 +276,12 @@
     let folder = empty_folder("moves-unreached");
     let (mut fleet, coordinator, _gateway, client) = start_with_data(&folder, 4).await;
     let source = shards_with_data(&fleet)[0];
-    let identity = fleet.kill(fleet.of_shard(source).expect("a store")).await.expect("it ran");
+    let identity = fleet.kill(fleet.store_of_shard(source).expect("a store")).await.expect("it ran");
     let number =
         coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("the move is accepted");
-    let prepared =
-        fleet.book.until(1, |entry| matches!(&entry.seen, Seen::Ordered { order, .. } if order == "prepare"));
+    let prepared = fleet
+        .event_log
+        .until(1, |entry| matches!(&entry.seen, StoreEvent::Ordered { order, .. } if order == "prepare"));
     within(5, "the target is prepared", prepared).await;
     let (state, is_finished) = coordinator.how_far(number, true).await.expect("a response");
     assert!(!is_finished, "{state}: the source may still have received the order");
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbertray_fakes::client::{Connection, Whole};
+use umbertray_fakes::client::{CompleteReply, Connection};
 use umbertray_fakes::model::Fault;
 use umbertray_nbd::client::Negotiation;
 use umbertray_nbd::proto::{CMD_FLAG_DF, CMD_FLAG_FUA, put_request};
@@ -139,7 +139,7 @@
             [Some(0), Some(5)]
         );
     }
-    let send = async |command, flags, offset, length| -> Whole {
+    let send = async |command, flags, offset, length| -> CompleteReply {
         let sent = client.send(command, flags, offset, length, Bytes::new());
         expect_acked(&within(5, "a reply", sent).await.ok().flatten()).clone()
     };
@@ -178,7 +178,7 @@
             assert_eq!(found, [Some(1000 + extent), Some(2000 + extent)]);
         }
     }
-    assert_eq!(fleet.list.places(), 30);
+    assert_eq!(fleet.list.assigned_extents(), 30);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -194,7 +194,7 @@
         Fault { lost: 1.0, ..Fault::default() },
     ];
     for fault in faults {
-        fleet.fault(1, fault.clone());
+        fleet.set_fault(1, fault.clone());
         let requests: Vec<_> = (0..10u64)
             .map(|n| client.send(Command::Write, 0, n * 4096, 4096, block_contents(n + 2, n, 1)))
             .collect();
@@ -202,11 +202,11 @@
             let reply = within(3, "a final reply", request).await.ok().flatten();
             assert!(is_throttled(&reply), "{fault:?}: {reply:?}");
         }
-        fleet.fault(1, Fault::default());
+        fleet.set_fault(1, Fault::default());
         let recovered = async { while is_throttled(&client.write(0, block_contents(1, 0, 1)).await) {} };
         within(5, "recovery of service", recovered).await;
     }
-    assert_eq!(client.strays(), [""; 0]);
+    assert_eq!(client.unmatched_replies(), [""; 0]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -215,17 +215,17 @@
     let gateway = start_gateway(&fleet, 1, &settings_document("")).await;
     let client = connect(&gateway).await;
     expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
-    fleet.list.fail(true);
+    fleet.list.set_failing(true);
     expect_acked(&within(5, "a known extent", client.write(4096, block_contents(2, 1, 1))).await);
     let unknown = within(3, "an unknown extent", client.write(8 << 20, block_contents(3, 2048, 1))).await;
     assert!(is_throttled(&unknown), "{unknown:?}");
-    fleet.list.fail(false);
+    fleet.list.set_failing(false);
     expect_acked(&retry_throttled(async || client.write(8 << 20, block_contents(3, 2048, 1)).await).await);
 }
 
 /// Whether the gateway rejected the request because it had no capacity; otherwise the request was queued.
-fn is_out_of_capacity(ended: &Option<Whole>) -> bool {
-    matches!(ended, Some(Whole { error: Some((_, text)), .. }) if text.ends_with("no_room"))
+fn is_out_of_capacity(ended: &Option<CompleteReply>) -> bool {
+    matches!(ended, Some(CompleteReply { error: Some((_, text)), .. }) if text.ends_with("no_room"))
 }
 
 /// While stores do not reply, one volume's requests fill the shared capacity and that volume's share; the
@@ -241,7 +241,7 @@
     let good = connect(&gateway).await;
     expect_acked(&retry_throttled(async || good.write(0, block_contents(1, 0, 64)).await).await);
     expect_acked(&retry_throttled(async || other.write(0, block_contents(2, 0, 16)).await).await);
-    fleet.fault(1, Fault { mute: true, ..Fault::default() });
+    fleet.set_fault(1, Fault { mute: true, ..Fault::default() });
     let mut flood = Vec::new();
     for _ in 0..12 {
         let (mut stream, ..) = open_raw_session(&gateway).await;
@@ -262,10 +262,10 @@
         assert!(ended.is_some() && !is_out_of_capacity(&ended), "{ended:?}");
     }
     drop(flood);
-    fleet.fault(1, Fault::default());
+    fleet.set_fault(1, Fault::default());
     expect_acked(&retry_throttled(async || good.write(0, block_contents(99, 0, 64)).await).await);
     expect_acked(&retry_throttled(async || other.write(0, block_contents(98, 0, 16)).await).await);
-    assert_eq!((good.strays(), other.strays()), (vec![], vec![]));
+    assert_eq!((good.unmatched_replies(), other.unmatched_replies()), (vec![], vec![]));
 }
 
 /// Guards against long waits for stopped clients: with long op timeouts, the gateway waited that long for a
--- a/crates/fakes/src/client/mod.rs
+++ b/crates/fakes/src/client/mod.rs
@@ -16,7 +16,7 @@
 use umbertray_nbd::client::Negotiation;
 use umbertray_nbd::{Client, ClientEvent, Command, Export, Request};
 
-pub use self::reply::{Ended, Whole};
+pub use self::reply::{CompleteReply, RequestOutcome};
 use self::reply::{SharedRequests, lock};
 
 /// Buffer space reserved for each read from the socket, in bytes.
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// Fails when the connection fails, the negotiation is malformed, or the server does not list its exports.
-pub async fn names(address: SocketAddr) -> io::Result<Vec<String>> {
+pub async fn export_names(address: SocketAddr) -> io::Result<Vec<String>> {
     match negotiate(address, Negotiation::List).await?.3 {
         ClientEvent::Names(names) => Ok(names),
         _ => Err(io::Error::other("the server did not list its exports")),
@@ -109,7 +109,7 @@
         offset: u64,
         length: u32,
         payload: Bytes,
-    ) -> oneshot::Receiver<Ended> {
+    ) -> oneshot::Receiver<RequestOutcome> {
         let cookie = self.next_cookie.fetch_add(1, Ordering::Relaxed);
         let (sender, ended) = oneshot::channel();
         if lock(&self.pending).add(cookie, sender) {
@@ -119,27 +119,27 @@
     }
 
     /// Reads `length` bytes at `offset`.
-    pub async fn read(&self, offset: u64, length: u32) -> Ended {
+    pub async fn read(&self, offset: u64, length: u32) -> RequestOutcome {
         self.send(Command::Read, 0, offset, length, Bytes::new()).await.ok().flatten()
     }
 
     /// Writes `data` at `offset`.
-    pub async fn write(&self, offset: u64, data: Bytes) -> Ended {
+    pub async fn write(&self, offset: u64, data: Bytes) -> RequestOutcome {
         self.send(Command::Write, 0, offset, data.len() as u32, data).await.ok().flatten()
     }
 
     /// Flushes all acknowledged writes.
-    pub async fn flush(&self) -> Ended {
+    pub async fn flush(&self) -> RequestOutcome {
         self.send(Command::Flush, 0, 0, 0, Bytes::new()).await.ok().flatten()
     }
 
     /// Messages about replies that matched no pending request, such as duplicates, and about malformed data.
-    pub fn strays(&self) -> Vec<String> {
+    pub fn unmatched_replies(&self) -> Vec<String> {
         lock(&self.pending).unmatched_replies().to_vec()
     }
 
     /// Closes the connection without a disconnect request. Every pending request ends without a reply.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         self.tasks.iter().for_each(JoinHandle::abort);
         lock(&self.pending).close();
     }
--- a/crates/fakes/src/client/reply.rs
+++ b/crates/fakes/src/client/reply.rs
@@ -12,7 +12,7 @@
 
 /// A complete reply, assembled from all its chunks.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Whole {
+pub struct CompleteReply {
     /// Error that the server reported, with its message; a simple reply has none.
     pub error: Option<(Errno, String)>,
     /// Data of a read, with the offset of each part. The offset is [`u64::MAX`] for data of a simple reply,
@@ -26,7 +26,7 @@
     pub chunks: u32,
 }
 
-impl Whole {
+impl CompleteReply {
     /// A read's data in one buffer, with zeros in place of holes. `None` if parts are missing or overlap, so
     /// that their lengths do not add up to `length`, or if one lies outside the range.
     pub fn bytes(&self, offset: u64, length: u32) -> Option<Vec<u8>> {
@@ -44,12 +44,12 @@
 }
 
 /// How a request ended: with its complete reply, or `None` because the connection ended first.
-pub type Ended = Option<Whole>;
+pub type RequestOutcome = Option<CompleteReply>;
 
 /// A request whose reply is not complete yet.
 struct PendingRequest {
-    reply: Whole,
-    sender: oneshot::Sender<Ended>,
+    reply: CompleteReply,
+    sender: oneshot::Sender<RequestOutcome>,
 }
 
 /// The pending requests of a connection.
@@ -70,12 +70,12 @@
 impl PendingRequests {
     /// Adds a request, and returns whether it is to be sent. Once the connection has ended it is not:
     /// `sender` receives `None` immediately.
-    pub(super) fn add(&mut self, cookie: u64, sender: oneshot::Sender<Ended>) -> bool {
+    pub(super) fn add(&mut self, cookie: u64, sender: oneshot::Sender<RequestOutcome>) -> bool {
         if self.is_closed {
             _ = sender.send(None);
             return false;
         }
-        self.by_cookie.insert(cookie, PendingRequest { reply: Whole::default(), sender });
+        self.by_cookie.insert(cookie, PendingRequest { reply: CompleteReply::default(), sender });
         true
     }
 
@@ -118,7 +118,7 @@
     }
 }
 
-impl Whole {
+impl CompleteReply {
     fn add(&mut self, reply: Reply) {
         self.chunks += 1;
         match reply {
--- a/crates/fakes/src/disk/moves.rs
+++ b/crates/fakes/src/disk/moves.rs
@@ -50,7 +50,7 @@
     }
 
     /// Number of bytes that this disk holds of a range, counted in full pages.
-    pub fn holds(&self, range: &ExtentRange) -> usize {
+    pub fn held_bytes(&self, range: &ExtentRange) -> usize {
         let held = self.pages.iter().filter(|((volume, extent), _)| range.contains(*volume, *extent));
         held.map(|(_, pages)| pages.len() * PAGE_BYTES).sum()
     }
--- a/crates/fakes/src/book.rs
+++ b/crates/fakes/src/event_log.rs
@@ -15,12 +15,12 @@
     /// Id of the store at which it happened.
     pub store: u64,
     /// What happened.
-    pub seen: Seen,
+    pub seen: StoreEvent,
 }
 
 /// An event at a store. The names of its variants and fields are part of the recorded JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum StoreEvent {
     /// The store started to serve.
     Up {
         /// Units of work that it serves in a second when warm.
@@ -87,19 +87,19 @@
 
 /// A record of events. All clones of it share the same entries.
 #[derive(Clone)]
-pub struct Book {
+pub struct EventLog {
     started_at: Instant,
     entries: Arc<Mutex<Vec<Entry>>>,
     entry_added: Arc<Notify>,
 }
 
-impl Default for Book {
-    fn default() -> Book {
-        Book { started_at: Instant::now(), entries: Arc::default(), entry_added: Arc::default() }
+impl Default for EventLog {
+    fn default() -> EventLog {
+        EventLog { started_at: Instant::now(), entries: Arc::default(), entry_added: Arc::default() }
     }
 }
 
-impl Book {
+impl EventLog {
     /// Microseconds since the record was started.
     pub fn now(&self) -> u64 {
         self.started_at.elapsed().as_micros() as u64
@@ -116,7 +116,7 @@
     }
 
     /// Appends an event of a store with the current time.
-    pub fn write(&self, store: u64, seen: Seen) {
+    pub fn record(&self, store: u64, seen: StoreEvent) {
         let at = self.now();
         if let Ok(mut entries) = self.entries.lock() {
             entries.push(Entry { at, store, seen });
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -7,10 +7,10 @@
 
 use umbertray_store_protocol::list::EndpointState;
 
-use crate::book::Book;
 use crate::disk::InMemoryDisk;
-use crate::list::{self, Listed};
-use crate::model::{Fault, Power};
+use crate::event_log::EventLog;
+use crate::list::{self, ListEntry};
+use crate::model::{Fault, StorePerformance};
 use crate::store::{self, Identity};
 
 /// A loopback address with port 0, for which the system chooses a free port.
@@ -23,9 +23,9 @@
     /// The list service.
     pub list: list::Running,
     /// Record of the events at all stores.
-    pub book: Book,
+    pub event_log: EventLog,
     disks: Vec<Arc<Mutex<InMemoryDisk>>>,
-    power: Power,
+    performance: StorePerformance,
     stores: BTreeMap<u64, store::Running>,
     /// The last address of each store.
     addresses: BTreeMap<u64, SocketAddr>,
@@ -38,12 +38,12 @@
     ///
     /// # Errors
     /// Fails when no port can be bound.
-    pub async fn start(count: u32, power: Power, seed: u64) -> io::Result<Fleet> {
+    pub async fn start(count: u32, performance: StorePerformance, seed: u64) -> io::Result<Fleet> {
         let mut fleet = Fleet {
             list: list::start(any_port()).await?,
-            book: Book::default(),
+            event_log: EventLog::default(),
             disks: (0..count).map(|_| Arc::default()).collect(),
-            power,
+            performance,
             stores: BTreeMap::new(),
             addresses: BTreeMap::new(),
             next_id: 1,
@@ -68,24 +68,24 @@
         let identity = Identity {
             store: id,
             shard,
-            power: self.power.clone(),
-            medium: self.disks[shard as usize].clone(),
-            book: self.book.clone(),
+            performance: self.performance.clone(),
+            disk: self.disks[shard as usize].clone(),
+            event_log: self.event_log.clone(),
             seed: self.seed,
         };
         let running = store::start(identity, any_port(), cold).await?;
         let started = cold.then(std::time::Instant::now);
-        let listed = Listed {
+        let listed = ListEntry {
             address: running.address,
             shard,
             zone: 0,
             state: EndpointState::Ready,
-            start: 1,
+            incarnation: 1,
             started,
         };
         self.addresses.insert(id, running.address);
         self.stores.insert(id, running);
-        self.list.list(id, listed);
+        self.list.set_entry(id, listed);
         Ok(id)
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The store that serves a shard; if there are several, the latest one, which has the highest id.
-    pub fn of_shard(&self, shard: u32) -> Option<u64> {
+    pub fn store_of_shard(&self, shard: u32) -> Option<u64> {
         self.stores.iter().rev().find(|(_, running)| running.identity().shard == shard).map(|(id, _)| *id)
     }
 
@@ -138,9 +138,9 @@
     }
 
     /// Replaces the injected faults of a store.
-    pub fn fault(&self, id: u64, fault: Fault) {
+    pub fn set_fault(&self, id: u64, fault: Fault) {
         if let Some(running) = self.stores.get(&id) {
-            running.fault(fault);
+            running.set_fault(fault);
         }
     }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! No product package uses them. They listen and connect on loopback only.
 
-pub mod book;
 pub mod client;
 pub mod disk;
+pub mod event_log;
 pub mod fleet;
 pub mod list;
 pub mod model;
@@ -16,4 +16,4 @@
 pub mod test_folder;
 pub mod traffic;
 
-pub use book::{Book, Entry};
+pub use event_log::{Entry, EventLog};
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -6,7 +6,7 @@
 
 use umbertray_store_protocol::list::{FromList, ListedStore, Location, ToList};
 
-use super::Listed;
+use super::ListEntry;
 
 /// Locks the directory, even if a thread has panicked while it held the lock.
 pub(super) fn lock(directory: &Mutex<Directory>) -> MutexGuard<'_, Directory> {
@@ -15,7 +15,7 @@
 
 #[derive(Default)]
 pub(super) struct Directory {
-    pub(super) stores: BTreeMap<u64, Listed>,
+    pub(super) stores: BTreeMap<u64, ListEntry>,
     /// The shard of each extent, by volume and extent.
     extent_shards: HashMap<(u64, u64), u32>,
     /// The shards that hold extents of each volume.
@@ -27,14 +27,14 @@
 }
 
 /// A store's entry as it is sent to clients.
-pub(super) fn published_entry(store: u64, listed: &Listed) -> ListedStore {
+pub(super) fn published_entry(store: u64, listed: &ListEntry) -> ListedStore {
     ListedStore {
         store,
         address: listed.address,
         shard: listed.shard,
         zone: listed.zone,
         state: listed.state,
-        incarnation: listed.start,
+        incarnation: listed.incarnation,
         age: listed.started.map(|at| at.elapsed().as_micros() as u64),
     }
 }
--- a/crates/fakes/src/list/mod.rs
+++ b/crates/fakes/src/list/mod.rs
@@ -21,7 +21,7 @@
 
 /// A store's entry in the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListEntry {
     /// Address at which the store listens.
     pub address: SocketAddr,
     /// Shard that it serves.
@@ -31,7 +31,7 @@
     /// State that the list publishes for it.
     pub state: EndpointState,
     /// The store's incarnation: how many times its process has been started.
-    pub start: u64,
+    pub incarnation: u64,
     /// When its process was started; `None` if that was long ago.
     pub started: Option<Instant>,
 }
@@ -85,13 +85,13 @@
     }
 
     /// Adds a store's entry or replaces it, and notifies all watchers.
-    pub fn list(&self, store: u64, listed: Listed) {
+    pub fn set_entry(&self, store: u64, listed: ListEntry) {
         self.with_directory(|directory| directory.stores.insert(store, listed));
         _ = self.changes.send(store);
     }
 
     /// Changes the published state of a store, and notifies all watchers.
-    pub fn state(&self, store: u64, state: EndpointState) {
+    pub fn set_state(&self, store: u64, state: EndpointState) {
         self.with_directory(|directory| directory.stores.get_mut(&store).map(|listed| listed.state = state));
         _ = self.changes.send(store);
     }
@@ -100,7 +100,7 @@
     pub fn restarted(&self, store: u64, address: SocketAddr) {
         self.with_directory(|directory| {
             directory.stores.get_mut(&store).map(|listed| {
-                listed.start += 1;
+                listed.incarnation += 1;
                 (listed.started, listed.address) = (Some(Instant::now()), address);
                 listed.state = EndpointState::Ready;
             })
@@ -109,22 +109,22 @@
     }
 
     /// Sets whether the service responds to all requests except hello with a failure.
-    pub fn fail(&self, failing: bool) {
+    pub fn set_failing(&self, failing: bool) {
         self.with_directory(|directory| directory.is_failing = failing);
     }
 
     /// Sets the delay of each response and notification.
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.with_directory(|directory| directory.delay = delay);
     }
 
     /// Number of extents that are assigned to a shard.
-    pub fn places(&self) -> usize {
+    pub fn assigned_extents(&self) -> usize {
         self.with_directory(|directory| directory.placed_extents())
     }
 
     /// The shard that holds an extent; `None` if it is not assigned to one.
-    pub fn place(&self, volume: u64, extent: u64) -> Option<u32> {
+    pub fn shard_of(&self, volume: u64, extent: u64) -> Option<u32> {
         self.with_directory(|directory| directory.shard_of(volume, extent))
     }
 }
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -8,7 +8,7 @@
 
 use umbertray_store_protocol::store::{Attempt, OperationKind};
 
-pub use self::settings::{Fault, Power};
+pub use self::settings::{Fault, StorePerformance};
 
 /// Weight of the latest sample in the exponentially weighted moving average of latency that is reported.
 const LATENCY_WEIGHT: f64 = 0.2;
@@ -43,7 +43,7 @@
 
 /// Queues, cores and counters of a store. All times are since the store's start.
 pub(crate) struct Model {
-    power: Power,
+    performance: StorePerformance,
     /// Faults that are currently injected.
     pub(crate) fault: Fault,
     /// When it started, if it started cold; `None` if it was warm from the start.
@@ -59,7 +59,8 @@
     next_batch_at: Duration,
     /// Keys of the extents that were used most recently, the oldest first.
     recent_extents: VecDeque<u64>,
-    /// Units of work that arrived in the last [`Power::fall_s`] seconds, each with its time of arrival.
+    /// Units of work that arrived in the last [`StorePerformance::fall_s`] seconds, each with its time of
+    /// arrival.
     arrivals: VecDeque<(Duration, f64)>,
     /// Units of work served since the start, by volume.
     served_units: HashMap<u64, f64>,
@@ -71,10 +72,10 @@
 
 impl Model {
     /// An idle store that starts at the time `now`, cold or warm.
-    pub(crate) fn new(power: Power, now: Duration, cold: bool) -> Model {
+    pub(crate) fn new(performance: StorePerformance, now: Duration, cold: bool) -> Model {
         Model {
-            next_batch_at: now + Duration::from_secs_f64(power.put_off_s),
-            power,
+            next_batch_at: now + Duration::from_secs_f64(performance.put_off_s),
+            performance,
             fault: Fault::default(),
             cold_since: cold.then_some(now),
             queue: VecDeque::new(),
@@ -93,28 +94,31 @@
     /// Current speed as a fraction of the full speed.
     pub(crate) fn warmth(&self, now: Duration) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
-        let progress = now.saturating_sub(since).as_secs_f64() / self.power.cold_s;
-        self.power.cold_from + (1.0 - self.power.cold_from) * progress.min(1.0)
+        let progress = now.saturating_sub(since).as_secs_f64() / self.performance.cold_s;
+        self.performance.cold_from + (1.0 - self.performance.cold_from) * progress.min(1.0)
     }
 
     /// Decides on an attempt that arrives, and queues it if it is accepted.
     pub(crate) fn admit(&mut self, now: Duration, job: Job) -> Admission {
-        let window = Duration::from_secs_f64(self.power.fall_s);
+        let window = Duration::from_secs_f64(self.performance.fall_s);
         self.arrivals.push_back((now, job.attempt.units));
         while self.arrivals.front().is_some_and(|(arrived, _)| *arrived + window < now) {
             self.arrivals.pop_front();
         }
         let arrived_units: f64 = self.arrivals.iter().map(|(_, units)| units).sum();
         let warmth = self.warmth(now);
-        let capacity = self.power.fall_multiple * self.power.units_a_second() * warmth * self.power.fall_s;
+        let capacity = self.performance.fall_multiple
+            * self.performance.units_a_second()
+            * warmth
+            * self.performance.fall_s;
         if warmth < 1.0 && arrived_units > capacity {
             return Admission::Crashed;
         }
-        if self.fault.full || self.queue.len() >= self.power.queue {
+        if self.fault.full || self.queue.len() >= self.performance.queue {
             return Admission::QueueFull(job);
         }
-        if job.attempt.kind.modifies_extent() && !self.fault.sits.is_zero() {
-            self.deferred.push((now + self.fault.sits, job));
+        if job.attempt.kind.modifies_extent() && !self.fault.write_delay.is_zero() {
+            self.deferred.push((now + self.fault.write_delay, job));
         } else {
             self.queue.push_back(job);
         }
@@ -175,7 +179,7 @@
 
     /// Whether a core is free and a job is queued.
     fn has_startable_job(&self) -> bool {
-        self.running.len() < self.power.cores as usize && !self.queue.is_empty()
+        self.running.len() < self.performance.cores as usize && !self.queue.is_empty()
     }
 
     /// Removes the running job that ends first, if it has ended by now.
@@ -198,22 +202,22 @@
 
     /// How long a job that starts now takes, including deferred work that is due.
     fn work_time(&mut self, now: Duration, job: &Job) -> Duration {
-        let mut ms = job.attempt.units * self.power.unit_ms;
+        let mut ms = job.attempt.units * self.performance.unit_ms;
         let key = job.attempt.extent ^ job.attempt.volume.rotate_left(32);
         if self.recent_extents.contains(&key) {
-            ms *= 1.0 - self.power.run_saves;
+            ms *= 1.0 - self.performance.run_saves;
         }
         self.recent_extents.push_back(key);
-        if self.recent_extents.len() > self.power.remembers {
+        if self.recent_extents.len() > self.performance.remembers {
             self.recent_extents.pop_front();
         }
         if job.attempt.kind == OperationKind::Write && !job.attempt.durable {
-            self.deferred_work_ms += ms * self.power.put_off;
-            ms *= 1.0 - self.power.put_off;
+            self.deferred_work_ms += ms * self.performance.put_off;
+            ms *= 1.0 - self.performance.put_off;
         }
         if now >= self.next_batch_at || job.attempt.kind == OperationKind::Flush {
             ms += std::mem::take(&mut self.deferred_work_ms);
-            self.next_batch_at = now + Duration::from_secs_f64(self.power.put_off_s);
+            self.next_batch_at = now + Duration::from_secs_f64(self.performance.put_off_s);
         }
         Duration::from_secs_f64(ms / 1000.0 * self.fault.slow / self.warmth(now))
     }
--- a/crates/fakes/src/model/settings.rs
+++ b/crates/fakes/src/model/settings.rs
@@ -7,7 +7,7 @@
 /// Performance of a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Power {
+pub struct StorePerformance {
     /// Number of attempts that it works on at the same time.
     pub cores: u32,
     /// Milliseconds that a core needs for one unit of work.
@@ -32,9 +32,9 @@
     pub put_off_s: f64,
 }
 
-impl Default for Power {
-    fn default() -> Power {
-        Power {
+impl Default for StorePerformance {
+    fn default() -> StorePerformance {
+        StorePerformance {
             cores: 2,
             unit_ms: 4.0,
             queue: 64,
@@ -50,7 +50,7 @@
     }
 }
 
-impl Power {
+impl StorePerformance {
     /// Units of work that a warm store serves in a second.
     pub fn units_a_second(&self) -> f64 {
         f64::from(self.cores) * 1000.0 / self.unit_ms
@@ -69,13 +69,13 @@
     /// Whether the store rejects all attempts as if its queue were full.
     pub full: bool,
     /// How long writes, zeros and trims are held back before they enter the queue.
-    pub sits: Duration,
+    pub write_delay: Duration,
     /// Whether the store accepts connections but sends nothing on them.
     pub mute: bool,
 }
 
 impl Default for Fault {
     fn default() -> Fault {
-        Fault { slow: 1.0, errors: 0.0, lost: 0.0, full: false, sits: Duration::ZERO, mute: false }
+        Fault { slow: 1.0, errors: 0.0, lost: 0.0, full: false, write_delay: Duration::ZERO, mute: false }
     }
 }
--- a/crates/fakes/src/platform/discovery.rs
+++ b/crates/fakes/src/platform/discovery.rs
@@ -97,12 +97,12 @@
     }
 
     /// Sends a line unchanged to all watches.
-    pub fn say(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         _ = self.lines.send(line.into());
     }
 
     /// Waits until `condition` holds for the targets of all requests so far.
-    pub async fn until_asked(&self, condition: impl FnMut(&Vec<String>) -> bool) {
+    pub async fn wait_for_requests(&self, condition: impl FnMut(&Vec<String>) -> bool) {
         _ = self.request_targets.clone().wait_for(condition).await;
     }
 
--- a/crates/fakes/src/platform/mod.rs
+++ b/crates/fakes/src/platform/mod.rs
@@ -8,7 +8,7 @@
 use umbertray_http::server::response;
 
 pub use self::discovery::Discovery;
-pub use self::store::{Act, Seen, Store};
+pub use self::store::{Store, StoreAction, StoreEvent};
 
 /// Largest accepted head and body of a request, in bytes.
 const LIMITS: Limits = Limits { head: 16 * 1024, body: 64 * 1024 };
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -16,7 +16,7 @@
 
 /// What a store does with a request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum StoreAction {
     /// Writes these bytes unchanged.
     Write(Vec<u8>),
     /// Writes these bytes after a delay.
@@ -31,7 +31,7 @@
 
 /// An event at a store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum StoreEvent {
     /// A complete request was received.
     Request {
         /// Number of the connection, from zero.
@@ -57,7 +57,7 @@
 pub struct Store {
     /// Address at which the store listens.
     pub address: SocketAddr,
-    seen: watch::Receiver<Vec<Seen>>,
+    seen: watch::Receiver<Vec<StoreEvent>>,
     task: JoinHandle<()>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 /// Decides on a request, given the number of earlier requests over all connections.
-type Script = Arc<dyn Fn(usize, &Request) -> Act + Send + Sync>;
+type Script = Arc<dyn Fn(usize, &Request) -> StoreAction + Send + Sync>;
 
 impl Store {
     /// Starts a store on a loopback port. `script` receives the number of earlier requests, over all
@@ -76,7 +76,9 @@
     ///
     /// # Errors
     /// Fails when no port can be bound.
-    pub async fn start(script: impl Fn(usize, &Request) -> Act + Send + Sync + 'static) -> io::Result<Store> {
+    pub async fn start(
+        script: impl Fn(usize, &Request) -> StoreAction + Send + Sync + 'static,
+    ) -> io::Result<Store> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (recorder, seen) = watch::channel(Vec::new());
@@ -92,21 +94,21 @@
     }
 
     /// All events so far, in order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<StoreEvent> {
         self.seen.borrow().clone()
     }
 
     /// All requests so far, each with the number of its connection.
     pub fn requests(&self) -> Vec<(u64, Request)> {
-        let request = |seen: Seen| match seen {
-            Seen::Request { connection, request } => Some((connection, request)),
+        let request = |seen: StoreEvent| match seen {
+            StoreEvent::Request { connection, request } => Some((connection, request)),
             _ => None,
         };
         self.seen().into_iter().filter_map(request).collect()
     }
 
     /// Waits until `condition` holds for all events so far.
-    pub async fn until(&self, condition: impl FnMut(&Vec<Seen>) -> bool) {
+    pub async fn until(&self, condition: impl FnMut(&Vec<StoreEvent>) -> bool) {
         _ = self.seen.clone().wait_for(condition).await;
     }
 }
@@ -114,10 +116,10 @@
 async fn serve(
     mut stream: TcpStream,
     connection: u64,
-    recorder: Arc<watch::Sender<Vec<Seen>>>,
+    recorder: Arc<watch::Sender<Vec<StoreEvent>>>,
     script: Script,
 ) {
-    let record = |event: Seen| recorder.send_modify(|seen| seen.push(event));
+    let record = |event: StoreEvent| recorder.send_modify(|seen| seen.push(event));
     let mut requests = RequestReader::new(LIMITS);
     loop {
         let request = match requests.next_event() {
@@ -125,30 +127,30 @@
             Ok(_) if matches!(stream.read_buf(&mut requests.bytes).await, Ok(1..)) => continue,
             Ok(_) => break,
             Err(error) => {
-                record(Seen::Malformed { connection, error });
+                record(StoreEvent::Malformed { connection, error });
                 break;
             }
         };
         let earlier_requests =
-            recorder.borrow().iter().filter(|seen| matches!(seen, Seen::Request { .. })).count();
+            recorder.borrow().iter().filter(|seen| matches!(seen, StoreEvent::Request { .. })).count();
         let act = script(earlier_requests, &request);
-        record(Seen::Request { connection, request });
+        record(StoreEvent::Request { connection, request });
         let performed = perform(&act, &mut stream).await;
-        if performed.is_err() || matches!(act, Act::WriteAndClose(_) | Act::Close) {
+        if performed.is_err() || matches!(act, StoreAction::WriteAndClose(_) | StoreAction::Close) {
             break;
         }
     }
     drop(stream);
-    record(Seen::Closed { connection });
+    record(StoreEvent::Closed { connection });
 }
 
-async fn perform(act: &Act, stream: &mut TcpStream) -> io::Result<()> {
+async fn perform(act: &StoreAction, stream: &mut TcpStream) -> io::Result<()> {
     match act {
-        Act::Write(bytes) | Act::WriteAndClose(bytes) => stream.write_all(bytes).await,
-        Act::WriteAfter(delay, bytes) => {
+        StoreAction::Write(bytes) | StoreAction::WriteAndClose(bytes) => stream.write_all(bytes).await,
+        StoreAction::WriteAfter(delay, bytes) => {
             tokio::time::sleep(*delay).await;
             stream.write_all(bytes).await
         }
-        Act::Close | Act::Hold => Ok(()),
+        StoreAction::Close | StoreAction::Hold => Ok(()),
     }
 }
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -19,7 +19,7 @@
     #[default]
     None,
     /// No bytes pass. Connections stay open, and new ones are accepted but stay silent.
-    Hold,
+    Stall,
     /// All bytes are delayed by this time.
     Delay(Duration),
     /// Bytes pass in small writes with a pause after each.
@@ -87,12 +87,12 @@
     }
 
     /// Sets the fault that applies from now on.
-    pub fn fault(&self, fault: LinkFault) {
+    pub fn set_fault(&self, fault: LinkFault) {
         self.state.send_modify(|state| state.fault = fault);
     }
 
     /// Sets the upstream for new connections.
-    pub fn lead_to(&self, upstream: Option<SocketAddr>) {
+    pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
         self.state.send_modify(|state| state.upstream = upstream);
     }
 }
@@ -143,7 +143,7 @@
         if let Some(tap) = tap.as_ref().filter(|_| read > 0) {
             tap(&chunk[..read]);
         }
-        _ = state.wait_for(|state| state.fault != LinkFault::Hold).await;
+        _ = state.wait_for(|state| state.fault != LinkFault::Stall).await;
         let fault = state.borrow().fault;
         if let LinkFault::Delay(delay) = fault {
             tokio::time::sleep(delay).await;
--- a/crates/fakes/src/store/attempts.rs
+++ b/crates/fakes/src/store/attempts.rs
@@ -10,8 +10,8 @@
 use super::CHUNK_BYTES;
 use super::process::Process;
 use super::records::{received_event, recorded_code};
-use crate::book::Seen;
 use crate::disk::{Applied, Content, ReadPart};
+use crate::event_log::StoreEvent;
 use crate::model::{Admission, Job};
 
 /// Delay after which the store retries an attempt that depends on a move which the store does not know yet.
@@ -21,7 +21,7 @@
     /// Records an attempt, and queues it or responds to it immediately.
     pub(super) fn receive(&mut self, job: Job) {
         self.record(received_event(job.run, &job.attempt));
-        if let Ok(mut disk) = self.identity.medium.lock() {
+        if let Ok(mut disk) = self.identity.disk.lock() {
             disk.supersede(job.run, &job.attempt);
         }
         if self.rng.random_bool(self.model.fault.errors) {
@@ -37,7 +37,7 @@
                     number,
                     "store crashed: more work arrived than a cold store can handle"
                 );
-                self.record(Seen::Fell);
+                self.record(StoreEvent::Fell);
                 self.is_down = true;
             }
         }
@@ -46,7 +46,7 @@
     /// Applies the attempts whose work has ended by now, and sends their results.
     pub(super) fn finish_due_attempts(&mut self) {
         let (now, clock) = (self.now(), self.clock());
-        let disk = self.identity.medium.clone();
+        let disk = self.identity.disk.clone();
         let is_fenced =
             |job: &Job| disk.lock().is_ok_and(|disk| disk.is_fenced(clock, job.run, &job.attempt));
         for job in self.model.advance(now, is_fenced) {
@@ -54,7 +54,7 @@
                 return;
             };
             if matches!(applied, Applied::Read(_) | Applied::Status(_) | Applied::Done) {
-                self.record(Seen::Ran { run: job.run, number: job.attempt.number });
+                self.record(StoreEvent::Ran { run: job.run, number: job.attempt.number });
             }
             if self.send_outcome(now, job, applied).is_break() {
                 return;
@@ -93,7 +93,7 @@
     /// Records the result of an attempt and sends it, unless the `lost` fault drops it.
     fn send_result_with(&mut self, job: &Job, code: ResultCode, epoch: u64, data_ranges: Vec<DataRange>) {
         let (run, number) = (job.run, job.attempt.number);
-        self.record(Seen::Answered { run, number, code: recorded_code(code).into() });
+        self.record(StoreEvent::Answered { run, number, code: recorded_code(code).into() });
         if self.rng.random_bool(self.model.fault.lost) {
             return;
         }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -15,9 +15,9 @@
 use tokio::task::JoinHandle;
 
 use self::process::{Process, ProcessEvent};
-use crate::book::{Book, Seen};
 use crate::disk::InMemoryDisk;
-use crate::model::{Fault, Power};
+use crate::event_log::{EventLog, StoreEvent};
+use crate::model::{Fault, StorePerformance};
 use crate::traffic::Traffic;
 
 /// Largest chunk in which read data is sent, and buffer space reserved for each read from a socket, in bytes.
@@ -33,11 +33,11 @@
     /// Shard that it serves.
     pub shard: u32,
     /// Performance of its model.
-    pub power: Power,
+    pub performance: StorePerformance,
     /// The shard's data, shared with any store that replaces this one.
-    pub medium: Arc<Mutex<InMemoryDisk>>,
+    pub disk: Arc<Mutex<InMemoryDisk>>,
     /// Record to which it adds its events.
-    pub book: Book,
+    pub event_log: EventLog,
     /// Seed of its random choices.
     pub seed: u64,
 }
@@ -56,7 +56,7 @@
 
 impl Running {
     /// Replaces the injected faults.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         _ = self.to_process.send(ProcessEvent::SetFault(fault));
     }
 
@@ -66,17 +66,17 @@
     }
 
     /// Closes all connections. Attempts that were received on them are still executed.
-    pub fn cut_links(&self) {
+    pub fn close_connections(&self) {
         _ = self.to_process.send(ProcessEvent::CloseConnections);
     }
 
     /// Ends the store once it has sent `chunks` more chunks of read data, which may be in the middle of a
     /// read.
-    pub fn die_after_chunks(&self, chunks: u32) {
+    pub fn exit_after_chunks(&self, chunks: u32) {
         _ = self.to_process.send(ProcessEvent::ExitAfterChunks(chunks));
     }
 
-    /// Whether the store has crashed or was ended by [`Running::die_after_chunks`].
+    /// Whether the store has crashed or was ended by [`Running::exit_after_chunks`].
     pub fn is_down(&self) -> bool {
         self.tasks[0].is_finished()
     }
@@ -111,8 +111,8 @@
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
     let (to_process, events) = mpsc::unbounded_channel();
-    let units_a_second = identity.power.units_a_second();
-    identity.book.write(identity.store, Seen::Up { units_a_second, cold });
+    let units_a_second = identity.performance.units_a_second();
+    identity.event_log.record(identity.store, StoreEvent::Up { units_a_second, cold });
     let process = Process::new(identity.clone(), cold);
     let traffic: Arc<Traffic> = Arc::default();
     let accepting = tokio::spawn(connection::accept(listener, to_process.clone(), traffic.clone()));
--- a/crates/fakes/src/store/process.rs
+++ b/crates/fakes/src/store/process.rs
@@ -11,7 +11,7 @@
 
 use super::Identity;
 use super::connection::{ConnectionSender, ToConnection};
-use crate::book::Seen;
+use crate::event_log::StoreEvent;
 use crate::model::{Fault, Job, Model};
 
 /// How long a store that ends in the middle of a read waits for each connection to write its pending
@@ -67,7 +67,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.record(Seen::Down);
+        self.record(StoreEvent::Down);
     }
 }
 
@@ -75,7 +75,7 @@
     pub(super) fn new(identity: Identity, cold: bool) -> Process {
         let mut rng = StdRng::seed_from_u64(identity.seed ^ identity.store);
         Process {
-            model: Model::new(identity.power.clone(), Duration::ZERO, cold),
+            model: Model::new(identity.performance.clone(), Duration::ZERO, cold),
             started_at: Instant::now(),
             clock_offset: rng.random_range(0..MAX_CLOCK_OFFSET_US),
             connections: HashMap::new(),
@@ -96,8 +96,8 @@
         self.clock_offset + self.now().as_micros() as u64
     }
 
-    pub(super) fn record(&self, seen: Seen) {
-        self.identity.book.write(self.identity.store, seen);
+    pub(super) fn record(&self, seen: StoreEvent) {
+        self.identity.event_log.record(self.identity.store, seen);
     }
 
     /// Runs until the store is down, or no connection and no handle can send it events any more.
@@ -183,9 +183,9 @@
     /// Executes and records a coordinator's order for a move; `None` when the disk's lock is poisoned.
     fn execute_order(&self, term: u64, number: u64, order: &Order) -> Option<OrderReply> {
         let clock = self.clock();
-        let reply = self.identity.medium.lock().ok()?.execute_order(clock, term, number, order);
+        let reply = self.identity.disk.lock().ok()?.execute_order(clock, term, number, order);
         let done = !matches!(reply, OrderReply::WrongState | OrderReply::StaleTerm(_));
-        self.record(Seen::Ordered { term, number, order: order.name().into(), done });
+        self.record(StoreEvent::Ordered { term, number, order: order.name().into(), done });
         Some(reply)
     }
 
--- a/crates/fakes/src/store/records.rs
+++ b/crates/fakes/src/store/records.rs
@@ -2,7 +2,7 @@
 
 use umbertray_store_protocol::store::{Attempt, OperationKind, ResultCode};
 
-use crate::book::Seen;
+use crate::event_log::StoreEvent;
 
 /// The code's name in records, which the checks of the fault tests compare; it stays when the type's own
 /// names change.
@@ -31,10 +31,10 @@
 }
 
 /// The record of an attempt that arrived.
-pub(super) fn received_event(run: u64, attempt: &Attempt) -> Seen {
+pub(super) fn received_event(run: u64, attempt: &Attempt) -> StoreEvent {
     let mark = attempt.data.first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
     debug_assert!(attempt.kind != OperationKind::Write || attempt.data.len() == attempt.length as usize);
-    Seen::Received {
+    StoreEvent::Received {
         run,
         number: attempt.number,
         op: attempt.op,
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-use umbertray_fakes::book;
+use umbertray_fakes::event_log;
 use umbertray_routing::Settings;
 use umbertray_routing::settings::Idempotency;
 use umbertray_store_protocol::volume_id;
@@ -57,7 +57,7 @@
         let mut index: HashMap<(u64, u64), usize> = HashMap::new();
         for entry in &record.stores {
             match &entry.seen {
-                book::Seen::Received { run, number, op, volume, extent, units, mark, .. } => {
+                event_log::StoreEvent::Received { run, number, op, volume, extent, units, mark, .. } => {
                     index.insert((*run, *number), attempts.len());
                     attempts.push(Attempt {
                         at: entry.at,
@@ -73,17 +73,20 @@
                         response: None,
                     });
                 }
-                book::Seen::Ran { run, number } => {
+                event_log::StoreEvent::Ran { run, number } => {
                     if let Some(i) = index.get(&(*run, *number)) {
                         attempts[*i].ran_at = attempts[*i].ran_at.or(Some(entry.at));
                     }
                 }
-                book::Seen::Answered { run, number, code } => {
+                event_log::StoreEvent::Answered { run, number, code } => {
                     if let Some(i) = index.get(&(*run, *number)) {
                         attempts[*i].response = Some((entry.at, code.clone()));
                     }
                 }
-                book::Seen::Up { .. } | book::Seen::Down | book::Seen::Fell | book::Seen::Ordered { .. } => {}
+                event_log::StoreEvent::Up { .. }
+                | event_log::StoreEvent::Down
+                | event_log::StoreEvent::Fell
+                | event_log::StoreEvent::Ordered { .. } => {}
             }
         }
         let of_kind = |kind: RequestKind| record.asked.iter().filter(move |request| request.kind == kind);
@@ -247,24 +250,24 @@
 /// exceeds a multiple of its current capacity.
 pub(crate) fn cold_stores(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("4 no cold store pushed over", "largest part of what a cold store bears");
-    let power = &indexed.scenario.store_power;
-    let window = (power.fall_s * 1e6) as u64;
+    let performance = &indexed.scenario.store_performance;
+    let window = (performance.fall_s * 1e6) as u64;
     let mut cold_starts: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut recent: BTreeMap<u64, VecDeque<(u64, f64)>> = BTreeMap::new();
     for entry in &indexed.record.stores {
         match &entry.seen {
-            book::Seen::Up { units_a_second, cold: true } => {
+            event_log::StoreEvent::Up { units_a_second, cold: true } => {
                 finding.looked += 1;
                 cold_starts.insert(entry.store, (entry.at, *units_a_second));
                 recent.remove(&entry.store);
             }
-            book::Seen::Fell => finding.breach(|| {
+            event_log::StoreEvent::Fell => finding.breach(|| {
                 let (store, at) = (entry.store, entry.at);
                 format!("store {store} crashed at {at} us under more load than a cold store can take")
             }),
-            book::Seen::Received { units, .. } => {
+            event_log::StoreEvent::Received { units, .. } => {
                 let Some((started, units_a_second)) = cold_starts.get(&entry.store) else { continue };
-                let age = (entry.at - started) as f64 / 1e6 / power.cold_s;
+                let age = (entry.at - started) as f64 / 1e6 / performance.cold_s;
                 if age >= 1.0 {
                     continue;
                 }
@@ -274,8 +277,10 @@
                     sent.pop_front();
                 }
                 let sent: f64 = sent.iter().map(|(_, units)| units).sum();
-                let warmth = power.cold_from + (1.0 - power.cold_from) * age;
-                finding.record_max(sent / (power.fall_multiple * units_a_second * warmth * power.fall_s));
+                let warmth = performance.cold_from + (1.0 - performance.cold_from) * age;
+                finding.record_max(
+                    sent / (performance.fall_multiple * units_a_second * warmth * performance.fall_s),
+                );
             }
             _ => {}
         }
--- a/crates/fault-tests/src/judge/tests.rs
+++ b/crates/fault-tests/src/judge/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the judge: a small correct record breaks no rule, and an altered copy of it breaks the rule that
 //! the alteration violates.
 
-use umbertray_fakes::book::{Entry, Seen};
+use umbertray_fakes::event_log::{Entry, StoreEvent};
 use umbertray_store_protocol::volume_id;
 
 use super::judge;
@@ -42,17 +42,17 @@
 fn received(at: u64, number: u64, op: u64, mark: u64, units: f64) -> Entry {
     let (run, volume, extent, offset, length) = (9, volume_id("v"), 0, 0, 4096);
     let work = "Write".into();
-    let seen = Seen::Received { run, number, op, volume, extent, work, offset, length, units, mark };
+    let seen = StoreEvent::Received { run, number, op, volume, extent, work, offset, length, units, mark };
     Entry { at, store: 1, seen }
 }
 
-fn entry(at: u64, seen: Seen) -> Entry {
+fn entry(at: u64, seen: StoreEvent) -> Entry {
     Entry { at, store: 1, seen }
 }
 
 /// Two writes through one gateway to one store, each with one attempt, and a read after each write.
 fn correct_record() -> Record {
-    let answered = |number| Seen::Answered { run: 9, number, code: "Acked".into() };
+    let answered = |number| StoreEvent::Answered { run: 9, number, code: "Acked".into() };
     Record {
         asked: vec![
             request(RequestKind::Write, 1, 1_000_000),
@@ -61,12 +61,12 @@
             request(RequestKind::Read, 2, 1_300_000),
         ],
         stores: vec![
-            entry(0, Seen::Up { units_a_second: 10.0, cold: true }),
+            entry(0, StoreEvent::Up { units_a_second: 10.0, cold: true }),
             received(1_010_000, 1, 1, 1, 1.0),
-            entry(1_020_000, Seen::Ran { run: 9, number: 1 }),
+            entry(1_020_000, StoreEvent::Ran { run: 9, number: 1 }),
             entry(1_020_000, answered(1)),
             received(1_210_000, 2, 2, 2, 1.0),
-            entry(1_220_000, Seen::Ran { run: 9, number: 2 }),
+            entry(1_220_000, StoreEvent::Ran { run: 9, number: 2 }),
             entry(1_220_000, answered(2)),
         ],
         deeds: Vec::new(),
@@ -123,7 +123,7 @@
 fn a_write_that_runs_twice_breaks_rule_2() {
     let twice = broken_rules(|record| {
         record.stores.push(received(1_225_000, 3, 2, 2, 1.0));
-        record.stores.push(entry(1_226_000, Seen::Ran { run: 9, number: 3 }));
+        record.stores.push(entry(1_226_000, StoreEvent::Ran { run: 9, number: 3 }));
     });
     assert!(twice.contains(&"2 no effect twice"), "{twice:?}");
     let throttled = broken_rules(|record| record.asked[2].outcome = Outcome::Throttled);
@@ -139,7 +139,7 @@
 #[test]
 fn a_crashed_or_overloaded_cold_store_breaks_rule_4() {
     assert_eq!(
-        broken_rules(|r| r.stores.push(entry(1_300_000, Seen::Fell))),
+        broken_rules(|r| r.stores.push(entry(1_300_000, StoreEvent::Fell))),
         ["4 no cold store pushed over"]
     );
     let heavy = broken_rules(|r| r.stores[1] = received(1_010_000, 1, 1, 1, 21.0));
@@ -161,7 +161,7 @@
         for number in 3..5 {
             record.stores.push(received(1_221_000, number, 2, 2, 0.0));
             let code = "Full".into();
-            record.stores.push(entry(1_221_000, Seen::Answered { run: 9, number, code }));
+            record.stores.push(entry(1_221_000, StoreEvent::Answered { run: 9, number, code }));
         }
     });
     assert_eq!(more, ["6 budget of further dispatches"]);
@@ -170,7 +170,7 @@
 #[test]
 fn a_volume_past_its_limit_breaks_rule_7() {
     let past = broken_rules(|r| {
-        r.stores[0] = entry(0, Seen::Up { units_a_second: 1e6, cold: true });
+        r.stores[0] = entry(0, StoreEvent::Up { units_a_second: 1e6, cold: true });
         r.stores[1] = received(1_010_000, 1, 1, 1, 23.0);
     });
     assert_eq!(past, ["7 limits are kept"]);
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use tokio::sync::watch;
-use umbertray_fakes::book::Book;
-use umbertray_fakes::client::{Connection, Ended, Whole};
+use umbertray_fakes::client::{CompleteReply, Connection, RequestOutcome};
+use umbertray_fakes::event_log::EventLog;
 use umbertray_nbd::{Command, Errno};
 
 use crate::record::{Asked, Outcome, Record, RequestKind};
@@ -55,7 +55,7 @@
 /// State shared by all clients.
 pub struct ClientContext {
     /// Record of the stores, which is also the clock of the test.
-    pub store_record: Book,
+    pub store_record: EventLog,
     /// Faults that affect clients at present.
     pub faults: watch::Receiver<ClientFaults>,
     /// Record that the judge reads.
@@ -150,10 +150,10 @@
                 _ = async { while workers.join_next().await.is_some() {} } => {}
             }
             // Workers still hold the connection; cutting it ends their pending requests.
-            connection.cut();
+            connection.abort();
             while workers.join_next().await.is_some() {}
             if let Ok(mut record) = client.context.record.lock() {
-                record.strays.extend(connection.strays());
+                record.strays.extend(connection.unmatched_replies());
             }
         }
     }
@@ -235,7 +235,7 @@
         };
         let sent = self.context.store_record.now();
         let reply = connection.send(command, 0, offset, length, data.freeze());
-        let ended: Result<Ended, _> =
+        let ended: Result<RequestOutcome, _> =
             tokio::time::timeout(self.context.response_timeout, async { reply.await.ok().flatten() }).await;
         let now = self.context.store_record.now();
         let (outcome, found) = match &ended {
@@ -264,7 +264,12 @@
 }
 
 /// Outcome of a request, and the marks that an acked read found in its blocks.
-fn outcome_of(reply: &Whole, kind: RequestKind, block: u64, blocks: u32) -> (Outcome, Vec<Option<u64>>) {
+fn outcome_of(
+    reply: &CompleteReply,
+    kind: RequestKind,
+    block: u64,
+    blocks: u32,
+) -> (Outcome, Vec<Option<u64>>) {
     let outcome = match &reply.error {
         None => Outcome::Acked,
         Some((Errno::NoMem, _)) => Outcome::Throttled,
--- a/crates/fault-tests/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -1,7 +1,7 @@
 //! The record of a scenario that the judge reads.
 
 use serde::{Deserialize, Serialize};
-use umbertray_fakes::book::Entry;
+use umbertray_fakes::event_log::Entry;
 use umbertray_store_protocol::store::OperationKind;
 
 /// Kind of a client's request.
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -148,7 +148,7 @@
 
     async fn set_store_fault(&self, stores: &[u64], fault: model::Fault) {
         let fleet = self.testbed.fleet.lock().await;
-        stores.iter().for_each(|id| fleet.fault(*id, fault.clone()));
+        stores.iter().for_each(|id| fleet.set_fault(*id, fault.clone()));
     }
 
     async fn disturb_stores(mut self) -> io::Result<()> {
@@ -183,7 +183,7 @@
         while at < self.end_offset() && self.await_step(at).await {
             let stores = self.draw_stores().await;
             let fleet = self.testbed.fleet.lock().await;
-            stores.iter().filter_map(|id| fleet.get(*id)).for_each(|store| store.cut_links());
+            stores.iter().filter_map(|id| fleet.get(*id)).for_each(|store| store.close_connections());
             at += RESET_INTERVAL;
         }
         Ok(())
@@ -253,7 +253,7 @@
         for (at, id) in draining {
             if self.await_step(at).await {
                 let mut fleet = self.testbed.fleet.lock().await;
-                fleet.list.state(id, EndpointState::Gone);
+                fleet.list.set_state(id, EndpointState::Gone);
                 fleet.kill(id).await;
             }
         }
@@ -265,7 +265,7 @@
         let mut fleet = self.testbed.fleet.lock().await;
         let Some(shard) = fleet.shard(id) else { return Ok(false) };
         fleet.add(shard, true).await?;
-        fleet.list.state(id, EndpointState::Draining);
+        fleet.list.set_state(id, EndpointState::Draining);
         self.testbed.record_event(Deed::Barred { store: id });
         Ok(true)
     }
@@ -279,14 +279,14 @@
     }
 
     async fn set_list_delay(&self, delay: Duration) {
-        self.testbed.fleet.lock().await.list.delay(delay);
+        self.testbed.fleet.lock().await.list.set_delay(delay);
         self.testbed.record_event(Deed::ListDelay { delay: delay.as_micros() as u64 });
     }
 
     async fn fail_list(self) -> io::Result<()> {
-        self.testbed.fleet.lock().await.list.fail(true);
+        self.testbed.fleet.lock().await.list.set_failing(true);
         if self.await_step(self.end_offset()).await {
-            self.testbed.fleet.lock().await.list.fail(false);
+            self.testbed.fleet.lock().await.list.set_failing(false);
         }
         Ok(())
     }
@@ -420,7 +420,7 @@
         FaultKind::Full => model::Fault { full: true, ..none },
         FaultKind::Neighbour => model::Fault { slow: 1.0 / (1.0 - share.min(0.95)), ..none },
         FaultKind::Mute => model::Fault { mute: true, ..none },
-        FaultKind::Sit => model::Fault { sits: Duration::from_secs_f64(fault.magnitude), ..none },
+        FaultKind::Sit => model::Fault { write_delay: Duration::from_secs_f64(fault.magnitude), ..none },
         _ => none,
     }
 }
--- a/crates/fault-tests/src/scenario/mod.rs
+++ b/crates/fault-tests/src/scenario/mod.rs
@@ -36,12 +36,12 @@
 /// # Errors
 /// Fails when a process does not start or exits with an error, or when a move does not finish.
 pub async fn run_scenario(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
-    let fleet = Fleet::start(scenario.stores, scenario.store_power.clone(), seed).await?;
+    let fleet = Fleet::start(scenario.stores, scenario.store_performance.clone(), seed).await?;
     let (client_faults, faults) =
         watch::channel(ClientFaults::none(scenario.document.settings.volumes.len()));
     let longest_timeout = scenario.document.settings.op_types.iter().map(|op_type| op_type.op_timeout).max();
     let client_context = Arc::new(ClientContext {
-        store_record: fleet.book.clone(),
+        store_record: fleet.event_log.clone(),
         faults,
         record: Mutex::default(),
         next_mark: AtomicU64::new(1),
--- a/crates/fault-tests/src/scenario/testbed.rs
+++ b/crates/fault-tests/src/scenario/testbed.rs
@@ -115,7 +115,7 @@
         let mut record = std::mem::take(&mut *self.client_context.record.lock().map_err(poisoned_lock)?);
         record.asked.sort_by_key(|request| request.sent);
         record.deeds.sort_by_key(|(at, _)| *at);
-        record.stores = self.fleet.lock().await.book.entries();
+        record.stores = self.fleet.lock().await.event_log.entries();
         Ok(record)
     }
 }
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use umbertray_config::{Arguments, Problem, SettingsDocument};
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 
 /// A group of clients with the same load on one volume.
 #[derive(Clone, Debug, PartialEq)]
@@ -158,7 +158,7 @@
     /// Number of stores, one per shard.
     pub stores: u32,
     /// Capacity of a store.
-    pub store_power: Power,
+    pub store_performance: StorePerformance,
     /// Longest delay allowed between an event and its observation, on a machine that is busy with other work.
     pub slack: Duration,
     /// Whether gateways keep state in a folder across restarts.
@@ -213,13 +213,13 @@
             keeps_state,
             uses_change_log,
             has_coordinator,
-            mut store_power,
+            mut store_performance,
         ) = parameters;
         let rules = &document.settings.rules;
-        store_power.cold_from = rules.slow_start_fraction;
-        store_power.cold_s = rules.slow_start_duration.as_secs_f64();
-        store_power.fall_multiple = rules.slow_start_multiple;
-        store_power.fall_s = rules.slow_start_window.as_secs_f64();
+        store_performance.cold_from = rules.slow_start_fraction;
+        store_performance.cold_s = rules.slow_start_duration.as_secs_f64();
+        store_performance.fall_multiple = rules.slow_start_multiple;
+        store_performance.fall_s = rules.slow_start_window.as_secs_f64();
         document.settings.gateways = gateways;
         document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
         Ok(Day {
@@ -228,7 +228,7 @@
             duration,
             gateways,
             stores,
-            store_power,
+            store_performance,
             slack,
             keeps_state,
             uses_change_log,
@@ -241,11 +241,11 @@
 
 /// Arguments of `day`: duration, gateways, stores, slack, whether state is kept, whether a change log is
 /// used, whether there is a coordinator, and the capacity of a store.
-type Parameters = (Duration, u32, u32, Duration, bool, bool, bool, Power);
+type Parameters = (Duration, u32, u32, Duration, bool, bool, bool, StorePerformance);
 
 fn read_parameters(args: &mut Arguments) -> Parameters {
-    let default = Power::default();
-    let store_power = Power {
+    let default = StorePerformance::default();
+    let store_performance = StorePerformance {
         cores: args.count("cores", 1..=64, Some(default.cores.into())) as u32,
         unit_ms: args.number("unit_ms", 0.01..=1000.0, Some(default.unit_ms)),
         queue: args.count("queue", 1..=100_000, Some(default.queue as u64)) as usize,
@@ -261,7 +261,7 @@
         args.flag("state"),
         args.flag("changes"),
         args.flag("keeper"),
-        store_power,
+        store_performance,
     )
 }
 
--- a/crates/fault-tests/src/soak/plan.rs
+++ b/crates/fault-tests/src/soak/plan.rs
@@ -218,7 +218,7 @@
 fn draw_link_fault(rng: &mut StdRng) -> LinkFault {
     let delay = Duration::from_millis(rng.random_range(5..120));
     let faults = [
-        LinkFault::Hold,
+        LinkFault::Stall,
         LinkFault::Delay(delay),
         LinkFault::Trickle,
         LinkFault::Split,
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 use umbertray_fakes::proxy::{LinkFault, Proxy, Tap};
 use umbertray_fakes::shim::{self, CallFaults};
 use umbertray_http::server::Request as StoreRequest;
@@ -195,13 +195,13 @@
             record.update(|record| record.arrivals.push(Arrival { store: number, id, at, ran }));
         }
         match mode {
-            StoreMode::Serve => Act::WriteAfter(SERVICE_TIME, ok(&id)),
-            StoreMode::Stall => Act::Hold,
-            StoreMode::Fail => Act::Write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()),
-            StoreMode::Reject => {
-                Act::Write(b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
-            }
-            StoreMode::Close => Act::Close,
+            StoreMode::Serve => StoreAction::WriteAfter(SERVICE_TIME, ok(&id)),
+            StoreMode::Stall => StoreAction::Hold,
+            StoreMode::Fail => StoreAction::Write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()),
+            StoreMode::Reject => StoreAction::Write(
+                b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
+            ),
+            StoreMode::Close => StoreAction::Close,
         }
     };
     let shard = number / STORES_PER_SHARD;
@@ -337,9 +337,9 @@
             Link::Store(store) => (&target.store_proxies[store as usize], None),
         };
         let from = self.record.now();
-        proxy.fault(fault);
+        proxy.set_fault(fault);
         sleep(duration).await;
-        proxy.fault(LinkFault::None);
+        proxy.set_fault(LinkFault::None);
         if let Some(disturbance) = disturbance {
             self.record_disturbance(gateway, disturbance, from);
         }
--- a/crates/fault-tests/src/soak/testbed/terminations.rs
+++ b/crates/fault-tests/src/soak/testbed/terminations.rs
@@ -75,7 +75,7 @@
     async fn start_successor(&self, target: &GatewayUnderTest, listen: SocketAddr, process: &mut Process) {
         match self.start_process(target.number, listen, target.discovery_proxy.address).await {
             Ok(next) => {
-                target.client_proxy.lead_to(Some(next.address));
+                target.client_proxy.set_upstream(Some(next.address));
                 *process = next;
                 target.set_deadline(longest_deadline(target.number), self.record.now());
             }
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use umbertray_fakes::book::Book;
+use umbertray_fakes::event_log::EventLog;
 use umbertray_fakes::fleet::any_port;
-use umbertray_fakes::list::{self, Listed};
-use umbertray_fakes::model::Power;
+use umbertray_fakes::list::{self, ListEntry};
+use umbertray_fakes::model::StorePerformance;
 use umbertray_fakes::store::{self, Identity};
 use umbertray_fakes::traffic::TrafficCounts;
 use umbertray_store_protocol::list::EndpointState;
@@ -106,7 +106,7 @@
                     if present {
                         list.restarted(entry.store, entry.address);
                     } else {
-                        list.state(entry.store, EndpointState::Gone);
+                        list.set_state(entry.store, EndpointState::Gone);
                     }
                 }
                 Ok(Reply::Done)
@@ -125,8 +125,9 @@
     async fn start_stores(&mut self, from: u64, count: u32, seed: u64) -> Result<Reply, CommandError> {
         let mut addresses = Vec::new();
         for store in from..from + u64::from(count) {
-            let (power, medium, book) = (Power::default(), Arc::default(), Book::default());
-            let identity = Identity { store, shard: store as u32, power, medium, book, seed };
+            let (performance, disk, event_log) =
+                (StorePerformance::default(), Arc::default(), EventLog::default());
+            let identity = Identity { store, shard: store as u32, performance, disk, event_log, seed };
             let running = store::start(identity, any_port(), false).await;
             let running = running.map_err(|error| CommandError::Store { store, error })?;
             addresses.push(running.address);
@@ -144,8 +145,9 @@
         let list = list::start(listen).await.map_err(|error| CommandError::List { listen, error })?;
         for StoreEntry { store, address, zone } in &stores {
             let (shard, state) = (*store as u32, EndpointState::Ready);
-            let listed = Listed { address: *address, shard, zone: *zone, state, start: 1, started: None };
-            list.list(*store, listed);
+            let listed =
+                ListEntry { address: *address, shard, zone: *zone, state, incarnation: 1, started: None };
+            list.set_entry(*store, listed);
         }
         let address = list.address;
         self.list = Some((list, stores));
