--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use umbertray_fault_tests::judge::{Count, Service};
-use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
+use umbertray_fault_tests::{Record, Scenario, Verdict, judge, run_scenario};
 
 use crate::error::{CommandError, ScriptProblems};
 use crate::output;
@@ -31,7 +31,7 @@
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let name = arguments.scenario.display().to_string();
     let text = std::fs::read_to_string(&arguments.scenario).map_err(CommandError::io(&name))?;
-    let scenario = Day::read(&name, text).map_err(ScriptProblems)?;
+    let scenario = Scenario::read(&name, text).map_err(ScriptProblems)?;
     let program = std::env::current_exe().map_err(CommandError::io("this program"))?;
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.repeat {
@@ -49,7 +49,12 @@
     Ok(())
 }
 
-async fn run_seed(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> Result<Verdict, CommandError> {
+async fn run_seed(
+    scenario: &Scenario,
+    seed: u64,
+    program: &Path,
+    folder: &Path,
+) -> Result<Verdict, CommandError> {
     std::fs::create_dir_all(folder).map_err(CommandError::io(folder.display()))?;
     let record = run_scenario(scenario, seed, program, folder).await;
     let record = record.map_err(CommandError::io(format!("seed {seed}")))?;
@@ -58,11 +63,11 @@
     Ok(verdict)
 }
 
-fn save(folder: &Path, scenario: &Day, record: &Record, verdict: &Verdict) -> io::Result<()> {
+fn save(folder: &Path, scenario: &Scenario, record: &Record, verdict: &Verdict) -> io::Result<()> {
     std::fs::write(folder.join("day.star"), &scenario.text)?;
-    write_json_lines(&folder.join("clients.jsonl"), &record.asked)?;
+    write_json_lines(&folder.join("clients.jsonl"), &record.client_requests)?;
     write_json_lines(&folder.join("stores.jsonl"), &record.stores)?;
-    write_json_lines(&folder.join("deeds.jsonl"), &record.deeds)?;
+    write_json_lines(&folder.join("deeds.jsonl"), &record.events)?;
     std::fs::write(folder.join("verdict.json"), serde_json::to_vec_pretty(verdict)?)
 }
 
@@ -93,7 +98,7 @@
     for finding in &verdict.findings {
         output::print_line(&format!(
             "  {:32} looked {:6}  broken {:4}  {:.3} {}",
-            finding.rule, finding.looked, finding.broken, finding.figure, finding.unit
+            finding.rule, finding.cases_checked, finding.broken, finding.figure, finding.unit
         ));
         for breach in &finding.breaches {
             output::print_line(&format!("    {breach}"));
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -69,9 +69,9 @@
         soak::oracle::late_requests(record),
         record.exits.len(),
         record.attempts.len(),
-        record.stopped.len(),
+        record.stopped_clients.len(),
         plan.faults.len(),
-        record.stalls.len(),
+        record.held_up.len(),
         findings.len()
     ));
     for finding in findings {
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -12,7 +12,7 @@
 use umbertray_fakes::model::Fault;
 use umbertray_fakes::test_folder::TestFolder;
 use umbertray_fault_tests::process::Gateway;
-use umbertray_fault_tests::record::Deed;
+use umbertray_fault_tests::record::TestEvent;
 
 use crate::common::{
     assert_mostly_acked, block_contents, empty_folder, expect_acked, is_throttled, program_path,
@@ -85,7 +85,7 @@
         folder.join(format!("state-{number}")),
         changes
     );
-    Gateway::start_in(program_path(), folder, &format!("g{number}"), &script, environment).await
+    Gateway::start_with_environment(program_path(), folder, &format!("g{number}"), &script, environment).await
 }
 
 /// Waits until a gateway's log reports that it has applied a version.
@@ -381,7 +381,7 @@
 async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
     let (record, verdict) = run_fault_scenario("changes.star", text, 1).await;
-    let limits = record.deeds.iter().filter(|(_, deed)| matches!(deed, Deed::Limit { .. }));
+    let limits = record.events.iter().filter(|(_, deed)| matches!(deed, TestEvent::Limit { .. }));
     assert_eq!(limits.count(), 4, "the first, and three others");
     assert_mostly_acked(&verdict);
 }
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -10,8 +10,8 @@
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::StorePerformance;
 use umbertray_fakes::test_folder::TestFolder;
-use umbertray_fault_tests::load::{BLOCK, content, mark};
-use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
+use umbertray_fault_tests::load::{BLOCK_BYTES, block_content, block_mark};
+use umbertray_fault_tests::{Record, Scenario, Verdict, judge, run_scenario};
 use umbertray_nbd::Errno;
 use umbertray_nbd_gateway::{GatewayOptions, RunningGateway};
 
@@ -82,15 +82,16 @@
 /// The contents of `blocks` blocks, the first of which is `block`, after a write with this mark. A mark is
 /// the number that identifies a write in its data.
 pub(crate) fn block_contents(mark: u64, block: u64, blocks: u32) -> Bytes {
-    (block..block + u64::from(blocks)).flat_map(|block| content(mark, block)).collect()
+    (block..block + u64::from(blocks)).flat_map(|block| block_content(mark, block)).collect()
 }
 
 /// The marks that a read found, one for each block.
 pub(crate) fn read_marks(reply: &RequestOutcome, block: u64, blocks: u32) -> Vec<Option<u64>> {
     let reply = expect_acked(reply);
-    let bytes =
-        reply.bytes(block * u64::from(BLOCK), blocks * BLOCK).expect("the reply covers its range once");
-    bytes.chunks(BLOCK as usize).zip(block..).map(|(bytes, block)| mark(bytes, block)).collect()
+    let bytes = reply
+        .bytes(block * u64::from(BLOCK_BYTES), blocks * BLOCK_BYTES)
+        .expect("the reply covers its range once");
+    bytes.chunks(BLOCK_BYTES as usize).zip(block..).map(|(bytes, block)| block_mark(bytes, block)).collect()
 }
 
 /// Returns the reply, which must be a success.
@@ -128,7 +129,7 @@
 
 /// Runs a scenario of `days/`, which must break no rule.
 pub(crate) async fn run_fault_scenario(name: &str, text: &str, seed: u64) -> (Record, Verdict) {
-    let scenario = Day::read(name, text.into()).unwrap_or_else(|problems| panic!("{problems:#?}"));
+    let scenario = Scenario::read(name, text.into()).unwrap_or_else(|problems| panic!("{problems:#?}"));
     let folder = empty_folder(&format!("{name}-{seed}"));
     let record = run_scenario(&scenario, seed, program_path(), &folder).await;
     let record = record.expect("the scenario runs");
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -2,14 +2,14 @@
 
 use crate::common::{assert_mostly_acked, run_fault_scenario};
 use umbertray_fakes::event_log::StoreEvent;
-use umbertray_fault_tests::record::Deed;
+use umbertray_fault_tests::record::TestEvent;
 
 async fn assert_scenario_tries_all_rules(name: &str, text: &str, seed: u64) {
     let (_, verdict) = run_fault_scenario(name, text, seed).await;
     for finding in &verdict.findings {
         // A rule that was never checked proves nothing. The retry budget is checked only if there were
         // retries.
-        assert!(finding.looked > 0 || finding.rule.starts_with('6'), "{finding:?}");
+        assert!(finding.cases_checked > 0 || finding.rule.starts_with('6'), "{finding:?}");
     }
     assert_mostly_acked(&verdict);
 }
@@ -27,8 +27,8 @@
 async fn gateways_killed_repeatedly_break_no_rule() {
     let text = include_str!("../../../../days/restarts.star");
     let (record, verdict) = run_fault_scenario("restarts.star", text, 1).await;
-    let killed = |(_, deed): &&(u64, Deed)| matches!(deed, Deed::Killed { .. });
-    assert!(record.deeds.iter().filter(killed).count() >= 20);
+    let killed = |(_, deed): &&(u64, TestEvent)| matches!(deed, TestEvent::Killed { .. });
+    assert!(record.events.iter().filter(killed).count() >= 20);
     assert_mostly_acked(&verdict);
 }
 
@@ -60,7 +60,8 @@
     let (record, verdict) = run_fault_scenario("clients.star", text, 1).await;
     let all = &verdict.service.all;
     assert!(all.lost == 0 && all.aborted == 0, "{verdict:#?}");
-    let clients: std::collections::BTreeSet<u32> = record.asked.iter().map(|asked| asked.client).collect();
+    let clients: std::collections::BTreeSet<u32> =
+        record.client_requests.iter().map(|asked| asked.client).collect();
     assert_eq!(clients.len(), 200);
     assert!(all.asked > 1000, "{all:?}");
 }
--- a/crates/cli/tests/sockets/failing_calls.rs
+++ b/crates/cli/tests/sockets/failing_calls.rs
@@ -56,8 +56,14 @@
              {SCRIPT}"
         );
         let environment = faults.environment(&library);
-        let gateway =
-            Gateway::start_in(program_path(), &folder, &format!("g{number}"), &script, &environment).await;
+        let gateway = Gateway::start_with_environment(
+            program_path(),
+            &folder,
+            &format!("g{number}"),
+            &script,
+            &environment,
+        )
+        .await;
         let gateway = gateway.expect("it starts");
         let clients: JoinSet<u64> =
             (0..CLIENTS).map(|client| count_lost_writes(gateway.address, client)).collect();
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -55,7 +55,7 @@
     let accepted = async {
         loop {
             // A coordinator that has just started may not know the stores yet.
-            match coordinator.wish(extents(0, 1), shard).await.expect("a response") {
+            match coordinator.request_move(extents(0, 1), shard).await.expect("a response") {
                 Ok(number) => return number,
                 Err(reason) => assert!(reason.starts_with("no store serves"), "{reason}"),
             }
@@ -63,7 +63,7 @@
         }
     };
     let number = within(5, "an accepted move", accepted).await;
-    let outcome = coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+    let outcome = coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
     assert_eq!(outcome, "moved, the source is cleared");
 }
 
@@ -161,7 +161,7 @@
     let new =
         within(3, "a final reply", client.write(u64::from(4 * 256 * KIB), block_contents(3, 256, 1))).await;
     assert!(is_throttled(&new), "{new:?}");
-    coordinator.again().await.expect("it starts again");
+    coordinator.restart().await.expect("it starts again");
     assert_eq!(coordinator.term, 2, "each run has its own term");
     expect_acked(
         &retry_throttled(async || client.write(u64::from(4 * 256 * KIB), block_contents(4, 256, 1)).await)
@@ -169,7 +169,7 @@
     );
     // A claimed extent is durable before the gateway is notified of it.
     coordinator.kill().await.expect("it was running");
-    coordinator.again().await.expect("it starts again");
+    coordinator.restart().await.expect("it starts again");
     move_first_extent(&coordinator, 1 - shards_with_data(&fleet)[0]).await;
 }
 
@@ -181,8 +181,11 @@
     let (fleet, mut coordinator, _gateway, client) = start_with_data(&folder, 64).await;
     for round in 0..12u64 {
         let source = shards_with_data(&fleet)[0];
-        let number =
-            coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("it can be moved");
+        let number = coordinator
+            .request_move(extents(0, 1), 1 - source)
+            .await
+            .expect("a response")
+            .expect("it can be moved");
         // In each round, a different order of the move is the last one before the kill.
         let orders =
             fleet.event_log.entries().iter().filter(|e| matches!(e.seen, StoreEvent::Ordered { .. })).count();
@@ -192,8 +195,8 @@
         let (_, outcome) = tokio::join!(tokio::time::timeout(Duration::from_millis(300), ordered), write);
         expect_acked(&outcome);
         coordinator.kill().await.expect("it was running");
-        coordinator.again().await.expect("it starts again");
-        coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+        coordinator.restart().await.expect("it starts again");
+        coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
         let read = retry_throttled(async || client.read(0, 64 * 4096).await).await;
         let mut expected = vec![Some(1); 64];
         expected[..2].fill(Some(10 + round));
@@ -210,12 +213,12 @@
     let source = shards_with_data(&fleet)[0];
     let rejected = CoordinatorProcess::start(program_path(), &folder, fleet.list.address).await;
     assert!(rejected.is_err(), "two coordinators on one folder");
-    let mut former = coordinator.second().await.expect("a second takes over");
+    let mut former = coordinator.take_over().await.expect("a second takes over");
     assert_eq!(coordinator.term, 2);
     move_first_extent(&coordinator, 1 - source).await;
     former.signal(Signal::SIGCONT).expect("it is running");
     assert!(
-        !former.ended(Duration::from_secs(5)).await.expect("it ends"),
+        !former.await_exit(Duration::from_secs(5)).await.expect("it ends"),
         "it exits with an error, since another coordinator took over"
     );
     assert_eq!(shards_with_data(&fleet), [1 - source]);
@@ -277,16 +280,19 @@
     let (mut fleet, coordinator, _gateway, client) = start_with_data(&folder, 4).await;
     let source = shards_with_data(&fleet)[0];
     let identity = fleet.kill(fleet.store_of_shard(source).expect("a store")).await.expect("it ran");
-    let number =
-        coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("the move is accepted");
+    let number = coordinator
+        .request_move(extents(0, 1), 1 - source)
+        .await
+        .expect("a response")
+        .expect("the move is accepted");
     let prepared = fleet
         .event_log
         .until(1, |entry| matches!(&entry.seen, StoreEvent::Ordered { order, .. } if order == "prepare"));
     within(5, "the target is prepared", prepared).await;
-    let (state, is_finished) = coordinator.how_far(number, true).await.expect("a response");
+    let (state, is_finished) = coordinator.move_status(number, true).await.expect("a response");
     assert!(!is_finished, "{state}: the source may still have received the order");
     fleet.restart(identity).await.expect("it starts again");
-    let outcome = coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+    let outcome = coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
     assert_eq!(outcome, "given up, the source serves");
     assert_eq!(shards_with_data(&fleet), [source]);
     assert_eq!(
--- a/crates/cli/tests/sockets/relays.rs
+++ b/crates/cli/tests/sockets/relays.rs
@@ -127,7 +127,7 @@
     assert_eq!(read_marks(&read, 0, 1), [Some(7)]);
 }
 
-const BLOCK_BYTES: u32 = umbertray_fault_tests::load::BLOCK;
+const BLOCK_BYTES: u32 = umbertray_fault_tests::load::BLOCK_BYTES;
 
 #[test]
 fn relay_with_invalid_script_is_rejected_with_reason() {
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -165,6 +165,6 @@
     let text = include_str!("../../../../days/down.star");
     let (_, verdict) = run_fault_scenario("down.star", text, 1).await;
     let cold = verdict.findings.iter().find(|finding| finding.rule.starts_with('4'));
-    assert!(cold.is_some_and(|finding| finding.looked >= 12), "{cold:?}");
+    assert!(cold.is_some_and(|finding| finding.cases_checked >= 12), "{cold:?}");
     assert_mostly_acked(&verdict);
 }
--- a/crates/cli/tests/sockets/slow_disks.rs
+++ b/crates/cli/tests/sockets/slow_disks.rs
@@ -77,7 +77,7 @@
         format!("a/r1={}", relay.address),
     );
     let environment = slow_syncs(&folder, SYNC_DELAY);
-    let gateway = Gateway::start_in(program_path(), &folder, "g1", &script, &environment).await;
+    let gateway = Gateway::start_with_environment(program_path(), &folder, "g1", &script, &environment).await;
     let _gateway = gateway.expect("it starts");
     assert_lowered_limits_apply_at_once(&folder, &changes).await;
 }
@@ -95,7 +95,8 @@
     );
     let environment = slow_syncs(folder, delay);
     let name = ("coordinator", "coordinator");
-    let started = Process::start_in(program_path(), folder, name, &script, &[], &environment).await;
+    let started =
+        Process::start_with_environment(program_path(), folder, name, &script, &[], &environment).await;
     let (process, output) = started.expect("a coordinator starts");
     let address = output["keeper"].as_str().and_then(|text| text.parse().ok());
     (process, address.expect("an address"))
--- a/crates/fault-tests/src/coordinator.rs
+++ b/crates/fault-tests/src/coordinator.rs
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// Those of [`CoordinatorProcess::start`].
-    pub async fn again(&mut self) -> io::Result<()> {
+    pub async fn restart(&mut self) -> io::Result<()> {
         let (process, address, term) =
             start_process(&self.program, &self.folder, self.list_service, self.address, &[]).await?;
         (self.process, self.address, self.term) = (process, address, term);
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// Fails when no second coordinator could take over in time.
-    pub async fn second(&mut self) -> io::Result<Process> {
+    pub async fn take_over(&mut self) -> io::Result<Process> {
         self.process.signal(Signal::SIGSTOP)?;
         let deadline = tokio::time::Instant::now() + TAKEOVER_TIMEOUT;
         loop {
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// Fails when the coordinator does not respond.
-    pub async fn wish(&self, range: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
+    pub async fn request_move(&self, range: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
         match client::request_move(self.address, range, shard).await {
             Ok(number) => Ok(Ok(number)),
             Err(RequestError::Rejected(reason)) => Ok(Err(reason)),
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// Fails when the coordinator does not respond.
-    pub async fn how_far(&self, number: u64, give_up: bool) -> io::Result<(String, bool)> {
+    pub async fn move_status(&self, number: u64, give_up: bool) -> io::Result<(String, bool)> {
         client::move_status(self.address, number, give_up).await.map_err(io::Error::other)
     }
 
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// Fails when the move has not finished at the deadline, or the coordinator does not respond by then.
-    pub async fn ended(&self, number: u64, timeout: Duration) -> io::Result<String> {
+    pub async fn await_move(&self, number: u64, timeout: Duration) -> io::Result<String> {
         await_move(self.address, number, timeout).await
     }
 }
--- a/crates/fault-tests/src/judge/mod.rs
+++ b/crates/fault-tests/src/judge/mod.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::record::{HeldUp, LateStep, Record};
-use crate::script::Day;
+use crate::script::Scenario;
 
 pub use service::{Count, Service};
 
@@ -19,7 +19,8 @@
     /// Name of the rule.
     pub rule: &'static str,
     /// Number of cases checked. A rule with no cases proves nothing.
-    pub looked: u64,
+    #[serde(rename = "looked")]
+    pub cases_checked: u64,
     /// Value measured for the rule; `unit` says what it is.
     pub figure: f64,
     /// What `figure` measures.
@@ -32,7 +33,7 @@
 
 impl Finding {
     pub(crate) fn new(rule: &'static str, unit: &'static str) -> Finding {
-        Finding { rule, looked: 0, figure: 0.0, unit, breaches: Vec::new(), broken: 0 }
+        Finding { rule, cases_checked: 0, figure: 0.0, unit, breaches: Vec::new(), broken: 0 }
     }
 
     pub(crate) fn breach(&mut self, describe: impl FnOnce() -> String) {
@@ -64,7 +65,7 @@
 }
 
 /// Checks a scenario's record against all rules.
-pub fn judge(scenario: &Day, record: &Record) -> Verdict {
+pub fn judge(scenario: &Scenario, record: &Record) -> Verdict {
     let indexed = rules::IndexedRecord::new(scenario, record);
     let findings = vec![
         rules::one_final_response(&indexed),
--- a/crates/fault-tests/src/judge/registers.rs
+++ b/crates/fault-tests/src/judge/registers.rs
@@ -14,7 +14,7 @@
 
 use super::Finding;
 use super::rules::IndexedRecord;
-use crate::load::BLOCK;
+use crate::load::BLOCK_BYTES;
 use crate::record::{Outcome, RequestKind};
 
 #[derive(Clone, Copy, Debug)]
@@ -42,9 +42,9 @@
 pub(crate) fn registers(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("reads return what stands", "most writes a block had");
     let mut registers: BTreeMap<(usize, u64), Register> = BTreeMap::new();
-    for request in &indexed.record.asked {
-        let first = request.offset / u64::from(BLOCK);
-        for i in 0..u64::from(request.length / BLOCK) {
+    for request in &indexed.record.client_requests {
+        let first = request.offset / u64::from(BLOCK_BYTES);
+        for i in 0..u64::from(request.length / BLOCK_BYTES) {
             let register = registers.entry((request.volume, first + i)).or_default();
             match request.kind {
                 RequestKind::Write => {
@@ -69,7 +69,7 @@
         }
     }
     for ((volume, block), register) in registers {
-        finding.looked += register.reads.len() as u64;
+        finding.cases_checked += register.reads.len() as u64;
         finding.record_max(register.writes.len() as f64);
         if let Some(violation) = register.violation() {
             finding.breach(|| format!("volume {volume} block {block}: {violation}"));
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -10,8 +10,8 @@
 
 use super::Finding;
 use super::concurrent_events::concurrent_events;
-use crate::record::{Asked, Deed, Outcome, Record, RequestKind};
-use crate::script::Day;
+use crate::record::{Asked, Outcome, Record, RequestKind, TestEvent};
+use crate::script::Scenario;
 
 /// An attempt as its store saw it.
 pub(crate) struct Attempt {
@@ -32,7 +32,7 @@
 
 /// The record with indexes over its attempts, writes and gateways.
 pub(crate) struct IndexedRecord<'a> {
-    pub scenario: &'a Day,
+    pub scenario: &'a Scenario,
     pub record: &'a Record,
     pub settings: &'a Settings,
     pub slack: u64,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> IndexedRecord<'a> {
-    pub(super) fn new(scenario: &'a Day, record: &'a Record) -> IndexedRecord<'a> {
+    pub(super) fn new(scenario: &'a Scenario, record: &'a Record) -> IndexedRecord<'a> {
         let mut attempts: Vec<Attempt> = Vec::new();
         let mut index: HashMap<(u64, u64), usize> = HashMap::new();
         for entry in &record.stores {
@@ -89,7 +89,8 @@
                 | event_log::StoreEvent::Ordered { .. } => {}
             }
         }
-        let of_kind = |kind: RequestKind| record.asked.iter().filter(move |request| request.kind == kind);
+        let of_kind =
+            |kind: RequestKind| record.client_requests.iter().filter(move |request| request.kind == kind);
         let writes: HashMap<u64, &Asked> =
             of_kind(RequestKind::Write).map(|request| (request.mark, request)).collect();
         let marked = attempts.iter().filter_map(|a| Some((a.run, writes.get(&a.mark)?.gateway)));
@@ -112,8 +113,8 @@
 
     /// End of the stall of the gateway that covers the time `at`.
     fn stalled_until(&self, gateway: usize, at: u64) -> Option<u64> {
-        let stalls = self.record.deeds.iter().filter_map(|(from, event)| match event {
-            Deed::Stalled { gateway: g, until } if *g == gateway => Some((*from, *until)),
+        let stalls = self.record.events.iter().filter_map(|(from, event)| match event {
+            TestEvent::Stalled { gateway: g, until } if *g == gateway => Some((*from, *until)),
             _ => None,
         });
         stalls.filter(|(from, until)| (*from..=*until).contains(&at)).map(|(_, until)| until).max()
@@ -124,11 +125,11 @@
 /// client has received the final response.
 pub(crate) fn one_final_response(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("1 one final answer", "largest part of an op timeout used");
-    for stray in &indexed.record.strays {
-        finding.breach(|| format!("reply without a pending request: {stray}"));
+    for reply in &indexed.record.unmatched_replies {
+        finding.breach(|| format!("reply without a pending request: {reply}"));
     }
-    for request in &indexed.record.asked {
-        finding.looked += 1;
+    for request in &indexed.record.client_requests {
+        finding.cases_checked += 1;
         let timeout = micros(indexed.settings.op_types[indexed.op_type(request)].op_timeout);
         if request.outcome == Outcome::Silent {
             finding.breach(|| format!("no response: {request:?}"));
@@ -177,7 +178,7 @@
         writes.entry((attempt.mark, attempt.extent)).or_default().push(attempt);
     }
     for ((mark, extent), dispatches) in writes {
-        finding.looked += 1;
+        finding.cases_checked += 1;
         finding.record_max(dispatches.len() as f64);
         let ran = dispatches.iter().filter(|attempt| attempt.ran_at.is_some()).count();
         if ran > 1 {
@@ -210,11 +211,11 @@
     let mut delay = 0;
     // Store, start and end of each drain. The start includes the delay of the list service.
     let mut drains: Vec<(u64, u64, u64)> = Vec::new();
-    for (at, event) in &indexed.record.deeds {
+    for (at, event) in &indexed.record.events {
         match event {
-            Deed::ListDelay { delay: now } => delay = *now,
-            Deed::Barred { store } => drains.push((*store, *at + delay, u64::MAX)),
-            Deed::Ready { store } => {
+            TestEvent::ListDelay { delay: now } => delay = *now,
+            TestEvent::Barred { store } => drains.push((*store, *at + delay, u64::MAX)),
+            TestEvent::Ready { store } => {
                 let open = drains.iter_mut().filter(|(s, _, to)| s == store && *to == u64::MAX);
                 open.for_each(|(_, _, to)| *to = *at);
             }
@@ -222,7 +223,7 @@
         }
     }
     for (store, from, to) in drains {
-        finding.looked += 1;
+        finding.cases_checked += 1;
         for attempt in indexed.attempts.iter().filter(|a| a.store == store && (from..to).contains(&a.at)) {
             // A stalled gateway learned of the drain when it resumed.
             let gateway = indexed.gateways_by_run.get(&attempt.run).copied();
@@ -257,7 +258,7 @@
     for entry in &indexed.record.stores {
         match &entry.seen {
             event_log::StoreEvent::Up { units_a_second, cold: true } => {
-                finding.looked += 1;
+                finding.cases_checked += 1;
                 cold_starts.insert(entry.store, (entry.at, *units_a_second));
                 recent.remove(&entry.store);
             }
@@ -306,7 +307,7 @@
         }
         let earlier = by_key.entry((attempt.run, attempt.volume, attempt.extent)).or_default();
         for other in earlier.iter().filter(|other| other.op != attempt.op) {
-            finding.looked += 1;
+            finding.cases_checked += 1;
             // A store records its response before sending it, so an attempt with a recorded response was no
             // longer pending, unless the response was lost on the way; in that case the pause has passed as
             // well.
@@ -349,12 +350,12 @@
     for (run, times) in further {
         let Some(gateway) = indexed.gateways_by_run.get(&run) else { continue };
         for (i, at) in times.iter().enumerate() {
-            finding.looked += 1;
+            finding.cases_checked += 1;
             let from = at.saturating_sub(window);
             let made = times[..=i].iter().filter(|time| **time >= from).count() as f64;
             // The operations that a gateway received within the window were sent by its clients in that time.
             // The slack can only add requests, so the allowed number is never too low.
-            let received = indexed.record.asked.iter().filter(|request| {
+            let received = indexed.record.client_requests.iter().filter(|request| {
                 request.gateway == *gateway
                     && (from.saturating_sub(indexed.slack)..=*at).contains(&request.sent)
             });
@@ -386,8 +387,8 @@
 /// synced.
 fn limit_changes(indexed: &IndexedRecord, plan: &str) -> Vec<(u64, f64, f64)> {
     let mut changes = Vec::new();
-    for (at, event) in &indexed.record.deeds {
-        let Deed::Limit { plan: changed_plan, rate, burst, began } = event else { continue };
+    for (at, event) in &indexed.record.events {
+        let TestEvent::Limit { plan: changed_plan, rate, burst, began } = event else { continue };
         if changed_plan == plan {
             let lowered = changes.last().is_some_and(|(_, before, _)| rate < before);
             changes.push((if lowered { at + indexed.slack } else { *began }, *rate, *burst));
@@ -411,7 +412,7 @@
             if !counted.insert((attempt.run, attempt.op)) {
                 continue;
             }
-            finding.looked += 1;
+            finding.cases_checked += 1;
             while let Some((at, new_rate, new_burst)) = changes.next_if(|(at, ..)| *at <= attempt.at) {
                 let refill = rate * at.saturating_sub(updated_at) as f64 / 1e6;
                 units_left = (units_left + refill).min(burst).min(new_burst);
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use crate::record::{Asked, Deed, Outcome, Record};
-use crate::script::Day;
+use crate::record::{Asked, Outcome, Record, TestEvent};
+use crate::script::Scenario;
 
 /// Counts of requests by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -101,14 +101,14 @@
 fn returns(record: &Record) -> Vec<GatewayReturn> {
     let mut killed = BTreeMap::new();
     let mut returns: Vec<GatewayReturn> = Vec::new();
-    for (at, event) in &record.deeds {
+    for (at, event) in &record.events {
         match event {
-            Deed::Killed { gateway } => {
+            TestEvent::Killed { gateway } => {
                 killed.insert(*gateway, *at);
                 let earlier = returns.iter_mut().filter(|r| r.gateway == *gateway);
                 earlier.for_each(|r| r.until = r.until.min(*at));
             }
-            Deed::Returned { gateway } => {
+            TestEvent::Returned { gateway } => {
                 let killed_at = killed.get(gateway).copied().unwrap_or(*at);
                 let (gateway, from, until) = (*gateway, *at, at + RETURN_WINDOW_MICROS);
                 returns.push(GatewayReturn { gateway, killed_at, from, until });
@@ -119,14 +119,14 @@
     returns
 }
 
-pub(crate) fn service(scenario: &Day, record: &Record) -> Service {
+pub(crate) fn service(scenario: &Scenario, record: &Record) -> Service {
     let settings = &scenario.document.settings;
     let mut service = Service::default();
     let returns = returns(record);
     // For each return and each step after it: requests to this gateway, and to those not recently killed.
     let mut steps: Vec<BTreeMap<u64, [Count; 2]>> = returns.iter().map(|_| BTreeMap::new()).collect();
     let mut before = vec![Count::default(); returns.len()];
-    for request in &record.asked {
+    for request in &record.client_requests {
         let op_type = &settings.op_types[settings.op_type(request.kind.operation_kind(), request.length)];
         let plan = &settings.plans[settings.volumes[request.volume].plan].name;
         let is_in_target = request.ended - request.sent <= op_type.target_latency.as_micros() as u64;
--- a/crates/fault-tests/src/judge/tests.rs
+++ b/crates/fault-tests/src/judge/tests.rs
@@ -5,8 +5,8 @@
 use umbertray_store_protocol::volume_id;
 
 use super::judge;
-use crate::record::{Asked, Deed, Outcome, Record, RequestKind};
-use crate::script::Day;
+use crate::record::{Asked, Outcome, Record, RequestKind, TestEvent};
+use crate::script::Scenario;
 
 const SCENARIO: &str = r#"
 gateway(listen = ["127.0.0.1:0"], list = "127.0.0.1:1", extent = 256 * KiB)
@@ -54,7 +54,7 @@
 fn correct_record() -> Record {
     let answered = |number| StoreEvent::Answered { run: 9, number, code: "Acked".into() };
     Record {
-        asked: vec![
+        client_requests: vec![
             request(RequestKind::Write, 1, 1_000_000),
             request(RequestKind::Read, 1, 1_100_000),
             request(RequestKind::Write, 2, 1_200_000),
@@ -69,13 +69,13 @@
             entry(1_220_000, StoreEvent::Ran { run: 9, number: 2 }),
             entry(1_220_000, answered(2)),
         ],
-        deeds: Vec::new(),
+        events: Vec::new(),
         ..Record::default()
     }
 }
 
 fn broken_rules(alter: impl FnOnce(&mut Record)) -> Vec<&'static str> {
-    let scenario = Day::read("test.star", SCENARIO.into()).expect("the scenario is valid");
+    let scenario = Scenario::read("test.star", SCENARIO.into()).expect("the scenario is valid");
     let mut record = correct_record();
     alter(&mut record);
     let verdict = judge(&scenario, &record);
@@ -89,15 +89,21 @@
 
 #[test]
 fn a_late_a_missing_and_a_doubled_answer_break_rule_1() {
-    assert_eq!(broken_rules(|record| record.asked[1].ended += 1_100_000), ["1 one final answer"]);
-    assert_eq!(broken_rules(|record| record.asked[1].outcome = Outcome::Silent), ["1 one final answer"]);
-    assert_eq!(broken_rules(|record| record.strays.push("cookie 7".into())), ["1 one final answer"]);
+    assert_eq!(broken_rules(|record| record.client_requests[1].ended += 1_100_000), ["1 one final answer"]);
+    assert_eq!(
+        broken_rules(|record| record.client_requests[1].outcome = Outcome::Silent),
+        ["1 one final answer"]
+    );
+    assert_eq!(
+        broken_rules(|record| record.unmatched_replies.push("cookie 7".into())),
+        ["1 one final answer"]
+    );
 }
 
 #[test]
 fn a_dispatch_after_the_answer_breaks_rule_1() {
     let after = broken_rules(|record| {
-        record.asked[2].ended = 1_201_000;
+        record.client_requests[2].ended = 1_201_000;
         record.stores[4].at = 1_290_000;
     });
     assert_eq!(after, ["1 one final answer"]);
@@ -107,8 +113,8 @@
 fn a_stall_excuses_a_late_response_only_while_it_lasts() {
     let stall = |from, until| {
         move |record: &mut Record| {
-            record.asked[3].ended = 3_000_000;
-            record.deeds.push((from, Deed::Stalled { gateway: 0, until }));
+            record.client_requests[3].ended = 3_000_000;
+            record.events.push((from, TestEvent::Stalled { gateway: 0, until }));
         }
     };
     // The response was due while the gateway was stalled.
@@ -126,14 +132,17 @@
         record.stores.push(entry(1_226_000, StoreEvent::Ran { run: 9, number: 3 }));
     });
     assert!(twice.contains(&"2 no effect twice"), "{twice:?}");
-    let throttled = broken_rules(|record| record.asked[2].outcome = Outcome::Throttled);
+    let throttled = broken_rules(|record| record.client_requests[2].outcome = Outcome::Throttled);
     assert!(throttled.contains(&"2 no effect twice"), "once-only, may have run: {throttled:?}");
 }
 
 #[test]
 fn a_dispatch_to_a_drained_store_breaks_rule_3() {
-    assert_eq!(broken_rules(|r| r.deeds.push((100_000, Deed::Barred { store: 1 }))), ["3 drains are kept"]);
-    assert_eq!(broken_rules(|r| r.deeds.push((1_000_000, Deed::Barred { store: 1 }))), [""; 0]);
+    assert_eq!(
+        broken_rules(|r| r.events.push((100_000, TestEvent::Barred { store: 1 }))),
+        ["3 drains are kept"]
+    );
+    assert_eq!(broken_rules(|r| r.events.push((1_000_000, TestEvent::Barred { store: 1 }))), [""; 0]);
 }
 
 #[test]
@@ -179,28 +188,36 @@
 #[test]
 fn a_read_of_a_stale_unwritten_torn_or_reappearing_value_is_found() {
     let rule = ["reads return what stands"];
-    assert_eq!(broken_rules(|record| record.asked[3].found = vec![Some(1)]), rule, "an overwritten value");
-    assert_eq!(broken_rules(|record| record.asked[3].found = vec![Some(0)]), rule, "zeros after a write");
     assert_eq!(
-        broken_rules(|record| record.asked[1].found = vec![Some(2)]),
+        broken_rules(|record| record.client_requests[3].found = vec![Some(1)]),
+        rule,
+        "an overwritten value"
+    );
+    assert_eq!(
+        broken_rules(|record| record.client_requests[3].found = vec![Some(0)]),
+        rule,
+        "zeros after a write"
+    );
+    assert_eq!(
+        broken_rules(|record| record.client_requests[1].found = vec![Some(2)]),
         rule,
         "a write that has not begun"
     );
-    assert_eq!(broken_rules(|record| record.asked[1].found = vec![None]), rule, "a torn block");
+    assert_eq!(broken_rules(|record| record.client_requests[1].found = vec![None]), rule, "a torn block");
     // Two concurrent writes may take effect in either order, but reads must not return 1, then 2, then 1.
     let returns = broken_rules(|record| {
-        record.asked[0].ended = 1_900_000;
-        record.asked[2].ended = 1_900_000;
-        record.asked.push(request(RequestKind::Read, 1, 1_400_000));
+        record.client_requests[0].ended = 1_900_000;
+        record.client_requests[2].ended = 1_900_000;
+        record.client_requests.push(request(RequestKind::Read, 1, 1_400_000));
     });
     assert_eq!(returns, rule);
     // A throttled or aborted write that runs has run by the time of its response; one without a response may
     // run later.
     let late = |outcome| {
         move |record: &mut Record| {
-            record.asked[0].outcome = outcome;
-            record.asked.remove(1);
-            record.asked[2].found = vec![Some(1)];
+            record.client_requests[0].outcome = outcome;
+            record.client_requests.remove(1);
+            record.client_requests[2].found = vec![Some(1)];
         }
     };
     assert!(broken_rules(late(Outcome::Aborted)).contains(&rule[0]));
--- a/crates/fault-tests/src/lib.rs
+++ b/crates/fault-tests/src/lib.rs
@@ -13,4 +13,4 @@
 pub use judge::{Verdict, judge};
 pub use record::Record;
 pub use scenario::run_scenario;
-pub use script::Day;
+pub use script::Scenario;
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -19,7 +19,7 @@
 use crate::script::ClientLoad;
 
 /// Size of a block in bytes.
-pub const BLOCK: u32 = 4096;
+pub const BLOCK_BYTES: u32 = 4096;
 
 /// Faults that affect clients at present.
 #[derive(Clone, Debug, PartialEq)]
@@ -88,8 +88,8 @@
 
 /// Content of a block after a write with this mark: the mark, followed by words derived from the mark and the
 /// block.
-pub fn content(mark: u64, block: u64) -> [u8; BLOCK as usize] {
-    let mut bytes = [0; BLOCK as usize];
+pub fn block_content(mark: u64, block: u64) -> [u8; BLOCK_BYTES as usize] {
+    let mut bytes = [0; BLOCK_BYTES as usize];
     for (i, chunk) in bytes.chunks_exact_mut(8).enumerate() {
         let word = if i == 0 { mark } else { (mark ^ block).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ i as u64 };
         chunk.copy_from_slice(&word.to_be_bytes());
@@ -99,10 +99,10 @@
 
 /// Mark of the write that left this content in a block, 0 for zeros. Absent where no single write can have
 /// left it.
-pub fn mark(bytes: &[u8], block: u64) -> Option<u64> {
+pub fn block_mark(bytes: &[u8], block: u64) -> Option<u64> {
     let mark = u64::from_be_bytes(*bytes.first_chunk()?);
     let is_complete =
-        if mark == 0 { bytes.iter().all(|byte| *byte == 0) } else { bytes == content(mark, block) };
+        if mark == 0 { bytes.iter().all(|byte| *byte == 0) } else { bytes == block_content(mark, block) };
     is_complete.then_some(mark)
 }
 
@@ -153,7 +153,7 @@
             connection.abort();
             while workers.join_next().await.is_some() {}
             if let Ok(mut record) = client.context.record.lock() {
-                record.strays.extend(connection.unmatched_replies());
+                record.unmatched_replies.extend(connection.unmatched_replies());
             }
         }
     }
@@ -182,8 +182,8 @@
         faults: &ClientFaults,
         scanned: &mut u64,
     ) -> (RequestKind, u64, u32) {
-        let max_blocks = (self.load.max_length / BLOCK).max(1);
-        let volume_blocks = self.volume_bytes / u64::from(BLOCK);
+        let max_blocks = (self.load.max_length / BLOCK_BYTES).max(1);
+        let volume_blocks = self.volume_bytes / u64::from(BLOCK_BYTES);
         if faults.scan[self.load.volume] {
             *scanned += u64::from(max_blocks);
             // Clients start at different blocks.
@@ -218,7 +218,7 @@
         block: u64,
         blocks: u32,
     ) -> bool {
-        let (offset, length) = (block * u64::from(BLOCK), blocks * BLOCK);
+        let (offset, length) = (block * u64::from(BLOCK_BYTES), blocks * BLOCK_BYTES);
         let mark = if kind == RequestKind::Write {
             self.context.next_mark.fetch_add(1, Ordering::Relaxed)
         } else {
@@ -226,7 +226,7 @@
         };
         let mut data = BytesMut::new();
         if kind == RequestKind::Write {
-            (block..block + u64::from(blocks)).for_each(|block| data.put_slice(&content(mark, block)));
+            (block..block + u64::from(blocks)).for_each(|block| data.put_slice(&block_content(mark, block)));
         }
         let command = match kind {
             RequestKind::Read => Command::Read,
@@ -257,7 +257,7 @@
             found,
         };
         if let Ok(mut record) = self.context.record.lock() {
-            record.asked.push(request);
+            record.client_requests.push(request);
         }
         !matches!(outcome, Outcome::Lost | Outcome::Silent)
     }
@@ -280,10 +280,11 @@
         return (outcome, Vec::new());
     }
     // Nothing is found in a reply that does not cover the requested range: its blocks count as torn.
-    let bytes: Bytes = reply.bytes(block * u64::from(BLOCK), blocks * BLOCK).unwrap_or_default().into();
+    let bytes: Bytes =
+        reply.bytes(block * u64::from(BLOCK_BYTES), blocks * BLOCK_BYTES).unwrap_or_default().into();
     let found = (0..blocks).map(|i| {
-        let at = (i * BLOCK) as usize;
-        mark(bytes.get(at..at + BLOCK as usize)?, block + u64::from(i))
+        let at = (i * BLOCK_BYTES) as usize;
+        block_mark(bytes.get(at..at + BLOCK_BYTES as usize)?, block + u64::from(i))
     });
     (outcome, found.collect())
 }
--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -33,14 +33,14 @@
         script: &str,
         arguments: &[&str],
     ) -> io::Result<(Process, serde_json::Value)> {
-        Process::start_in(program, folder, (command, name), script, arguments, &[]).await
+        Process::start_with_environment(program, folder, (command, name), script, arguments, &[]).await
     }
 
     /// Same as [`Process::start`], with additional environment variables.
     ///
     /// # Errors
     /// Those of [`Process::start`].
-    pub async fn start_in(
+    pub async fn start_with_environment(
         program: &Path,
         folder: &Path,
         (command, name): (&str, &str),
@@ -109,14 +109,14 @@
     /// Same as [`Process::stop`], without consuming the handle. Returns whether the exit status was success.
     pub(crate) async fn stop_in_place(&mut self, timeout: Duration) -> io::Result<bool> {
         self.signal(Signal::SIGTERM)?;
-        self.ended(timeout).await
+        self.await_exit(timeout).await
     }
 
     /// Waits for the exit. Returns whether the exit status was success.
     ///
     /// # Errors
     /// Fails when the process does not exit within `timeout`.
-    pub async fn ended(&mut self, timeout: Duration) -> io::Result<bool> {
+    pub async fn await_exit(&mut self, timeout: Duration) -> io::Result<bool> {
         Ok(tokio::time::timeout(timeout, self.child.wait()).await??.success())
     }
 }
@@ -134,14 +134,14 @@
     /// # Errors
     /// Those of [`Process::start`].
     pub async fn start(program: &Path, folder: &Path, name: &str, settings: &str) -> io::Result<Gateway> {
-        Gateway::start_in(program, folder, name, settings, &[]).await
+        Gateway::start_with_environment(program, folder, name, settings, &[]).await
     }
 
     /// Same as [`Gateway::start`], with additional environment variables.
     ///
     /// # Errors
     /// Those of [`Process::start`].
-    pub async fn start_in(
+    pub async fn start_with_environment(
         program: &Path,
         folder: &Path,
         name: &str,
@@ -149,7 +149,8 @@
         environment: &[(&str, String)],
     ) -> io::Result<Gateway> {
         let (process, startup) =
-            Process::start_in(program, folder, ("serve", name), settings, &[], environment).await?;
+            Process::start_with_environment(program, folder, ("serve", name), settings, &[], environment)
+                .await?;
         let address = startup["nbd"][0].as_str().and_then(|text| text.parse().ok());
         let address = address
             .ok_or_else(|| io::Error::other(format!("{name} did not report the address it listens on")))?;
--- a/crates/fault-tests/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -74,7 +74,7 @@
 /// An injected fault or other event that the judge's limits count from: what was done to gateways, the
 /// coordinator, the list service and the shared settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Deed {
+pub enum TestEvent {
     /// The endpoint list began to report the store as draining or gone.
     Barred {
         /// The store's id.
@@ -157,13 +157,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Client requests, ordered by send time.
-    pub asked: Vec<Asked>,
+    #[serde(rename = "asked")]
+    pub client_requests: Vec<Asked>,
     /// Events at the stores.
     pub stores: Vec<Entry>,
     /// Injected faults and other events, each with its time in microseconds since the record began.
-    pub deeds: Vec<(u64, Deed)>,
+    #[serde(rename = "deeds")]
+    pub events: Vec<(u64, TestEvent)>,
     /// Replies that matched no pending request, and bytes that were not valid replies.
-    pub strays: Vec<String>,
+    #[serde(rename = "strays")]
+    pub unmatched_replies: Vec<String>,
     /// Periods in which the test process itself was held up.
     pub held_up: Vec<HeldUp>,
     /// Steps of faults that began late.
--- a/crates/fault-tests/src/scenario/change_log.rs
+++ b/crates/fault-tests/src/scenario/change_log.rs
@@ -9,7 +9,7 @@
 use umbertray_snapshot::Disk;
 
 use super::testbed::Testbed;
-use crate::record::Deed;
+use crate::record::TestEvent;
 
 impl Testbed {
     pub(super) fn log_folder(&self) -> PathBuf {
@@ -43,7 +43,7 @@
             let new = limit(log.head(), &plan.name);
             if let Some(new) = new.filter(|new| limit(&before, &plan.name).as_ref() != Some(new)) {
                 let (rate, burst) = (new.rate, new.burst);
-                self.record_event(Deed::Limit { plan: plan.name.clone(), rate, burst, began });
+                self.record_event(TestEvent::Limit { plan: plan.name.clone(), rate, burst, began });
             }
         }
         Ok(())
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -17,7 +17,7 @@
 use super::testbed::{Testbed, poisoned_lock};
 use crate::coordinator::CoordinatorProcess;
 use crate::load::ClientFaults;
-use crate::record::{Deed, LateStep};
+use crate::record::{LateStep, TestEvent};
 use crate::script::{FaultKind, ScriptedFault};
 
 /// Time between two resets of connections during a reset fault.
@@ -173,7 +173,7 @@
         for identity in killed {
             let store = identity.store;
             self.testbed.fleet.lock().await.restart(identity).await?;
-            self.testbed.record_event(Deed::Ready { store });
+            self.testbed.record_event(TestEvent::Ready { store });
         }
         Ok(())
     }
@@ -266,7 +266,7 @@
         let Some(shard) = fleet.shard(id) else { return Ok(false) };
         fleet.add(shard, true).await?;
         fleet.list.set_state(id, EndpointState::Draining);
-        self.testbed.record_event(Deed::Barred { store: id });
+        self.testbed.record_event(TestEvent::Barred { store: id });
         Ok(true)
     }
 
@@ -280,7 +280,7 @@
 
     async fn set_list_delay(&self, delay: Duration) {
         self.testbed.fleet.lock().await.list.set_delay(delay);
-        self.testbed.record_event(Deed::ListDelay { delay: delay.as_micros() as u64 });
+        self.testbed.record_event(TestEvent::ListDelay { delay: delay.as_micros() as u64 });
     }
 
     async fn fail_list(self) -> io::Result<()> {
@@ -373,11 +373,11 @@
         let Some(coordinator) = &self.testbed.coordinator else { return Ok(()) };
         let mut coordinator = coordinator.lock().await;
         self.record_lateness(self.spec.at);
-        self.testbed.record_event(Deed::CoordinatorKilled);
+        self.testbed.record_event(TestEvent::CoordinatorKilled);
         coordinator.kill().await?;
         sleep_until((self.started + self.end_offset()).min(self.scenario_end())).await;
-        coordinator.again().await?;
-        self.testbed.record_event(Deed::CoordinatorStarted { term: coordinator.term });
+        coordinator.restart().await?;
+        self.testbed.record_event(TestEvent::CoordinatorStarted { term: coordinator.term });
         Ok(())
     }
 
@@ -392,7 +392,7 @@
         coordinator.signal(Signal::SIGCONT)?;
         self.testbed.record_event_at(
             from,
-            Deed::CoordinatorStalled { until: self.testbed.client_context.store_record.now() },
+            TestEvent::CoordinatorStalled { until: self.testbed.client_context.store_record.now() },
         );
         Ok(())
     }
@@ -401,9 +401,9 @@
         let Some(coordinator) = &self.testbed.coordinator else { return Ok(()) };
         let mut coordinator = coordinator.lock().await;
         self.record_lateness(self.spec.at);
-        let former = CoordinatorProcess::second(&mut coordinator).await?;
+        let former = CoordinatorProcess::take_over(&mut coordinator).await?;
         self.testbed.set_coordinator_address(coordinator.address)?;
-        self.testbed.record_event(Deed::CoordinatorStarted { term: coordinator.term });
+        self.testbed.record_event(TestEvent::CoordinatorStarted { term: coordinator.term });
         self.testbed.superseded.lock().map_err(poisoned_lock)?.push(former);
         Ok(())
     }
--- a/crates/fault-tests/src/scenario/gateways.rs
+++ b/crates/fault-tests/src/scenario/gateways.rs
@@ -11,7 +11,7 @@
 
 use super::testbed::{Testbed, poisoned_lock};
 use crate::process::Gateway;
-use crate::record::Deed;
+use crate::record::TestEvent;
 
 /// Script calls that stay in a gateway's own script when all other settings are in the change log.
 const GATEWAY_CALLS: [&str; 2] = ["gateway", "bounds"];
@@ -77,7 +77,7 @@
 
 impl LockedGateway {
     pub(super) async fn kill(&mut self, testbed: &Testbed) -> io::Result<()> {
-        testbed.record_event(Deed::Killed { gateway: self.number });
+        testbed.record_event(TestEvent::Killed { gateway: self.number });
         self.gateway.kill().await
     }
 
@@ -86,7 +86,7 @@
         *self.gateway = testbed.start_gateway(self.number, start).await?;
         testbed.client_context.gateway_addresses.lock().map_err(poisoned_lock)?[self.number] =
             self.gateway.address;
-        testbed.record_event(Deed::Returned { gateway: self.number });
+        testbed.record_event(TestEvent::Returned { gateway: self.number });
         Ok(())
     }
 
@@ -98,7 +98,7 @@
         tokio::time::sleep_until(until).await;
         self.gateway.signal(Signal::SIGCONT)?;
         let until = testbed.client_context.store_record.now();
-        testbed.record_event_at(from, Deed::Stalled { gateway: self.number, until });
+        testbed.record_event_at(from, TestEvent::Stalled { gateway: self.number, until });
         Ok(())
     }
 }
--- a/crates/fault-tests/src/scenario/mod.rs
+++ b/crates/fault-tests/src/scenario/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::load::{Client, ClientContext, ClientFaults};
 use crate::record::Record;
-use crate::script::Day;
+use crate::script::Scenario;
 use testbed::Testbed;
 
 /// A client waits this much longer than twice the longest op timeout before it records that there was no
@@ -35,7 +35,12 @@
 ///
 /// # Errors
 /// Fails when a process does not start or exits with an error, or when a move does not finish.
-pub async fn run_scenario(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> io::Result<Record> {
+pub async fn run_scenario(
+    scenario: &Scenario,
+    seed: u64,
+    program: &Path,
+    folder: &Path,
+) -> io::Result<Record> {
     let fleet = Fleet::start(scenario.stores, scenario.store_performance.clone(), seed).await?;
     let (client_faults, faults) =
         watch::channel(ClientFaults::none(scenario.document.settings.volumes.len()));
--- a/crates/fault-tests/src/scenario/moves.rs
+++ b/crates/fault-tests/src/scenario/moves.rs
@@ -67,7 +67,7 @@
         let superseded = std::mem::take(&mut *self.superseded.lock().map_err(poisoned_lock)?);
         for mut former in superseded {
             former.signal(Signal::SIGCONT)?;
-            if former.ended(START_TIMEOUT).await? {
+            if former.await_exit(START_TIMEOUT).await? {
                 let message = "a superseded coordinator exited with success; it must exit with an error";
                 return Err(io::Error::other(message));
             }
--- a/crates/fault-tests/src/scenario/testbed.rs
+++ b/crates/fault-tests/src/scenario/testbed.rs
@@ -12,11 +12,11 @@
 use crate::coordinator::CoordinatorProcess;
 use crate::load::{ClientContext, ClientFaults};
 use crate::process::{Gateway, Process};
-use crate::record::{Deed, Record};
-use crate::script::Day;
+use crate::record::{Record, TestEvent};
+use crate::script::Scenario;
 
 pub(super) struct Testbed {
-    pub(super) scenario: Day,
+    pub(super) scenario: Scenario,
     pub(super) seed: u64,
     pub(super) program: PathBuf,
     pub(super) folder: PathBuf,
@@ -45,7 +45,7 @@
 impl Testbed {
     /// Starts the processes of a scenario.
     pub(super) async fn start(
-        scenario: &Day,
+        scenario: &Scenario,
         seed: u64,
         (program, folder): (&Path, &Path),
         fleet: Fleet,
@@ -99,22 +99,22 @@
     }
 
     /// Records an event at the current time.
-    pub(super) fn record_event(&self, event: Deed) {
+    pub(super) fn record_event(&self, event: TestEvent) {
         self.record_event_at(self.client_context.store_record.now(), event);
     }
 
     /// Records an event at an earlier time.
-    pub(super) fn record_event_at(&self, at: u64, event: Deed) {
+    pub(super) fn record_event_at(&self, at: u64, event: TestEvent) {
         if let Ok(mut record) = self.client_context.record.lock() {
-            record.deeds.push((at, event));
+            record.events.push((at, event));
         }
     }
 
     /// Takes the complete record, in chronological order.
     pub(super) async fn take_record(&self) -> io::Result<Record> {
         let mut record = std::mem::take(&mut *self.client_context.record.lock().map_err(poisoned_lock)?);
-        record.asked.sort_by_key(|request| request.sent);
-        record.deeds.sort_by_key(|(at, _)| *at);
+        record.client_requests.sort_by_key(|request| request.sent);
+        record.events.sort_by_key(|(at, _)| *at);
         record.stores = self.fleet.lock().await.event_log.entries();
         Ok(record)
     }
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -146,7 +146,7 @@
 
 /// A scenario.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Text of the script.
     pub text: String,
     /// Settings of the gateways.
@@ -173,12 +173,12 @@
     pub faults: Vec<ScriptedFault>,
 }
 
-impl Day {
+impl Scenario {
     /// Reads a script; `file` names it in error messages.
     ///
     /// # Errors
     /// Returns all problems found in the script.
-    pub fn read(file: &str, text: String) -> Result<Day, Vec<Problem>> {
+    pub fn read(file: &str, text: String) -> Result<Scenario, Vec<Problem>> {
         let calls = umbertray_config::evaluate(file, text.clone()).map_err(|problem| vec![problem])?;
         let mut document = umbertray_config::document(file, &calls)?;
         let mut problems = Vec::new();
@@ -222,7 +222,7 @@
         store_performance.fall_s = rules.slow_start_window.as_secs_f64();
         document.settings.gateways = gateways;
         document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
-        Ok(Day {
+        Ok(Scenario {
             text,
             document,
             duration,
--- a/crates/fault-tests/src/soak/client.rs
+++ b/crates/fault-tests/src/soak/client.rs
@@ -144,7 +144,7 @@
         // A wait that outlasts the soak without an error or a close proves nothing.
         if ended_at.is_some() || !*self.finished.borrow() {
             self.record.update(|record| {
-                record.stopped.push(StoppedClient { gateway: self.gateway, stopped_at, ended_at });
+                record.stopped_clients.push(StoppedClient { gateway: self.gateway, stopped_at, ended_at });
             });
         }
     }
--- a/crates/fault-tests/src/soak/oracle.rs
+++ b/crates/fault-tests/src/soak/oracle.rs
@@ -152,7 +152,7 @@
     /// Whether this test itself was held up between two times, for longer than half of its slack.
     fn test_was_held_up(&self, from: Duration, to: Duration) -> bool {
         self.record
-            .stalls
+            .held_up
             .iter()
             .any(|(at, late)| *late > TEST_SLACK / 2 && from <= *at && at.saturating_sub(*late) <= to)
     }
@@ -275,7 +275,7 @@
 
     fn judge_stopped_clients(&self, report: &mut Report) {
         use Disturbance::{Clients, Drain, Killed};
-        for stopped in &self.record.stopped {
+        for stopped in &self.record.stopped_clients {
             let until = stopped.ended_at.unwrap_or(stopped.stopped_at + 2 * BAD_CLIENT_LIMIT);
             let disturbed =
                 self.was_disturbed(stopped.gateway, &[Clients, Killed, Drain], stopped.stopped_at, until);
--- a/crates/fault-tests/src/soak/record.rs
+++ b/crates/fault-tests/src/soak/record.rs
@@ -156,7 +156,7 @@
     /// Requests of well-behaved clients.
     pub requests: Vec<Request>,
     /// Clients that stopped in the middle of a request.
-    pub stopped: Vec<StoppedClient>,
+    pub stopped_clients: Vec<StoppedClient>,
     /// Attempts as they left gateways.
     pub attempts: Vec<Attempt>,
     /// Attempts as they arrived at stores.
@@ -172,7 +172,7 @@
     /// Gateways that served no request after the last fault.
     pub unresponsive: Vec<u32>,
     /// Times at which this test itself had been held up, and for how long.
-    pub stalls: Vec<(Duration, Duration)>,
+    pub held_up: Vec<(Duration, Duration)>,
 }
 
 /// A record that several tasks write to.
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -156,7 +156,7 @@
         let now = record.now();
         let late = now.saturating_sub(last + TIMER_INTERVAL);
         if late > TIMER_INTERVAL {
-            record.update(|record| record.stalls.push((now, late)));
+            record.update(|record| record.held_up.push((now, late)));
         }
         last = now;
     }
--- a/crates/fault-tests/tests/soak_oracle.rs
+++ b/crates/fault-tests/tests/soak_oracle.rs
@@ -131,7 +131,7 @@
 #[test]
 fn stopped_clients_and_processes_are_judged() {
     let stopped = |ended: Option<u64>| Record {
-        stopped: vec![StoppedClient { gateway: 0, stopped_at: ms(1000), ended_at: ended.map(ms) }],
+        stopped_clients: vec![StoppedClient { gateway: 0, stopped_at: ms(1000), ended_at: ended.map(ms) }],
         ..Record::default()
     };
     assert_eq!(broken_rules(&stopped(Some(3900))), []);
