--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
+use umbertray_scale::measurement::{Line, Role};
 use umbertray_scale::plan::Plan;
-use umbertray_scale::point::{Line, Role};
 use umbertray_scale::relays::Fault;
 use umbertray_scale::sweep::Factor;
 
--- a/crates/cli/src/scale/mod.rs
+++ b/crates/cli/src/scale/mod.rs
@@ -12,11 +12,11 @@
 use umbertray_nbd_gateway::GatewayOptions;
 use umbertray_routing::Settings;
 use umbertray_scale::ScaleError;
-use umbertray_scale::moments::{Moment, moments};
-use umbertray_scale::plan::{Limits, Plan, demand};
-use umbertray_scale::point::{Line, Setup};
-use umbertray_scale::report::Out;
-use umbertray_scale::sweep::{once, refit, sweep};
+use umbertray_scale::disruptions::{Disruption, run_disruptions};
+use umbertray_scale::measurement::{Line, Setup};
+use umbertray_scale::plan::{Limits, Plan, check_demand};
+use umbertray_scale::report::ResultsFolder;
+use umbertray_scale::sweep::{measure_once, refit, sweep};
 
 use crate::error::CommandError;
 use crate::{output, serve};
@@ -42,7 +42,7 @@
         Err(error) => {
             eprintln!("umbertray: {error}");
             match error {
-                ScaleError::Refused(_) => ExitCode::from(REJECTED),
+                ScaleError::PlanRejected(_) => ExitCode::from(REJECTED),
                 _ => ExitCode::FAILURE,
             }
         }
@@ -69,12 +69,12 @@
         return Ok(Vec::new());
     }
     let plan = arguments.plan();
-    let limits = Limits::here();
-    check_demand(arguments, &plan, &limits)?;
-    let out = arguments.out.as_deref().map(Out::open).transpose()?;
+    let limits = Limits::of_this_machine();
+    check_demands(arguments, &plan, &limits)?;
+    let out = arguments.out.as_deref().map(ResultsFolder::open).transpose()?;
     if let Some(out) = &out {
         let command_line: Vec<String> = std::env::args().skip(1).collect();
-        out.machine(&command_line).map_err(io_error("--out"))?;
+        out.write_machine(&command_line).map_err(io_error("--out"))?;
     }
     let program = std::env::current_exe().map_err(io_error("this program"))?;
     let scratch = ScratchFolder::new();
@@ -88,18 +88,18 @@
 
 /// Recomputes fits and charts from the lines of earlier runs.
 fn refit_lines(folder: &Path) -> Result<(), ScaleError> {
-    let out = Out::open(folder)?;
-    let lines = out.kept().map_err(io_error("--out"))?;
-    out.slopes(&refit(&lines))
+    let out = ResultsFolder::open(folder)?;
+    let lines = out.saved_lines().map_err(io_error("--out"))?;
+    out.write_slopes(&refit(&lines))
 }
 
 /// Rejects a plan, or any plan of a sweep, that this machine cannot run, before the first one starts.
-fn check_demand(arguments: &Arguments, plan: &Plan, limits: &Limits) -> Result<(), ScaleError> {
+fn check_demands(arguments: &Arguments, plan: &Plan, limits: &Limits) -> Result<(), ScaleError> {
     if arguments.factors.is_empty() {
-        demand(plan, limits)?;
+        check_demand(plan, limits)?;
     }
     for plan in arguments.factors.iter().flat_map(|factor| factor.plans(plan)) {
-        demand(&plan, limits)?;
+        check_demand(&plan, limits)?;
     }
     Ok(())
 }
@@ -111,9 +111,9 @@
     mut recorder: Recorder<'_>,
 ) -> Result<Vec<String>, ScaleError> {
     if arguments.moments {
-        moments(plan, setup, &mut |moment| recorder.moment(moment)).await?;
+        run_disruptions(plan, setup, &mut |disruption| recorder.disruption(disruption)).await?;
     } else if arguments.factors.is_empty() {
-        for line in once(plan, setup, "one", 0).await? {
+        for line in measure_once(plan, setup, "one", 0).await? {
             recorder.line(&line);
         }
     } else {
@@ -134,30 +134,30 @@
     let mut record = |line: &Line| recorder.line(line);
     let slopes = sweep(&arguments.factors, plan, arguments.repeats, setup, &mut record).await?;
     output::print_json(&serde_json::json!({ "slopes": slopes }));
-    for slope in slopes.iter().filter(|slope| !slope.held_out.understood()) {
+    for slope in slopes.iter().filter(|slope| !slope.held_out.is_within_error()) {
         let factor = slope.factor.name();
         let error = slope.held_out.error * 100.0;
         tracing::warn!(
             factor,
-            figure = slope.figure,
+            figure = slope.metric,
             error,
             "fit did not predict the measurement at the largest size"
         );
     }
-    recorder.out.as_ref().map_or(Ok(()), |out| out.slopes(&slopes))
+    recorder.out.as_ref().map_or(Ok(()), |out| out.write_slopes(&slopes))
 }
 
 /// Prints each measured line, appends it to the folder of `--out` and collects the budgets that it exceeds.
 struct Recorder<'a> {
     arguments: &'a Arguments,
-    out: Option<Out>,
+    out: Option<ResultsFolder>,
     exceeded: Vec<String>,
     /// The first error of writing to the folder. The run continues, since the lines are printed too.
     write_error: Option<io::Error>,
 }
 
 impl<'a> Recorder<'a> {
-    fn new(arguments: &'a Arguments, out: Option<Out>) -> Recorder<'a> {
+    fn new(arguments: &'a Arguments, out: Option<ResultsFolder>) -> Recorder<'a> {
         Recorder { arguments, out, exceeded: Vec::new(), write_error: None }
     }
 
@@ -167,9 +167,10 @@
         self.write(line);
     }
 
-    fn moment(&mut self, moment: &Moment) {
-        self.exceeded.extend(moment.broken.iter().map(|rule| format!("{}: {rule}", moment.moment)));
-        self.write(moment);
+    fn disruption(&mut self, disruption: &Disruption) {
+        self.exceeded
+            .extend(disruption.broken.iter().map(|rule| format!("{}: {rule}", disruption.description)));
+        self.write(disruption);
     }
 
     fn write(&mut self, row: &impl Serialize) {
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -4,9 +4,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use umbertray_scale::hollow::Seen;
+use umbertray_scale::hollow::CounterSnapshot;
+use umbertray_scale::measurement::{Line, Role, Setup, Start, Testbed};
 use umbertray_scale::plan::{Limits, Plan};
-use umbertray_scale::point::{Line, Role, Setup, Stage, Start};
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, ToList};
 
@@ -36,10 +36,13 @@
 }
 
 /// Polls the hollow gateways until all are in the expected state.
-async fn poll_until(stage: &mut Stage, is_expected: impl Fn(&Seen) -> bool) -> Vec<Seen> {
+async fn poll_until(
+    testbed: &mut Testbed,
+    is_expected: impl Fn(&CounterSnapshot) -> bool,
+) -> Vec<CounterSnapshot> {
     let end = Instant::now() + TIMEOUT;
     loop {
-        let (seen, _) = stage.look().await.expect("the hollow gateways can be polled");
+        let (seen, _) = testbed.observe().await.expect("the hollow gateways can be polled");
         if seen.iter().all(&is_expected) {
             return seen;
         }
@@ -51,18 +54,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn hollow_gateways_hold_all_listed_stores_and_get_each_change_once() {
     let folder = empty_folder("scale-counts");
-    let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::here() };
-    let mut stage = Stage::start(&plan(), &setup, Start::OneByOne, "tiny").await.expect("it starts");
+    let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::of_this_machine() };
+    let mut testbed = Testbed::start(&plan(), &setup, Start::OneByOne, "tiny").await.expect("it starts");
     // Hollow gateways know all listed stores; they are connected to those that respond, and have tried the
     // others once.
-    let seen = poll_until(&mut stage, |_| true).await;
+    let seen = poll_until(&mut testbed, |_| true).await;
     assert_eq!(seen.iter().map(|seen| seen.gateway).collect::<Vec<_>>(), [0, 1, 2]);
     for seen in &seen {
-        assert_eq!((seen.listed, seen.whole_lists, seen.deltas), (8, 1, 0));
-        assert_eq!((seen.linked, seen.refused, seen.over), (6, 2, false));
+        assert_eq!((seen.listed, seen.complete_lists, seen.deltas), (8, 1, 0));
+        assert_eq!((seen.linked, seen.refused, seen.is_finished), (6, 2, false));
     }
     // Each of three gateways and the coordinator gets a welcome and one complete list.
-    let (list, _) = stage.traffic().await.expect("the list can be queried");
+    let (list, _) = testbed.traffic().await.expect("the list can be queried");
     // Addresses are encoded as text; ports that the system chooses have five digits.
     let entry = |address: &str| ListedStore {
         store: 1,
@@ -83,30 +86,33 @@
     assert_eq!(list.written, 4 * (welcome + complete_list));
     // Stores 1 and 7 are in zone 1, and store 7 does not respond: each of the four gets two frames of one
     // entry, and no complete list.
-    assert_eq!(stage.zone(1, false).await.expect("the zone can be changed"), 2);
-    let seen = poll_until(&mut stage, |seen| seen.deltas >= 2).await;
-    assert!(seen.iter().all(|seen| (seen.deltas, seen.whole_lists) == (2, 1)), "{seen:?}");
+    assert_eq!(testbed.set_zone_present(1, false).await.expect("the zone can be changed"), 2);
+    let seen = poll_until(&mut testbed, |seen| seen.deltas >= 2).await;
+    assert!(seen.iter().all(|seen| (seen.deltas, seen.complete_lists) == (2, 1)), "{seen:?}");
     let delta = |entry| {
         FromList::Changes(vec![ListedStore { state: EndpointState::Gone, ..entry }]).frame().len() as u64
     };
     let deltas = delta(responding) + delta(refusing);
-    let (after, _) = stage.traffic().await.expect("the list can be queried");
+    let (after, _) = testbed.traffic().await.expect("the list can be queried");
     let change = after.since(list);
     assert_eq!((change.read, change.frames, change.written), (0, 2 * 4, 4 * deltas));
-    assert_eq!(stage.end().await, Vec::<String>::new());
+    assert_eq!(testbed.stop().await, Vec::<String>::new());
     std::fs::remove_dir_all(folder).expect("it can be removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn gateways_after_restart_apply_each_change() {
     let folder = empty_folder("scale-changes");
-    let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::here() };
+    let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::of_this_machine() };
     let plan = Plan { real: 1, changes_per_second: 8.0, restarts_per_hour: 7200.0, ..plan() };
     let plan = Plan { seconds: 1.0, ..plan };
-    let mut stage = Stage::start(&plan, &setup, Start::AtOnce, "tiny").await.expect("it starts");
-    let lines = stage.measure("tiny", 0).await.expect("it is measured");
+    let mut testbed = Testbed::start(&plan, &setup, Start::AtOnce, "tiny").await.expect("it starts");
+    let lines = testbed.measure("tiny", 0).await.expect("it is measured");
     let roles: Vec<Option<Role>> = lines.iter().map(|line| line.role).collect();
-    assert_eq!(roles, [None, Some(Role::Gateway), Some(Role::Keeper), Some(Role::List), Some(Role::Store)]);
+    assert_eq!(
+        roles,
+        [None, Some(Role::Gateway), Some(Role::Coordinator), Some(Role::List), Some(Role::Store)]
+    );
     for line in &lines {
         assert_eq!(line.broken, Vec::<String>::new(), "{line:?}");
         assert_eq!((line.gateways, line.stores, line.answering, line.hollow), (3, 8, 6, 2));
@@ -115,9 +121,9 @@
     assert!(lines[0].in_force_seconds.is_some() && lines[1].in_force_seconds.is_some());
     assert!(lines[0].rss_mb > 1.0 && lines[0].control_bytes_per_second > 0.0);
     // All started at version 1.
-    let (seen, _) = stage.look().await.expect("the hollow gateways can be polled");
-    assert!(seen.iter().all(|seen| seen.version == 9 && !seen.over), "{seen:?}");
-    assert_eq!(stage.end().await, Vec::<String>::new());
+    let (seen, _) = testbed.observe().await.expect("the hollow gateways can be polled");
+    assert!(seen.iter().all(|seen| seen.version == 9 && !seen.is_finished), "{seen:?}");
+    assert_eq!(testbed.stop().await, Vec::<String>::new());
     std::fs::remove_dir_all(folder).expect("it can be removed");
 }
 
--- a/crates/scale/src/moments.rs
+++ b/crates/scale/src/disruptions.rs
@@ -8,9 +8,9 @@
 
 use crate::ScaleError;
 use crate::fit::Quantiles;
-use crate::hollow::Seen;
+use crate::hollow::CounterSnapshot;
 use crate::measurement::{
-    MIB, Setup, Stage, Start, apply_delays, load_average, start_coordinator, start_list, start_worker,
+    MIB, Setup, Start, Testbed, apply_delays, load_average, start_coordinator, start_list, start_worker,
 };
 use crate::plan::Plan;
 use crate::worker::{Reply, WorkerCommand};
@@ -25,9 +25,10 @@
 
 /// The record of one disruption, measured over all hollow gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Moment {
+pub struct Disruption {
     /// Description of the disruption.
-    pub moment: String,
+    #[serde(rename = "moment")]
+    pub description: String,
     /// Gateways of the fleet, real and hollow.
     pub gateways: u32,
     /// Stores that the list names.
@@ -52,13 +53,13 @@
 
 /// A disruption that has begun, with the state at its start.
 struct OngoingDisruption {
-    moment: &'static str,
+    description: &'static str,
     started_at: Instant,
     /// Bytes on the connections of list and stores before the disruption.
     bytes: u64,
 }
 
-impl Stage {
+impl Testbed {
     /// Bytes on the connections of list and stores since the start.
     async fn traffic_bytes(&mut self) -> Result<u64, ScaleError> {
         let (list, links) = self.traffic().await?;
@@ -66,19 +67,22 @@
     }
 
     /// Records the start of a disruption, and discards the records of earlier changes.
-    async fn begin_disruption(&mut self, moment: &'static str) -> Result<OngoingDisruption, ScaleError> {
-        tracing::info!(moment, "disruption started");
+    async fn begin_disruption(&mut self, description: &'static str) -> Result<OngoingDisruption, ScaleError> {
+        tracing::info!(moment = description, "disruption started");
         self.committed_at.clear();
         self.applied.clear();
-        Ok(OngoingDisruption { moment, bytes: self.traffic_bytes().await?, started_at: Instant::now() })
+        Ok(OngoingDisruption { description, bytes: self.traffic_bytes().await?, started_at: Instant::now() })
     }
 
     /// Waits until `is_steady` holds for all hollow gateways; returns the number of those for which it does
     /// not hold after [`STEADY_TIMEOUT`].
-    async fn wait_for_all(&mut self, is_steady: impl Fn(&Seen) -> bool) -> Result<usize, ScaleError> {
+    async fn wait_for_all(
+        &mut self,
+        is_steady: impl Fn(&CounterSnapshot) -> bool,
+    ) -> Result<usize, ScaleError> {
         let deadline = Instant::now() + STEADY_TIMEOUT;
         loop {
-            let (seen, _) = self.look().await?;
+            let (seen, _) = self.observe().await?;
             let late = seen.iter().filter(|seen| !is_steady(seen)).count();
             if late == 0 || Instant::now() > deadline {
                 return Ok(late);
@@ -92,11 +96,11 @@
         &mut self,
         ongoing: OngoingDisruption,
         late: usize,
-    ) -> Result<Moment, ScaleError> {
+    ) -> Result<Disruption, ScaleError> {
         let steady = ongoing.started_at.elapsed();
         let bytes = self.traffic_bytes().await?.saturating_sub(ongoing.bytes);
-        let (seen, _) = self.look().await?;
-        let ended = seen.iter().filter(|seen| seen.over).count();
+        let (seen, _) = self.observe().await?;
+        let ended = seen.iter().filter(|seen| seen.is_finished).count();
         let mut broken = Vec::new();
         if late > 0 {
             broken.push(format!("{late} gateways were not steady within {STEADY_TIMEOUT:?}"));
@@ -104,13 +108,19 @@
         if ended > 0 {
             broken.push(format!("{ended} gateways ended early"));
         }
-        Ok(self.disruption_record(ongoing.moment, bytes, steady, broken))
+        Ok(self.disruption_record(ongoing.description, bytes, steady, broken))
     }
 
     /// The record of a disruption.
-    fn disruption_record(&self, moment: &str, bytes: u64, steady: Duration, broken: Vec<String>) -> Moment {
-        Moment {
-            moment: moment.into(),
+    fn disruption_record(
+        &self,
+        description: &str,
+        bytes: u64,
+        steady: Duration,
+        broken: Vec<String>,
+    ) -> Disruption {
+        Disruption {
+            description: description.into(),
             gateways: self.plan.gateways,
             stores: self.plan.stores,
             answering: self.demand.answering,
@@ -124,23 +134,23 @@
     }
 
     /// All stores of a zone are listed as gone, then all as restarted with empty caches.
-    async fn zone_removed_and_restored(&mut self) -> Result<Vec<Moment>, ScaleError> {
-        let mut moments = Vec::new();
-        for (moment, present) in [("a zone gone", false), ("a zone back, cold", true)] {
-            let (seen, _) = self.look().await?;
+    async fn zone_removed_and_restored(&mut self) -> Result<Vec<Disruption>, ScaleError> {
+        let mut records = Vec::new();
+        for (description, present) in [("a zone gone", false), ("a zone back, cold", true)] {
+            let (seen, _) = self.observe().await?;
             let before = seen.iter().map(|seen| seen.deltas).max().unwrap_or_default();
-            let ongoing = self.begin_disruption(moment).await?;
-            let notified = u64::from(self.zone(1, present).await?);
+            let ongoing = self.begin_disruption(description).await?;
+            let notified = u64::from(self.set_zone_present(1, present).await?);
             // A gateway that lags too far behind receives a complete list instead of the changes.
             let late =
-                self.wait_for_all(|seen| seen.deltas >= before + notified || seen.whole_lists > 1).await?;
-            moments.push(self.finish_disruption(ongoing, late).await?);
+                self.wait_for_all(|seen| seen.deltas >= before + notified || seen.complete_lists > 1).await?;
+            records.push(self.finish_disruption(ongoing, late).await?);
         }
-        Ok(moments)
+        Ok(records)
     }
 
     /// The list's process is paused, a change is committed meanwhile, and the process is resumed.
-    async fn list_paused(&mut self) -> Result<Moment, ScaleError> {
+    async fn list_paused(&mut self) -> Result<Disruption, ScaleError> {
         let ongoing = self.begin_disruption("the list stopped for 10 s").await?;
         self.list.signal(Signal::SIGSTOP)?;
         self.commit_change()?;
@@ -152,10 +162,10 @@
 
     /// The list's process is killed and restarted at its address, so that all gateways reconnect and receive
     /// a complete list.
-    async fn list_killed(&mut self, setup: &Setup) -> Result<Moment, ScaleError> {
-        let (seen, _) = self.look().await?;
+    async fn list_killed(&mut self, setup: &Setup) -> Result<Disruption, ScaleError> {
+        let (seen, _) = self.observe().await?;
         let lists_before: std::collections::BTreeMap<u32, u64> =
-            seen.iter().map(|seen| (seen.gateway, seen.whole_lists)).collect();
+            seen.iter().map(|seen| (seen.gateway, seen.complete_lists)).collect();
         let mut ongoing = self.begin_disruption("the list killed, back at once").await?;
         let (list, _) = self.traffic().await?;
         self.list.kill().await?;
@@ -166,7 +176,7 @@
         start_list(&mut self.list, self.list_address, &self.listed_stores).await?;
         let late = self
             .wait_for_all(|seen| {
-                lists_before.get(&seen.gateway).is_some_and(|before| seen.whole_lists > *before)
+                lists_before.get(&seen.gateway).is_some_and(|before| seen.complete_lists > *before)
             })
             .await?;
         self.wait_until_in_force().await?;
@@ -174,7 +184,7 @@
     }
 
     /// The coordinator is killed and restarted at its address, and a change is committed meanwhile.
-    async fn coordinator_killed(&mut self, setup: &Setup) -> Result<Moment, ScaleError> {
+    async fn coordinator_killed(&mut self, setup: &Setup) -> Result<Disruption, ScaleError> {
         let ongoing = self.begin_disruption("the keeper killed, back at once").await?;
         self.coordinator.kill().await.map_err(ScaleError::io("the coordinator cannot be killed"))?;
         self.commit_change()?;
@@ -185,7 +195,7 @@
     }
 
     /// All hollow gateways are restarted; those of one process one after another.
-    async fn all_restarted(&mut self) -> Result<Moment, ScaleError> {
+    async fn all_restarted(&mut self) -> Result<Disruption, ScaleError> {
         let ongoing = self.begin_disruption("all gateways restarted").await?;
         for (worker, gateways) in self.workers.iter_mut().zip(&self.gateways_of_workers) {
             for gateway in gateways {
@@ -212,20 +222,20 @@
 /// # Errors
 /// [`ScaleError`] if the plan is rejected, a process cannot be started, or a worker process does not execute
 /// a command.
-pub async fn moments(
+pub async fn run_disruptions(
     plan: &Plan,
     setup: &Setup,
-    each: &mut (dyn FnMut(&Moment) + Send),
+    each: &mut (dyn FnMut(&Disruption) + Send),
 ) -> Result<(), ScaleError> {
-    let mut stage = Stage::start(plan, setup, Start::AtOnce, "moments").await?;
-    let (bytes, duration) = (stage.start_bytes, stage.start_duration);
-    each(&stage.disruption_record("all gateways started at once", bytes, duration, Vec::new()));
+    let mut testbed = Testbed::start(plan, setup, Start::AtOnce, "moments").await?;
+    let (bytes, duration) = (testbed.start_bytes, testbed.start_duration);
+    each(&testbed.disruption_record("all gateways started at once", bytes, duration, Vec::new()));
     tokio::time::sleep(PAUSE / 2).await;
-    stage.zone_removed_and_restored().await?.iter().for_each(&mut *each);
-    each(&stage.list_paused().await?);
-    each(&stage.list_killed(setup).await?);
-    each(&stage.coordinator_killed(setup).await?);
-    each(&stage.all_restarted().await?);
-    stage.end().await;
+    testbed.zone_removed_and_restored().await?.iter().for_each(&mut *each);
+    each(&testbed.list_paused().await?);
+    each(&testbed.list_killed(setup).await?);
+    each(&testbed.coordinator_killed(setup).await?);
+    each(&testbed.all_restarted().await?);
+    testbed.stop().await;
     Ok(())
 }
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -13,7 +13,7 @@
 pub enum ScaleError {
     /// The plan was rejected before any process was started.
     #[error(transparent)]
-    Refused(#[from] plan::PlanRejected),
+    PlanRejected(#[from] plan::PlanRejected),
     /// An operation on a file, a process or a socket failed.
     #[error("{what}: {error}")]
     Io {
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether the prediction is within [`MAX_PREDICTION_ERROR`] of the measurement.
-    pub fn understood(&self) -> bool {
+    pub fn is_within_error(&self) -> bool {
         self.error <= MAX_PREDICTION_ERROR
     }
 }
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -25,7 +25,7 @@
 
 /// A snapshot of one hollow gateway's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct CounterSnapshot {
     /// Number of the gateway in the run.
     pub gateway: u32,
     /// Calls of its core by its event loop, including those before its restarts.
@@ -33,7 +33,8 @@
     /// Stores in the last complete list, without those marked as gone.
     pub listed: u64,
     /// Complete lists received since its start.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub complete_lists: u64,
     /// Entries received in changes of the list since its start.
     pub deltas: u64,
     /// Connections to stores that were made.
@@ -43,7 +44,8 @@
     /// Last applied version of the configuration.
     pub version: u64,
     /// Whether the gateway has ended.
-    pub over: bool,
+    #[serde(rename = "over")]
+    pub is_finished: bool,
 }
 
 /// Counters of the inputs and calls of a gateway's core since the gateway's start, except for `turns`.
@@ -54,7 +56,7 @@
     /// Stores in the last complete list, without those marked as gone.
     pub(super) listed: AtomicU64,
     /// Complete lists received.
-    pub(super) whole_lists: AtomicU64,
+    pub(super) complete_lists: AtomicU64,
     /// Entries received in changes of the list.
     pub(super) deltas: AtomicU64,
     /// Connections to stores that were made.
@@ -72,7 +74,7 @@
             Input::FromList(FromList::Full(entries)) => {
                 let present = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
                 self.listed.store(present as u64, Ordering::Relaxed);
-                increase(&self.whole_lists, 1);
+                increase(&self.complete_lists, 1);
             }
             Input::FromList(FromList::Changes(entries)) => increase(&self.deltas, entries.len()),
             Input::StoreConnected { .. } => increase(&self.linked, 1),
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -11,7 +11,7 @@
 use umbertray_routing::Core;
 
 use super::PrepareGateway;
-use super::counters::{AppliedVersion, Counters, Seen};
+use super::counters::{AppliedVersion, CounterSnapshot, Counters};
 use super::host::{CountingCore, record_applied_version};
 use crate::change_log;
 
@@ -110,18 +110,18 @@
     }
 
     /// Snapshots of all gateways' counters.
-    pub(crate) fn snapshots(&self) -> Vec<Seen> {
+    pub(crate) fn snapshots(&self) -> Vec<CounterSnapshot> {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let seen = |(gateway, hollow): (&u32, &HollowGateway)| Seen {
+        let seen = |(gateway, hollow): (&u32, &HollowGateway)| CounterSnapshot {
             gateway: *gateway,
             turns: load(&hollow.counters.turns),
             listed: load(&hollow.counters.listed),
-            whole_lists: load(&hollow.counters.whole_lists),
+            complete_lists: load(&hollow.counters.complete_lists),
             deltas: load(&hollow.counters.deltas),
             linked: load(&hollow.counters.linked),
             refused: load(&hollow.counters.refused),
             version: load(&hollow.counters.version),
-            over: hollow.running.as_ref().is_none_or(RunningGateway::has_ended),
+            is_finished: hollow.running.as_ref().is_none_or(RunningGateway::has_ended),
         };
         self.gateways.iter().map(seen).collect()
     }
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -6,7 +6,7 @@
 mod host;
 
 pub(crate) use counters::unix_time_us;
-pub use counters::{AppliedVersion, Seen};
+pub use counters::{AppliedVersion, CounterSnapshot};
 pub(crate) use fleet::{FleetError, HollowFleet};
 
 use std::path::PathBuf;
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -8,16 +8,16 @@
 //! - [`worker`] is a process that runs hollow gateways, stand-in stores or the endpoint list, and
 //!   [`worker_process`] starts such processes and ends them by process id.
 //! - [`plan`] rejects a fleet for which the machine has no capacity.
-//! - [`measurement`] measures a fleet of one size, [`sweep`] fleets of many sizes, and [`moments`] the
+//! - [`measurement`] measures a fleet of one size, [`sweep`] fleets of many sizes, and [`disruptions`] the
 //!   disruptions of a fleet.
 //! - [`fit`] computes slopes, and [`report`] writes the results.
 
 pub mod change_log;
+pub mod disruptions;
 mod error;
 pub mod fit;
 pub mod hollow;
 pub mod measurement;
-pub mod moments;
 pub mod plan;
 pub mod relays;
 pub mod report;
@@ -27,5 +27,3 @@
 pub mod worker_process;
 
 pub use error::ScaleError;
-/// The former name of [`measurement`], which the program still uses.
-pub use measurement as point;
--- a/crates/scale/src/measurement/in_force.rs
+++ b/crates/scale/src/measurement/in_force.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use super::Stage;
-use super::stage::{POLL_INTERVAL, STEADY_TIMEOUT};
+use super::Testbed;
+use super::testbed::{POLL_INTERVAL, STEADY_TIMEOUT};
 use crate::ScaleError;
 use crate::fit::Quantiles;
 use crate::hollow::AppliedVersion;
@@ -12,14 +12,14 @@
 /// Microseconds in a second.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-impl Stage {
+impl Testbed {
     /// Waits until all hollow gateways have applied the last change; returns those that have not after
     /// [`STEADY_TIMEOUT`].
     pub(crate) async fn wait_until_in_force(&mut self) -> Result<Vec<u32>, ScaleError> {
         let started_at = Instant::now();
         let version = self.writer.version();
         loop {
-            let (seen, _) = self.look().await?;
+            let (seen, _) = self.observe().await?;
             let behind = seen.iter().filter(|seen| seen.version < version).map(|seen| seen.gateway);
             let behind: Vec<u32> = behind.collect();
             if behind.is_empty() || started_at.elapsed() > STEADY_TIMEOUT {
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -11,7 +11,8 @@
     /// The real gateways: each is `umbertray serve` in its own process.
     Gateway,
     /// The coordinator.
-    Keeper,
+    #[serde(rename = "keeper")]
+    Coordinator,
     /// All relays together.
     Relay,
     /// The endpoint list.
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -7,7 +7,7 @@
 use super::in_force::{apply_delays, unapplied_messages};
 use super::sample::Sample;
 use super::usage::{MIB, ProcessUsage, load_average};
-use super::{Line, Role, Stage};
+use super::{Line, Role, Testbed};
 
 /// Traffic rates of a line, in bytes per second for both directions.
 #[derive(Clone, Copy, Default)]
@@ -37,7 +37,7 @@
 
 /// Computes the lines of a measurement from the samples at its start and end.
 pub(super) struct LineBuilder<'a> {
-    stage: &'a Stage,
+    testbed: &'a Testbed,
     point: &'a str,
     repeat: u32,
     before: &'a Sample,
@@ -51,7 +51,7 @@
 
 impl<'a> LineBuilder<'a> {
     pub(super) fn new(
-        stage: &'a Stage,
+        testbed: &'a Testbed,
         point: &'a str,
         repeat: u32,
         before: &'a Sample,
@@ -61,19 +61,19 @@
         let rate = |after: TrafficCounts, before: TrafficCounts| after.since(before).bytes() as f64 / seconds;
         let list_rate = rate(after.list_traffic, before.list_traffic);
         let link_rate = rate(after.link_traffic, before.link_traffic);
-        LineBuilder { stage, point, repeat, before, after, seconds, list_rate, link_rate }
+        LineBuilder { testbed, point, repeat, before, after, seconds, list_rate, link_rate }
     }
 
     /// The lines of all roles that the fleet has. `broken` is added to the hollow gateways' line.
     pub(super) fn lines(&self, broken: Vec<String>) -> Vec<Line> {
         let mut lines = Vec::new();
-        if self.stage.plan.hollow_gateways() > 0 {
+        if self.testbed.plan.hollow_gateways() > 0 {
             lines.push(self.hollow_gateways(broken));
         }
-        if self.stage.plan.real > 0 {
+        if self.testbed.plan.real > 0 {
             lines.push(self.real_gateways());
         }
-        if self.stage.relays.is_some() {
+        if self.testbed.relays.is_some() {
             let usage = RoleUsage::between(&self.before.relays, &self.after.relays);
             lines.push(self.line(Some(Role::Relay), &usage, 1.0, TrafficRates::default()));
         }
@@ -82,31 +82,31 @@
     }
 
     fn hollow_gateways(&self, broken: Vec<String>) -> Line {
-        let hollow = f64::from(self.stage.plan.hollow_gateways());
+        let hollow = f64::from(self.testbed.plan.hollow_gateways());
         let turns = self.after.turns.saturating_sub(self.before.turns);
         let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
         Line {
             turns_per_second: turns as f64 / self.seconds / hollow,
-            in_force_seconds: apply_delays(&self.stage.committed_at, &self.stage.applied),
+            in_force_seconds: apply_delays(&self.testbed.committed_at, &self.testbed.applied),
             broken,
             ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
         }
     }
 
     fn real_gateways(&self) -> Line {
-        let real = f64::from(self.stage.plan.real);
-        let logged = self.stage.applied_versions_from_logs();
+        let real = f64::from(self.testbed.plan.real);
+        let logged = self.testbed.applied_versions_from_logs();
         let usage = RoleUsage::between(&self.before.real, &self.after.real);
         Line {
-            in_force_seconds: apply_delays(&self.stage.committed_at, &logged),
-            broken: unapplied_messages(self.stage.plan.real, &self.stage.committed_at, &logged),
+            in_force_seconds: apply_delays(&self.testbed.committed_at, &logged),
+            broken: unapplied_messages(self.testbed.plan.real, &self.testbed.committed_at, &logged),
             ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
         }
     }
 
     fn coordinator(&self) -> Line {
         let usage = RoleUsage::between(&[self.before.coordinator], &[self.after.coordinator]);
-        self.line(Some(Role::Keeper), &usage, 1.0, TrafficRates::default())
+        self.line(Some(Role::Coordinator), &usage, 1.0, TrafficRates::default())
     }
 
     fn endpoint_list(&self) -> Line {
@@ -122,7 +122,7 @@
     }
 
     fn rates_of_each_gateway(&self) -> TrafficRates {
-        let gateways = f64::from(self.stage.plan.gateways);
+        let gateways = f64::from(self.testbed.plan.gateways);
         TrafficRates {
             control: (self.list_rate + self.link_rate) / gateways,
             list: self.list_rate / gateways,
@@ -132,22 +132,22 @@
 
     /// A role's line, with its usage divided by `members`.
     fn line(&self, role: Option<Role>, usage: &RoleUsage, members: f64, rates: TrafficRates) -> Line {
-        let plan = &self.stage.plan;
+        let plan = &self.testbed.plan;
         Line {
             point: self.point.into(),
             repeat: self.repeat,
             role,
             gateways: plan.gateways,
             stores: plan.stores,
-            answering: self.stage.demand.answering,
+            answering: self.testbed.demand.answering,
             volumes: plan.volumes,
             hollow: plan.hollow_gateways(),
             processes: usage.processes as u32,
             seconds: self.seconds,
             changes_per_second: plan.changes_per_second,
             restarts_per_hour: plan.restarts_per_hour,
-            start_seconds: self.stage.start_duration.as_secs_f64(),
-            start_bytes: self.stage.start_bytes as f64 / f64::from(plan.gateways),
+            start_seconds: self.testbed.start_duration.as_secs_f64(),
+            start_bytes: self.testbed.start_bytes as f64 / f64::from(plan.gateways),
             idle_core_percent: usage.cpu / self.seconds * 100.0 / members,
             rss_mb: usage.rss as f64 / MIB / members,
             rss_total_mb: usage.rss as f64 / MIB,
@@ -155,8 +155,8 @@
             list_bytes_per_second: rates.list,
             link_bytes_per_second: rates.links,
             turns_per_second: 0.0,
-            changes: self.stage.committed_at.len() as u32,
-            restarts: self.stage.restarts,
+            changes: self.testbed.committed_at.len() as u32,
+            restarts: self.testbed.restarts,
             in_force_seconds: None,
             load: load_average(),
             broken: Vec::new(),
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::line_builder::LineBuilder;
-use super::{Line, Stage};
+use super::{Line, Testbed};
 use crate::ScaleError;
-use crate::hollow::Seen;
+use crate::hollow::CounterSnapshot;
 
 /// Pause before a measurement, in which the after-effects of the start, such as late connections, end.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
@@ -19,7 +19,7 @@
 /// Maximum number of gateways that a message names.
 const MAX_NAMED_GATEWAYS: usize = 5;
 
-impl Stage {
+impl Testbed {
     /// Measures the fleet for the plan's duration, and returns a line for each role.
     ///
     /// # Errors
@@ -36,20 +36,20 @@
             }
         }
         let behind = self.wait_until_in_force().await?;
-        let (seen, _) = self.look().await?;
+        let (seen, _) = self.observe().await?;
         let broken = self.broken_properties(&behind, &seen);
         Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
     }
 
     /// A message for each property that did not hold at the hollow gateways. Those in `behind` did not apply
     /// the last change.
-    fn broken_properties(&self, behind: &[u32], seen: &[Seen]) -> Vec<String> {
+    fn broken_properties(&self, behind: &[u32], seen: &[CounterSnapshot]) -> Vec<String> {
         let mut broken = Vec::new();
         if !behind.is_empty() {
             let named = &behind[..behind.len().min(MAX_NAMED_GATEWAYS)];
             broken.push(format!("{} gateways did not apply the last change: {named:?}, ...", behind.len()));
         }
-        let ended = seen.iter().filter(|seen| seen.over).count();
+        let ended = seen.iter().filter(|seen| seen.is_finished).count();
         if ended > 0 {
             broken.push(format!("{ended} gateways ended early"));
         }
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -8,14 +8,14 @@
 mod processes;
 mod sample;
 mod schedule;
-mod stage;
 mod startup;
+mod testbed;
 mod usage;
 
 pub use in_force::apply_delays;
 pub use line::{Line, Role};
 pub(crate) use processes::{start_coordinator, start_list, start_worker};
-pub use stage::Stage;
+pub use testbed::Testbed;
 pub(crate) use usage::{MIB, load_average};
 
 use std::path::PathBuf;
--- a/crates/scale/src/measurement/sample.rs
+++ b/crates/scale/src/measurement/sample.rs
@@ -4,7 +4,7 @@
 
 use umbertray_fakes::traffic::TrafficCounts;
 
-use super::Stage;
+use super::Testbed;
 use super::usage::{ProcessUsage, process_usage};
 use crate::ScaleError;
 use crate::relays::Relays;
@@ -29,11 +29,11 @@
     pub(super) turns: u64,
 }
 
-impl Stage {
+impl Testbed {
     /// Reads all counters.
     pub(super) async fn sample(&mut self) -> Result<Sample, ScaleError> {
         let (list_traffic, link_traffic) = self.traffic().await?;
-        let (_, turns) = self.look().await?;
+        let (_, turns) = self.observe().await?;
         let usage =
             |workers: &[WorkerProcess]| workers.iter().map(|worker| process_usage(worker.id())).collect();
         Ok(Sample {
--- a/crates/scale/src/measurement/schedule.rs
+++ b/crates/scale/src/measurement/schedule.rs
@@ -4,8 +4,8 @@
 
 use rand::Rng;
 
-use super::Stage;
-use super::stage::POLL_INTERVAL;
+use super::Testbed;
+use super::testbed::POLL_INTERVAL;
 use crate::ScaleError;
 use crate::plan::Plan;
 use crate::relays::Fault;
@@ -98,7 +98,7 @@
     }
 }
 
-impl Stage {
+impl Testbed {
     /// Runs for the measured time, and causes the plan's changes, restarts and fault.
     pub(super) async fn run_schedule(&mut self) -> Result<(), ScaleError> {
         let started_at = Instant::now();
@@ -113,7 +113,7 @@
                 Event::Fault => self.inject_fault(self.plan.fault).await?,
                 Event::Recovery => self.end_fault(self.plan.fault)?,
                 Event::Restart => self.restart_random_gateway().await?,
-                Event::Poll => self.look().await.map(drop)?,
+                Event::Poll => self.observe().await.map(drop)?,
             }
         }
     }
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -11,11 +11,11 @@
 use umbertray_fault_tests::process::Process;
 
 use super::processes::{start_coordinator, start_list, start_worker};
-use super::stage::{POLL_INTERVAL, STEADY_TIMEOUT};
-use super::{Setup, Stage, Start, ZONES};
+use super::testbed::{POLL_INTERVAL, STEADY_TIMEOUT};
+use super::{Setup, Start, Testbed, ZONES};
 use crate::change_log::Writer;
-use crate::hollow::Seen;
-use crate::plan::{Demand, Plan, demand};
+use crate::hollow::CounterSnapshot;
+use crate::plan::{Demand, Plan, check_demand};
 use crate::relays::Relays;
 use crate::worker::{Reply, StoreEntry, WorkerCommand};
 use crate::worker_process::WorkerProcess;
@@ -28,13 +28,13 @@
 /// operators' log filters may contain it.
 const LOG_TARGET: &str = "umbertray_scale::point";
 
-impl Stage {
+impl Testbed {
     /// Starts all processes of a plan and waits until the fleet is steady.
     ///
     /// # Errors
     /// [`ScaleError`] if the plan is rejected, or a process cannot be started or does not become steady.
-    pub async fn start(plan: &Plan, setup: &Setup, start: Start, name: &str) -> Result<Stage, ScaleError> {
-        let demand = demand(plan, &setup.limits)?;
+    pub async fn start(plan: &Plan, setup: &Setup, start: Start, name: &str) -> Result<Testbed, ScaleError> {
+        let demand = check_demand(plan, &setup.limits)?;
         let folder = setup.scratch.join(name);
         let create = |folder: &Path| {
             std::fs::create_dir_all(folder).map_err(ScaleError::io(folder.display().to_string()))
@@ -52,7 +52,7 @@
             0 => None,
             some => Some(Relays::start(setup, &folder, &folder.join("changes"), some).await?),
         };
-        let mut stage = Stage {
+        let mut testbed = Testbed {
             plan: plan.clone(),
             demand,
             list,
@@ -74,8 +74,8 @@
             restarts: 0,
             folder,
         };
-        stage.start_gateways(setup, start).await?;
-        Ok(stage)
+        testbed.start_gateways(setup, start).await?;
+        Ok(testbed)
     }
 
     /// Starts the plan's gateways, hollow and real, and waits until they are steady.
@@ -135,8 +135,9 @@
     pub(crate) async fn wait_until_steady(&mut self, since: Instant) -> Result<Duration, ScaleError> {
         let stores = u64::from(self.plan.stores);
         loop {
-            let (seen, _) = self.look().await?;
-            let is_late = |seen: &&Seen| seen.listed != stores || seen.linked + seen.refused < stores;
+            let (seen, _) = self.observe().await?;
+            let is_late =
+                |seen: &&CounterSnapshot| seen.listed != stores || seen.linked + seen.refused < stores;
             let late = seen.iter().filter(is_late).count();
             if late == 0 {
                 return Ok(since.elapsed());
--- a/crates/scale/src/measurement/stage.rs
+++ b/crates/scale/src/measurement/testbed.rs
@@ -13,7 +13,7 @@
 use super::usage::process_usage;
 use crate::ScaleError;
 use crate::change_log::Writer;
-use crate::hollow::{self, AppliedVersion, Seen};
+use crate::hollow::{self, AppliedVersion, CounterSnapshot};
 use crate::plan::{Demand, Plan};
 use crate::relays::Relays;
 use crate::worker::{Reply, StoreEntry, WorkerCommand};
@@ -30,7 +30,7 @@
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running fleet. Dropping it ends all its processes.
-pub struct Stage {
+pub struct Testbed {
     /// The plan of the run.
     pub(crate) plan: Plan,
     /// The resources that the plan needs.
@@ -73,13 +73,13 @@
     pub(super) restarts: u32,
 }
 
-impl Stage {
+impl Testbed {
     /// Lists all stores of a zone as gone, or as restarted with empty caches; returns the number of stores in
     /// the zone.
     ///
     /// # Errors
     /// [`ScaleError::Worker`] if the list's process does not execute the command.
-    pub async fn zone(&mut self, zone: u32, present: bool) -> Result<u32, ScaleError> {
+    pub async fn set_zone_present(&mut self, zone: u32, present: bool) -> Result<u32, ScaleError> {
         self.list.request(&WorkerCommand::Zone { zone, present }).await?;
         Ok((1..=self.plan.stores).filter(|store| store % ZONES == zone).count() as u32)
     }
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// [`ScaleError::Worker`] if a worker process does not reply.
-    pub async fn look(&mut self) -> Result<(Vec<Seen>, u64), ScaleError> {
+    pub async fn observe(&mut self) -> Result<(Vec<CounterSnapshot>, u64), ScaleError> {
         for worker in &mut self.workers {
             worker.send(&WorkerCommand::Observe).await?;
         }
@@ -131,7 +131,7 @@
 
     /// Ends all processes. Returns a message for each gateway or coordinator process that did not exit
     /// cleanly.
-    pub async fn end(self) -> Vec<String> {
+    pub async fn stop(self) -> Vec<String> {
         let mut failures = Vec::new();
         for (number, process) in self.real.into_iter().enumerate() {
             if !process.stop(EXIT_TIMEOUT).await.is_ok_and(|(_, is_clean)| is_clean) {
--- a/crates/scale/src/plan/demand.rs
+++ b/crates/scale/src/plan/demand.rs
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 /// [`PlanRejected`] if the plan contradicts itself or needs more than `limits` allow.
-pub fn demand(plan: &Plan, limits: &Limits) -> Result<Demand, PlanRejected> {
+pub fn check_demand(plan: &Plan, limits: &Limits) -> Result<Demand, PlanRejected> {
     check_consistency(plan)?;
     let gateways = u64::from(plan.gateways);
     let (hollow, stores) = (u64::from(plan.hollow_gateways()), u64::from(plan.stores));
--- a/crates/scale/src/plan/mod.rs
+++ b/crates/scale/src/plan/mod.rs
@@ -4,7 +4,7 @@
 mod demand;
 mod rejected;
 
-pub use demand::{Demand, demand};
+pub use demand::{Demand, check_demand};
 pub use rejected::PlanRejected;
 
 use serde::{Deserialize, Serialize};
@@ -68,7 +68,7 @@
 
 impl Limits {
     /// The limits of a run on this machine, with the system's soft limit of file descriptors for a process.
-    pub fn here() -> Limits {
+    pub fn of_this_machine() -> Limits {
         let descriptor_limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
         Limits {
             descriptors: descriptor_limit.map_or(1024, |(soft, _)| soft),
--- a/crates/scale/src/report/chart.rs
+++ b/crates/scale/src/report/chart.rs
@@ -18,7 +18,7 @@
     let root = SVGBackend::new(file, (640, 400)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption(format!("{} ({})", slope.figure, slope.unit), ("sans-serif", 16))
+        .caption(format!("{} ({})", slope.metric, slope.unit), ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(60)
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -30,23 +30,23 @@
 ];
 
 /// The folder for a run's results.
-pub struct Out {
+pub struct ResultsFolder {
     folder: PathBuf,
     lines: File,
 }
 
-impl Out {
+impl ResultsFolder {
     /// Opens the folder, and creates it if it does not exist.
     ///
     /// # Errors
     /// [`PlanRejected::ResultsFolder`] if it cannot be written.
-    pub fn open(folder: &Path) -> Result<Out, PlanRejected> {
+    pub fn open(folder: &Path) -> Result<ResultsFolder, PlanRejected> {
         let opened = std::fs::create_dir_all(folder).and_then(|()| {
             let mut options = File::options();
             options.create(true).append(true).open(folder.join("lines.jsonl"))
         });
         match opened {
-            Ok(lines) => Ok(Out { folder: folder.into(), lines }),
+            Ok(lines) => Ok(ResultsFolder { folder: folder.into(), lines }),
             Err(error) => Err(PlanRejected::ResultsFolder {
                 folder: folder.display().to_string(),
                 why: error.to_string(),
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The error of reading `lines.jsonl`.
-    pub fn kept(&self) -> io::Result<Vec<Line>> {
+    pub fn saved_lines(&self) -> io::Result<Vec<Line>> {
         let text = std::fs::read_to_string(self.folder.join("lines.jsonl"))?;
         Ok(text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect())
     }
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// The error of writing it.
-    pub fn machine(&self, arguments: &[String]) -> io::Result<()> {
+    pub fn write_machine(&self, arguments: &[String]) -> io::Result<()> {
         let meminfo = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let kb = meminfo.lines().find_map(|line| line.strip_prefix("MemTotal:")?.trim().strip_suffix(" kB"));
         let mb = kb.and_then(|kb| kb.parse::<u64>().ok()).map(|kb| kb >> 10);
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// [`ScaleError::Io`] for the file that cannot be written.
-    pub fn slopes(&self, slopes: &[Slope]) -> Result<(), ScaleError> {
+    pub fn write_slopes(&self, slopes: &[Slope]) -> Result<(), ScaleError> {
         let fits = serde_json::to_string_pretty(slopes).unwrap_or_default() + "\n";
         let write = |name: &str, text: String| {
             let file = self.folder.join(name);
@@ -106,9 +106,9 @@
         };
         write("fits.json", fits)?;
         write("fits.md", tables::slope_tables(slopes))?;
-        for slope in slopes.iter().filter(|slope| CHARTED_METRICS.contains(&slope.figure.as_str())) {
+        for slope in slopes.iter().filter(|slope| CHARTED_METRICS.contains(&slope.metric.as_str())) {
             let name =
-                format!("{}-{}.svg", slope.factor.name(), slope.figure.replace(", ", "-").replace(' ', "-"));
+                format!("{}-{}.svg", slope.factor.name(), slope.metric.replace(", ", "-").replace(' ', "-"));
             let file = self.folder.join(name);
             let drawn = chart::draw_chart(&file, slope).map_err(|error| io::Error::other(error.to_string()));
             drawn.map_err(ScaleError::io(file.display().to_string()))?;
--- a/crates/scale/src/report/tables.rs
+++ b/crates/scale/src/report/tables.rs
@@ -29,7 +29,7 @@
         _ = writeln!(
             page,
             "| {} | {} | {} | {} | {} | {} | {} | {} ({min} to {max}) | {:.0}% | {} |",
-            slope.figure,
+            slope.metric,
             slope.unit,
             format_value(slope.fit.intercept),
             format_value(slope.fit.slope),
@@ -38,7 +38,7 @@
             format_value(held.predicted),
             format_value(held.measured),
             held.error * 100.0,
-            if held.understood() { "" } else { "not understood" },
+            if held.is_within_error() { "" } else { "not understood" },
         );
     }
     page
--- a/crates/scale/src/sweep/metrics.rs
+++ b/crates/scale/src/sweep/metrics.rs
@@ -44,6 +44,6 @@
     metric!("list, core", "% of a core", Some(Role::List), |line| Some(line.idle_core_percent)),
     metric!("list, memory", "MB", Some(Role::List), |line| Some(line.rss_mb)),
     metric!("list, control", "B/s", Some(Role::List), |line| Some(line.control_bytes_per_second)),
-    metric!("keeper, core", "% of a core", Some(Role::Keeper), |line| Some(line.idle_core_percent)),
-    metric!("keeper, memory", "MB", Some(Role::Keeper), |line| Some(line.rss_mb)),
+    metric!("keeper, core", "% of a core", Some(Role::Coordinator), |line| Some(line.idle_core_percent)),
+    metric!("keeper, memory", "MB", Some(Role::Coordinator), |line| Some(line.rss_mb)),
 ];
--- a/crates/scale/src/sweep/mod.rs
+++ b/crates/scale/src/sweep/mod.rs
@@ -9,20 +9,25 @@
 pub use slopes::{Slope, refit};
 
 use crate::ScaleError;
-use crate::measurement::{Line, Setup, Stage, Start};
-use crate::plan::{Plan, demand};
+use crate::measurement::{Line, Setup, Start, Testbed};
+use crate::plan::{Plan, check_demand};
 
 /// Starts a plan's fleet, measures it once and ends it.
 ///
 /// # Errors
 /// [`ScaleError`] if the plan is rejected, a process cannot be started, or a worker process does not execute
 /// a command.
-pub async fn once(plan: &Plan, setup: &Setup, point: &str, repeat: u32) -> Result<Vec<Line>, ScaleError> {
+pub async fn measure_once(
+    plan: &Plan,
+    setup: &Setup,
+    point: &str,
+    repeat: u32,
+) -> Result<Vec<Line>, ScaleError> {
     tracing::info!(point, repeat, "measurement started");
     let name = format!("{point}-{repeat}").replace('=', "-");
-    let mut stage = Stage::start(plan, setup, Start::OneByOne, &name).await?;
-    let mut lines = stage.measure(point, repeat).await?;
-    let failures = stage.end().await;
+    let mut testbed = Testbed::start(plan, setup, Start::OneByOne, &name).await?;
+    let mut lines = testbed.measure(point, repeat).await?;
+    let failures = testbed.stop().await;
     if let Some(first) = lines.first_mut() {
         first.broken.extend(failures);
     }
@@ -49,7 +54,7 @@
     let plans_by_factor: Vec<(Factor, Vec<Plan>)> =
         factors.iter().map(|factor| (*factor, factor.plans(largest))).collect();
     for plan in plans_by_factor.iter().flat_map(|(_, plans)| plans) {
-        demand(plan, &setup.limits)?;
+        check_demand(plan, &setup.limits)?;
     }
     let mut all_slopes = Vec::new();
     for (factor, plans) in plans_by_factor {
@@ -58,7 +63,7 @@
             for (number, plan) in plans.iter().enumerate() {
                 let point = format!("{}={number}", factor.name());
                 let plan = Plan { seed: plan.seed + u64::from(repeat), ..plan.clone() };
-                let measured = once(&plan, setup, &point, repeat).await?;
+                let measured = measure_once(&plan, setup, &point, repeat).await?;
                 measured.iter().for_each(&mut *each);
                 lines.extend(measured);
             }
--- a/crates/scale/src/sweep/slopes.rs
+++ b/crates/scale/src/sweep/slopes.rs
@@ -13,7 +13,8 @@
     /// The factor.
     pub factor: Factor,
     /// Name of the metric.
-    pub figure: String,
+    #[serde(rename = "figure")]
+    pub metric: String,
     /// Unit of the metric.
     pub unit: String,
     /// Each count, with the spread of the metric over the repeats.
@@ -59,5 +60,5 @@
         return None;
     }
     let (name, unit) = (metric.name.to_string(), metric.unit.to_string());
-    Some(Slope { factor, figure: name, unit, sizes, fit, held_out })
+    Some(Slope { factor, metric: name, unit, sizes, fit, held_out })
 }
--- a/crates/scale/src/worker/protocol.rs
+++ b/crates/scale/src/worker/protocol.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use umbertray_fakes::traffic::TrafficCounts;
 
-use crate::hollow::{AppliedVersion, Seen};
+use crate::hollow::{AppliedVersion, CounterSnapshot};
 
 /// Time limit for the execution of a command. The longest command starts hundreds of gateways on a busy
 /// machine.
@@ -94,7 +94,7 @@
     /// Traffic of its stand-in stores or its endpoint list since the start.
     pub traffic: TrafficCounts,
     /// Counters of its hollow gateways.
-    pub gateways: Vec<Seen>,
+    pub gateways: Vec<CounterSnapshot>,
     /// Versions that its hollow gateways applied since the last observation.
     #[serde(rename = "acted")]
     pub applied: Vec<AppliedVersion>,
--- a/crates/scale/tests/fits.rs
+++ b/crates/scale/tests/fits.rs
@@ -4,7 +4,7 @@
 
 use umbertray_scale::fit::{Fit, HeldOut, Quantiles, Spread};
 use umbertray_scale::hollow::AppliedVersion;
-use umbertray_scale::point::{Line, apply_delays};
+use umbertray_scale::measurement::{Line, apply_delays};
 use umbertray_scale::sweep::refit;
 
 fn line(intercept: f64, slope: f64, counts: &[f64]) -> Vec<(f64, f64)> {
@@ -47,11 +47,11 @@
     assert_eq!((held.count, held.fit.points), (4000.0, 4));
     assert_near(held.predicted, 42.0);
     assert_near(held.error, 0.0);
-    assert!(held.understood());
+    assert!(held.is_within_error());
     // Squares are far from any line.
     let squares: Vec<_> = counts.iter().map(|count| (*count, count * count)).collect();
     let held = HeldOut::of(&squares).expect("four points below");
-    assert!(held.error > 0.25 && !held.understood());
+    assert!(held.error > 0.25 && !held.is_within_error());
     // The held-out point has no influence on its own prediction.
     let mut bent = line(2.0, 0.01, &counts);
     bent[4].1 = 84.0;
@@ -59,7 +59,7 @@
     assert_near(held.predicted, 42.0);
     assert_near(held.error, 0.5);
     bent[4].1 = 42.0 / 1.25;
-    assert!(HeldOut::of(&bent).expect("four points below").understood());
+    assert!(HeldOut::of(&bent).expect("four points below").is_within_error());
 }
 
 #[test]
@@ -131,7 +131,7 @@
     lines.push(recorded_line("gateways=0", 0, 9, 1.0));
     lines.push(recorded_line("one", 0, 9, 1.0));
     let slopes = refit(&lines);
-    let names: Vec<&str> = slopes.iter().map(|slope| slope.figure.as_str()).collect();
+    let names: Vec<&str> = slopes.iter().map(|slope| slope.metric.as_str()).collect();
     assert_eq!(names, ["gateway, core", "all gateways, core"]);
     assert_near(slopes[0].fit.intercept, 2.0);
     assert_near(slopes[0].fit.slope, 0.001);
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -1,7 +1,7 @@
 //! A plan for which there is no capacity is rejected before any process starts, with the needed amount and
 //! the limit.
 
-use umbertray_scale::plan::{Limits, Plan, PlanRejected, demand};
+use umbertray_scale::plan::{Limits, Plan, PlanRejected, check_demand};
 
 const LIMITS: Limits = Limits { descriptors: 20_000, bytes: 12 << 30, processes: 300 };
 
@@ -31,10 +31,10 @@
 
 #[test]
 fn demand_within_limits_says_what_is_needed() {
-    let small = demand(&plan(3, 8, Some(8)), &LIMITS).expect("the plan is within the limits");
+    let small = check_demand(&plan(3, 8, Some(8)), &LIMITS).expect("the plan is within the limits");
     // This process, the list, the coordinator, a real gateway, a worker and a process of stores.
     assert_eq!((small.processes, small.workers, small.store_processes, small.answering), (6, 1, 1, 8));
-    let large = demand(&plan(1700, 1000, None), &LIMITS)
+    let large = check_demand(&plan(1700, 1000, None), &LIMITS)
         .expect("the default of few answering stores is within the limits");
     assert!(large.answering >= 8 && large.descriptors <= LIMITS.descriptors && large.bytes <= LIMITS.bytes);
 }
@@ -42,13 +42,13 @@
 #[test]
 fn demand_beyond_memory_limit_is_rejected_with_both_figures() {
     let small = Limits { bytes: 1 << 30, ..LIMITS };
-    let rejection = demand(&plan(1700, 1000, Some(8)), &small).expect_err("more memory than the limit");
+    let rejection = check_demand(&plan(1700, 1000, Some(8)), &small).expect_err("more memory than the limit");
     let PlanRejected::Memory { need, limit } = rejection else { panic!("{rejection}") };
     assert!(need > limit && limit == 1024);
     assert_message_contains(&PlanRejected::Memory { need, limit }, &[&need.to_string(), "1024 MB"]);
     let fits = Limits { bytes: (need + 1) << 20, ..LIMITS };
-    demand(&plan(1700, 1000, Some(8)), &fits).expect("a limit of the needed amount is enough");
-    let rejection = demand(&plan(1700, 4000, None), &LIMITS)
+    check_demand(&plan(1700, 1000, Some(8)), &fits).expect("a limit of the needed amount is enough");
+    let rejection = check_demand(&plan(1700, 4000, None), &LIMITS)
         .expect_err("the expected future fleet, 1700 gateways and 4000 stores, needs more than 12 GiB");
     assert_message_contains(&rejection, &["12288 MB"]);
 }
@@ -56,12 +56,12 @@
 #[test]
 fn demand_beyond_process_limit_is_rejected_with_both_figures() {
     let many = Plan { real: 300, ..plan(301, 8, Some(8)) };
-    let rejection = demand(&many, &LIMITS).expect_err("more processes than the limit");
+    let rejection = check_demand(&many, &LIMITS).expect_err("more processes than the limit");
     assert_eq!(rejection, PlanRejected::Processes { need: 305, limit: 300, connections: 301 * 8 });
     assert_message_contains(&rejection, &["305", "300"]);
     // The expected future fleet, 1700 gateways and 4000 stores, has 6.8 million connections if all stores
     // answer.
-    let rejection = demand(&plan(1700, 4000, Some(4000)), &LIMITS)
+    let rejection = check_demand(&plan(1700, 4000, Some(4000)), &LIMITS)
         .expect_err("6.8 million connections need too many processes");
     assert_message_contains(&rejection, &["processes", "300", "6800000"]);
 }
@@ -69,15 +69,15 @@
 #[test]
 fn demand_beyond_descriptor_limit_is_rejected_with_both_figures() {
     let few = Limits { descriptors: 1024, ..LIMITS };
-    let rejection = demand(&plan(4, 4000, Some(4000)), &few)
+    let rejection = check_demand(&plan(4, 4000, Some(4000)), &few)
         .expect_err("a single gateway has more connections than the limit");
     assert_eq!(rejection, PlanRejected::Descriptors { role: "gateway", need: 4070, limit: 1024 });
     assert_message_contains(&rejection, &["gateway", "4070", "1024", "ulimit -n"]);
-    let rejection = demand(&plan(1700, 4, Some(1)), &few)
+    let rejection = check_demand(&plan(1700, 4, Some(1)), &few)
         .expect_err("a single store has more connections than the limit");
     assert_message_contains(&rejection, &["store", "1766", "1024"]);
-    let rejection =
-        demand(&plan(1700, 4, Some(0)), &few).expect_err("the list has more connections than the limit");
+    let rejection = check_demand(&plan(1700, 4, Some(0)), &few)
+        .expect_err("the list has more connections than the limit");
     assert_message_contains(&rejection, &["list", "1765", "1024"]);
 }
 
@@ -92,7 +92,7 @@
         (Plan { changes_per_second: -1.0, ..plan(1, 1, None) }, "changes a second"),
         (Plan { restarts_per_hour: 1e9, ..plan(1, 1, None) }, "restarts an hour"),
     ] {
-        assert_message_contains(&demand(&plan, &LIMITS).expect_err(expected), &[expected]);
+        assert_message_contains(&check_demand(&plan, &LIMITS).expect_err(expected), &[expected]);
     }
 }
 
@@ -100,7 +100,7 @@
 fn demand_of_any_plan_keeps_each_process_within_limits() {
     for gateways in [1, 3, 40, 449, 450, 451, 1700] {
         for answering in [0, 1, 8, 40] {
-            let demand = demand(&plan(gateways, 400, Some(answering)), &LIMITS)
+            let demand = check_demand(&plan(gateways, 400, Some(answering)), &LIMITS)
                 .expect("the plan is within the limits");
             assert!(demand.descriptors <= LIMITS.descriptors, "{gateways} {answering} {demand:?}");
             let hollow = gateways - 1;
