--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -95,7 +95,7 @@
         let text = std::fs::read_to_string(&file).unwrap_or_default();
         let versions = text.lines().filter_map(|line| {
             let line: serde_json::Value = serde_json::from_str(line).ok()?;
-            line["fields"]["version"].as_u64().filter(|_| line["fields"]["message"] == "changes acted on")
+            line["fields"]["version"].as_u64().filter(|_| line["fields"]["message"] == "changes applied")
         });
         versions.max().is_some_and(|newest| newest >= version)
     };
@@ -263,7 +263,7 @@
     let rejected = start_follower(&fleet, &folder, &copy, 1).await;
     assert!(rejected.is_err());
     let log = std::fs::read_to_string(folder.join("g1.log")).expect("a log");
-    assert!(log.contains("ends at version 1, this gateway has acted on version 2"), "{log}");
+    assert!(log.contains("ends at version 1, this gateway has applied version 2"), "{log}");
     // It accepts the current log.
     start_follower(&fleet, &folder, &changes, 1).await.expect("it starts");
 }
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -28,7 +28,7 @@
     ///
     /// Hazard: an older log may hold a higher limit that was lowered since.
     #[error(
-        "the log ends at version {found}, this gateway has acted on version {applied}: \
+        "the log ends at version {found}, this gateway has applied version {applied}: \
          it is the log of another deployment or an older copy"
     )]
     LogOlder {
@@ -39,7 +39,7 @@
     },
     /// The log has a different change at the version that this gateway applied. It is the log of another
     /// deployment or a restored one.
-    #[error("version {0} of the log differs from the version {0} that this gateway has acted on")]
+    #[error("version {0} of the log differs from the version {0} that this gateway has applied")]
     DivergentHistory(u64),
     /// The log is damaged or cannot be read.
     #[error(transparent)]
--- a/crates/nbd-gateway/src/changes/publisher.rs
+++ b/crates/nbd-gateway/src/changes/publisher.rs
@@ -79,7 +79,7 @@
             self.removed_volumes.send_modify(|count| *count += merged.removed_volumes);
         }
         self.applied_version.send_replace(newest.number);
-        tracing::info!(version = newest.number, changes = versions.len(), "changes acted on");
+        tracing::info!(version = newest.number, changes = versions.len(), "changes applied");
         Ok(())
     }
 
--- a/crates/scale/src/measurement/in_force.rs
+++ b/crates/scale/src/measurement/in_force.rs
@@ -44,7 +44,7 @@
 /// The applied version that a line of a real gateway's log reports; `None` for other lines.
 fn parse_applied_version(gateway: u32, line: &str) -> Option<AppliedVersion> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
-    let fields = line.get("fields").filter(|fields| fields["message"] == "changes acted on")?;
+    let fields = line.get("fields").filter(|fields| fields["message"] == "changes applied")?;
     let at = humantime::parse_rfc3339(line["timestamp"].as_str()?).ok()?;
     let at = at.duration_since(std::time::UNIX_EPOCH).ok()?.as_micros() as u64;
     Some(AppliedVersion { gateway, version: fields["version"].as_u64()?, at })
