--- a/crates/fakes/src/disk/moves.rs
+++ b/crates/fakes/src/disk/moves.rs
@@ -36,7 +36,7 @@
             }
             Order::FetchExecuted { .. } => return OrderReply::ExecutedOps(self.executed_ops(clock, &range)),
             Order::RecordExecuted { executed_ops, .. } => {
-                self.record_executed(clock, range.volume, executed_ops)
+                self.record_executed(clock, range.volume, executed_ops);
             }
             Order::Clear { .. } => {
                 if self.fences.is_closed(&range) {
--- a/crates/routing/src/core/mod.rs
+++ b/crates/routing/src/core/mod.rs
@@ -129,7 +129,7 @@
                 self.on_store_disconnected(store);
             }
             Input::FromStore { store, message, received_at } => {
-                self.on_store_message(store, message, received_at)
+                self.on_store_message(store, message, received_at);
             }
             Input::FromList(message) => self.on_list_message(message),
             Input::ListDisconnected => self.on_list_failed(),
