--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -45,8 +45,14 @@
 async fn run_list(listen: SocketAddr, stores: Vec<SocketAddr>) -> Result<(), CommandError> {
     let list = list::start(listen).await.map_err(CommandError::io(listen))?;
     for (shard, address) in (0u32..).zip(stores) {
-        let listed =
-            ListEntry { address, shard, zone: 0, state: EndpointState::Ready, incarnation: 1, started: None };
+        let listed = ListEntry {
+            address,
+            shard,
+            zone: 0,
+            state: EndpointState::Ready,
+            incarnation: 1,
+            started_at: None,
+        };
         list.set_entry(u64::from(shard) + 1, listed);
     }
     print_address(list.address);
--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -38,7 +38,7 @@
         let folder = arguments.out.join(format!("seed-{seed}"));
         let verdict = run_seed(&scenario, seed, &program, &folder).await?;
         print_verdict(seed, &verdict);
-        if !verdict.kept {
+        if !verdict.has_passed {
             broken += 1;
             output::print_line(&format!("  reproduce with: umbertray fault-test {name} --seed {seed}"));
         }
@@ -86,8 +86,8 @@
     output::print_line(&format!(
         "seed {seed}: {} - {} requests: {} acked ({} in target latency), {} throttled, {} aborted, \
          {} lost; {}",
-        if verdict.kept { "kept" } else { "BROKEN" },
-        all.asked,
+        if verdict.has_passed { "kept" } else { "BROKEN" },
+        all.requests,
         all.acked,
         all.in_target,
         all.throttled,
@@ -98,7 +98,7 @@
     for finding in &verdict.findings {
         output::print_line(&format!(
             "  {:32} looked {:6}  broken {:4}  {:.3} {}",
-            finding.rule, finding.cases_checked, finding.broken, finding.figure, finding.unit
+            finding.rule, finding.cases_checked, finding.breach_count, finding.value, finding.unit
         ));
         for breach in &finding.breaches {
             output::print_line(&format!("    {breach}"));
@@ -116,16 +116,16 @@
     print_after_return("other gateways at that time", &service.others_then);
     print_recovery(service);
     for (name, count) in service.by_op_type.iter().chain(&service.by_plan) {
-        output::print_line(&format!("  {name:32} asked {:6}  {}", count.asked, utility_served(count)));
+        output::print_line(&format!("  {name:32} asked {:6}  {}", count.requests, utility_served(count)));
     }
 }
 
 /// Prints the requests in the seconds after gateways returned to service, if there were any.
 fn print_after_return(label: &str, count: &Count) {
-    let Count { asked, throttled, .. } = count;
-    if *asked > 0 {
+    let Count { requests, throttled, .. } = count;
+    if *requests > 0 {
         let served = utility_served(count);
-        output::print_line(&format!("  {label:32} asked {asked:6}  throttled {throttled:6}  {served}"));
+        output::print_line(&format!("  {label:32} asked {requests:6}  throttled {throttled:6}  {served}"));
     }
 }
 
--- a/crates/cli/src/measure/testbed.rs
+++ b/crates/cli/src/measure/testbed.rs
@@ -122,7 +122,7 @@
         cores: 16,
         unit_ms: 0.0005,
         queue: 100_000,
-        put_off: 0.0,
+        deferred_fraction: 0.0,
         ..StorePerformance::default()
     };
     Fleet::start(4, performance, 1).await.map_err(MeasureError::Stores)
--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -93,7 +93,7 @@
     }
 
     fn exceeded_in_force(&self, line: &Line) -> Option<String> {
-        let longest = line.in_force_seconds?.max;
+        let longest = line.apply_delay_seconds?.max;
         let allowed = self.most_in_force?;
         (longest > allowed).then(|| format!("in force after {longest} s, {allowed} is allowed"))
     }
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -39,10 +39,10 @@
 pub(crate) fn fast_performance() -> StorePerformance {
     StorePerformance {
         unit_ms: 0.5,
-        cold_from: 0.5,
-        cold_s: 1.0,
-        fall_multiple: 2.0,
-        fall_s: 0.2,
+        cold_speed_fraction: 0.5,
+        warm_up_seconds: 1.0,
+        crash_multiple: 2.0,
+        crash_window_seconds: 0.2,
         ..StorePerformance::default()
     }
 }
@@ -135,7 +135,7 @@
     let record = record.expect("the scenario runs");
     let verdict = judge(&scenario, &record);
     assert!(
-        verdict.kept,
+        verdict.has_passed,
         "seed {seed}, reproduce with: umbertray fault-test days/{name} --seed {seed}\n{verdict:#?}"
     );
     (record, verdict)
@@ -144,7 +144,7 @@
 /// Asserts that most requests were served in spite of all faults.
 pub(crate) fn assert_mostly_acked(verdict: &Verdict) {
     let all = &verdict.service.all;
-    assert!(all.acked * 2 > all.asked, "{all:?}");
+    assert!(all.acked * 2 > all.requests, "{all:?}");
 }
 
 pub(crate) fn program_path() -> &'static Path {
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -63,5 +63,5 @@
     let clients: std::collections::BTreeSet<u32> =
         record.client_requests.iter().map(|asked| asked.client).collect();
     assert_eq!(clients.len(), 200);
-    assert!(all.asked > 1000, "{all:?}");
+    assert!(all.requests > 1000, "{all:?}");
 }
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -118,7 +118,7 @@
         assert_eq!((line.gateways, line.stores, line.answering, line.hollow), (3, 8, 6, 2));
         assert_eq!((line.changes, line.restarts), (8, 2));
     }
-    assert!(lines[0].in_force_seconds.is_some() && lines[1].in_force_seconds.is_some());
+    assert!(lines[0].apply_delay_seconds.is_some() && lines[1].apply_delay_seconds.is_some());
     assert!(lines[0].rss_mb > 1.0 && lines[0].control_bytes_per_second > 0.0);
     // All started at version 1.
     let (seen, _) = testbed.observe().await.expect("the hollow gateways can be polled");
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -32,7 +32,7 @@
     /// Whether the change was sent again after it had been committed under the same id.
     pub was_committed_before: bool,
     /// The settings changes that a gateway must apply; empty if the change was committed before.
-    pub steps: Vec<SettingsChange>,
+    pub settings_changes: Vec<SettingsChange>,
 }
 
 /// The data remembered of a committed change under its id.
@@ -175,18 +175,18 @@
         if let Some(completed) = self.completed_by_id.get(&change.id) {
             let version = completed.version;
             return if completed.fingerprint == segment::fingerprint(&change) {
-                Ok(Committed { version, was_committed_before: true, steps: Vec::new() })
+                Ok(Committed { version, was_committed_before: true, settings_changes: Vec::new() })
             } else {
                 Err(ChangeRejected::IdTaken { id: change.id, version })
             };
         }
-        let (next, steps) = self.preview(&change)?;
+        let (next, settings_changes) = self.preview(&change)?;
         let hash = self.append_to_chain(&change)?;
         let committed = CommittedChange { version: next.number, hash, change };
         self.record_completed(completed_change(&committed));
         self.newest_segment_changes.push(committed);
         self.head = next;
-        Ok(Committed { version: self.head.number, was_committed_before: false, steps })
+        Ok(Committed { version: self.head.number, was_committed_before: false, settings_changes })
     }
 
     fn append_to_chain(&mut self, change: &Change) -> io::Result<Hash> {
--- a/crates/control-plane/src/relay/downstreams/follower.rs
+++ b/crates/control-plane/src/relay/downstreams/follower.rs
@@ -27,7 +27,7 @@
     /// The cursor after the entry was sent up to `end`.
     pub(super) fn advanced_to(self, entry: &Entry, end: usize) -> Cursor {
         if end == entry.body.len() {
-            Cursor { after: entry.at.version, offset: 0 }
+            Cursor { after: entry.position.version, offset: 0 }
         } else {
             Cursor { offset: end, ..self }
         }
--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -222,7 +222,7 @@
             follower.in_flight += ENTRY_FRAME_OVERHEAD + part.len() as u32;
             follower.cursor = Some(cursor.advanced_to(entry, end));
             let frame = FromUpstream::Entry {
-                position: entry.at,
+                position: entry.position,
                 length: entry.body.len() as u32,
                 offset: cursor.offset as u32,
                 part,
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The position after this change.
-    pub at: Position,
+    pub position: Position,
     /// The change, as the writer wrote it.
     pub body: Bytes,
 }
@@ -25,7 +25,7 @@
     /// segment, at the start and whenever a segment begins.
     FolderCheckpoint {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The state at that position.
         bytes: Bytes,
     },
@@ -103,7 +103,7 @@
     /// reads the folder returns neither this action nor the next two.
     LoadCheckpoint {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The state at that position.
         checkpoint: Bytes,
     },
@@ -231,7 +231,7 @@
     /// A checkpoint was loaded.
     CheckpointLoaded {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The upstream it came from.
         upstream: String,
     },
--- a/crates/control-plane/src/relay/log_suffix.rs
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn head(&self) -> Option<Position> {
-        self.entries.back().map(|entry| entry.at).or(self.base)
+        self.entries.back().map(|entry| entry.position).or(self.base)
     }
 
     /// The oldest version after which entries are held.
@@ -82,7 +82,7 @@
             0 => Some(base.hash),
             distance => {
                 let index = usize::try_from(distance - 1).ok()?;
-                self.entries.get(index).map(|entry| entry.at.hash)
+                self.entries.get(index).map(|entry| entry.position.hash)
             }
         }
     }
@@ -143,7 +143,7 @@
             Retention::Hashes => Bytes::new(),
         };
         self.entry_bytes += ENTRY_OVERHEAD + body.len();
-        self.entries.push_back(Entry { at: entry.at, body });
+        self.entries.push_back(Entry { position: entry.position, body });
         self.trim();
     }
 
@@ -156,7 +156,7 @@
         while self.entries.len() > max_entries || self.entry_bytes > max_bytes && self.entries.len() > 1 {
             let Some(first) = self.entries.pop_front() else { return };
             self.entry_bytes -= ENTRY_OVERHEAD + first.body.len();
-            self.base = Some(first.at);
+            self.base = Some(first.position);
         }
     }
 
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -122,7 +122,9 @@
 
     fn on_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::FolderCheckpoint { at, bytes } => self.on_folder_checkpoint(at, bytes, actions),
+            Event::FolderCheckpoint { position, bytes } => {
+                self.on_folder_checkpoint(position, bytes, actions)
+            }
             Event::FolderEntries(entries) => self.on_folder_entries(entries, actions),
             Event::FollowerConnected(connection) => {
                 self.with_downstreams(now, actions, |downstreams, context| {
@@ -199,19 +201,21 @@
         }
     }
 
-    fn on_folder_checkpoint(&mut self, at: Position, bytes: Bytes, actions: &mut Vec<Action>) {
-        let rejected = Action::Log(RelayEvent::FolderRejected { version: at.version });
+    fn on_folder_checkpoint(&mut self, position: Position, bytes: Bytes, actions: &mut Vec<Action>) {
+        let rejected = Action::Log(RelayEvent::FolderRejected { version: position.version });
         let length = u32::try_from(bytes.len()).ok().filter(|length| *length <= MAX_CHECKPOINT);
-        let Some(length) = length.filter(|_| !self.contradicts_committed(at)) else {
+        let Some(length) = length.filter(|_| !self.contradicts_committed(position)) else {
             return actions.push(rejected);
         };
-        let checkpoint = Checkpoint { position: at, digest: digest(&bytes), length };
-        match (self.suffix.head(), self.suffix.hash_at(at.version)) {
+        let checkpoint = Checkpoint { position, digest: digest(&bytes), length };
+        match (self.suffix.head(), self.suffix.hash_at(position.version)) {
             // The log's segments between the head and the checkpoint were deleted before the owner had read
             // them.
-            (Some(head), _) if at.version > head.version => self.suffix.reset(checkpoint, bytes),
+            (Some(head), _) if position.version > head.version => self.suffix.reset(checkpoint, bytes),
             (None, _) => self.suffix.reset(checkpoint, bytes),
-            (Some(_), Some(hash)) if hash == at.hash => self.suffix.replace_checkpoint(checkpoint, bytes),
+            (Some(_), Some(hash)) if hash == position.hash => {
+                self.suffix.replace_checkpoint(checkpoint, bytes)
+            }
             _ => actions.push(rejected),
         }
     }
@@ -219,16 +223,18 @@
     fn on_folder_entries(&mut self, entries: Vec<Entry>, actions: &mut Vec<Action>) {
         for entry in entries {
             let head = self.suffix.head();
-            let is_chained = head.is_some_and(|head| head.after_change(&entry.body) == entry.at);
-            if !is_chained || self.contradicts_committed(entry.at) {
-                return actions.push(Action::Log(RelayEvent::FolderRejected { version: entry.at.version }));
+            let is_chained = head.is_some_and(|head| head.after_change(&entry.body) == entry.position);
+            if !is_chained || self.contradicts_committed(entry.position) {
+                return actions
+                    .push(Action::Log(RelayEvent::FolderRejected { version: entry.position.version }));
             }
             self.suffix.append(entry);
         }
     }
 
-    fn contradicts_committed(&self, at: Position) -> bool {
-        self.committed.is_some_and(|committed| committed.version == at.version && committed.hash != at.hash)
+    fn contradicts_committed(&self, position: Position) -> bool {
+        self.committed
+            .is_some_and(|committed| committed.version == position.version && committed.hash != position.hash)
     }
 
     /// Logs that new followers have to wait for the next checkpoint, once until that checkpoint is held.
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -43,7 +43,7 @@
         }
         let index = usize::try_from(reported.version - head.version - 1).unwrap_or(usize::MAX);
         let pending = self.source.as_ref().and_then(|source| source.pending_at(index));
-        let Some(hash) = pending.map(|entry| entry.at.hash) else { return Ok(()) };
+        let Some(hash) = pending.map(|entry| entry.position.hash) else { return Ok(()) };
         let upstream = self.peers[peer].name.clone();
         let Some(session) = self.peers[peer].session_mut() else { return Ok(()) };
         if hash == reported.hash {
@@ -134,8 +134,8 @@
         let agreed = context.suffix.head().and_then(|head| self.quorum_version(head));
         let Some(agreed) = agreed else { return };
         while let Some(entry) = self.take_pending(agreed) {
-            if self.contradicts_committed(entry.at) {
-                return self.halt(entry.at.version, context);
+            if self.contradicts_committed(entry.position) {
+                return self.halt(entry.position.version, context);
             }
             context.suffix.append(entry.clone());
             context.actions.push(Action::AppendEntry(entry));
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -129,8 +129,8 @@
         context: &mut Context<'_>,
     ) {
         let upstream = self.peers[peer].name.clone();
-        let at = checkpoint.position;
-        if context.suffix.head().is_some_and(|head| head.version >= at.version) {
+        let position = checkpoint.position;
+        if context.suffix.head().is_some_and(|head| head.version >= position.version) {
             return context.suffix.replace_checkpoint(checkpoint, bytes);
         }
         // The pending entries are chained to the log suffix that this checkpoint replaces.
@@ -138,8 +138,8 @@
             self.disconnect(source.peer, DisconnectReason::NotNeeded, context);
         }
         context.suffix.reset(checkpoint, bytes.clone());
-        context.log(RelayEvent::CheckpointLoaded { at, upstream });
-        context.actions.push(Action::LoadCheckpoint { at, checkpoint: bytes });
+        context.log(RelayEvent::CheckpointLoaded { position, upstream });
+        context.actions.push(Action::LoadCheckpoint { position, checkpoint: bytes });
         self.commit_head(context);
     }
 
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -81,7 +81,7 @@
 
     /// The position of the last pending entry, or `head` if there is none.
     pub(super) fn end(&self, head: Position) -> Position {
-        self.pending.back().map_or(head, |entry| entry.at)
+        self.pending.back().map_or(head, |entry| entry.position)
     }
 
     pub(super) fn pending_at(&self, index: usize) -> Option<&Entry> {
@@ -90,7 +90,7 @@
 
     /// Removes and returns the oldest pending entry, if its version is at most `max_version`.
     pub(super) fn take_pending(&mut self, max_version: u64) -> Option<Entry> {
-        let entry = self.pending.pop_front_if(|entry| entry.at.version <= max_version)?;
+        let entry = self.pending.pop_front_if(|entry| entry.position.version <= max_version)?;
         self.pending_bytes -= ENTRY_OVERHEAD + entry.body.len();
         Some(entry)
     }
@@ -162,7 +162,7 @@
         self.progress_at = now;
         self.pending_since.get_or_insert(now);
         self.pending_bytes += ENTRY_OVERHEAD + body.len();
-        self.pending.push_back(Entry { at: complete.position, body });
+        self.pending.push_back(Entry { position: complete.position, body });
         Ok(())
     }
 }
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -39,7 +39,7 @@
     let mut harness = FollowerHarness::new();
     let (one, other) = harness.others();
     let body = Bytes::from_static(b"forged");
-    let forged = Entry { at: harness.log.head().after_change(&body), body };
+    let forged = Entry { position: harness.log.head().after_change(&body), body };
     harness.entry("near", &forged);
     harness.log.write("change", 9);
     harness.announce(&one, 4, 0);
@@ -68,14 +68,14 @@
     let queried = harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 4 }));
     assert_eq!(queried, Some(harness.connections[&one]));
     assert_eq!(harness.appended_versions(), []);
-    let at = harness.log.position_at(4).expect("written");
-    harness.receive(&one, FromUpstream::HashAt { position: at });
+    let position = harness.log.position_at(4).expect("written");
+    harness.receive(&one, FromUpstream::HashAt { position });
     assert_eq!(harness.appended_versions(), [4]);
     assert!(
         harness.sent_to(|frame| matches!(frame, ToUpstream::QueryHash { version: 9 })).is_some(),
         "the last pending version is queried next"
     );
-    harness.receive(&one, FromUpstream::HashAt { position: at });
+    harness.receive(&one, FromUpstream::HashAt { position });
     assert_eq!(
         harness.disconnected(),
         [(one.as_str(), DisconnectReason::Unrequested)],
@@ -132,8 +132,8 @@
     let head = FollowerHarness::new().log.head();
     let old = Position { version: 1, hash: [1; 32] };
     let at = |head, from| FromUpstream::Head { head, oldest_version: from, checkpoint: None };
-    let entry = |at, length, offset, part: &'static [u8]| FromUpstream::Entry {
-        position: at,
+    let entry = |position, length, offset, part: &'static [u8]| FromUpstream::Entry {
+        position,
         length,
         offset,
         part: Bytes::from_static(part),
--- a/crates/control-plane/tests/relay/follower_harness.rs
+++ b/crates/control-plane/tests/relay/follower_harness.rs
@@ -100,15 +100,15 @@
     }
 
     pub(crate) fn announce_head(&mut self, name: &str, head: Position, oldest_version: u64) {
-        let (at, bytes) = self.log.checkpoint(oldest_version);
-        let checkpoint = Checkpoint { position: at, digest: digest(&bytes), length: bytes.len() as u32 };
+        let (position, bytes) = self.log.checkpoint(oldest_version);
+        let checkpoint = Checkpoint { position, digest: digest(&bytes), length: bytes.len() as u32 };
         self.receive(name, FromUpstream::Head { head, oldest_version, checkpoint: Some(checkpoint) });
     }
 
     pub(crate) fn entry(&mut self, name: &str, entry: &Entry) {
         let length = entry.body.len() as u32;
         let part = entry.body.clone();
-        self.receive(name, FromUpstream::Entry { position: entry.at, length, offset: 0, part });
+        self.receive(name, FromUpstream::Entry { position: entry.position, length, offset: 0, part });
     }
 
     pub(crate) fn entries(&mut self, name: &str, after: u64) {
@@ -126,8 +126,8 @@
         };
         let queries: Vec<(ConnectionId, u64)> = self.actions.iter().filter_map(hash_query).collect();
         for (connection, version) in queries {
-            let at = self.log.position_at(version).expect("written");
-            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { position: at } });
+            let position = self.log.position_at(version).expect("written");
+            self.event(Event::FromUpstream { connection, frame: FromUpstream::HashAt { position } });
         }
     }
 
@@ -158,7 +158,7 @@
 
     pub(crate) fn appended_versions(&self) -> Vec<u64> {
         let appended_version = |action: &Action| match action {
-            Action::AppendEntry(entry) => Some(entry.at.version),
+            Action::AppendEntry(entry) => Some(entry.position.version),
             _ => None,
         };
         self.actions.iter().filter_map(appended_version).collect()
--- a/crates/control-plane/tests/relay/network/members.rs
+++ b/crates/control-plane/tests/relay/network/members.rs
@@ -171,16 +171,16 @@
         let mut events = Vec::new();
         let segment = log.segment();
         if folder_cursor.segment.is_none() {
-            let (at, bytes) = log.checkpoint(segment);
-            events.push(Event::FolderCheckpoint { at, bytes });
+            let (position, bytes) = log.checkpoint(segment);
+            events.push(Event::FolderCheckpoint { position, bytes });
             folder_cursor.read_up_to = segment;
         }
         let entries = log.entries[folder_cursor.read_up_to as usize..].to_vec();
         folder_cursor.read_up_to = log.entries.len() as u64;
         events.push(Event::FolderEntries(entries));
         if folder_cursor.segment.is_some_and(|known| known < segment) {
-            let (at, bytes) = log.checkpoint(segment);
-            events.push(Event::FolderCheckpoint { at, bytes });
+            let (position, bytes) = log.checkpoint(segment);
+            events.push(Event::FolderCheckpoint { position, bytes });
         }
         folder_cursor.segment = Some(segment);
         events.into_iter().for_each(|event| self.deliver(id, event));
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -204,17 +204,17 @@
                     .into_iter()
                     .for_each(|frame| self.send(id, connection, frame));
             }
-            Action::LoadCheckpoint { at, checkpoint } => self.on_checkpoint(id, at, &checkpoint),
+            Action::LoadCheckpoint { position, checkpoint } => self.on_checkpoint(id, position, &checkpoint),
             Action::AppendEntry(entry) => {
-                let expected = self.log.entries.get(entry.at.version as usize - 1).cloned();
+                let expected = self.log.entries.get(entry.position.version as usize - 1).cloned();
                 let next = self.members[id].built.map(|built| built.version + 1);
-                self.check_rule(id, next == Some(entry.at.version), "appends entries in order");
+                self.check_rule(id, next == Some(entry.position.version), "appends entries in order");
                 self.check_rule(
                     id,
                     expected.as_ref() == Some(&entry),
                     "appends only entries that were written",
                 );
-                self.members[id].built = Some(entry.at);
+                self.members[id].built = Some(entry.position);
             }
             Action::Commit(at) => self.on_commit(id, at),
             Action::Log(event) => self.members[id].logged.push(event),
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -68,8 +68,8 @@
     let mut node = RelayNode::new(config, None).expect("a valid configuration");
     let mut log = Log::new(9);
     (0..100).for_each(|_| _ = log.write("change", 9));
-    let (at, bytes) = log.checkpoint(0);
-    node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes });
+    let (position, bytes) = log.checkpoint(0);
+    node.handle(Duration::ZERO, Event::FolderCheckpoint { position, bytes });
     node.handle(Duration::ZERO, Event::FolderEntries(log.entries));
     let connection = join(&mut node, 1, Role::Relay);
     (node, connection)
--- a/crates/control-plane/tests/relay/reference_log.rs
+++ b/crates/control-plane/tests/relay/reference_log.rs
@@ -24,13 +24,13 @@
     }
 
     pub fn head(&self) -> Position {
-        self.entries.last().map_or(Position::START, |entry| entry.at)
+        self.entries.last().map_or(Position::START, |entry| entry.position)
     }
 
     pub fn position_at(&self, version: u64) -> Option<Position> {
         match version {
             0 => Some(Position::START),
-            _ => self.entries.get(version as usize - 1).map(|entry| entry.at),
+            _ => self.entries.get(version as usize - 1).map(|entry| entry.position),
         }
     }
 
@@ -38,18 +38,18 @@
         let mut body = format!("{prefix} {}", self.entries.len() + 1).into_bytes();
         body.resize(body.len().max(length), b'.');
         self.longest_body = self.longest_body.max(body.len());
-        let at = self.head().after_change(&body);
-        let entry = Entry { at, body: body.into() };
+        let position = self.head().after_change(&body);
+        let entry = Entry { position, body: body.into() };
         self.entries.push(entry.clone());
         entry
     }
 
     /// The position and state after a version, as in a checkpoint.
     pub fn checkpoint(&self, version: u64) -> (Position, Bytes) {
-        let at = self.position_at(version).expect("a version of the log");
-        let mut bytes = format!("{} {version} {:?}", self.label, at.hash).into_bytes();
+        let position = self.position_at(version).expect("a version of the log");
+        let mut bytes = format!("{} {version} {:?}", self.label, position.hash).into_bytes();
         bytes.resize(bytes.len().max(self.checkpoint_bytes), b'.');
-        (at, bytes.into())
+        (position, bytes.into())
     }
 
     /// The version after which the newest segment begins.
--- a/crates/control-plane/tests/relay/single_node.rs
+++ b/crates/control-plane/tests/relay/single_node.rs
@@ -57,8 +57,8 @@
     let mut log = Log::new(100);
     (0..3).for_each(|_| _ = log.write("change", 9));
     let mut node = RelayNode::new(config("relay", Origin::Folder), None).expect("a valid configuration");
-    let (at, bytes) = log.checkpoint(0);
-    node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes });
+    let (position, bytes) = log.checkpoint(0);
+    node.handle(Duration::ZERO, Event::FolderCheckpoint { position, bytes });
     node.handle(Duration::ZERO, Event::FolderEntries(log.entries));
     let connection = ConnectionId(1);
     node.handle(Duration::ZERO, Event::FollowerConnected(connection));
@@ -120,12 +120,12 @@
     let entries = |from: usize| Event::FolderEntries(log.entries[from..].to_vec());
     assert!(is_rejected(node.handle(Duration::ZERO, entries(3))), "another chain");
     assert!(is_rejected(node.handle(Duration::ZERO, entries(0))), "another chain from the beginning");
-    let (at, bytes) = log.checkpoint(2);
+    let (position, bytes) = log.checkpoint(2);
     assert!(
-        is_rejected(node.handle(Duration::ZERO, Event::FolderCheckpoint { at, bytes })),
+        is_rejected(node.handle(Duration::ZERO, Event::FolderCheckpoint { position, bytes })),
         "a checkpoint of another history"
     );
-    let edited = Entry { at: head.after_change(b"one"), body: Bytes::from_static(b"other") };
+    let edited = Entry { position: head.after_change(b"one"), body: Bytes::from_static(b"other") };
     assert!(is_rejected(node.handle(Duration::ZERO, Event::FolderEntries(vec![edited]))), "an edited body");
     assert_eq!(node.status(Duration::ZERO).head, head);
 }
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -81,7 +81,7 @@
             zone: 0,
             state: EndpointState::Ready,
             incarnation: 1,
-            started,
+            started_at: started,
         };
         self.addresses.insert(id, running.address);
         self.stores.insert(id, running);
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -35,7 +35,7 @@
         zone: listed.zone,
         state: listed.state,
         incarnation: listed.incarnation,
-        age: listed.started.map(|at| at.elapsed().as_micros() as u64),
+        age: listed.started_at.map(|at| at.elapsed().as_micros() as u64),
     }
 }
 
--- a/crates/fakes/src/list/mod.rs
+++ b/crates/fakes/src/list/mod.rs
@@ -33,7 +33,7 @@
     /// The store's incarnation: how many times its process has been started.
     pub incarnation: u64,
     /// When its process was started; `None` if that was long ago.
-    pub started: Option<Instant>,
+    pub started_at: Option<Instant>,
 }
 
 /// Handle of the running service. Dropping it ends the service.
@@ -101,7 +101,7 @@
         self.with_directory(|directory| {
             directory.stores.get_mut(&store).map(|listed| {
                 listed.incarnation += 1;
-                (listed.started, listed.address) = (Some(Instant::now()), address);
+                (listed.started_at, listed.address) = (Some(Instant::now()), address);
                 listed.state = EndpointState::Ready;
             })
         });
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -59,8 +59,8 @@
     next_batch_at: Duration,
     /// Keys of the extents that were used most recently, the oldest first.
     recent_extents: VecDeque<u64>,
-    /// Units of work that arrived in the last [`StorePerformance::fall_s`] seconds, each with its time of
-    /// arrival.
+    /// Units of work that arrived in the last [`StorePerformance::crash_window_seconds`] seconds, each with
+    /// its time of arrival.
     arrivals: VecDeque<(Duration, f64)>,
     /// Units of work served since the start, by volume.
     served_units: HashMap<u64, f64>,
@@ -74,7 +74,7 @@
     /// An idle store that starts at the time `now`, cold or warm.
     pub(crate) fn new(performance: StorePerformance, now: Duration, cold: bool) -> Model {
         Model {
-            next_batch_at: now + Duration::from_secs_f64(performance.put_off_s),
+            next_batch_at: now + Duration::from_secs_f64(performance.deferred_batch_seconds),
             performance,
             fault: Fault::default(),
             cold_since: cold.then_some(now),
@@ -94,23 +94,24 @@
     /// Current speed as a fraction of the full speed.
     pub(crate) fn warmth(&self, now: Duration) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
-        let progress = now.saturating_sub(since).as_secs_f64() / self.performance.cold_s;
-        self.performance.cold_from + (1.0 - self.performance.cold_from) * progress.min(1.0)
+        let progress = now.saturating_sub(since).as_secs_f64() / self.performance.warm_up_seconds;
+        self.performance.cold_speed_fraction
+            + (1.0 - self.performance.cold_speed_fraction) * progress.min(1.0)
     }
 
     /// Decides on an attempt that arrives, and queues it if it is accepted.
     pub(crate) fn admit(&mut self, now: Duration, job: Job) -> Admission {
-        let window = Duration::from_secs_f64(self.performance.fall_s);
+        let window = Duration::from_secs_f64(self.performance.crash_window_seconds);
         self.arrivals.push_back((now, job.attempt.units));
         while self.arrivals.front().is_some_and(|(arrived, _)| *arrived + window < now) {
             self.arrivals.pop_front();
         }
         let arrived_units: f64 = self.arrivals.iter().map(|(_, units)| units).sum();
         let warmth = self.warmth(now);
-        let capacity = self.performance.fall_multiple
-            * self.performance.units_a_second()
+        let capacity = self.performance.crash_multiple
+            * self.performance.units_per_second()
             * warmth
-            * self.performance.fall_s;
+            * self.performance.crash_window_seconds;
         if warmth < 1.0 && arrived_units > capacity {
             return Admission::Crashed;
         }
@@ -205,19 +206,19 @@
         let mut ms = job.attempt.units * self.performance.unit_ms;
         let key = job.attempt.extent ^ job.attempt.volume.rotate_left(32);
         if self.recent_extents.contains(&key) {
-            ms *= 1.0 - self.performance.run_saves;
+            ms *= 1.0 - self.performance.locality_saving;
         }
         self.recent_extents.push_back(key);
-        if self.recent_extents.len() > self.performance.remembers {
+        if self.recent_extents.len() > self.performance.recent_extent_count {
             self.recent_extents.pop_front();
         }
         if job.attempt.kind == OperationKind::Write && !job.attempt.durable {
-            self.deferred_work_ms += ms * self.performance.put_off;
-            ms *= 1.0 - self.performance.put_off;
+            self.deferred_work_ms += ms * self.performance.deferred_fraction;
+            ms *= 1.0 - self.performance.deferred_fraction;
         }
         if now >= self.next_batch_at || job.attempt.kind == OperationKind::Flush {
             ms += std::mem::take(&mut self.deferred_work_ms);
-            self.next_batch_at = now + Duration::from_secs_f64(self.performance.put_off_s);
+            self.next_batch_at = now + Duration::from_secs_f64(self.performance.deferred_batch_seconds);
         }
         Duration::from_secs_f64(ms / 1000.0 * self.fault.slow / self.warmth(now))
     }
--- a/crates/fakes/src/model/settings.rs
+++ b/crates/fakes/src/model/settings.rs
@@ -15,21 +15,29 @@
     /// Length of the queue; an attempt that arrives while it is full is rejected.
     pub queue: usize,
     /// Speed of a cold store when it starts, as a fraction of its full speed.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_speed_fraction: f64,
     /// Seconds until a cold store has reached its full speed.
-    pub cold_s: f64,
+    #[serde(rename = "cold_s")]
+    pub warm_up_seconds: f64,
     /// A cold store crashes when more work arrives than this multiple of its current speed.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub crash_multiple: f64,
     /// Time over which the arriving work is summed for that, in seconds.
-    pub fall_s: f64,
+    #[serde(rename = "fall_s")]
+    pub crash_window_seconds: f64,
     /// Fraction of its work that an attempt saves if its extent is among the most recent ones.
-    pub run_saves: f64,
+    #[serde(rename = "run_saves")]
+    pub locality_saving: f64,
     /// Number of extents that count as the most recent ones.
-    pub remembers: usize,
+    #[serde(rename = "remembers")]
+    pub recent_extent_count: usize,
     /// Fraction of a write's work that is deferred and done later in a batch.
-    pub put_off: f64,
+    #[serde(rename = "put_off")]
+    pub deferred_fraction: f64,
     /// Seconds between batches of deferred work.
-    pub put_off_s: f64,
+    #[serde(rename = "put_off_s")]
+    pub deferred_batch_seconds: f64,
 }
 
 impl Default for StorePerformance {
@@ -38,21 +46,21 @@
             cores: 2,
             unit_ms: 4.0,
             queue: 64,
-            cold_from: 0.25,
-            cold_s: 4.0,
-            fall_multiple: 3.0,
-            fall_s: 1.0,
-            run_saves: 0.4,
-            remembers: 3,
-            put_off: 0.3,
-            put_off_s: 2.0,
+            cold_speed_fraction: 0.25,
+            warm_up_seconds: 4.0,
+            crash_multiple: 3.0,
+            crash_window_seconds: 1.0,
+            locality_saving: 0.4,
+            recent_extent_count: 3,
+            deferred_fraction: 0.3,
+            deferred_batch_seconds: 2.0,
         }
     }
 }
 
 impl StorePerformance {
     /// Units of work that a warm store serves in a second.
-    pub fn units_a_second(&self) -> f64 {
+    pub fn units_per_second(&self) -> f64 {
         f64::from(self.cores) * 1000.0 / self.unit_ms
     }
 }
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -111,8 +111,8 @@
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
     let (to_process, events) = mpsc::unbounded_channel();
-    let units_a_second = identity.performance.units_a_second();
-    identity.event_log.record(identity.store, StoreEvent::Up { units_a_second, cold });
+    let units_per_second = identity.performance.units_per_second();
+    identity.event_log.record(identity.store, StoreEvent::Up { units_a_second: units_per_second, cold });
     let process = Process::new(identity.clone(), cold);
     let traffic: Arc<Traffic> = Arc::default();
     let accepting = tokio::spawn(connection::accept(listener, to_process.clone(), traffic.clone()));
--- a/crates/fault-tests/src/judge/mod.rs
+++ b/crates/fault-tests/src/judge/mod.rs
@@ -22,37 +22,40 @@
     #[serde(rename = "looked")]
     pub cases_checked: u64,
     /// Value measured for the rule; `unit` says what it is.
-    pub figure: f64,
-    /// What `figure` measures.
+    #[serde(rename = "figure")]
+    pub value: f64,
+    /// What `value` measures.
     pub unit: &'static str,
     /// Descriptions of the first few breaches.
     pub breaches: Vec<String>,
     /// Number of breaches.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub breach_count: u64,
 }
 
 impl Finding {
     pub(crate) fn new(rule: &'static str, unit: &'static str) -> Finding {
-        Finding { rule, cases_checked: 0, figure: 0.0, unit, breaches: Vec::new(), broken: 0 }
+        Finding { rule, cases_checked: 0, value: 0.0, unit, breaches: Vec::new(), breach_count: 0 }
     }
 
     pub(crate) fn breach(&mut self, describe: impl FnOnce() -> String) {
-        self.broken += 1;
+        self.breach_count += 1;
         if self.breaches.len() < 5 {
             self.breaches.push(describe());
         }
     }
 
-    pub(crate) fn record_max(&mut self, figure: f64) {
-        self.figure = self.figure.max(figure);
+    pub(crate) fn record_max(&mut self, value: f64) {
+        self.value = self.value.max(value);
     }
 }
 
 /// Result of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
-    /// Whether all rules were kept.
-    pub kept: bool,
+    /// Whether no rule was breached.
+    #[serde(rename = "kept")]
+    pub has_passed: bool,
     /// Result of each rule.
     pub findings: Vec<Finding>,
     /// Service that clients received.
@@ -77,10 +80,10 @@
         rules::volume_limits(&indexed),
         registers::registers(&indexed),
     ];
-    let kept = findings.iter().all(|finding| finding.broken == 0);
+    let has_passed = findings.iter().all(|finding| finding.breach_count == 0);
     let service = service::service(scenario, record);
     let (late_steps, held_up) = (record.late_steps.clone(), record.held_up.clone());
-    Verdict { kept, findings, service, late_steps, held_up }
+    Verdict { has_passed, findings, service, late_steps, held_up }
 }
 
 #[cfg(test)]
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -252,7 +252,7 @@
 pub(crate) fn cold_stores(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("4 no cold store pushed over", "largest part of what a cold store bears");
     let performance = &indexed.scenario.store_performance;
-    let window = (performance.fall_s * 1e6) as u64;
+    let window = (performance.crash_window_seconds * 1e6) as u64;
     let mut cold_starts: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut recent: BTreeMap<u64, VecDeque<(u64, f64)>> = BTreeMap::new();
     for entry in &indexed.record.stores {
@@ -268,7 +268,7 @@
             }),
             event_log::StoreEvent::Received { units, .. } => {
                 let Some((started, units_a_second)) = cold_starts.get(&entry.store) else { continue };
-                let age = (entry.at - started) as f64 / 1e6 / performance.cold_s;
+                let age = (entry.at - started) as f64 / 1e6 / performance.warm_up_seconds;
                 if age >= 1.0 {
                     continue;
                 }
@@ -278,16 +278,19 @@
                     sent.pop_front();
                 }
                 let sent: f64 = sent.iter().map(|(_, units)| units).sum();
-                let warmth = performance.cold_from + (1.0 - performance.cold_from) * age;
+                let warmth = performance.cold_speed_fraction + (1.0 - performance.cold_speed_fraction) * age;
                 finding.record_max(
-                    sent / (performance.fall_multiple * units_a_second * warmth * performance.fall_s),
+                    sent / (performance.crash_multiple
+                        * units_a_second
+                        * warmth
+                        * performance.crash_window_seconds),
                 );
             }
             _ => {}
         }
     }
-    if finding.figure > 1.0 {
-        let figure = finding.figure;
+    if finding.value > 1.0 {
+        let figure = finding.value;
         finding.breach(|| format!("a cold store was sent {figure:.2} times the load that it can take"));
     }
     finding
@@ -328,7 +331,7 @@
         }
         earlier.push(attempt);
     }
-    finding.figure = if shortest.is_finite() { shortest } else { 0.0 };
+    finding.value = if shortest.is_finite() { shortest } else { 0.0 };
     finding
 }
 
@@ -433,6 +436,6 @@
             }
         }
     }
-    finding.figure = if least.is_finite() { least } else { 0.0 };
+    finding.value = if least.is_finite() { least } else { 0.0 };
     finding
 }
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
     /// All requests.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Acknowledged.
     pub acked: u64,
     /// Acknowledged within the target latency.
@@ -61,7 +62,7 @@
 
 impl Count {
     fn add(&mut self, request: &Asked, utility: f64, is_in_target: bool) {
-        self.asked += 1;
+        self.requests += 1;
         self.utility += utility;
         match request.outcome {
             Outcome::Acked => {
@@ -170,8 +171,8 @@
 /// the gateway's own service before the kill.
 fn recovery_time(steps: &BTreeMap<u64, [Count; 2]>, before: &Count) -> Option<u64> {
     let has_recovered = |(_, [own, others]): &(&u64, &[Count; 2])| {
-        let expected = if others.asked > 0 { others.served() } else { before.served() };
-        own.asked > 0 && own.served() >= RECOVERED_RATIO * expected
+        let expected = if others.requests > 0 { others.served() } else { before.served() };
+        own.requests > 0 && own.served() >= RECOVERED_RATIO * expected
     };
     steps.iter().find(has_recovered).map(|(step, _)| step * RECOVERY_STEP_MICROS)
 }
--- a/crates/fault-tests/src/judge/tests.rs
+++ b/crates/fault-tests/src/judge/tests.rs
@@ -79,7 +79,12 @@
     let mut record = correct_record();
     alter(&mut record);
     let verdict = judge(&scenario, &record);
-    verdict.findings.into_iter().filter(|finding| finding.broken > 0).map(|finding| finding.rule).collect()
+    verdict
+        .findings
+        .into_iter()
+        .filter(|finding| finding.breach_count > 0)
+        .map(|finding| finding.rule)
+        .collect()
 }
 
 #[test]
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -216,10 +216,10 @@
             mut store_performance,
         ) = parameters;
         let rules = &document.settings.rules;
-        store_performance.cold_from = rules.slow_start_fraction;
-        store_performance.cold_s = rules.slow_start_duration.as_secs_f64();
-        store_performance.fall_multiple = rules.slow_start_multiple;
-        store_performance.fall_s = rules.slow_start_window.as_secs_f64();
+        store_performance.cold_speed_fraction = rules.slow_start_fraction;
+        store_performance.warm_up_seconds = rules.slow_start_duration.as_secs_f64();
+        store_performance.crash_multiple = rules.slow_start_multiple;
+        store_performance.crash_window_seconds = rules.slow_start_window.as_secs_f64();
         document.settings.gateways = gateways;
         document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
         Ok(Scenario {
@@ -249,8 +249,8 @@
         cores: args.count("cores", 1..=64, Some(default.cores.into())) as u32,
         unit_ms: args.number("unit_ms", 0.01..=1000.0, Some(default.unit_ms)),
         queue: args.count("queue", 1..=100_000, Some(default.queue as u64)) as usize,
-        run_saves: args.number("run_saves", 0.0..=0.95, Some(default.run_saves)),
-        put_off: args.number("put_off", 0.0..=0.95, Some(default.put_off)),
+        locality_saving: args.number("run_saves", 0.0..=0.95, Some(default.locality_saving)),
+        deferred_fraction: args.number("put_off", 0.0..=0.95, Some(default.deferred_fraction)),
         ..default
     };
     (
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -17,7 +17,7 @@
 
 /// A final response that is late by up to this much earns nothing; one that is later counts as lost. Standing
 /// page, "Hundreds of gateways".
-pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
+pub const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 
 /// SIGKILL follows SIGTERM no sooner than the longest deadline, capped at this value, plus [`KILL_MARGIN`].
 /// Protocol page, "Figures".
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use crate::Decision;
-use crate::limits::ANSWER_SLACK;
+use crate::limits::RESPONSE_SLACK;
 use crate::reason::Violation;
 
 /// Whether a final response is in time. It was sent `took` after the request's last byte (protocol page,
 /// "Figures"), and the client waits for `left`.
 ///
 /// Invariant: a request gets one final response before its client's deadline. A response up to
-/// [`ANSWER_SLACK`] later is not a violation, but earns nothing.
+/// [`RESPONSE_SLACK`] later is not a violation, but earns nothing.
 ///
 /// # Errors
 /// [`Violation::AnsweredLate`].
 pub fn answered_in_time(took: Duration, left: Duration) -> Decision<Violation> {
-    if took <= left + ANSWER_SLACK { Ok(()) } else { Err(Violation::AnsweredLate) }
+    if took <= left + RESPONSE_SLACK { Ok(()) } else { Err(Violation::AnsweredLate) }
 }
--- a/crates/nbd-gateway/tests/relays/faulty_peers.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -41,9 +41,10 @@
                 while let Some(frame) = connection.next::<ToUpstream>().await {
                     match frame {
                         ToUpstream::Follow { after } => {
-                            let next = entries.iter().filter(|(at, _)| at.version > after.version);
-                            for (at, body) in next {
-                                _ = connection.stream.write_all(&entry(*at, body)).await;
+                            let next =
+                                entries.iter().filter(|(position, _)| position.version > after.version);
+                            for (position, body) in next {
+                                _ = connection.stream.write_all(&entry(*position, body)).await;
                             }
                             for bytes in &final_frames {
                                 _ = connection.stream.write_all(bytes).await;
@@ -69,9 +70,9 @@
 }
 
 /// The frame of an entry with its complete body.
-fn entry(at: Position, body: &[u8]) -> Bytes {
+fn entry(position: Position, body: &[u8]) -> Bytes {
     let part = Bytes::copy_from_slice(body);
-    FromUpstream::Entry { position: at, length: body.len() as u32, offset: 0, part }.frame()
+    FromUpstream::Entry { position, length: body.len() as u32, offset: 0, part }.frame()
 }
 
 /// Makes the bytes that are sent in place of the entry that follows a position.
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -191,7 +191,9 @@
             Action::Close { connection, reason } => self.close(connection, reason),
             Action::SendUpstream { connection, frame } => self.send_upstream(connection, frame),
             Action::SendFollower { connection, frame } => self.send_follower(connection, frame),
-            Action::LoadCheckpoint { at, checkpoint } => self.updates.add_checkpoint(at, &checkpoint),
+            Action::LoadCheckpoint { position, checkpoint } => {
+                self.updates.add_checkpoint(position, &checkpoint)
+            }
             Action::AppendEntry(entry) => self.updates.add_entry(&entry),
             Action::Commit(_) => self.updates.commit(),
             Action::Log(event) => log_events::log(event),
--- a/crates/relay/src/event_loop/update_buffer.rs
+++ b/crates/relay/src/event_loop/update_buffer.rs
@@ -24,10 +24,10 @@
 }
 
 impl UpdateBuffer {
-    pub(super) fn add_checkpoint(&mut self, at: Position, checkpoint: &Bytes) {
+    pub(super) fn add_checkpoint(&mut self, position: Position, checkpoint: &Bytes) {
         let header = SegmentHeader {
-            version: at.version,
-            hash: at.hash,
+            version: position.version,
+            hash: position.hash,
             checkpoint: checkpoint.to_vec(),
             completed: VecDeque::new(),
         };
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn add_entry(&mut self, entry: &Entry) {
-        let Position { version, hash } = entry.at;
+        let Position { version, hash } = entry.position;
         let update = Update::Entry(chain::Entry { version, hash, body: entry.body.to_vec() });
         self.add(update, entry.body.len());
     }
@@ -68,13 +68,13 @@
 pub(super) fn folder_events(updates: Vec<Update>) -> Vec<Event> {
     let mut events = Vec::new();
     for update in updates {
-        let at = Position { version: update.version(), hash: update.hash() };
+        let position = Position { version: update.version(), hash: update.hash() };
         match update {
             Update::Checkpoint(header) => {
-                events.push(Event::FolderCheckpoint { at, bytes: header.checkpoint.into() });
+                events.push(Event::FolderCheckpoint { position, bytes: header.checkpoint.into() });
             }
             Update::Entry(entry) => {
-                let entry = Entry { at, body: entry.body.into() };
+                let entry = Entry { position, body: entry.body.into() };
                 match events.last_mut() {
                     Some(Event::FolderEntries(entries)) => entries.push(entry),
                     _ => events.push(Event::FolderEntries(vec![entry])),
--- a/crates/relay/src/log_events.rs
+++ b/crates/relay/src/log_events.rs
@@ -25,8 +25,8 @@
         RelayEvent::CheckpointQuorumMissing { version } => {
             tracing::warn!(version, "checkpoint quorum missing");
         }
-        RelayEvent::CheckpointLoaded { at, upstream } => {
-            tracing::info!(version = at.version, upstream, "checkpoint loaded");
+        RelayEvent::CheckpointLoaded { position, upstream } => {
+            tracing::info!(version = position.version, upstream, "checkpoint loaded");
         }
         RelayEvent::FollowerBehind { follower, after } => {
             tracing::info!(follower, after, "follower needs a checkpoint");
--- a/crates/scale/src/disruptions.rs
+++ b/crates/scale/src/disruptions.rs
@@ -38,13 +38,15 @@
     /// Resident memory of the hollow gateways' processes after the disruption, in MiB.
     pub rss_total_mb: f64,
     /// Bytes on the connections of list and stores, in both directions, per gateway.
-    pub bytes_a_gateway: f64,
+    #[serde(rename = "bytes_a_gateway")]
+    pub bytes_per_gateway: f64,
     /// Seconds until the last gateway was steady again.
     pub steady_seconds: f64,
     /// Seconds from the commit of a change during the disruption until a gateway applied it, over all
     /// gateways.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub in_force_seconds: Option<Quantiles>,
+    #[serde(rename = "in_force_seconds")]
+    pub apply_delay_seconds: Option<Quantiles>,
     /// The machine's load average over the last minute, after the disruption.
     pub load: f64,
     /// Messages about properties that did not hold.
@@ -125,9 +127,9 @@
             stores: self.plan.stores,
             answering: self.demand.answering,
             rss_total_mb: self.resident_bytes() as f64 / MIB,
-            bytes_a_gateway: bytes as f64 / f64::from(self.plan.gateways),
+            bytes_per_gateway: bytes as f64 / f64::from(self.plan.gateways),
             steady_seconds: steady.as_secs_f64(),
-            in_force_seconds: apply_delays(&self.committed_at, &self.applied),
+            apply_delay_seconds: apply_delays(&self.committed_at, &self.applied),
             load: load_average(),
             broken,
         }
@@ -154,7 +156,7 @@
         let ongoing = self.begin_disruption("the list stopped for 10 s").await?;
         self.list.signal(Signal::SIGSTOP)?;
         self.commit_change()?;
-        let behind = self.wait_until_in_force().await?;
+        let behind = self.wait_until_applied().await?;
         tokio::time::sleep(PAUSE.saturating_sub(ongoing.started_at.elapsed())).await;
         self.list.signal(Signal::SIGCONT)?;
         self.finish_disruption(ongoing, behind.len()).await
@@ -179,7 +181,7 @@
                 lists_before.get(&seen.gateway).is_some_and(|before| seen.complete_lists > *before)
             })
             .await?;
-        self.wait_until_in_force().await?;
+        self.wait_until_applied().await?;
         self.finish_disruption(ongoing, late).await
     }
 
@@ -190,7 +192,7 @@
         self.commit_change()?;
         (self.coordinator, _) =
             start_coordinator(setup, &self.folder, self.coordinator_address, self.list_address).await?;
-        let behind = self.wait_until_in_force().await?;
+        let behind = self.wait_until_applied().await?;
         self.finish_disruption(ongoing, behind.len()).await
     }
 
--- a/crates/scale/src/measurement/in_force.rs
+++ b/crates/scale/src/measurement/applied_versions.rs
@@ -15,7 +15,7 @@
 impl Testbed {
     /// Waits until all hollow gateways have applied the last change; returns those that have not after
     /// [`STEADY_TIMEOUT`].
-    pub(crate) async fn wait_until_in_force(&mut self) -> Result<Vec<u32>, ScaleError> {
+    pub(crate) async fn wait_until_applied(&mut self) -> Result<Vec<u32>, ScaleError> {
         let started_at = Instant::now();
         let version = self.writer.version();
         loop {
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -75,7 +75,8 @@
     pub restarts: u32,
     /// Seconds from the commit of a change until a gateway applied it, over all changes and gateways.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub in_force_seconds: Option<Quantiles>,
+    #[serde(rename = "in_force_seconds")]
+    pub apply_delay_seconds: Option<Quantiles>,
     /// The machine's load average over the last minute, at the end of the measurement.
     pub load: f64,
     /// Messages about properties that did not hold.
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -4,7 +4,7 @@
 
 use umbertray_fakes::traffic::TrafficCounts;
 
-use super::in_force::{apply_delays, unapplied_messages};
+use super::applied_versions::{apply_delays, unapplied_messages};
 use super::sample::Sample;
 use super::usage::{MIB, ProcessUsage, load_average};
 use super::{Line, Role, Testbed};
@@ -87,7 +87,7 @@
         let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
         Line {
             turns_per_second: turns as f64 / self.seconds / hollow,
-            in_force_seconds: apply_delays(&self.testbed.committed_at, &self.testbed.applied),
+            apply_delay_seconds: apply_delays(&self.testbed.committed_at, &self.testbed.applied),
             broken,
             ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
         }
@@ -98,7 +98,7 @@
         let logged = self.testbed.applied_versions_from_logs();
         let usage = RoleUsage::between(&self.before.real, &self.after.real);
         Line {
-            in_force_seconds: apply_delays(&self.testbed.committed_at, &logged),
+            apply_delay_seconds: apply_delays(&self.testbed.committed_at, &logged),
             broken: unapplied_messages(self.testbed.plan.real, &self.testbed.committed_at, &logged),
             ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
         }
@@ -157,7 +157,7 @@
             turns_per_second: 0.0,
             changes: self.testbed.committed_at.len() as u32,
             restarts: self.testbed.restarts,
-            in_force_seconds: None,
+            apply_delay_seconds: None,
             load: load_average(),
             broken: Vec::new(),
         }
--- a/crates/scale/src/measurement/measure.rs
+++ b/crates/scale/src/measurement/measure.rs
@@ -35,7 +35,7 @@
                 tokio::time::sleep(PROBE_INTERVAL).await;
             }
         }
-        let behind = self.wait_until_in_force().await?;
+        let behind = self.wait_until_applied().await?;
         let (seen, _) = self.observe().await?;
         let broken = self.broken_properties(&behind, &seen);
         Ok(LineBuilder::new(self, point, repeat, &before, &after).lines(broken))
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of one size: its start, its measurement from outside while it is idle or its configuration changes
 //! or gateways restart, and its end.
 
-mod in_force;
+mod applied_versions;
 mod line;
 mod line_builder;
 mod measure;
@@ -12,7 +12,7 @@
 mod testbed;
 mod usage;
 
-pub use in_force::apply_delays;
+pub use applied_versions::apply_delays;
 pub use line::{Line, Role};
 pub(crate) use processes::{start_coordinator, start_list, start_worker};
 pub use testbed::Testbed;
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -146,7 +146,7 @@
         for StoreEntry { store, address, zone } in &stores {
             let (shard, state) = (*store as u32, EndpointState::Ready);
             let listed =
-                ListEntry { address: *address, shard, zone: *zone, state, incarnation: 1, started: None };
+                ListEntry { address: *address, shard, zone: *zone, state, incarnation: 1, started_at: None };
             list.set_entry(*store, listed);
         }
         let address = list.address;
