--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -71,7 +71,7 @@
     pub(super) fn plan(&self) -> Plan {
         Plan {
             gateways: self.gateways,
-            real: self.real,
+            real_gateways: self.real,
             stores: self.stores,
             answering: self.answering,
             volumes: self.volumes,
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -22,7 +22,7 @@
 fn plan() -> Plan {
     Plan {
         gateways: 3,
-        real: 0,
+        real_gateways: 0,
         stores: 8,
         answering: Some(6),
         volumes: 4,
@@ -62,7 +62,7 @@
     assert_eq!(seen.iter().map(|seen| seen.gateway).collect::<Vec<_>>(), [0, 1, 2]);
     for seen in &seen {
         assert_eq!((seen.listed, seen.complete_lists, seen.deltas), (8, 1, 0));
-        assert_eq!((seen.linked, seen.refused, seen.is_finished), (6, 2, false));
+        assert_eq!((seen.connected, seen.failed_connections, seen.is_finished), (6, 2, false));
     }
     // Each of three gateways and the coordinator gets a welcome and one complete list.
     let (list, _) = testbed.traffic().await.expect("the list can be queried");
@@ -104,7 +104,7 @@
 async fn gateways_after_restart_apply_each_change() {
     let folder = empty_folder("scale-changes");
     let setup = Setup { program: PROGRAM.into(), scratch: folder.clone(), limits: Limits::of_this_machine() };
-    let plan = Plan { real: 1, changes_per_second: 8.0, restarts_per_hour: 7200.0, ..plan() };
+    let plan = Plan { real_gateways: 1, changes_per_second: 8.0, restarts_per_hour: 7200.0, ..plan() };
     let plan = Plan { seconds: 1.0, ..plan };
     let mut testbed = Testbed::start(&plan, &setup, Start::AtOnce, "tiny").await.expect("it starts");
     let lines = testbed.measure("tiny", 0).await.expect("it is measured");
--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -14,7 +14,10 @@
 use self::follower::{Announcement, Cursor, Follower};
 use super::jitter::Jitter;
 use super::log_suffix::{Gap, LogSuffix};
-use super::{Action, DisconnectReason, ENTRY_FRAME_OVERHEAD, HEARTBEAT, LEASE, RelayEvent, WINDOW, progress};
+use super::{
+    Action, DisconnectReason, ENTRY_FRAME_OVERHEAD, HEARTBEAT_INTERVAL, LEASE_DURATION, RelayEvent,
+    WINDOW_BYTES, progress,
+};
 use crate::ConnectionId;
 
 /// Minimum interval between two announcements of new entries to a follower. Entries that arrive in between
@@ -211,7 +214,7 @@
     fn send_entries(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get_mut(&connection) else { return };
         while let Some(cursor) = follower.cursor
-            && follower.in_flight < WINDOW
+            && follower.in_flight < WINDOW_BYTES
             && context.head_version() > cursor.after
         {
             let Some(entry) = context.suffix.entry_after(cursor.after) else {
@@ -342,12 +345,12 @@
     /// Disconnects a follower whose lease has expired; otherwise sends it a due announcement or heartbeat.
     fn on_follower_timer(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get(&connection) else { return };
-        if context.now >= follower.last_received_at + LEASE {
+        if context.now >= follower.last_received_at + LEASE_DURATION {
             return self.disconnect(connection, DisconnectReason::IdleTimeout, context);
         }
         self.announce(connection, context);
         let Some(follower) = self.followers.get_mut(&connection) else { return };
-        if follower.hello_received && context.now >= follower.last_heartbeat_at + HEARTBEAT {
+        if follower.hello_received && context.now >= follower.last_heartbeat_at + HEARTBEAT_INTERVAL {
             follower.last_heartbeat_at = context.now;
             context.send(connection, FromUpstream::Heartbeat);
         }
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -60,7 +60,7 @@
     Malformed(ConnectionId),
     /// All changes up to this version, which [`Action::Commit`] named, are in force.
     Applied(u64),
-    /// Sent every [`TICK`](super::TICK).
+    /// Sent every [`TICK_INTERVAL`](super::TICK_INTERVAL).
     Tick,
 }
 
@@ -75,8 +75,8 @@
         connection: ConnectionId,
     },
     /// Close a connection to an upstream or follower once all frames returned before are sent, but no later
-    /// than after [`HEARTBEAT`](super::HEARTBEAT). The owner must not report further events of this
-    /// connection.
+    /// than after [`HEARTBEAT_INTERVAL`](super::HEARTBEAT_INTERVAL). The owner must not report further events
+    /// of this connection.
     Close {
         /// The connection to close.
         connection: ConnectionId,
@@ -91,7 +91,7 @@
         frame: ToUpstream,
     },
     /// Send a frame to a follower. The owner closes the connection if its unsent bytes exceed
-    /// [`MAX_UNSENT`](super::MAX_UNSENT).
+    /// [`MAX_UNSENT_BYTES`](super::MAX_UNSENT_BYTES).
     SendFollower {
         /// The connection to it.
         connection: ConnectionId,
@@ -124,8 +124,8 @@
     /// The peer closed it, or it could not be established.
     #[error("closed by the peer, or could not be established")]
     Closed,
-    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for [`LEASE`](super::LEASE) from a
-    /// follower.
+    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for
+    /// [`LEASE_DURATION`](super::LEASE_DURATION) from a follower.
     #[error("idle timeout")]
     IdleTimeout,
     /// The upstream did not send in time what it, or other upstreams, reported to have.
--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -29,10 +29,10 @@
 pub use relay_node::RelayNode;
 
 /// Interval at which the owner sends [`Event::Tick`]; all times below are rounded up to it.
-pub const TICK: Duration = Duration::from_millis(250);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum interval between two frames of an upstream: it announces its head at each change, and sends at
 /// least one frame in each such interval.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// An upstream from which nothing was received for this long, three heartbeats, is disconnected.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A replication source is replaced if it has lacked entries that other upstreams have for this long.
@@ -41,7 +41,7 @@
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A follower from which nothing was received for this long is disconnected, and no longer counts in progress
 /// summaries.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const LEASE_DURATION: Duration = Duration::from_secs(10);
 /// Backoff after the first failure of an upstream. Exponential backoff with jitter: it doubles up to
 /// [`MAX_BACKOFF`], and each wait is drawn from the upper half of the backoff.
 pub const MIN_BACKOFF: Duration = Duration::from_millis(500);
@@ -50,11 +50,11 @@
 /// How long an upstream is avoided that reported another history, violated the protocol or is part of a loop.
 pub const AVOID_DURATION: Duration = Duration::from_secs(60);
 /// Maximum bytes of entries in flight to a follower; one part of a change may exceed it.
-pub const WINDOW: u32 = 256 << 10;
+pub const WINDOW_BYTES: u32 = 256 << 10;
 /// Maximum bytes that are queued for a follower and not sent yet: the window, one part of a checkpoint, and
 /// heartbeats until its lease expires. A follower that exceeds it does not read, or sends requests without
 /// waiting for the responses.
-pub const MAX_UNSENT: usize = 1 << 20;
+pub const MAX_UNSENT_BYTES: usize = 1 << 20;
 /// Maximum bytes of entries that a node holds for its followers; the size of its checkpoint, if that is
 /// larger. The log grows by no more than that before the next checkpoint.
 pub const MAX_SUFFIX_BYTES: usize = 8 << 20;
--- a/crates/control-plane/src/relay/upstreams/mod.rs
+++ b/crates/control-plane/src/relay/upstreams/mod.rs
@@ -31,7 +31,7 @@
 use self::replication::{EntryPart, ReplicationSource};
 use super::jitter::{Jitter, rendezvous_weight};
 use super::log_suffix::LogSuffix;
-use super::{Action, DisconnectReason, HEARTBEAT, RelayEvent, Upstream};
+use super::{Action, DisconnectReason, HEARTBEAT_INTERVAL, RelayEvent, Upstream};
 use crate::ConnectionId;
 
 /// If a quorum has been missing for this long, the node connects to all upstreams.
@@ -288,7 +288,7 @@
             let Some(session) = peer.session_mut().filter(|session| session.hello_received) else {
                 continue;
             };
-            if context.now < session.last_heartbeat_at + HEARTBEAT {
+            if context.now < session.last_heartbeat_at + HEARTBEAT_INTERVAL {
                 continue;
             }
             session.last_heartbeat_at = context.now;
--- a/crates/control-plane/src/relay/upstreams/peer.rs
+++ b/crates/control-plane/src/relay/upstreams/peer.rs
@@ -5,7 +5,7 @@
 use umbertray_store_protocol::changes::{Checkpoint, Position};
 
 use crate::ConnectionId;
-use crate::relay::{DisconnectReason, HEARTBEAT};
+use crate::relay::{DisconnectReason, HEARTBEAT_INTERVAL};
 
 /// Maximum number of frames other than entries, hashes and checkpoint parts that an upstream may send per
 /// second. An honest upstream sends up to 15.
@@ -29,7 +29,7 @@
 
 impl FrameBudget {
     fn count_frame(&mut self, now: Duration) -> Result<(), DisconnectReason> {
-        if now >= self.window_started_at + HEARTBEAT {
+        if now >= self.window_started_at + HEARTBEAT_INTERVAL {
             self.window_started_at = now;
             self.frames = 0;
         }
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -12,7 +12,7 @@
 use crate::relay::log_suffix::ENTRY_OVERHEAD;
 use crate::relay::{
     AVOID_DURATION, DisconnectReason, ENTRY_FRAME_OVERHEAD, Entry, MAX_LAG, MAX_SUFFIX_BYTES, RelayEvent,
-    WINDOW,
+    WINDOW_BYTES,
 };
 
 /// A preferred upstream becomes the source again once it has been connected for this long.
@@ -120,7 +120,7 @@
     /// Handles a part of an entry; a complete entry becomes pending.
     fn on_part(&mut self, part: &EntryPart, head: Position, now: Duration) -> Result<(), DisconnectReason> {
         self.unacknowledged += ENTRY_FRAME_OVERHEAD + part.bytes.len() as u32;
-        if self.unacknowledged > WINDOW + ENTRY_FRAME_OVERHEAD + MAX_PART as u32 {
+        if self.unacknowledged > WINDOW_BYTES + ENTRY_FRAME_OVERHEAD + MAX_PART as u32 {
             return Err(DisconnectReason::Unrequested);
         }
         let end = self.end(head);
@@ -194,7 +194,7 @@
     /// upstream may hold hashes only from the start of its own suffix.
     pub(super) fn grant_window(&mut self, context: &mut Context<'_>) {
         let Some(source) = self.source.as_mut().filter(|source| !source.is_full()) else { return };
-        if source.unacknowledged < WINDOW / 4 {
+        if source.unacknowledged < WINDOW_BYTES / 4 {
             return;
         }
         if let Some(connection) = self.peers[source.peer].connection() {
--- a/crates/control-plane/tests/relay/follower.rs
+++ b/crates/control-plane/tests/relay/follower.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use umbertray_control_plane::relay::{
-    Action, DisconnectReason, Entry, Event, MAX_SUFFIX_BYTES, RelayEvent, WINDOW,
+    Action, DisconnectReason, Entry, Event, MAX_SUFFIX_BYTES, RelayEvent, WINDOW_BYTES,
 };
 use umbertray_store_protocol::changes::{FromUpstream, MAX_PART, Position, ToUpstream};
 
@@ -118,7 +118,7 @@
         sent += entry.body.len();
         let unconfirmed = harness.node.status(harness.now).unconfirmed_bytes;
         assert!(
-            unconfirmed <= MAX_SUFFIX_BYTES + 2 * (WINDOW as usize + MAX_PART),
+            unconfirmed <= MAX_SUFFIX_BYTES + 2 * (WINDOW_BYTES as usize + MAX_PART),
             "{unconfirmed} bytes after {sent}"
         );
     }
--- a/crates/control-plane/tests/relay/network/links.rs
+++ b/crates/control-plane/tests/relay/network/links.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use rand::Rng;
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Event, MAX_UNSENT};
+use umbertray_control_plane::relay::{Event, MAX_UNSENT_BYTES};
 use umbertray_store_protocol::changes::{FromUpstream, ToUpstream};
 use umbertray_store_protocol::next_frame;
 
@@ -154,7 +154,7 @@
         if direction == Direction::Down {
             link.unsent += bytes.len();
             let unsent = link.unsent;
-            self.check_rule(id, unsent <= MAX_UNSENT, "limits the bytes queued for a follower");
+            self.check_rule(id, unsent <= MAX_UNSENT_BYTES, "limits the bytes queued for a follower");
         }
         let delay = self.delay(id, receiver);
         let Some(link) = self.links.get_mut(&link_id) else { return };
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -14,7 +14,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Action, Event, RelayEvent, RelayNode, TICK};
+use umbertray_control_plane::relay::{Action, Event, RelayEvent, RelayNode, TICK_INTERVAL};
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::changes::{Position, Role};
 
@@ -170,7 +170,7 @@
                         self.deliver(id, Event::Tick);
                         self.check_bounds(id);
                     }
-                    self.push(self.now + TICK, NetworkEvent::Wake(id, start));
+                    self.push(self.now + TICK_INTERVAL, NetworkEvent::Wake(id, start));
                 }
             }
             NetworkEvent::Connect { link_id, ok } => self.on_connect(link_id, ok),
--- a/crates/control-plane/tests/relay/network/rules.rs
+++ b/crates/control-plane/tests/relay/network/rules.rs
@@ -1,7 +1,7 @@
 //! The rules that every honest member has to satisfy at every step, and the description of a failed run.
 
 use bytes::Bytes;
-use umbertray_control_plane::relay::{Event, MAX_CHECKPOINT_TRANSFERS, MAX_SUFFIX_BYTES, WINDOW};
+use umbertray_control_plane::relay::{Event, MAX_CHECKPOINT_TRANSFERS, MAX_SUFFIX_BYTES, WINDOW_BYTES};
 use umbertray_store_protocol::changes::{Position, Role};
 
 use super::{Id, Member, Network};
@@ -51,7 +51,8 @@
         let status = node.status(self.now);
         let longest_body = self.log.longest_body;
         let checkpoint_bytes = self.log.checkpoint_bytes.max(1 << 10);
-        let max_unconfirmed = MAX_SUFFIX_BYTES + WINDOW as usize * 2 + longest_body.max(checkpoint_bytes);
+        let max_unconfirmed =
+            MAX_SUFFIX_BYTES + WINDOW_BYTES as usize * 2 + longest_body.max(checkpoint_bytes);
         let max_held = (9 << 20) + checkpoint_bytes + longest_body;
         self.max_checkpoint_transfers = self.max_checkpoint_transfers.max(status.checkpoint_transfers);
         self.check_rule(
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Action, Config, Event, LEASE, Origin, RelayEvent, RelayNode};
+use umbertray_control_plane::relay::{Action, Config, Event, LEASE_DURATION, Origin, RelayEvent, RelayNode};
 use umbertray_store_protocol::changes::{
     LaggingMember, MAX_LAGGING, MAX_VERSION_COUNTS, ProgressSummary, Role, ToUpstream, VersionCount,
 };
@@ -50,9 +50,9 @@
     assert_eq!((named.len(), named[0].name.as_str(), named[0].version), (1, "gateway-4", 5));
     assert!((20..=26).contains(&named[0].lag_seconds), "{} s", named[0].lag_seconds);
     network.members[frozen].frozen = true;
-    network.run_for(LEASE / 2);
+    network.run_for(LEASE_DURATION / 2);
     assert_eq!(levels(&network), [(6, 29), (5, 1)], "the lease of the frozen gateway has not expired");
-    network.run_for(LEASE);
+    network.run_for(LEASE_DURATION);
     assert_eq!(levels(&network), [(6, 28), (5, 1)]);
 }
 
--- a/crates/http-gateway/src/client/responding.rs
+++ b/crates/http-gateway/src/client/responding.rs
@@ -153,7 +153,7 @@
     }
 
     fn request_timeout(&self) -> Bytes {
-        self.observe_rule("", connection::bad_client_wait_holds(self.reading_since.elapsed()));
+        self.observe_rule("", connection::misbehaving_client_wait_holds(self.reading_since.elapsed()));
         let message = "the request did not come whole in its time".into();
         let error = RequestError { status: 408, message };
         self.error_response(&error, RejectionReason::RequestReadTimeout)
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::Decision;
-use crate::limits::BAD_CLIENT_LIMIT;
+use crate::limits::MISBEHAVING_CLIENT_LIMIT;
 use crate::reason::Violation;
 
 /// What this side still has to do on a connection before it may be closed.
@@ -67,11 +67,11 @@
 /// Whether a client that stopped within a request got its error or close in time, `waited` after the first
 /// byte.
 ///
-/// Invariant: the standing page's limit for misbehaving clients, [`BAD_CLIENT_LIMIT`]. If an earlier request
-/// of the connection is still open, the limit starts with its response.
+/// Invariant: the standing page's limit for misbehaving clients, [`MISBEHAVING_CLIENT_LIMIT`]. If an earlier
+/// request of the connection is still open, the limit starts with its response.
 ///
 /// # Errors
-/// [`Violation::BadClientKeptWaiting`].
-pub fn bad_client_wait_holds(waited: Duration) -> Decision<Violation> {
-    if waited <= BAD_CLIENT_LIMIT { Ok(()) } else { Err(Violation::BadClientKeptWaiting) }
+/// [`Violation::MisbehavingClientKeptWaiting`].
+pub fn misbehaving_client_wait_holds(waited: Duration) -> Decision<Violation> {
+    if waited <= MISBEHAVING_CLIENT_LIMIT { Ok(()) } else { Err(Violation::MisbehavingClientKeptWaiting) }
 }
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -5,7 +5,7 @@
 
 /// A client that does not send a complete request has to get an error or a close within this time. Standing
 /// page, "More than these days".
-pub const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
+pub const MISBEHAVING_CLIENT_LIMIT: Duration = Duration::from_secs(3);
 
 /// The longest pause of the process between reading its clock and writing that the limits have to tolerate.
 /// Standing page, "More than these days".
--- a/crates/lifecycle/src/reason.rs
+++ b/crates/lifecycle/src/reason.rs
@@ -181,7 +181,7 @@
         /// The process exited with a response pending.
         ExitWithPendingResponse = "exit_owing_response",
         /// A client that stopped within a request got neither an error nor a close in time.
-        BadClientKeptWaiting = "bad_client_kept_waiting",
+        MisbehavingClientKeptWaiting = "bad_client_kept_waiting",
         /// A request got its final response after its deadline and the slack.
         AnsweredLate = "answered_late",
         /// The time left that was sent to a store exceeded what the client had left when the last byte was
--- a/crates/lifecycle/src/timeouts.rs
+++ b/crates/lifecycle/src/timeouts.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 use crate::limits::{
-    BAD_CLIENT_LIMIT, CONNECTIONS_AFTER_SIGTERM, KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE,
+    CONNECTIONS_AFTER_SIGTERM, KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE, MISBEHAVING_CLIENT_LIMIT,
 };
 
 /// Maximum timeout after which a misbehaving client has to get an error or a close.
-pub const MAX_BAD_CLIENT_WAIT: Duration =
-    BAD_CLIENT_LIMIT.saturating_sub(MAX_PROCESS_PAUSE).saturating_sub(MAX_PROCESS_PAUSE);
+pub const MAX_MISBEHAVING_CLIENT_WAIT: Duration =
+    MISBEHAVING_CLIENT_LIMIT.saturating_sub(MAX_PROCESS_PAUSE).saturating_sub(MAX_PROCESS_PAUSE);
 
 /// The timeout for the rest of a message whose first bytes were received: `wanted`, within the limit for
 /// misbehaving clients.
 pub fn bounded_wait(wanted: Duration) -> Duration {
-    wanted.min(MAX_BAD_CLIENT_WAIT)
+    wanted.min(MAX_MISBEHAVING_CLIENT_WAIT)
 }
 
 /// Fraction of the longest deadline within which a request has to be received completely, a response has to
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use umbertray_lifecycle::limits::{BAD_CLIENT_LIMIT, KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE};
+use umbertray_lifecycle::limits::{KILL_MARGIN, MAX_KILL_AFTER, MAX_PROCESS_PAUSE, MISBEHAVING_CLIENT_LIMIT};
 use umbertray_lifecycle::{SettingsTimes, Timeouts};
 
 /// Durations in milliseconds, from 0.05 s to 600 s, as settings may contain them.
@@ -37,7 +37,7 @@
         ];
         for wait in bad_client_waits {
             assert!(
-                MAX_PROCESS_PAUSE + wait + MAX_PROCESS_PAUSE <= BAD_CLIENT_LIMIT,
+                MAX_PROCESS_PAUSE + wait + MAX_PROCESS_PAUSE <= MISBEHAVING_CLIENT_LIMIT,
                 "{wait:?} with {settings:?}"
             );
         }
--- a/crates/nbd-gateway/tests/relays/faulty_peers.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use umbertray_config_log::segment;
-use umbertray_control_plane::relay::LEASE;
+use umbertray_control_plane::relay::LEASE_DURATION;
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::changes::{FromUpstream, Position, ToUpstream};
 
@@ -215,7 +215,7 @@
         let peer = connection.stream.local_addr().expect("bound").to_string();
         connection.stream.write_all(bytes).await.expect("the connection is open");
         // The connection must be closed at once, and not when the follower's lease expires after ten seconds.
-        let ended = tokio::time::timeout(LEASE / 2, connection.wait_until_closed()).await;
+        let ended = tokio::time::timeout(LEASE_DURATION / 2, connection.wait_until_closed()).await;
         assert!(ended.is_ok(), "{reason}");
         wait_for_log(&[("peer", &peer), ("reason", reason)]).await;
     }
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::mpsc;
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{CONNECT_TIMEOUT, Event, IDLE_TIMEOUT, MAX_UNSENT};
+use umbertray_control_plane::relay::{CONNECT_TIMEOUT, Event, IDLE_TIMEOUT, MAX_UNSENT_BYTES};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::MAX_PART;
 use umbertray_store_protocol::{FrameError, Message, next_frame};
@@ -99,7 +99,7 @@
     pub(crate) fn send(&self, message: Out) -> Result<(), UnsentLimitReached> {
         let length = counted_length(&message);
         let unsent = self.unsent_bytes.fetch_add(length, Ordering::Relaxed) + length;
-        if unsent > MAX_UNSENT {
+        if unsent > MAX_UNSENT_BYTES {
             return Err(UnsentLimitReached);
         }
         self.frames.try_send(message).map_err(|_| UnsentLimitReached)
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -15,7 +15,9 @@
 use umbertray_config::Upstream;
 use umbertray_config_log::Update;
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Action, DisconnectReason, Event, HEARTBEAT, RelayNode, TICK};
+use umbertray_control_plane::relay::{
+    Action, DisconnectReason, Event, HEARTBEAT_INTERVAL, RelayNode, TICK_INTERVAL,
+};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::{FromUpstream, Status, ToUpstream};
 
@@ -108,7 +110,7 @@
 
     /// Runs until its owner drops the receiver of updates.
     pub(crate) async fn run(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let update_sender = self.update_sender.clone();
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
@@ -266,7 +268,7 @@
     }
 
     /// Closes a connection: its task first sends the queued frames, and is aborted if that takes longer than
-    /// [`HEARTBEAT`].
+    /// [`HEARTBEAT_INTERVAL`].
     fn close(&mut self, connection: ConnectionId, reason: DisconnectReason) {
         let Some(Connection { address, sender, task }) = self.connections.remove(&connection) else { return };
         let connection_id = connection.0;
@@ -277,7 +279,7 @@
         }
         drop(sender);
         self.tasks.spawn(async move {
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             task.abort();
         });
     }
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -29,7 +29,8 @@
     /// Number of the gateway in the run.
     pub gateway: u32,
     /// Calls of its core by its event loop, including those before its restarts.
-    pub turns: u64,
+    #[serde(rename = "turns")]
+    pub core_calls: u64,
     /// Stores in the last complete list, without those marked as gone.
     pub listed: u64,
     /// Complete lists received since its start.
@@ -38,9 +39,11 @@
     /// Entries received in changes of the list since its start.
     pub deltas: u64,
     /// Connections to stores that were made.
-    pub linked: u64,
+    #[serde(rename = "linked")]
+    pub connected: u64,
     /// Connections to stores that could not be made.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub failed_connections: u64,
     /// Last applied version of the configuration.
     pub version: u64,
     /// Whether the gateway has ended.
@@ -52,7 +55,7 @@
 #[derive(Default)]
 pub(crate) struct Counters {
     /// Calls of the core by the gateway's event loop, including those before the gateway's restarts.
-    pub(super) turns: AtomicU64,
+    pub(super) core_calls: AtomicU64,
     /// Stores in the last complete list, without those marked as gone.
     pub(super) listed: AtomicU64,
     /// Complete lists received.
@@ -60,9 +63,9 @@
     /// Entries received in changes of the list.
     pub(super) deltas: AtomicU64,
     /// Connections to stores that were made.
-    pub(super) linked: AtomicU64,
+    pub(super) connected: AtomicU64,
     /// Connections to stores that could not be made.
-    pub(super) refused: AtomicU64,
+    pub(super) failed_connections: AtomicU64,
     /// Last applied version of the configuration.
     pub(super) version: AtomicU64,
 }
@@ -77,8 +80,8 @@
                 increase(&self.complete_lists, 1);
             }
             Input::FromList(FromList::Changes(entries)) => increase(&self.deltas, entries.len()),
-            Input::StoreConnected { .. } => increase(&self.linked, 1),
-            Input::StoreUnreachable { .. } => increase(&self.refused, 1),
+            Input::StoreConnected { .. } => increase(&self.connected, 1),
+            Input::StoreUnreachable { .. } => increase(&self.failed_connections, 1),
             _ => {}
         }
     }
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -66,8 +66,9 @@
         let (settings, options) = (self.prepare)(file.clone()).await.map_err(FleetError::Prepare)?;
         let (clock, counters): (_, Arc<Counters>) = (Clock::start(), Arc::default());
         // Turns are counted over all restarts, all other counters since the last start.
-        let turns = self.gateways.get(&gateway).map(|hollow| hollow.counters.turns.load(Ordering::Relaxed));
-        counters.turns.store(turns.unwrap_or_default(), Ordering::Relaxed);
+        let turns =
+            self.gateways.get(&gateway).map(|hollow| hollow.counters.core_calls.load(Ordering::Relaxed));
+        counters.core_calls.store(turns.unwrap_or_default(), Ordering::Relaxed);
         let core = Core::new(settings.clone(), options.seed, clock.now());
         let (applied, host_counters) = (self.applied.clone(), counters.clone());
         record_applied_version(gateway, change_log::version_of(&settings), &counters, &applied);
@@ -84,8 +85,10 @@
     pub(crate) async fn wait_until_connected(&self, gateway: u32, stores: u64) {
         let Some(hollow) = self.gateways.get(&gateway) else { return };
         let counters = &hollow.counters;
-        let all_attempted =
-            || counters.linked.load(Ordering::Relaxed) + counters.refused.load(Ordering::Relaxed) >= stores;
+        let all_attempted = || {
+            counters.connected.load(Ordering::Relaxed) + counters.failed_connections.load(Ordering::Relaxed)
+                >= stores
+        };
         for _ in 0..MAX_POLLS {
             if all_attempted() {
                 return;
@@ -114,12 +117,12 @@
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let seen = |(gateway, hollow): (&u32, &HollowGateway)| CounterSnapshot {
             gateway: *gateway,
-            turns: load(&hollow.counters.turns),
+            core_calls: load(&hollow.counters.core_calls),
             listed: load(&hollow.counters.listed),
             complete_lists: load(&hollow.counters.complete_lists),
             deltas: load(&hollow.counters.deltas),
-            linked: load(&hollow.counters.linked),
-            refused: load(&hollow.counters.refused),
+            connected: load(&hollow.counters.connected),
+            failed_connections: load(&hollow.counters.failed_connections),
             version: load(&hollow.counters.version),
             is_finished: hollow.running.as_ref().is_none_or(RunningGateway::has_ended),
         };
--- a/crates/scale/src/hollow/host.rs
+++ b/crates/scale/src/hollow/host.rs
@@ -29,7 +29,7 @@
     }
 
     fn handle(&mut self, now: Duration, inputs: Vec<Input>) -> Vec<Output> {
-        increase(&self.counters.turns, 1);
+        increase(&self.counters.core_calls, 1);
         let mut version = None;
         for input in &inputs {
             self.counters.count_input(input);
--- a/crates/scale/src/measurement/applied_versions.rs
+++ b/crates/scale/src/measurement/applied_versions.rs
@@ -37,7 +37,7 @@
             let applied = text.lines().filter_map(|line| parse_applied_version(gateway, line));
             applied.collect::<Vec<_>>()
         };
-        (0..self.plan.real).flat_map(applied_by).collect()
+        (0..self.plan.real_gateways).flat_map(applied_by).collect()
     }
 }
 
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -66,9 +66,11 @@
     /// The part of `control_bytes_per_second` on list connections.
     pub list_bytes_per_second: f64,
     /// The part of `control_bytes_per_second` on store connections.
-    pub link_bytes_per_second: f64,
+    #[serde(rename = "link_bytes_per_second")]
+    pub store_bytes_per_second: f64,
     /// Calls of a gateway's core by its event loop, per second; 0 for other roles than the hollow gateways.
-    pub turns_per_second: f64,
+    #[serde(rename = "turns_per_second")]
+    pub core_calls_per_second: f64,
     /// Changes of the configuration that were committed.
     pub changes: u32,
     /// Hollow gateways that were restarted.
--- a/crates/scale/src/measurement/line_builder.rs
+++ b/crates/scale/src/measurement/line_builder.rs
@@ -70,7 +70,7 @@
         if self.testbed.plan.hollow_gateways() > 0 {
             lines.push(self.hollow_gateways(broken));
         }
-        if self.testbed.plan.real > 0 {
+        if self.testbed.plan.real_gateways > 0 {
             lines.push(self.real_gateways());
         }
         if self.testbed.relays.is_some() {
@@ -86,7 +86,7 @@
         let turns = self.after.turns.saturating_sub(self.before.turns);
         let usage = RoleUsage::between(&self.before.workers, &self.after.workers);
         Line {
-            turns_per_second: turns as f64 / self.seconds / hollow,
+            core_calls_per_second: turns as f64 / self.seconds / hollow,
             apply_delay_seconds: apply_delays(&self.testbed.committed_at, &self.testbed.applied),
             broken,
             ..self.line(None, &usage, hollow, self.rates_of_each_gateway())
@@ -94,12 +94,12 @@
     }
 
     fn real_gateways(&self) -> Line {
-        let real = f64::from(self.testbed.plan.real);
+        let real = f64::from(self.testbed.plan.real_gateways);
         let logged = self.testbed.applied_versions_from_logs();
         let usage = RoleUsage::between(&self.before.real, &self.after.real);
         Line {
             apply_delay_seconds: apply_delays(&self.testbed.committed_at, &logged),
-            broken: unapplied_messages(self.testbed.plan.real, &self.testbed.committed_at, &logged),
+            broken: unapplied_messages(self.testbed.plan.real_gateways, &self.testbed.committed_at, &logged),
             ..self.line(Some(Role::Gateway), &usage, real, self.rates_of_each_gateway())
         }
     }
@@ -153,8 +153,8 @@
             rss_total_mb: usage.rss as f64 / MIB,
             control_bytes_per_second: rates.control,
             list_bytes_per_second: rates.list,
-            link_bytes_per_second: rates.links,
-            turns_per_second: 0.0,
+            store_bytes_per_second: rates.links,
+            core_calls_per_second: 0.0,
             changes: self.testbed.committed_at.len() as u32,
             restarts: self.testbed.restarts,
             apply_delay_seconds: None,
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -100,8 +100,8 @@
                 .map_err(ScaleError::io(file.display().to_string()))?;
             scripts.push((gateway, file));
         }
-        let real: Vec<String> = (0..self.plan.real).map(gateway_script).collect();
-        let mut hollow = scripts.split_off(self.plan.real as usize);
+        let real: Vec<String> = (0..self.plan.real_gateways).map(gateway_script).collect();
+        let mut hollow = scripts.split_off(self.plan.real_gateways as usize);
         for number in 0..self.demand.workers {
             self.workers.push(start_worker(setup, &self.folder, &format!("gateways-{number}"))?);
         }
@@ -136,8 +136,9 @@
         let stores = u64::from(self.plan.stores);
         loop {
             let (seen, _) = self.observe().await?;
-            let is_late =
-                |seen: &&CounterSnapshot| seen.listed != stores || seen.linked + seen.refused < stores;
+            let is_late = |seen: &&CounterSnapshot| {
+                seen.listed != stores || seen.connected + seen.failed_connections < stores
+            };
             let late = seen.iter().filter(is_late).count();
             if late == 0 {
                 return Ok(since.elapsed());
--- a/crates/scale/src/measurement/testbed.rs
+++ b/crates/scale/src/measurement/testbed.rs
@@ -100,7 +100,7 @@
                 self.applied.extend(observations.applied);
             }
         }
-        let turns = all.iter().map(|seen| seen.turns).sum();
+        let turns = all.iter().map(|seen| seen.core_calls).sum();
         Ok((all, turns))
     }
 
--- a/crates/scale/src/plan/demand.rs
+++ b/crates/scale/src/plan/demand.rs
@@ -110,7 +110,7 @@
     let store_processes = answering.div_ceil(stores_per_process);
     let connections = answering * gateways;
     // The 3 are this process, the list and the coordinator.
-    let processes = workers + store_processes + relays + u64::from(plan.real) + 3;
+    let processes = workers + store_processes + relays + u64::from(plan.real_gateways) + 3;
     if processes > u64::from(limits.processes) {
         let need = u32::try_from(processes).unwrap_or(u32::MAX);
         return Err(PlanRejected::Processes { need, limit: limits.processes, connections });
--- a/crates/scale/src/plan/mod.rs
+++ b/crates/scale/src/plan/mod.rs
@@ -23,7 +23,8 @@
     /// All gateways, real and hollow.
     pub gateways: u32,
     /// Real gateways, each in its own process.
-    pub real: u32,
+    #[serde(rename = "real")]
+    pub real_gateways: u32,
     /// Stores that the list names.
     pub stores: u32,
     /// Stores that accept connections; no process listens at the addresses of the others. `None` for as many
@@ -51,7 +52,7 @@
 impl Plan {
     /// Number of hollow gateways, which share processes.
     pub(crate) fn hollow_gateways(&self) -> u32 {
-        self.gateways.saturating_sub(self.real)
+        self.gateways.saturating_sub(self.real_gateways)
     }
 }
 
--- a/crates/scale/src/plan/rejected.rs
+++ b/crates/scale/src/plan/rejected.rs
@@ -111,7 +111,7 @@
 
 /// Rejects a plan that contradicts itself or has values out of range.
 pub(super) fn check_consistency(plan: &Plan) -> Result<(), PlanRejected> {
-    let Plan { gateways, real, stores, volumes, relays, .. } = *plan;
+    let Plan { gateways, real_gateways, stores, volumes, relays, .. } = *plan;
     if relays > MAX_RELAYS {
         return Err(PlanRejected::TooManyRelays { relays });
     }
@@ -121,8 +121,8 @@
     if gateways == 0 || stores == 0 || volumes == 0 {
         return Err(PlanRejected::Empty { gateways, stores, volumes });
     }
-    if real > gateways {
-        return Err(PlanRejected::TooManyReal { real, gateways });
+    if real_gateways > gateways {
+        return Err(PlanRejected::TooManyReal { real: real_gateways, gateways });
     }
     if let Some(answering) = plan.answering.filter(|answering| *answering > stores) {
         return Err(PlanRejected::TooManyAnswering { answering, stores });
--- a/crates/scale/src/sweep/factor.rs
+++ b/crates/scale/src/sweep/factor.rs
@@ -85,7 +85,7 @@
     /// rates. All other values are small, or the same as in `largest`.
     pub fn plans(self, largest: &Plan) -> Vec<Plan> {
         let small = Plan {
-            gateways: largest.gateways.min(MAX_FIXED_GATEWAYS) + largest.real,
+            gateways: largest.gateways.min(MAX_FIXED_GATEWAYS) + largest.real_gateways,
             stores: largest.stores.min(1000),
             answering: Some(largest.stores.min(MAX_FIXED_ANSWERING)),
             changes_per_second: 0.0,
@@ -97,7 +97,7 @@
             // All stores accept connections, so that each gateway has a connection to each listed store.
             Factor::Stores => {
                 let plan = |stores| Plan {
-                    gateways: 3 + largest.real,
+                    gateways: 3 + largest.real_gateways,
                     stores,
                     answering: Some(stores),
                     ..small.clone()
@@ -105,7 +105,10 @@
                 halvings(largest.stores, 5).map(plan).collect()
             }
             Factor::Gateways => {
-                let plan = |gateways: u32| Plan { gateways: gateways.max(largest.real + 1), ..small.clone() };
+                let plan = |gateways: u32| Plan {
+                    gateways: gateways.max(largest.real_gateways + 1),
+                    ..small.clone()
+                };
                 halvings(largest.gateways, 6).map(plan).collect()
             }
             Factor::Changes => {
--- a/crates/scale/src/sweep/metrics.rs
+++ b/crates/scale/src/sweep/metrics.rs
@@ -27,9 +27,9 @@
     metric!("gateway, memory", "MB", None, |line| Some(line.rss_mb)),
     metric!("gateway, control", "B/s", None, |line| Some(line.control_bytes_per_second)),
     metric!("gateway, control by the list", "B/s", None, |line| Some(line.list_bytes_per_second)),
-    metric!("gateway, control by links", "B/s", None, |line| Some(line.link_bytes_per_second)),
+    metric!("gateway, control by links", "B/s", None, |line| Some(line.store_bytes_per_second)),
     metric!("gateway, start", "bytes", None, |line| Some(line.start_bytes)),
-    metric!("gateway, turns", "1/s", None, |line| Some(line.turns_per_second)),
+    metric!("gateway, turns", "1/s", None, |line| Some(line.core_calls_per_second)),
     metric!("all gateways, core", "% of a core", None, |line| Some(
         line.idle_core_percent * f64::from(line.hollow)
     )),
--- a/crates/scale/tests/plans.rs
+++ b/crates/scale/tests/plans.rs
@@ -8,7 +8,7 @@
 fn plan(gateways: u32, stores: u32, answering: Option<u32>) -> Plan {
     Plan {
         gateways,
-        real: 1,
+        real_gateways: 1,
         stores,
         answering,
         volumes: 100,
@@ -55,7 +55,7 @@
 
 #[test]
 fn demand_beyond_process_limit_is_rejected_with_both_figures() {
-    let many = Plan { real: 300, ..plan(301, 8, Some(8)) };
+    let many = Plan { real_gateways: 300, ..plan(301, 8, Some(8)) };
     let rejection = check_demand(&many, &LIMITS).expect_err("more processes than the limit");
     assert_eq!(rejection, PlanRejected::Processes { need: 305, limit: 300, connections: 301 * 8 });
     assert_message_contains(&rejection, &["305", "300"]);
@@ -87,7 +87,7 @@
         (plan(0, 1, None), "0 gateways"),
         (plan(1, 0, None), "0 stores"),
         (plan(1, 2, Some(3)), "3 answering stores of 2"),
-        (Plan { real: 2, ..plan(1, 1, None) }, "2 real gateways of 1"),
+        (Plan { real_gateways: 2, ..plan(1, 1, None) }, "2 real gateways of 1"),
         (Plan { seconds: f64::NAN, ..plan(1, 1, None) }, "seconds"),
         (Plan { changes_per_second: -1.0, ..plan(1, 1, None) }, "changes a second"),
         (Plan { restarts_per_hour: 1e9, ..plan(1, 1, None) }, "restarts an hour"),
