--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -97,6 +97,6 @@
 
 /// Members that have applied at least this version.
 fn members_at(statuses: &[&Status], version: u64) -> u64 {
-    let levels = statuses.iter().flat_map(|status| &status.progress.version_counts);
-    levels.filter(|level| level.version >= version).map(|level| u64::from(level.members)).sum()
+    let counts = statuses.iter().flat_map(|status| &status.progress.version_counts);
+    counts.filter(|count| count.version >= version).map(|count| u64::from(count.members)).sum()
 }
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -381,7 +381,7 @@
 async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
     let (record, verdict) = run_fault_scenario("changes.star", text, 1).await;
-    let limits = record.events.iter().filter(|(_, deed)| matches!(deed, TestEvent::Limit { .. }));
+    let limits = record.events.iter().filter(|(_, event)| matches!(event, TestEvent::Limit { .. }));
     assert_eq!(limits.count(), 4, "the first, and three others");
     assert_mostly_acked(&verdict);
 }
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -27,7 +27,7 @@
 async fn gateways_killed_repeatedly_break_no_rule() {
     let text = include_str!("../../../../days/restarts.star");
     let (record, verdict) = run_fault_scenario("restarts.star", text, 1).await;
-    let killed = |(_, deed): &&(u64, TestEvent)| matches!(deed, TestEvent::Killed { .. });
+    let killed = |(_, event): &&(u64, TestEvent)| matches!(event, TestEvent::Killed { .. });
     assert!(record.events.iter().filter(killed).count() >= 20);
     assert_mostly_acked(&verdict);
 }
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -123,7 +123,7 @@
     fn on_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::FolderCheckpoint { position, bytes } => {
-                self.on_folder_checkpoint(position, bytes, actions)
+                self.on_folder_checkpoint(position, bytes, actions);
             }
             Event::FolderEntries(entries) => self.on_folder_entries(entries, actions),
             Event::FollowerConnected(connection) => {
@@ -214,7 +214,7 @@
             (Some(head), _) if position.version > head.version => self.suffix.reset(checkpoint, bytes),
             (None, _) => self.suffix.reset(checkpoint, bytes),
             (Some(_), Some(hash)) if hash == position.hash => {
-                self.suffix.replace_checkpoint(checkpoint, bytes)
+                self.suffix.replace_checkpoint(checkpoint, bytes);
             }
             _ => actions.push(rejected),
         }
--- a/crates/control-plane/tests/relay/progress.rs
+++ b/crates/control-plane/tests/relay/progress.rs
@@ -15,7 +15,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// The progress of all relays that read the folder, added up.
-fn levels(network: &Network) -> Vec<(u64, u32)> {
+fn version_counts(network: &Network) -> Vec<(u64, u32)> {
     let mut all = std::collections::BTreeMap::new();
     for member in network.members.iter().take(3) {
         let summary = member.node.as_ref().map(|node| node.status(network.now).progress).unwrap_or_default();
@@ -37,7 +37,7 @@
     (0..5).for_each(|_| network.write(9));
     network.start_all();
     network.run_for(20 * SECOND);
-    assert_eq!(levels(&network), [(5, 30)]);
+    assert_eq!(version_counts(&network), [(5, 30)]);
     assert_eq!(lagging(&network), []);
     // One gateway never applies the changes that it receives; another one freezes later.
     let never_applies = network.gateways()[4];
@@ -45,15 +45,19 @@
     network.members[never_applies].never_applies = true;
     network.write(9);
     network.run_for(5 * SECOND);
-    assert_eq!(levels(&network), [(6, 29), (5, 1)]);
+    assert_eq!(version_counts(&network), [(6, 29), (5, 1)]);
     let named = lagging(&network);
     assert_eq!((named.len(), named[0].name.as_str(), named[0].version), (1, "gateway-4", 5));
     assert!((20..=26).contains(&named[0].lag_seconds), "{} s", named[0].lag_seconds);
     network.members[frozen].frozen = true;
     network.run_for(LEASE_DURATION / 2);
-    assert_eq!(levels(&network), [(6, 29), (5, 1)], "the lease of the frozen gateway has not expired");
+    assert_eq!(
+        version_counts(&network),
+        [(6, 29), (5, 1)],
+        "the lease of the frozen gateway has not expired"
+    );
     network.run_for(LEASE_DURATION);
-    assert_eq!(levels(&network), [(6, 28), (5, 1)]);
+    assert_eq!(version_counts(&network), [(6, 28), (5, 1)]);
 }
 
 fn node_with_follower() -> (RelayNode, ConnectionId) {
--- a/crates/nbd-gateway/tests/relays/hops.rs
+++ b/crates/nbd-gateway/tests/relays/hops.rs
@@ -40,8 +40,8 @@
             for top in &top_relays {
                 let status = client::status(top.address).await.expect("the relay answers");
                 assert_eq!(status.head.version, version);
-                let levels = status.progress.version_counts.iter().filter(|level| level.version == version);
-                applied += levels.map(|level| level.members).sum::<u32>();
+                let counts = status.progress.version_counts.iter().filter(|count| count.version == version);
+                applied += counts.map(|count| count.members).sum::<u32>();
             }
             if applied == 4 {
                 return;
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -194,7 +194,7 @@
             Action::SendUpstream { connection, frame } => self.send_upstream(connection, frame),
             Action::SendFollower { connection, frame } => self.send_follower(connection, frame),
             Action::LoadCheckpoint { position, checkpoint } => {
-                self.updates.add_checkpoint(position, &checkpoint)
+                self.updates.add_checkpoint(position, &checkpoint);
             }
             Action::AppendEntry(entry) => self.updates.add_entry(&entry),
             Action::Commit(_) => self.updates.commit(),
