--- a/crates/cli/src/measure/pass_through.rs
+++ b/crates/cli/src/measure/pass_through.rs
@@ -43,7 +43,7 @@
 
     fn on_input(&mut self, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::FromList(FromList::Full(entries)) => self.connect_stores(&entries, outputs),
+            Input::FromList(FromList::Complete(entries)) => self.connect_stores(&entries, outputs),
             Input::Request(request) => outputs.push(self.forward(request)),
             Input::FromStore { message, .. } => outputs.extend(self.reply(message)),
             _ => {}
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -141,7 +141,7 @@
         zone: 0,
         state: 1,
         incarnation: 1,
-        learned: Some(LearnedValues {
+        learned_values: Some(LearnedValues {
             latency: 0.01,
             concurrency_limit: 8.0,
             virtual_times: (0..VOLUMES_PER_STORE).map(|volume| (volume, 1.5)).collect(),
@@ -158,7 +158,7 @@
         volume.reserved_tokens *= 0.5;
     }
     let stores = snapshot.stores.iter_mut().step_by(CHANGED_ONE_IN);
-    for learned in stores.filter_map(|store| store.learned.as_mut()) {
+    for learned in stores.filter_map(|store| store.learned_values.as_mut()) {
         learned.concurrency_limit *= 2.0;
     }
     snapshot
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -396,7 +396,10 @@
     wait_until_applied(&folder, 1, 2).await;
     let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
-    fleet.ids().into_iter().for_each(|id| fleet.set_fault(id, Fault { lost: 1.0, ..Fault::default() }));
+    fleet
+        .ids()
+        .into_iter()
+        .for_each(|id| fleet.set_fault(id, Fault { lost_fraction: 1.0, ..Fault::default() }));
     let (reply, ()) = tokio::join!(client.write(0, block_contents(2, 0, 1)), async {
         // The write is in flight before the signal: this client sends nothing else.
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -121,7 +121,7 @@
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     let source = shards_with_data(&fleet)[0];
     let store = fleet.store_of_shard(source).expect("a store");
-    fleet.set_fault(store, Fault { lost: 1.0, ..Fault::default() });
+    fleet.set_fault(store, Fault { lost_fraction: 1.0, ..Fault::default() });
     let before = executed_count(&fleet);
     let write = client.send(umbertray_nbd::Command::Write, 0, 0, 4096, block_contents(2, 0, 1));
     let count = before + 1;
--- a/crates/cli/tests/sockets/scale.rs
+++ b/crates/cli/tests/sockets/scale.rs
@@ -80,7 +80,7 @@
     let welcome = FromList::Welcome { term: 0 }.frame().len() as u64;
     let (responding, refusing) = (entry("127.0.0.1:40000"), entry("127.0.0.2:1"));
     let entries = [vec![responding.clone(); 6], vec![refusing.clone(); 2]].concat();
-    let complete_list = FromList::Full(entries).frame().len() as u64;
+    let complete_list = FromList::Complete(entries).frame().len() as u64;
     assert_eq!(list.frames, 2 * 4);
     assert_eq!(list.read, 4 * hello);
     assert_eq!(list.written, 4 * (welcome + complete_list));
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -188,10 +188,10 @@
     let client = connect(&gateway).await;
     expect_acked(&within(5, "write", client.write(0, block_contents(1, 0, 1))).await);
     let faults = [
-        Fault { mute: true, ..Fault::default() },
-        Fault { full: true, ..Fault::default() },
-        Fault { errors: 1.0, ..Fault::default() },
-        Fault { lost: 1.0, ..Fault::default() },
+        Fault { is_mute: true, ..Fault::default() },
+        Fault { rejects_all: true, ..Fault::default() },
+        Fault { error_fraction: 1.0, ..Fault::default() },
+        Fault { lost_fraction: 1.0, ..Fault::default() },
     ];
     for fault in faults {
         fleet.set_fault(1, fault.clone());
@@ -241,7 +241,7 @@
     let good = connect(&gateway).await;
     expect_acked(&retry_throttled(async || good.write(0, block_contents(1, 0, 64)).await).await);
     expect_acked(&retry_throttled(async || other.write(0, block_contents(2, 0, 16)).await).await);
-    fleet.set_fault(1, Fault { mute: true, ..Fault::default() });
+    fleet.set_fault(1, Fault { is_mute: true, ..Fault::default() });
     let mut flood = Vec::new();
     for _ in 0..12 {
         let (mut stream, ..) = open_raw_session(&gateway).await;
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -94,7 +94,7 @@
     NotPlaced,
     /// The range already lies at the target.
     #[error("the range already lies at shard {0}")]
-    AlreadyThere(u32),
+    AlreadyAtTarget(u32),
     /// The move with this number covers a part of the range and is not finished.
     #[error("move {0} of a part of the range is not finished: wait for it, or give it up")]
     InProgress(u64),
@@ -190,7 +190,7 @@
         }
         let source = self.single_location(&range)?;
         if source.shard == target {
-            return Err(MoveRejected::AlreadyThere(target));
+            return Err(MoveRejected::AlreadyAtTarget(target));
         }
         Ok(Move::new(range, source.shard, target, source.epoch + 1))
     }
--- a/crates/coordinator/src/endpoint_list.rs
+++ b/crates/coordinator/src/endpoint_list.rs
@@ -24,9 +24,10 @@
 }
 
 impl StoreTable {
-    /// Applies a message of the list service: the complete list if `is_full`, otherwise the changed entries.
-    pub(crate) fn update(&mut self, stores: Vec<ListedStore>, is_full: bool) {
-        if is_full {
+    /// Applies a message of the list service: the complete list if `is_complete`, otherwise the changed
+    /// entries.
+    pub(crate) fn update(&mut self, stores: Vec<ListedStore>, is_complete: bool) {
+        if is_complete {
             self.stores.clear();
         }
         self.stores.extend(stores.into_iter().map(|store| (store.store, store)));
@@ -68,8 +69,8 @@
     socket.send(&ToList::Watch).await?;
     while let Some(message) = socket.receive().await? {
         let event = match message {
-            FromList::Full(stores) => LoopEvent::StoresListed { stores, is_full: true },
-            FromList::Changes(stores) => LoopEvent::StoresListed { stores, is_full: false },
+            FromList::Complete(stores) => LoopEvent::StoresListed { stores, is_complete: true },
+            FromList::Changes(stores) => LoopEvent::StoresListed { stores, is_complete: false },
             FromList::Failed => return Err(io::Error::other("the list service rejected the watch")),
             _ => continue,
         };
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -26,8 +26,8 @@
     PeerDisconnected(ConnectionId),
     /// A peer has sent a message; its hello is one too.
     RequestReceived { connection: ConnectionId, message: ToList },
-    /// The list service has sent stores: the complete list if `is_full`, otherwise the changed entries.
-    StoresListed { stores: Vec<ListedStore>, is_full: bool },
+    /// The list service has sent stores: the complete list if `is_complete`, otherwise the changed entries.
+    StoresListed { stores: Vec<ListedStore>, is_complete: bool },
     /// An order has received its reply, or has failed (`reply` is `None`).
     OrderFinished { token: u64, reply: Option<OrderReply> },
 }
@@ -135,8 +135,8 @@
             LoopEvent::RequestReceived { connection, message } => {
                 Some(Input::Request { connection, message })
             }
-            LoopEvent::StoresListed { stores, is_full } => {
-                self.stores.update(stores, is_full);
+            LoopEvent::StoresListed { stores, is_complete } => {
+                self.stores.update(stores, is_complete);
                 self.store_connections.retain(|store, _| self.stores.contains(*store));
                 Some(Input::Shards(self.stores.shards()))
             }
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -56,7 +56,9 @@
 
     /// The complete list.
     pub(super) fn complete_list(&self) -> FromList {
-        FromList::Full(self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect())
+        FromList::Complete(
+            self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect(),
+        )
     }
 
     /// The response to a request.
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -115,7 +115,7 @@
         if warmth < 1.0 && arrived_units > capacity {
             return Admission::Crashed;
         }
-        if self.fault.full || self.queue.len() >= self.performance.queue {
+        if self.fault.rejects_all || self.queue.len() >= self.performance.queue {
             return Admission::QueueFull(job);
         }
         if job.attempt.kind.modifies_extent() && !self.fault.write_delay.is_zero() {
@@ -220,7 +220,7 @@
             ms += std::mem::take(&mut self.deferred_work_ms);
             self.next_batch_at = now + Duration::from_secs_f64(self.performance.deferred_batch_seconds);
         }
-        Duration::from_secs_f64(ms / 1000.0 * self.fault.slow / self.warmth(now))
+        Duration::from_secs_f64(ms / 1000.0 * self.fault.slowdown / self.warmth(now))
     }
 
     /// Counts a served job. Returns the units of work served for its volume through other gateways since the
--- a/crates/fakes/src/model/settings.rs
+++ b/crates/fakes/src/model/settings.rs
@@ -69,21 +69,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     /// Factor by which work takes longer; 1 for normal speed.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Fraction of attempts that fail immediately, from 0 to 1.
-    pub errors: f64,
+    pub error_fraction: f64,
     /// Fraction of results that are not sent, from 0 to 1.
-    pub lost: f64,
+    pub lost_fraction: f64,
     /// Whether the store rejects all attempts as if its queue were full.
-    pub full: bool,
+    pub rejects_all: bool,
     /// How long writes, zeros and trims are held back before they enter the queue.
     pub write_delay: Duration,
     /// Whether the store accepts connections but sends nothing on them.
-    pub mute: bool,
+    pub is_mute: bool,
 }
 
 impl Default for Fault {
     fn default() -> Fault {
-        Fault { slow: 1.0, errors: 0.0, lost: 0.0, full: false, write_delay: Duration::ZERO, mute: false }
+        Fault {
+            slowdown: 1.0,
+            error_fraction: 0.0,
+            lost_fraction: 0.0,
+            rejects_all: false,
+            write_delay: Duration::ZERO,
+            is_mute: false,
+        }
     }
 }
--- a/crates/fakes/src/platform/discovery.rs
+++ b/crates/fakes/src/platform/discovery.rs
@@ -42,9 +42,9 @@
     }
 }
 
-/// A list or a change of it as one line of JSON; `is_full` says whether `entries` is the complete list.
-fn list_line(version: u64, is_full: bool, entries: &[String]) -> String {
-    format!(r#"{{"rev":{version},"all":{is_full},"targets":[{}]}}"#, entries.join(","))
+/// A list or a change of it as one line of JSON; `is_complete` says whether `entries` is the complete list.
+fn list_line(version: u64, is_complete: bool, entries: &[String]) -> String {
+    format!(r#"{{"rev":{version},"all":{is_complete},"targets":[{}]}}"#, entries.join(","))
 }
 
 impl Entries {
--- a/crates/fakes/src/store/attempts.rs
+++ b/crates/fakes/src/store/attempts.rs
@@ -24,7 +24,7 @@
         if let Ok(mut disk) = self.identity.disk.lock() {
             disk.supersede(job.run, &job.attempt);
         }
-        if self.rng.random_bool(self.model.fault.errors) {
+        if self.rng.random_bool(self.model.fault.error_fraction) {
             return self.send_result(&job, ResultCode::Failed);
         }
         let number = job.attempt.number;
@@ -94,7 +94,7 @@
     fn send_result_with(&mut self, job: &Job, code: ResultCode, epoch: u64, data_ranges: Vec<DataRange>) {
         let (run, number) = (job.run, job.attempt.number);
         self.record(StoreEvent::Answered { run, number, code: recorded_code(code).into() });
-        if self.rng.random_bool(self.model.fault.lost) {
+        if self.rng.random_bool(self.model.fault.lost_fraction) {
             return;
         }
         let now = self.now();
--- a/crates/fakes/src/store/process.rs
+++ b/crates/fakes/src/store/process.rs
@@ -148,7 +148,7 @@
     }
 
     fn open(&mut self, connection: u64, run: u64, sender: ConnectionSender) {
-        if !self.model.fault.mute {
+        if !self.model.fault.is_mute {
             let (store, shard) = (self.identity.store, self.identity.shard);
             let welcome = FromStore::Welcome { store, shard, clock: self.clock() };
             _ = sender.send(ToConnection::Message(welcome));
@@ -191,7 +191,7 @@
 
     /// Sends a message on a connection if it is still open and the `mute` fault is not set.
     pub(super) fn send(&self, connection: u64, message: FromStore) {
-        if self.model.fault.mute {
+        if self.model.fault.is_mute {
             return;
         }
         if let Some(connection) = self.connections.get(&connection) {
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -211,7 +211,7 @@
                 return Ok(());
             }
             let slow = self.spec.magnitude.powf(f64::from(step + 1) / f64::from(AGEING_STEPS));
-            self.set_store_fault(&stores, model::Fault { slow, ..model::Fault::default() }).await;
+            self.set_store_fault(&stores, model::Fault { slowdown: slow, ..model::Fault::default() }).await;
         }
         let replacements = stores.into_iter().map(|id| (self.end_offset(), id)).collect();
         self.replace_stores(replacements).await
@@ -414,12 +414,12 @@
     let share = fault.magnitude.clamp(0.0, 1.0);
     let none = model::Fault::default();
     match fault.kind {
-        FaultKind::Slow => model::Fault { slow: fault.magnitude.max(1.0), ..none },
-        FaultKind::FastErrors => model::Fault { errors: share, ..none },
-        FaultKind::AnswerLost => model::Fault { lost: share, ..none },
-        FaultKind::Full => model::Fault { full: true, ..none },
-        FaultKind::Neighbour => model::Fault { slow: 1.0 / (1.0 - share.min(0.95)), ..none },
-        FaultKind::Mute => model::Fault { mute: true, ..none },
+        FaultKind::Slow => model::Fault { slowdown: fault.magnitude.max(1.0), ..none },
+        FaultKind::FastErrors => model::Fault { error_fraction: share, ..none },
+        FaultKind::AnswerLost => model::Fault { lost_fraction: share, ..none },
+        FaultKind::Full => model::Fault { rejects_all: true, ..none },
+        FaultKind::Neighbour => model::Fault { slowdown: 1.0 / (1.0 - share.min(0.95)), ..none },
+        FaultKind::Mute => model::Fault { is_mute: true, ..none },
         FaultKind::Sit => model::Fault { write_delay: Duration::from_secs_f64(fault.magnitude), ..none },
         _ => none,
     }
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -37,7 +37,7 @@
     pub(super) fn on_list_message(&mut self, message: FromList) {
         match message {
             FromList::Welcome { .. } | FromList::Move { .. } | FromList::MoveStatus { .. } => {}
-            FromList::Full(stores) => self.on_endpoint_list(&stores, true),
+            FromList::Complete(stores) => self.on_endpoint_list(&stores, true),
             FromList::Changes(stores) => self.on_endpoint_list(&stores, false),
             FromList::Failed => self.on_list_failed(),
             FromList::Location { token, location } => {
--- a/crates/routing/src/restore.rs
+++ b/crates/routing/src/restore.rs
@@ -67,7 +67,7 @@
             if saved.incarnation != listed.incarnation {
                 continue;
             }
-            let Some(learned) = saved.learned else { continue };
+            let Some(learned) = saved.learned_values else { continue };
             stores.push(self.store_snapshot(endpoint.store, learned));
         }
         if stores.is_empty() {
@@ -152,7 +152,7 @@
         zone: listed.zone,
         state: listed.state as u8,
         incarnation: listed.incarnation,
-        learned: learned.remove(&id),
+        learned_values: learned.remove(&id),
     };
     let to_volume_record = |volume: VolumeSnapshot| {
         Some(VolumeRecord {
--- a/crates/routing/src/snapshot_records.rs
+++ b/crates/routing/src/snapshot_records.rs
@@ -23,7 +23,8 @@
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// The values learned of the store, if any.
-    pub learned: Option<LearnedValues>,
+    #[serde(rename = "learned")]
+    pub learned_values: Option<LearnedValues>,
 }
 
 /// The values learned of a store.
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -221,7 +221,7 @@
     fn answer_queries(&mut self, gateway: usize) {
         for query in std::mem::take(&mut self.gateways[gateway].directory_queries) {
             let response = match query {
-                ToList::Watch | ToList::Fetch => FromList::Full((0..3).map(listed_store).collect()),
+                ToList::Watch | ToList::Fetch => FromList::Complete((0..3).map(listed_store).collect()),
                 ToList::Lookup { token, extent, .. } => FromList::Location {
                     token,
                     location: self.extent_shards.get(&extent).map(|shard| location_at(*shard)),
@@ -450,7 +450,7 @@
     world.deliver(0, vec![Input::StoreDisconnected { store: StoreId(world.extent_shards[&0]) }]);
     let gone =
         (0..3).map(|shard| ListedStore { state: EndpointState::Gone, ..listed_store(shard) }).collect();
-    world.deliver(0, vec![Input::FromList(FromList::Full(gone))]);
+    world.deliver(0, vec![Input::FromList(FromList::Complete(gone))]);
     let result =
         |world: &World| world.gateways[0].requests.values().next().and_then(|request| request.result);
     world.advance(ms(600));
@@ -498,7 +498,7 @@
     let mut world = World::new();
     world.deliver(0, vec![Input::TakeSnapshot { promise_duration: ms(2000) }]);
     let snapshot = world.gateways[0].saved_snapshot.take().expect("a snapshot at once");
-    assert_eq!(snapshot.stores.iter().filter(|store| store.learned.is_some()).count(), 3);
+    assert_eq!(snapshot.stores.iter().filter(|store| store.learned_values.is_some()).count(), 3);
     let mut restarted = Core::new(Arc::new(settings()), 1, world.now + ms(500));
     restarted.handle(world.now + ms(500), vec![Input::Restore { snapshot, age: Some(ms(500)) }]);
     let outputs = restarted.handle(world.now + ms(501), vec![Input::ListDisconnected]);
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -74,7 +74,7 @@
     /// Counts one input of the core.
     pub(super) fn count_input(&self, input: &Input) {
         match input {
-            Input::FromList(FromList::Full(entries)) => {
+            Input::FromList(FromList::Complete(entries)) => {
                 let present = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
                 self.listed.store(present as u64, Ordering::Relaxed);
                 increase(&self.complete_lists, 1);
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -95,7 +95,7 @@
     /// Identity and incarnation must be equal. Learned values only need to be close.
     fn is_covered_by(&self, earlier: &StoreRecord) -> bool {
         let has_same_identity = without_learned(self) == without_learned(earlier);
-        let has_close_learned_values = match (&self.learned, &earlier.learned) {
+        let has_close_learned_values = match (&self.learned_values, &earlier.learned_values) {
             (Some(one), Some(other)) => is_learned_near(one, other),
             (one, other) => one.is_none() && other.is_none(),
         };
@@ -104,7 +104,7 @@
 }
 
 fn without_learned(store: &StoreRecord) -> StoreRecord {
-    StoreRecord { learned: None, ..store.clone() }
+    StoreRecord { learned_values: None, ..store.clone() }
 }
 
 fn is_learned_near(one: &LearnedValues, other: &LearnedValues) -> bool {
--- a/crates/snapshot/src/delta/tests.rs
+++ b/crates/snapshot/src/delta/tests.rs
@@ -33,7 +33,7 @@
             zone: 0,
             state: (word % 2) as u8,
             incarnation: u64::from(word >> 30),
-            learned: (!word.is_multiple_of(5)).then_some(learned),
+            learned_values: (!word.is_multiple_of(5)).then_some(learned),
         }
     });
     let stores = stores.collect();
@@ -63,8 +63,9 @@
                     && now.reserved_tokens <= read.reserved_tokens * RESERVED_TOKENS_GROWTH
             });
             let stores_match = read.state.stores.iter().zip(&now.stores).all(|(read, now)| {
-                let learned_values =
-                    |store: &StoreRecord| store.learned.as_ref().map(|l| (l.latency, l.concurrency_limit));
+                let learned_values = |store: &StoreRecord| {
+                    store.learned_values.as_ref().map(|l| (l.latency, l.concurrency_limit))
+                };
                 let learned_is_near = match (learned_values(read), learned_values(now)) {
                     (Some(one), Some(other)) => is_near(one.0, other.0, 0.0) && is_near(one.1, other.1, 0.0),
                     (one, other) => one == other,
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -29,13 +29,13 @@
     state: u8,
     incarnation: u64,
     _age: Option<u64>,
-    learned: Option<LearnedValues>,
+    learned_values: Option<LearnedValues>,
 }
 
 impl From<StoreRecordV1> for StoreRecord {
     fn from(store: StoreRecordV1) -> StoreRecord {
-        let StoreRecordV1 { store, address, shard, zone, state, incarnation, learned, .. } = store;
-        StoreRecord { store, address, shard, zone, state, incarnation, learned }
+        let StoreRecordV1 { store, address, shard, zone, state, incarnation, learned_values, .. } = store;
+        StoreRecord { store, address, shard, zone, state, incarnation, learned_values }
     }
 }
 
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -223,9 +223,9 @@
 #[test]
 fn files_of_every_version_are_readable() {
     let learned = LearnedValues { latency: 0.25, concurrency_limit: 6.0, virtual_times: vec![(6, 1.5)] };
-    let store = |store: u64, address: &str, shard, state, start, learned| {
+    let store = |store: u64, address: &str, shard, state, incarnation, learned_values| {
         let address = address.parse().expect("an address");
-        StoreRecord { store, address, shard, zone: 1, state, incarnation: start, learned }
+        StoreRecord { store, address, shard, zone: 1, state, incarnation, learned_values }
     };
     let stores =
         vec![store(4, "127.0.0.1:700", 2, 1, 3, Some(learned)), store(5, "[::1]:701", 3, 2, 1, None)];
--- a/crates/store-protocol/src/list/from_list.rs
+++ b/crates/store-protocol/src/list/from_list.rs
@@ -18,7 +18,7 @@
         term: u64,
     },
     /// The complete list.
-    Full(Vec<ListedStore>),
+    Complete(Vec<ListedStore>),
     /// The entries that have changed.
     Changes(Vec<ListedStore>),
     /// A request failed or was rejected.
@@ -59,7 +59,7 @@
     fn kind(&self) -> u8 {
         match self {
             FromList::Welcome { .. } => 65,
-            FromList::Full(_) => 66,
+            FromList::Complete(_) => 66,
             FromList::Changes(_) => 67,
             FromList::Failed => 68,
             FromList::Location { .. } => 69,
@@ -75,7 +75,7 @@
                 put_magic_and_version(out);
                 out.put_u64(*term);
             }
-            FromList::Full(entries) | FromList::Changes(entries) => {
+            FromList::Complete(entries) | FromList::Changes(entries) => {
                 put_list(out, entries, put_store);
             }
             FromList::Failed => {}
@@ -109,7 +109,7 @@
                 fields.magic_and_version()?;
                 FromList::Welcome { term: fields.u64()? }
             }
-            66 => FromList::Full(fields.list(read_store)?),
+            66 => FromList::Complete(fields.list(read_store)?),
             67 => FromList::Changes(fields.list(read_store)?),
             68 => FromList::Failed,
             69 => FromList::Location { token: fields.u64()?, location: fields.option(read_location)? },
--- a/crates/store-protocol/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -155,7 +155,7 @@
     ]);
     let messages = [
         FromList::Welcome { term: 3 },
-        FromList::Full(vec![entry(None), entry(Some(5))]),
+        FromList::Complete(vec![entry(None), entry(Some(5))]),
         FromList::Changes(vec![entry(Some(5))]),
         FromList::Failed,
         FromList::Location { token: 1, location: Some(Location { shard: 2, epoch: 3 }) },
--- a/crates/store-protocol/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -171,7 +171,7 @@
         "from list",
         &[
             FromList::Welcome { term: 3 },
-            FromList::Full(vec![
+            FromList::Complete(vec![
                 entry("127.0.0.1:80", EndpointState::Ready, None),
                 entry("[::1]:81", EndpointState::Draining, Some(5)),
             ]),
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -57,7 +57,7 @@
         documented_size("head of a list, store wire"),
         documented_size("entry of the list, store wire, cold store"),
     );
-    let list = |count| FromList::Full((0..count).map(|store| entry(store, None)).collect()).frame().len();
+    let list = |count| FromList::Complete((0..count).map(|store| entry(store, None)).collect()).frame().len();
     assert_eq!([list(0), list(1), list(4000)], [head, head + warm, head + 4000 * warm]);
     assert_eq!(list(4000), documented_size("whole list of 4,000 stores, store wire"));
     assert_eq!(FromList::Changes(vec![entry(7, Some(5))]).frame().len(), head + cold);
