--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 use umbertray_fault_tests::judge::{Count, Service};
-use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
+use umbertray_fault_tests::{Record, Scenario, Verdict, judge, run_scenario};
 
 use crate::error::{CommandError, ScriptProblems};
 use crate::output;
@@ -31,14 +31,14 @@
 pub(crate) async fn run(arguments: Arguments) -> Result<(), CommandError> {
     let name = arguments.scenario.display().to_string();
     let text = std::fs::read_to_string(&arguments.scenario).map_err(CommandError::io(&name))?;
-    let scenario = Day::read(&name, text).map_err(ScriptProblems)?;
+    let scenario = Scenario::read(&name, text).map_err(ScriptProblems)?;
     let program = std::env::current_exe().map_err(CommandError::io("this program"))?;
     let mut broken = 0;
     for seed in arguments.seed..arguments.seed + arguments.repeat {
         let folder = arguments.out.join(format!("seed-{seed}"));
         let verdict = run_seed(&scenario, seed, &program, &folder).await?;
         print_verdict(seed, &verdict);
-        if !verdict.kept {
+        if !verdict.has_passed {
             broken += 1;
             output::print_line(&format!("  reproduce with: umbertray fault-test {name} --seed {seed}"));
         }
@@ -49,7 +49,12 @@
     Ok(())
 }
 
-async fn run_seed(scenario: &Day, seed: u64, program: &Path, folder: &Path) -> Result<Verdict, CommandError> {
+async fn run_seed(
+    scenario: &Scenario,
+    seed: u64,
+    program: &Path,
+    folder: &Path,
+) -> Result<Verdict, CommandError> {
     std::fs::create_dir_all(folder).map_err(CommandError::io(folder.display()))?;
     let record = run_scenario(scenario, seed, program, folder).await;
     let record = record.map_err(CommandError::io(format!("seed {seed}")))?;
@@ -58,11 +63,11 @@
     Ok(verdict)
 }
 
-fn save(folder: &Path, scenario: &Day, record: &Record, verdict: &Verdict) -> io::Result<()> {
+fn save(folder: &Path, scenario: &Scenario, record: &Record, verdict: &Verdict) -> io::Result<()> {
     std::fs::write(folder.join("day.star"), &scenario.text)?;
-    write_json_lines(&folder.join("clients.jsonl"), &record.asked)?;
+    write_json_lines(&folder.join("clients.jsonl"), &record.client_requests)?;
     write_json_lines(&folder.join("stores.jsonl"), &record.stores)?;
-    write_json_lines(&folder.join("deeds.jsonl"), &record.deeds)?;
+    write_json_lines(&folder.join("deeds.jsonl"), &record.events)?;
     std::fs::write(folder.join("verdict.json"), serde_json::to_vec_pretty(verdict)?)
 }
 
@@ -81,8 +86,8 @@
     output::print_line(&format!(
         "seed {seed}: {} - {} requests: {} acked ({} in target latency), {} throttled, {} aborted, \
          {} lost; {}",
-        if verdict.kept { "kept" } else { "BROKEN" },
-        all.asked,
+        if verdict.has_passed { "kept" } else { "BROKEN" },
+        all.requests,
         all.acked,
         all.in_target,
         all.throttled,
@@ -93,7 +98,7 @@
     for finding in &verdict.findings {
         output::print_line(&format!(
             "  {:32} looked {:6}  broken {:4}  {:.3} {}",
-            finding.rule, finding.looked, finding.broken, finding.figure, finding.unit
+            finding.rule, finding.cases_checked, finding.breach_count, finding.value, finding.unit
         ));
         for breach in &finding.breaches {
             output::print_line(&format!("    {breach}"));
@@ -111,16 +116,16 @@
     print_after_return("other gateways at that time", &service.others_then);
     print_recovery(service);
     for (name, count) in service.by_op_type.iter().chain(&service.by_plan) {
-        output::print_line(&format!("  {name:32} asked {:6}  {}", count.asked, utility_served(count)));
+        output::print_line(&format!("  {name:32} asked {:6}  {}", count.requests, utility_served(count)));
     }
 }
 
 /// Prints the requests in the seconds after gateways returned to service, if there were any.
 fn print_after_return(label: &str, count: &Count) {
-    let Count { asked, throttled, .. } = count;
-    if *asked > 0 {
+    let Count { requests, throttled, .. } = count;
+    if *requests > 0 {
         let served = utility_served(count);
-        output::print_line(&format!("  {label:32} asked {asked:6}  throttled {throttled:6}  {served}"));
+        output::print_line(&format!("  {label:32} asked {requests:6}  throttled {throttled:6}  {served}"));
     }
 }
 
--- a/crates/cli/src/nbd.rs
+++ b/crates/cli/src/nbd.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use serde_json::json;
-use umbertray_fakes::client::{self, Connection, Ended, Whole};
+use umbertray_fakes::client::{self, CompleteReply, Connection, RequestOutcome};
 use umbertray_nbd::Command as NbdCommand;
 use umbertray_nbd::proto::CMD_FLAG_FUA;
 
@@ -80,7 +80,7 @@
 }
 
 async fn list_exports(address: SocketAddr) -> Result<(), CommandError> {
-    let names = client::names(address).await.map_err(CommandError::io(address))?;
+    let names = client::export_names(address).await.map_err(CommandError::io(address))?;
     output::print_json(&json!({ "exports": names }));
     Ok(())
 }
@@ -90,15 +90,15 @@
     let export = &connection.export;
     output::print_json(&json!({
         "name": export.name, "size": export.size, "flags": export.flags,
-        "minimum_block": export.blocks.minimum, "preferred_block": export.blocks.preferred,
-        "maximum_payload": export.blocks.maximum,
+        "minimum_block": export.block_sizes.minimum, "preferred_block": export.block_sizes.preferred,
+        "maximum_payload": export.block_sizes.maximum,
     }));
     Ok(())
 }
 
 async fn read(target: Target, range: Range) -> Result<(), CommandError> {
     let connection = connect(target).await?;
-    let max_payload = u64::from(connection.export.blocks.maximum);
+    let max_payload = u64::from(connection.export.block_sizes.maximum);
     let end = range.offset + u64::from(range.length);
     let mut offset = range.offset;
     while offset < end {
@@ -113,7 +113,7 @@
 
 async fn write(target: Target, start: u64, fua: bool) -> Result<(), CommandError> {
     let connection = connect(target).await?;
-    let max_payload = u64::from(connection.export.blocks.maximum);
+    let max_payload = u64::from(connection.export.block_sizes.maximum);
     let flags = if fua { CMD_FLAG_FUA } else { 0 };
     let mut offset = start;
     loop {
@@ -152,7 +152,7 @@
 }
 
 /// Returns the reply; fails if there is none or if it is an error.
-fn check_reply(reply: Ended) -> Result<Whole, CommandError> {
+fn check_reply(reply: RequestOutcome) -> Result<CompleteReply, CommandError> {
     let reply = reply.ok_or(CommandError::NoReply)?;
     match reply.error {
         None => Ok(reply),
--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
+use umbertray_scale::measurement::{Line, Role};
 use umbertray_scale::plan::Plan;
-use umbertray_scale::point::{Line, Role};
 use umbertray_scale::relays::Fault;
 use umbertray_scale::sweep::Factor;
 
@@ -71,7 +71,7 @@
     pub(super) fn plan(&self) -> Plan {
         Plan {
             gateways: self.gateways,
-            real: self.real,
+            real_gateways: self.real,
             stores: self.stores,
             answering: self.answering,
             volumes: self.volumes,
@@ -93,7 +93,7 @@
     }
 
     fn exceeded_in_force(&self, line: &Line) -> Option<String> {
-        let longest = line.in_force_seconds?.max;
+        let longest = line.apply_delay_seconds?.max;
         let allowed = self.most_in_force?;
         (longest > allowed).then(|| format!("in force after {longest} s, {allowed} is allowed"))
     }
--- a/crates/cli/tests/sockets/common.rs
+++ b/crates/cli/tests/sockets/common.rs
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 use umbertray_config::SettingsDocument;
-use umbertray_fakes::client::{Connection, Ended, Whole};
+use umbertray_fakes::client::{CompleteReply, Connection, RequestOutcome};
 use umbertray_fakes::fleet::Fleet;
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 use umbertray_fakes::test_folder::TestFolder;
-use umbertray_fault_tests::load::{BLOCK, content, mark};
-use umbertray_fault_tests::{Day, Record, Verdict, judge, run_scenario};
+use umbertray_fault_tests::load::{BLOCK_BYTES, block_content, block_mark};
+use umbertray_fault_tests::{Record, Scenario, Verdict, judge, run_scenario};
 use umbertray_nbd::Errno;
 use umbertray_nbd_gateway::{GatewayOptions, RunningGateway};
 
@@ -36,12 +36,19 @@
     umbertray_config::read("test.star", script).unwrap_or_else(|problems| panic!("{problems:#?}"))
 }
 
-pub(crate) fn fast_power() -> Power {
-    Power { unit_ms: 0.5, cold_from: 0.5, cold_s: 1.0, fall_multiple: 2.0, fall_s: 0.2, ..Power::default() }
+pub(crate) fn fast_performance() -> StorePerformance {
+    StorePerformance {
+        unit_ms: 0.5,
+        cold_speed_fraction: 0.5,
+        warm_up_seconds: 1.0,
+        crash_multiple: 2.0,
+        crash_window_seconds: 0.2,
+        ..StorePerformance::default()
+    }
 }
 
 pub(crate) async fn start_fleet(stores: u32) -> Fleet {
-    Fleet::start(stores, fast_power(), 1).await.expect("stores start on loopback")
+    Fleet::start(stores, fast_performance(), 1).await.expect("stores start on loopback")
 }
 
 pub(crate) async fn start_gateway(fleet: &Fleet, seed: u64, document: &SettingsDocument) -> RunningGateway {
@@ -60,7 +67,7 @@
         endpoint_list: fleet.list.address,
         coordinator,
         seed,
-        state: None,
+        state_folder: None,
         changes: None,
     };
     umbertray_nbd_gateway::start(Arc::new(document.settings.clone()), options)
@@ -75,30 +82,34 @@
 /// The contents of `blocks` blocks, the first of which is `block`, after a write with this mark. A mark is
 /// the number that identifies a write in its data.
 pub(crate) fn block_contents(mark: u64, block: u64, blocks: u32) -> Bytes {
-    (block..block + u64::from(blocks)).flat_map(|block| content(mark, block)).collect()
+    (block..block + u64::from(blocks)).flat_map(|block| block_content(mark, block)).collect()
 }
 
 /// The marks that a read found, one for each block.
-pub(crate) fn read_marks(reply: &Ended, block: u64, blocks: u32) -> Vec<Option<u64>> {
+pub(crate) fn read_marks(reply: &RequestOutcome, block: u64, blocks: u32) -> Vec<Option<u64>> {
     let reply = expect_acked(reply);
-    let bytes =
-        reply.bytes(block * u64::from(BLOCK), blocks * BLOCK).expect("the reply covers its range once");
-    bytes.chunks(BLOCK as usize).zip(block..).map(|(bytes, block)| mark(bytes, block)).collect()
+    let bytes = reply
+        .bytes(block * u64::from(BLOCK_BYTES), blocks * BLOCK_BYTES)
+        .expect("the reply covers its range once");
+    bytes.chunks(BLOCK_BYTES as usize).zip(block..).map(|(bytes, block)| block_mark(bytes, block)).collect()
 }
 
 /// Returns the reply, which must be a success.
-pub(crate) fn expect_acked(reply: &Ended) -> &Whole {
+pub(crate) fn expect_acked(reply: &RequestOutcome) -> &CompleteReply {
     let reply = reply.as_ref().expect("a reply");
     assert_eq!(reply.error, None);
     reply
 }
 
-pub(crate) fn is_throttled(reply: &Ended) -> bool {
-    matches!(reply, Some(Whole { error: Some((Errno::NoMem, text)), .. }) if text.starts_with("throttled"))
+pub(crate) fn is_throttled(reply: &RequestOutcome) -> bool {
+    matches!(
+        reply,
+        Some(CompleteReply { error: Some((Errno::NoMem, text)), .. }) if text.starts_with("throttled")
+    )
 }
 
 /// Retries until the reply is not throttled, as clients do: a throttled request was not executed.
-pub(crate) async fn retry_throttled(request: impl AsyncFn() -> Ended) -> Ended {
+pub(crate) async fn retry_throttled(request: impl AsyncFn() -> RequestOutcome) -> RequestOutcome {
     let retrying = async {
         loop {
             let reply = request().await;
@@ -118,13 +129,13 @@
 
 /// Runs a scenario of `days/`, which must break no rule.
 pub(crate) async fn run_fault_scenario(name: &str, text: &str, seed: u64) -> (Record, Verdict) {
-    let scenario = Day::read(name, text.into()).unwrap_or_else(|problems| panic!("{problems:#?}"));
+    let scenario = Scenario::read(name, text.into()).unwrap_or_else(|problems| panic!("{problems:#?}"));
     let folder = empty_folder(&format!("{name}-{seed}"));
     let record = run_scenario(&scenario, seed, program_path(), &folder).await;
     let record = record.expect("the scenario runs");
     let verdict = judge(&scenario, &record);
     assert!(
-        verdict.kept,
+        verdict.has_passed,
         "seed {seed}, reproduce with: umbertray fault-test days/{name} --seed {seed}\n{verdict:#?}"
     );
     (record, verdict)
@@ -133,7 +144,7 @@
 /// Asserts that most requests were served in spite of all faults.
 pub(crate) fn assert_mostly_acked(verdict: &Verdict) {
     let all = &verdict.service.all;
-    assert!(all.acked * 2 > all.asked, "{all:?}");
+    assert!(all.acked * 2 > all.requests, "{all:?}");
 }
 
 pub(crate) fn program_path() -> &'static Path {
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -107,7 +107,7 @@
             Some(current) => *current = op_type,
             None => op_types.push(op_type),
         }
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
@@ -132,7 +132,7 @@
         let canonical =
             if problems.is_empty() { canonical_requests(&rules, op_types) } else { fields.clone() };
         self.version.type_rules = Arc::new(rules);
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
@@ -140,7 +140,7 @@
         let rules = parse::rules(call, problems);
         let canonical = canonical::rules(&rules).named;
         self.version.rules = Arc::new(rules);
-        self.changes.push(SettingsChange::Figures);
+        self.changes.push(SettingsChange::Parameters);
         canonical
     }
 
@@ -273,6 +273,6 @@
 fn canonical_requests(rules: &[TypeRule], op_types: &[OpType]) -> Fields {
     let calls: Vec<FunctionCall> = rules.iter().map(|rule| canonical::request(rule, op_types)).collect();
     let requests = Key::new(Kind::Requests, "");
-    let entities = Configuration::of_calls(&calls).entities;
+    let entities = Configuration::from_calls(&calls).entities;
     entities.get(&requests).map_or_else(Fields::new, |fields| (**fields).clone())
 }
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -18,16 +18,16 @@
     pub(super) fn on_hash(
         &mut self,
         peer: usize,
-        at: Position,
+        position: Position,
         context: &mut Context<'_>,
     ) -> Result<(), DisconnectReason> {
         let session = self.peers[peer].session_mut();
-        let query =
-            session.and_then(|session| session.queried_version.take_if(|queried| *queried == at.version));
+        let query = session
+            .and_then(|session| session.queried_version.take_if(|queried| *queried == position.version));
         if query.is_none() {
             return Err(DisconnectReason::Unrequested);
         }
-        self.compare_position(peer, at, context)
+        self.compare_position(peer, position, context)
     }
 
     /// Compares a position that an upstream reported with the log suffix and with the pending entries.
@@ -43,7 +43,7 @@
         }
         let index = usize::try_from(reported.version - head.version - 1).unwrap_or(usize::MAX);
         let pending = self.source.as_ref().and_then(|source| source.pending_at(index));
-        let Some(hash) = pending.map(|entry| entry.at.hash) else { return Ok(()) };
+        let Some(hash) = pending.map(|entry| entry.position.hash) else { return Ok(()) };
         let upstream = self.peers[peer].name.clone();
         let Some(session) = self.peers[peer].session_mut() else { return Ok(()) };
         if hash == reported.hash {
@@ -134,8 +134,8 @@
         let agreed = context.suffix.head().and_then(|head| self.quorum_version(head));
         let Some(agreed) = agreed else { return };
         while let Some(entry) = self.take_pending(agreed) {
-            if self.contradicts_committed(entry.at) {
-                return self.halt(entry.at.version, context);
+            if self.contradicts_committed(entry.position) {
+                return self.halt(entry.position.version, context);
             }
             context.suffix.append(entry.clone());
             context.actions.push(Action::AppendEntry(entry));
--- a/crates/fakes/src/list/directory.rs
+++ b/crates/fakes/src/list/directory.rs
@@ -6,7 +6,7 @@
 
 use umbertray_store_protocol::list::{FromList, ListedStore, Location, ToList};
 
-use super::Listed;
+use super::ListEntry;
 
 /// Locks the directory, even if a thread has panicked while it held the lock.
 pub(super) fn lock(directory: &Mutex<Directory>) -> MutexGuard<'_, Directory> {
@@ -15,7 +15,7 @@
 
 #[derive(Default)]
 pub(super) struct Directory {
-    pub(super) stores: BTreeMap<u64, Listed>,
+    pub(super) stores: BTreeMap<u64, ListEntry>,
     /// The shard of each extent, by volume and extent.
     extent_shards: HashMap<(u64, u64), u32>,
     /// The shards that hold extents of each volume.
@@ -27,15 +27,15 @@
 }
 
 /// A store's entry as it is sent to clients.
-pub(super) fn published_entry(store: u64, listed: &Listed) -> ListedStore {
+pub(super) fn published_entry(store: u64, listed: &ListEntry) -> ListedStore {
     ListedStore {
         store,
         address: listed.address,
         shard: listed.shard,
         zone: listed.zone,
         state: listed.state,
-        incarnation: listed.start,
-        age: listed.started.map(|at| at.elapsed().as_micros() as u64),
+        incarnation: listed.incarnation,
+        age: listed.started_at.map(|at| at.elapsed().as_micros() as u64),
     }
 }
 
@@ -55,8 +55,10 @@
     }
 
     /// The complete list.
-    pub(super) fn full_list(&self) -> FromList {
-        FromList::Full(self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect())
+    pub(super) fn complete_list(&self) -> FromList {
+        FromList::Complete(
+            self.stores.iter().map(|(store, listed)| published_entry(*store, listed)).collect(),
+        )
     }
 
     /// The response to a request.
@@ -64,16 +66,16 @@
         Some(match *request {
             ToList::Hello { .. } => FromList::Welcome { term: 0 },
             _ if self.is_failing => FromList::Failed,
-            ToList::Watch | ToList::Fetch => self.full_list(),
+            ToList::Watch | ToList::Fetch => self.complete_list(),
             ToList::Lookup { token, volume, extent, .. } => FromList::Location {
                 token,
-                place: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
+                location: self.extent_shards.get(&(volume, extent)).map(|shard| location(*shard)),
             },
             ToList::Claim { token, volume, extent, shard } => {
                 // The first claim is permanent; later claims get its shard.
                 let shard = *self.extent_shards.entry((volume, extent)).or_insert(shard);
                 self.volume_shards.entry(volume).or_default().insert(shard);
-                FromList::Location { token, place: Some(location(shard)) }
+                FromList::Location { token, location: Some(location(shard)) }
             }
             ToList::Shards { token, volume } => {
                 let shards = self.volume_shards.get(&volume).into_iter().flatten().copied().collect();
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -3,15 +3,15 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-use umbertray_fakes::book;
+use umbertray_fakes::event_log;
 use umbertray_routing::Settings;
 use umbertray_routing::settings::Idempotency;
 use umbertray_store_protocol::volume_id;
 
 use super::Finding;
 use super::concurrent_events::concurrent_events;
-use crate::record::{Asked, Deed, Outcome, Record, RequestKind};
-use crate::script::Day;
+use crate::record::{Asked, Outcome, Record, RequestKind, TestEvent};
+use crate::script::Scenario;
 
 /// An attempt as its store saw it.
 pub(crate) struct Attempt {
@@ -32,7 +32,7 @@
 
 /// The record with indexes over its attempts, writes and gateways.
 pub(crate) struct IndexedRecord<'a> {
-    pub scenario: &'a Day,
+    pub scenario: &'a Scenario,
     pub record: &'a Record,
     pub settings: &'a Settings,
     pub slack: u64,
@@ -52,12 +52,12 @@
 }
 
 impl<'a> IndexedRecord<'a> {
-    pub(super) fn new(scenario: &'a Day, record: &'a Record) -> IndexedRecord<'a> {
+    pub(super) fn new(scenario: &'a Scenario, record: &'a Record) -> IndexedRecord<'a> {
         let mut attempts: Vec<Attempt> = Vec::new();
         let mut index: HashMap<(u64, u64), usize> = HashMap::new();
         for entry in &record.stores {
             match &entry.seen {
-                book::Seen::Received { run, number, op, volume, extent, units, mark, .. } => {
+                event_log::StoreEvent::Received { run, number, op, volume, extent, units, mark, .. } => {
                     index.insert((*run, *number), attempts.len());
                     attempts.push(Attempt {
                         at: entry.at,
@@ -73,20 +73,24 @@
                         response: None,
                     });
                 }
-                book::Seen::Ran { run, number } => {
+                event_log::StoreEvent::Ran { run, number } => {
                     if let Some(i) = index.get(&(*run, *number)) {
                         attempts[*i].ran_at = attempts[*i].ran_at.or(Some(entry.at));
                     }
                 }
-                book::Seen::Answered { run, number, code } => {
+                event_log::StoreEvent::Answered { run, number, code } => {
                     if let Some(i) = index.get(&(*run, *number)) {
                         attempts[*i].response = Some((entry.at, code.clone()));
                     }
                 }
-                book::Seen::Up { .. } | book::Seen::Down | book::Seen::Fell | book::Seen::Ordered { .. } => {}
+                event_log::StoreEvent::Up { .. }
+                | event_log::StoreEvent::Down
+                | event_log::StoreEvent::Fell
+                | event_log::StoreEvent::Ordered { .. } => {}
             }
         }
-        let of_kind = |kind: RequestKind| record.asked.iter().filter(move |request| request.kind == kind);
+        let of_kind =
+            |kind: RequestKind| record.client_requests.iter().filter(move |request| request.kind == kind);
         let writes: HashMap<u64, &Asked> =
             of_kind(RequestKind::Write).map(|request| (request.mark, request)).collect();
         let marked = attempts.iter().filter_map(|a| Some((a.run, writes.get(&a.mark)?.gateway)));
@@ -109,8 +113,8 @@
 
     /// End of the stall of the gateway that covers the time `at`.
     fn stalled_until(&self, gateway: usize, at: u64) -> Option<u64> {
-        let stalls = self.record.deeds.iter().filter_map(|(from, event)| match event {
-            Deed::Stalled { gateway: g, until } if *g == gateway => Some((*from, *until)),
+        let stalls = self.record.events.iter().filter_map(|(from, event)| match event {
+            TestEvent::Stalled { gateway: g, until } if *g == gateway => Some((*from, *until)),
             _ => None,
         });
         stalls.filter(|(from, until)| (*from..=*until).contains(&at)).map(|(_, until)| until).max()
@@ -121,11 +125,11 @@
 /// client has received the final response.
 pub(crate) fn one_final_response(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("1 one final answer", "largest part of an op timeout used");
-    for stray in &indexed.record.strays {
-        finding.breach(|| format!("reply without a pending request: {stray}"));
+    for reply in &indexed.record.unmatched_replies {
+        finding.breach(|| format!("reply without a pending request: {reply}"));
     }
-    for request in &indexed.record.asked {
-        finding.looked += 1;
+    for request in &indexed.record.client_requests {
+        finding.cases_checked += 1;
         let timeout = micros(indexed.settings.op_types[indexed.op_type(request)].op_timeout);
         if request.outcome == Outcome::Silent {
             finding.breach(|| format!("no response: {request:?}"));
@@ -174,7 +178,7 @@
         writes.entry((attempt.mark, attempt.extent)).or_default().push(attempt);
     }
     for ((mark, extent), dispatches) in writes {
-        finding.looked += 1;
+        finding.cases_checked += 1;
         finding.record_max(dispatches.len() as f64);
         let ran = dispatches.iter().filter(|attempt| attempt.ran_at.is_some()).count();
         if ran > 1 {
@@ -207,11 +211,11 @@
     let mut delay = 0;
     // Store, start and end of each drain. The start includes the delay of the list service.
     let mut drains: Vec<(u64, u64, u64)> = Vec::new();
-    for (at, event) in &indexed.record.deeds {
+    for (at, event) in &indexed.record.events {
         match event {
-            Deed::ListDelay { delay: now } => delay = *now,
-            Deed::Barred { store } => drains.push((*store, *at + delay, u64::MAX)),
-            Deed::Ready { store } => {
+            TestEvent::ListDelay { delay: now } => delay = *now,
+            TestEvent::Barred { store } => drains.push((*store, *at + delay, u64::MAX)),
+            TestEvent::Ready { store } => {
                 let open = drains.iter_mut().filter(|(s, _, to)| s == store && *to == u64::MAX);
                 open.for_each(|(_, _, to)| *to = *at);
             }
@@ -219,7 +223,7 @@
         }
     }
     for (store, from, to) in drains {
-        finding.looked += 1;
+        finding.cases_checked += 1;
         for attempt in indexed.attempts.iter().filter(|a| a.store == store && (from..to).contains(&a.at)) {
             // A stalled gateway learned of the drain when it resumed.
             let gateway = indexed.gateways_by_run.get(&attempt.run).copied();
@@ -247,24 +251,24 @@
 /// exceeds a multiple of its current capacity.
 pub(crate) fn cold_stores(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("4 no cold store pushed over", "largest part of what a cold store bears");
-    let power = &indexed.scenario.store_power;
-    let window = (power.fall_s * 1e6) as u64;
+    let performance = &indexed.scenario.store_performance;
+    let window = (performance.crash_window_seconds * 1e6) as u64;
     let mut cold_starts: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut recent: BTreeMap<u64, VecDeque<(u64, f64)>> = BTreeMap::new();
     for entry in &indexed.record.stores {
         match &entry.seen {
-            book::Seen::Up { units_a_second, cold: true } => {
-                finding.looked += 1;
+            event_log::StoreEvent::Up { units_a_second, cold: true } => {
+                finding.cases_checked += 1;
                 cold_starts.insert(entry.store, (entry.at, *units_a_second));
                 recent.remove(&entry.store);
             }
-            book::Seen::Fell => finding.breach(|| {
+            event_log::StoreEvent::Fell => finding.breach(|| {
                 let (store, at) = (entry.store, entry.at);
                 format!("store {store} crashed at {at} us under more load than a cold store can take")
             }),
-            book::Seen::Received { units, .. } => {
+            event_log::StoreEvent::Received { units, .. } => {
                 let Some((started, units_a_second)) = cold_starts.get(&entry.store) else { continue };
-                let age = (entry.at - started) as f64 / 1e6 / power.cold_s;
+                let age = (entry.at - started) as f64 / 1e6 / performance.warm_up_seconds;
                 if age >= 1.0 {
                     continue;
                 }
@@ -274,14 +278,19 @@
                     sent.pop_front();
                 }
                 let sent: f64 = sent.iter().map(|(_, units)| units).sum();
-                let warmth = power.cold_from + (1.0 - power.cold_from) * age;
-                finding.record_max(sent / (power.fall_multiple * units_a_second * warmth * power.fall_s));
+                let warmth = performance.cold_speed_fraction + (1.0 - performance.cold_speed_fraction) * age;
+                finding.record_max(
+                    sent / (performance.crash_multiple
+                        * units_a_second
+                        * warmth
+                        * performance.crash_window_seconds),
+                );
             }
             _ => {}
         }
     }
-    if finding.figure > 1.0 {
-        let figure = finding.figure;
+    if finding.value > 1.0 {
+        let figure = finding.value;
         finding.breach(|| format!("a cold store was sent {figure:.2} times the load that it can take"));
     }
     finding
@@ -291,7 +300,7 @@
 /// before the order pause after an unknown outcome has passed.
 pub(crate) fn order_by_key(indexed: &IndexedRecord) -> Finding {
     let mut finding = Finding::new("5 order by key", "ms of the shortest wait after an unknown outcome");
-    let pause = micros(indexed.settings.rules.order_pause);
+    let pause = micros(indexed.settings.rules.key_pause);
     let mut by_key: HashMap<(u64, u64, u64), Vec<&Attempt>> = HashMap::new();
     let mut shortest = f64::INFINITY;
     for attempt in &indexed.attempts {
@@ -301,7 +310,7 @@
         }
         let earlier = by_key.entry((attempt.run, attempt.volume, attempt.extent)).or_default();
         for other in earlier.iter().filter(|other| other.op != attempt.op) {
-            finding.looked += 1;
+            finding.cases_checked += 1;
             // A store records its response before sending it, so an attempt with a recorded response was no
             // longer pending, unless the response was lost on the way; in that case the pause has passed as
             // well.
@@ -322,7 +331,7 @@
         }
         earlier.push(attempt);
     }
-    finding.figure = if shortest.is_finite() { shortest } else { 0.0 };
+    finding.value = if shortest.is_finite() { shortest } else { 0.0 };
     finding
 }
 
@@ -344,12 +353,12 @@
     for (run, times) in further {
         let Some(gateway) = indexed.gateways_by_run.get(&run) else { continue };
         for (i, at) in times.iter().enumerate() {
-            finding.looked += 1;
+            finding.cases_checked += 1;
             let from = at.saturating_sub(window);
             let made = times[..=i].iter().filter(|time| **time >= from).count() as f64;
             // The operations that a gateway received within the window were sent by its clients in that time.
             // The slack can only add requests, so the allowed number is never too low.
-            let received = indexed.record.asked.iter().filter(|request| {
+            let received = indexed.record.client_requests.iter().filter(|request| {
                 request.gateway == *gateway
                     && (from.saturating_sub(indexed.slack)..=*at).contains(&request.sent)
             });
@@ -381,8 +390,8 @@
 /// synced.
 fn limit_changes(indexed: &IndexedRecord, plan: &str) -> Vec<(u64, f64, f64)> {
     let mut changes = Vec::new();
-    for (at, event) in &indexed.record.deeds {
-        let Deed::Limit { plan: changed_plan, rate, burst, began } = event else { continue };
+    for (at, event) in &indexed.record.events {
+        let TestEvent::Limit { plan: changed_plan, rate, burst, began } = event else { continue };
         if changed_plan == plan {
             let lowered = changes.last().is_some_and(|(_, before, _)| rate < before);
             changes.push((if lowered { at + indexed.slack } else { *began }, *rate, *burst));
@@ -406,7 +415,7 @@
             if !counted.insert((attempt.run, attempt.op)) {
                 continue;
             }
-            finding.looked += 1;
+            finding.cases_checked += 1;
             while let Some((at, new_rate, new_burst)) = changes.next_if(|(at, ..)| *at <= attempt.at) {
                 let refill = rate * at.saturating_sub(updated_at) as f64 / 1e6;
                 units_left = (units_left + refill).min(burst).min(new_burst);
@@ -427,6 +436,6 @@
             }
         }
     }
-    finding.figure = if least.is_finite() { least } else { 0.0 };
+    finding.value = if least.is_finite() { least } else { 0.0 };
     finding
 }
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -5,14 +5,15 @@
 
 use serde::Serialize;
 
-use crate::record::{Asked, Deed, Outcome, Record};
-use crate::script::Day;
+use crate::record::{Asked, Outcome, Record, TestEvent};
+use crate::script::Scenario;
 
 /// Counts of requests by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
     /// All requests.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Acknowledged.
     pub acked: u64,
     /// Acknowledged within the target latency.
@@ -61,7 +62,7 @@
 
 impl Count {
     fn add(&mut self, request: &Asked, utility: f64, is_in_target: bool) {
-        self.asked += 1;
+        self.requests += 1;
         self.utility += utility;
         match request.outcome {
             Outcome::Acked => {
@@ -101,14 +102,14 @@
 fn returns(record: &Record) -> Vec<GatewayReturn> {
     let mut killed = BTreeMap::new();
     let mut returns: Vec<GatewayReturn> = Vec::new();
-    for (at, event) in &record.deeds {
+    for (at, event) in &record.events {
         match event {
-            Deed::Killed { gateway } => {
+            TestEvent::Killed { gateway } => {
                 killed.insert(*gateway, *at);
                 let earlier = returns.iter_mut().filter(|r| r.gateway == *gateway);
                 earlier.for_each(|r| r.until = r.until.min(*at));
             }
-            Deed::Returned { gateway } => {
+            TestEvent::Returned { gateway } => {
                 let killed_at = killed.get(gateway).copied().unwrap_or(*at);
                 let (gateway, from, until) = (*gateway, *at, at + RETURN_WINDOW_MICROS);
                 returns.push(GatewayReturn { gateway, killed_at, from, until });
@@ -119,14 +120,14 @@
     returns
 }
 
-pub(crate) fn service(scenario: &Day, record: &Record) -> Service {
+pub(crate) fn service(scenario: &Scenario, record: &Record) -> Service {
     let settings = &scenario.document.settings;
     let mut service = Service::default();
     let returns = returns(record);
     // For each return and each step after it: requests to this gateway, and to those not recently killed.
     let mut steps: Vec<BTreeMap<u64, [Count; 2]>> = returns.iter().map(|_| BTreeMap::new()).collect();
     let mut before = vec![Count::default(); returns.len()];
-    for request in &record.asked {
+    for request in &record.client_requests {
         let op_type = &settings.op_types[settings.op_type(request.kind.operation_kind(), request.length)];
         let plan = &settings.plans[settings.volumes[request.volume].plan].name;
         let is_in_target = request.ended - request.sent <= op_type.target_latency.as_micros() as u64;
@@ -170,8 +171,8 @@
 /// the gateway's own service before the kill.
 fn recovery_time(steps: &BTreeMap<u64, [Count; 2]>, before: &Count) -> Option<u64> {
     let has_recovered = |(_, [own, others]): &(&u64, &[Count; 2])| {
-        let expected = if others.asked > 0 { others.served() } else { before.served() };
-        own.asked > 0 && own.served() >= RECOVERED_RATIO * expected
+        let expected = if others.requests > 0 { others.served() } else { before.served() };
+        own.requests > 0 && own.served() >= RECOVERED_RATIO * expected
     };
     steps.iter().find(has_recovered).map(|(step, _)| step * RECOVERY_STEP_MICROS)
 }
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -17,7 +17,7 @@
 use super::testbed::{Testbed, poisoned_lock};
 use crate::coordinator::CoordinatorProcess;
 use crate::load::ClientFaults;
-use crate::record::{Deed, LateStep};
+use crate::record::{LateStep, TestEvent};
 use crate::script::{FaultKind, ScriptedFault};
 
 /// Time between two resets of connections during a reset fault.
@@ -148,7 +148,7 @@
 
     async fn set_store_fault(&self, stores: &[u64], fault: model::Fault) {
         let fleet = self.testbed.fleet.lock().await;
-        stores.iter().for_each(|id| fleet.fault(*id, fault.clone()));
+        stores.iter().for_each(|id| fleet.set_fault(*id, fault.clone()));
     }
 
     async fn disturb_stores(mut self) -> io::Result<()> {
@@ -173,7 +173,7 @@
         for identity in killed {
             let store = identity.store;
             self.testbed.fleet.lock().await.restart(identity).await?;
-            self.testbed.record_event(Deed::Ready { store });
+            self.testbed.record_event(TestEvent::Ready { store });
         }
         Ok(())
     }
@@ -183,7 +183,7 @@
         while at < self.end_offset() && self.await_step(at).await {
             let stores = self.draw_stores().await;
             let fleet = self.testbed.fleet.lock().await;
-            stores.iter().filter_map(|id| fleet.get(*id)).for_each(|store| store.cut_links());
+            stores.iter().filter_map(|id| fleet.get(*id)).for_each(|store| store.close_connections());
             at += RESET_INTERVAL;
         }
         Ok(())
@@ -211,7 +211,7 @@
                 return Ok(());
             }
             let slow = self.spec.magnitude.powf(f64::from(step + 1) / f64::from(AGEING_STEPS));
-            self.set_store_fault(&stores, model::Fault { slow, ..model::Fault::default() }).await;
+            self.set_store_fault(&stores, model::Fault { slowdown: slow, ..model::Fault::default() }).await;
         }
         let replacements = stores.into_iter().map(|id| (self.end_offset(), id)).collect();
         self.replace_stores(replacements).await
@@ -253,7 +253,7 @@
         for (at, id) in draining {
             if self.await_step(at).await {
                 let mut fleet = self.testbed.fleet.lock().await;
-                fleet.list.state(id, EndpointState::Gone);
+                fleet.list.set_state(id, EndpointState::Gone);
                 fleet.kill(id).await;
             }
         }
@@ -265,8 +265,8 @@
         let mut fleet = self.testbed.fleet.lock().await;
         let Some(shard) = fleet.shard(id) else { return Ok(false) };
         fleet.add(shard, true).await?;
-        fleet.list.state(id, EndpointState::Draining);
-        self.testbed.record_event(Deed::Barred { store: id });
+        fleet.list.set_state(id, EndpointState::Draining);
+        self.testbed.record_event(TestEvent::Barred { store: id });
         Ok(true)
     }
 
@@ -279,14 +279,14 @@
     }
 
     async fn set_list_delay(&self, delay: Duration) {
-        self.testbed.fleet.lock().await.list.delay(delay);
-        self.testbed.record_event(Deed::ListDelay { delay: delay.as_micros() as u64 });
+        self.testbed.fleet.lock().await.list.set_delay(delay);
+        self.testbed.record_event(TestEvent::ListDelay { delay: delay.as_micros() as u64 });
     }
 
     async fn fail_list(self) -> io::Result<()> {
-        self.testbed.fleet.lock().await.list.fail(true);
+        self.testbed.fleet.lock().await.list.set_failing(true);
         if self.await_step(self.end_offset()).await {
-            self.testbed.fleet.lock().await.list.fail(false);
+            self.testbed.fleet.lock().await.list.set_failing(false);
         }
         Ok(())
     }
@@ -352,7 +352,7 @@
     }
 
     async fn change_settings(self) -> io::Result<()> {
-        let edits = self.spec.edits.iter().map(|text| Edit::set(text)).collect::<Result<_, _>>();
+        let edits = self.spec.edits.iter().map(|text| Edit::parse_set_edit(text)).collect::<Result<_, _>>();
         self.testbed.commit(edits.map_err(io::Error::other)?).await
     }
 
@@ -373,11 +373,11 @@
         let Some(coordinator) = &self.testbed.coordinator else { return Ok(()) };
         let mut coordinator = coordinator.lock().await;
         self.record_lateness(self.spec.at);
-        self.testbed.record_event(Deed::CoordinatorKilled);
+        self.testbed.record_event(TestEvent::CoordinatorKilled);
         coordinator.kill().await?;
         sleep_until((self.started + self.end_offset()).min(self.scenario_end())).await;
-        coordinator.again().await?;
-        self.testbed.record_event(Deed::CoordinatorStarted { term: coordinator.term });
+        coordinator.restart().await?;
+        self.testbed.record_event(TestEvent::CoordinatorStarted { term: coordinator.term });
         Ok(())
     }
 
@@ -392,7 +392,7 @@
         coordinator.signal(Signal::SIGCONT)?;
         self.testbed.record_event_at(
             from,
-            Deed::CoordinatorStalled { until: self.testbed.client_context.store_record.now() },
+            TestEvent::CoordinatorStalled { until: self.testbed.client_context.store_record.now() },
         );
         Ok(())
     }
@@ -401,9 +401,9 @@
         let Some(coordinator) = &self.testbed.coordinator else { return Ok(()) };
         let mut coordinator = coordinator.lock().await;
         self.record_lateness(self.spec.at);
-        let former = CoordinatorProcess::second(&mut coordinator).await?;
+        let former = CoordinatorProcess::take_over(&mut coordinator).await?;
         self.testbed.set_coordinator_address(coordinator.address)?;
-        self.testbed.record_event(Deed::CoordinatorStarted { term: coordinator.term });
+        self.testbed.record_event(TestEvent::CoordinatorStarted { term: coordinator.term });
         self.testbed.superseded.lock().map_err(poisoned_lock)?.push(former);
         Ok(())
     }
@@ -414,13 +414,13 @@
     let share = fault.magnitude.clamp(0.0, 1.0);
     let none = model::Fault::default();
     match fault.kind {
-        FaultKind::Slow => model::Fault { slow: fault.magnitude.max(1.0), ..none },
-        FaultKind::FastErrors => model::Fault { errors: share, ..none },
-        FaultKind::AnswerLost => model::Fault { lost: share, ..none },
-        FaultKind::Full => model::Fault { full: true, ..none },
-        FaultKind::Neighbour => model::Fault { slow: 1.0 / (1.0 - share.min(0.95)), ..none },
-        FaultKind::Mute => model::Fault { mute: true, ..none },
-        FaultKind::Sit => model::Fault { sits: Duration::from_secs_f64(fault.magnitude), ..none },
+        FaultKind::Slow => model::Fault { slowdown: fault.magnitude.max(1.0), ..none },
+        FaultKind::FastErrors => model::Fault { error_fraction: share, ..none },
+        FaultKind::AnswerLost => model::Fault { lost_fraction: share, ..none },
+        FaultKind::Full => model::Fault { rejects_all: true, ..none },
+        FaultKind::Neighbour => model::Fault { slowdown: 1.0 / (1.0 - share.min(0.95)), ..none },
+        FaultKind::Mute => model::Fault { is_mute: true, ..none },
+        FaultKind::Sit => model::Fault { write_delay: Duration::from_secs_f64(fault.magnitude), ..none },
         _ => none,
     }
 }
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use umbertray_config::{Arguments, Problem, SettingsDocument};
-use umbertray_fakes::model::Power;
+use umbertray_fakes::model::StorePerformance;
 
 /// A group of clients with the same load on one volume.
 #[derive(Clone, Debug, PartialEq)]
@@ -146,7 +146,7 @@
 
 /// A scenario.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Text of the script.
     pub text: String,
     /// Settings of the gateways.
@@ -158,7 +158,7 @@
     /// Number of stores, one per shard.
     pub stores: u32,
     /// Capacity of a store.
-    pub store_power: Power,
+    pub store_performance: StorePerformance,
     /// Longest delay allowed between an event and its observation, on a machine that is busy with other work.
     pub slack: Duration,
     /// Whether gateways keep state in a folder across restarts.
@@ -173,12 +173,12 @@
     pub faults: Vec<ScriptedFault>,
 }
 
-impl Day {
+impl Scenario {
     /// Reads a script; `file` names it in error messages.
     ///
     /// # Errors
     /// Returns all problems found in the script.
-    pub fn read(file: &str, text: String) -> Result<Day, Vec<Problem>> {
+    pub fn read(file: &str, text: String) -> Result<Scenario, Vec<Problem>> {
         let calls = umbertray_config::evaluate(file, text.clone()).map_err(|problem| vec![problem])?;
         let mut document = umbertray_config::document(file, &calls)?;
         let mut problems = Vec::new();
@@ -187,7 +187,7 @@
             for call in calls.iter().filter(|call| call.function == function) {
                 let mut args = Arguments::new(call, &mut problems);
                 read(&mut args);
-                args.end();
+                args.reject_unread();
             }
         };
         let (mut client_loads, mut faults, mut parameters) = (Vec::new(), Vec::new(), Vec::new());
@@ -195,7 +195,7 @@
         read_calls("trouble", &mut |args| faults.push(read_fault(args, &volumes)));
         read_calls("day", &mut |args| parameters.push(read_parameters(args)));
         let script_problem =
-            |what: &str| Problem { file: file.into(), line: 0, column: 0, what: what.into() };
+            |what: &str| Problem { file: file.into(), line: 0, column: 0, message: what.into() };
         if parameters.len() != 1 {
             problems.push(script_problem("the script must call day exactly once"));
         }
@@ -213,22 +213,22 @@
             keeps_state,
             uses_change_log,
             has_coordinator,
-            mut store_power,
+            mut store_performance,
         ) = parameters;
         let rules = &document.settings.rules;
-        store_power.cold_from = rules.slow_start_from;
-        store_power.cold_s = rules.slow_start_duration.as_secs_f64();
-        store_power.fall_multiple = rules.slow_start_multiple;
-        store_power.fall_s = rules.slow_start_window.as_secs_f64();
+        store_performance.cold_speed_fraction = rules.slow_start_fraction;
+        store_performance.warm_up_seconds = rules.slow_start_duration.as_secs_f64();
+        store_performance.crash_multiple = rules.slow_start_multiple;
+        store_performance.crash_window_seconds = rules.slow_start_window.as_secs_f64();
         document.settings.gateways = gateways;
         document.settings.volumes.iter_mut().for_each(|volume| volume.gateways = gateways);
-        Ok(Day {
+        Ok(Scenario {
             text,
             document,
             duration,
             gateways,
             stores,
-            store_power,
+            store_performance,
             slack,
             keeps_state,
             uses_change_log,
@@ -241,16 +241,16 @@
 
 /// Arguments of `day`: duration, gateways, stores, slack, whether state is kept, whether a change log is
 /// used, whether there is a coordinator, and the capacity of a store.
-type Parameters = (Duration, u32, u32, Duration, bool, bool, bool, Power);
+type Parameters = (Duration, u32, u32, Duration, bool, bool, bool, StorePerformance);
 
 fn read_parameters(args: &mut Arguments) -> Parameters {
-    let default = Power::default();
-    let store_power = Power {
+    let default = StorePerformance::default();
+    let store_performance = StorePerformance {
         cores: args.count("cores", 1..=64, Some(default.cores.into())) as u32,
         unit_ms: args.number("unit_ms", 0.01..=1000.0, Some(default.unit_ms)),
         queue: args.count("queue", 1..=100_000, Some(default.queue as u64)) as usize,
-        run_saves: args.number("run_saves", 0.0..=0.95, Some(default.run_saves)),
-        put_off: args.number("put_off", 0.0..=0.95, Some(default.put_off)),
+        locality_saving: args.number("run_saves", 0.0..=0.95, Some(default.locality_saving)),
+        deferred_fraction: args.number("put_off", 0.0..=0.95, Some(default.deferred_fraction)),
         ..default
     };
     (
@@ -261,7 +261,7 @@
         args.flag("state"),
         args.flag("changes"),
         args.flag("keeper"),
-        store_power,
+        store_performance,
     )
 }
 
@@ -274,7 +274,7 @@
 }
 
 fn read_load(args: &mut Arguments, volumes: &[String]) -> ClientLoad {
-    let name = args.first_text();
+    let name = args.positional_text();
     let volume = volume_index(args, &name, volumes);
     let read_fraction = args.number("reads", 0.0..=1.0, Some(0.6));
     let flush_fraction = args.number("flushes", 0.0..=1.0, Some(0.02));
@@ -294,7 +294,7 @@
 }
 
 fn read_fault(args: &mut Arguments, volumes: &[String]) -> ScriptedFault {
-    let name = args.first_text();
+    let name = args.positional_text();
     let kind = FAULT_KINDS.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
     if kind.is_none() {
         let known = FAULT_KINDS.map(|(name, _)| name).join(", ");
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
-use umbertray_fakes::platform::{Act, Discovery, Store, ok};
+use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 use umbertray_fakes::proxy::{LinkFault, Proxy, Tap};
 use umbertray_fakes::shim::{self, CallFaults};
 use umbertray_http::server::Request as StoreRequest;
@@ -156,7 +156,7 @@
         let now = record.now();
         let late = now.saturating_sub(last + TIMER_INTERVAL);
         if late > TIMER_INTERVAL {
-            record.update(|record| record.stalls.push((now, late)));
+            record.update(|record| record.held_up.push((now, late)));
         }
         last = now;
     }
@@ -186,7 +186,7 @@
     let mode = Arc::new(AtomicU8::new(StoreMode::Serve as u8));
     let current_mode = mode.clone();
     let act = move |_: usize, request: &StoreRequest| {
-        let id = request.headers.one("X-Correlation-Id").ok().flatten().unwrap_or_default();
+        let id = request.headers.single("X-Correlation-Id").ok().flatten().unwrap_or_default();
         let id = String::from_utf8_lossy(id).into_owned();
         let mode = StoreMode::of(current_mode.load(Ordering::Relaxed));
         let at = record.now();
@@ -195,13 +195,13 @@
             record.update(|record| record.arrivals.push(Arrival { store: number, id, at, ran }));
         }
         match mode {
-            StoreMode::Serve => Act::WriteAfter(SERVICE_TIME, ok(&id)),
-            StoreMode::Stall => Act::Hold,
-            StoreMode::Fail => Act::Write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()),
-            StoreMode::Reject => {
-                Act::Write(b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
-            }
-            StoreMode::Close => Act::Close,
+            StoreMode::Serve => StoreAction::WriteAfter(SERVICE_TIME, ok(&id)),
+            StoreMode::Stall => StoreAction::Hold,
+            StoreMode::Fail => StoreAction::Write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec()),
+            StoreMode::Reject => StoreAction::Write(
+                b"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
+            ),
+            StoreMode::Close => StoreAction::Close,
         }
     };
     let shard = number / STORES_PER_SHARD;
@@ -337,9 +337,9 @@
             Link::Store(store) => (&target.store_proxies[store as usize], None),
         };
         let from = self.record.now();
-        proxy.fault(fault);
+        proxy.set_fault(fault);
         sleep(duration).await;
-        proxy.fault(LinkFault::None);
+        proxy.set_fault(LinkFault::None);
         if let Some(disturbance) = disturbance {
             self.record_disturbance(gateway, disturbance, from);
         }
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use umbertray::interface::{
-    Action, AttemptResult, EndpointListUpdate, Event, Op, OpId, Outcome, Report, Settings, StoreId,
+    Action, AttemptResult, EndpointListUpdate, Event, LoadReport, Op, OpId, Outcome, Settings, StoreId,
     StoreState, VolumeId,
 };
 use umbertray::scheduler::Scheduler;
@@ -242,7 +242,7 @@
             op_ended: had_ended,
             plan_rate_used: None,
             units_elsewhere: 0.0,
-            report: Report::new(),
+            report: LoadReport::new(),
         };
         if let AttemptOutcome::Response(response) = outcome {
             self.on_response(id.op, response, &mut result);
@@ -260,10 +260,10 @@
         result.plan_rate_used =
             header_number(headers, protocol::PLAN_RATE_USED).map(|percent| percent / 100.0);
         result.units_elsewhere = header_number(headers, protocol::UNITS_ELSEWHERE).unwrap_or_default();
-        let report = headers.one(protocol::LOAD_REPORT).ok().flatten().unwrap_or_default();
+        let report = headers.single(protocol::LOAD_REPORT).ok().flatten().unwrap_or_default();
         result.report = parse_load_report(report, &self.settings.report_fields);
         if result.outcome == Outcome::Succeeded {
-            let content_type = headers.one("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
+            let content_type = headers.single("Content-Type").ok().flatten().map(Bytes::copy_from_slice);
             self.respond(op, FinalResponse::Succeeded { content_type, body: response.body });
             result.op_ended = true;
         }
@@ -272,11 +272,11 @@
     fn on_health_checked(&mut self, store: StoreId, outcome: &AttemptOutcome) {
         let (outcome, report) = match outcome {
             AttemptOutcome::Response(response) if response.head.status == 200 => {
-                let report = response.head.headers.one(protocol::LOAD_REPORT).ok().flatten();
+                let report = response.head.headers.single(protocol::LOAD_REPORT).ok().flatten();
                 let report = report.unwrap_or(&response.body);
                 (Outcome::Succeeded, parse_load_report(report, &self.settings.report_fields))
             }
-            other => (scheduler_outcome(other), Report::new()),
+            other => (scheduler_outcome(other), LoadReport::new()),
         };
         self.events.push(Event::HealthChecked { store, outcome, report });
     }
@@ -286,7 +286,7 @@
         self.stores.watch_recovered();
         self.endpoints_known |= !list.stores.is_empty();
         let update = if list.is_complete {
-            EndpointListUpdate::Whole(changes.endpoints)
+            EndpointListUpdate::Complete(changes.endpoints)
         } else {
             EndpointListUpdate::Changes(changes.endpoints)
         };
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -11,7 +11,7 @@
     BufferGuard, Input, Output, ReplyPart, RequestHandler, RequestId, SessionId, Settings, Snapshot, StoreId,
 };
 use umbertray_snapshot::Stamp;
-use umbertray_snapshot::decide::{EVERY, PROMISED};
+use umbertray_snapshot::decide::{PROMISE_DURATION, SAVE_INTERVAL};
 use umbertray_snapshot::folder::{self, LoadResult};
 use umbertray_store_protocol::list::ToList;
 
@@ -30,7 +30,7 @@
     /// The part.
     pub(crate) part: ReplyPart,
     /// To be kept until the part is sent.
-    pub(crate) hold: BufferGuard,
+    pub(crate) buffer_guard: BufferGuard,
 }
 
 /// Events that other tasks send to the loop.
@@ -132,7 +132,7 @@
             snapshot_writer: None,
             loaded_snapshot: None,
             snapshot_stamp: None,
-            next_snapshot_at: clock.now() + EVERY,
+            next_snapshot_at: clock.now() + SAVE_INTERVAL,
         }
     }
 
@@ -205,8 +205,8 @@
         }
         // The timestamp is taken first, so that a snapshot is never newer than its timestamp.
         self.snapshot_stamp = Some(folder::current_stamp());
-        self.next_snapshot_at = now + EVERY;
-        self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISED }])
+        self.next_snapshot_at = now + SAVE_INTERVAL;
+        self.handle(vec![Input::TakeSnapshot { promise_duration: PROMISE_DURATION }])
     }
 
     /// Handles an event and returns the resulting input for the core, if any.
@@ -245,16 +245,16 @@
 
     fn apply_output(&mut self, output: Output) -> Result<(), GatewayError> {
         match output {
-            Output::Reply { id: RequestId(session, cookie), part, hold } => {
+            Output::Reply { id: RequestId(session, cookie), part, buffer_guard } => {
                 if let Some(replies) = self.sessions.get(&session) {
-                    _ = replies.send(SessionReply { cookie, part, hold });
+                    _ = replies.send(SessionReply { cookie, part, buffer_guard });
                 }
             }
             Output::ConnectStore { store, address } => self.connect_store(store, address),
             Output::DisconnectStore { store } => _ = self.store_connections.remove(&store),
-            Output::ToStore { store, message, hold } => {
+            Output::ToStore { store, message, buffer_guard } => {
                 if let Some(connection) = self.store_connections.get(&store) {
-                    _ = connection.messages.send(StoreMessage { message, hold });
+                    _ = connection.messages.send(StoreMessage { message, buffer_guard });
                 }
             }
             Output::ToList(message) => self.send_service(message),
--- a/crates/nbd-gateway/tests/relays/faulty_peers.rs
+++ b/crates/nbd-gateway/tests/relays/faulty_peers.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 use umbertray_config_log::segment;
-use umbertray_control_plane::relay::LEASE;
+use umbertray_control_plane::relay::LEASE_DURATION;
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::changes::{FromUpstream, Position, ToUpstream};
 
@@ -32,7 +32,7 @@
             connection
                 .send(FromUpstream::Head {
                     head,
-                    oldest_version: checkpoint.at.version,
+                    oldest_version: checkpoint.position.version,
                     checkpoint: Some(checkpoint),
                 })
                 .await;
@@ -41,9 +41,10 @@
                 while let Some(frame) = connection.next::<ToUpstream>().await {
                     match frame {
                         ToUpstream::Follow { after } => {
-                            let next = entries.iter().filter(|(at, _)| at.version > after.version);
-                            for (at, body) in next {
-                                _ = connection.stream.write_all(&entry(*at, body)).await;
+                            let next =
+                                entries.iter().filter(|(position, _)| position.version > after.version);
+                            for (position, body) in next {
+                                _ = connection.stream.write_all(&entry(*position, body)).await;
                             }
                             for bytes in &final_frames {
                                 _ = connection.stream.write_all(bytes).await;
@@ -69,9 +70,9 @@
 }
 
 /// The frame of an entry with its complete body.
-fn entry(at: Position, body: &[u8]) -> Bytes {
+fn entry(position: Position, body: &[u8]) -> Bytes {
     let part = Bytes::copy_from_slice(body);
-    FromUpstream::Entry { at, length: body.len() as u32, offset: 0, part }.frame()
+    FromUpstream::Entry { position, length: body.len() as u32, offset: 0, part }.frame()
 }
 
 /// Makes the bytes that are sent in place of the entry that follows a position.
@@ -137,7 +138,7 @@
     let top_relays =
         [start_folder_relay("h1", &writer.folder).await, start_folder_relay("h2", &writer.folder).await];
     let honest = folder_contents(&writer.folder);
-    let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
+    let forged = segment::encode_body(&change(honest.head.version, vec![add_volume_edit("forged")]));
     let forged_head = honest.head.after_change(&forged);
     let (address, _serving) = start_fake_relay(
         "liar",
@@ -176,13 +177,13 @@
     // chained.
     let state = folder.join("trusting");
     let quorum_one_source = |upstreams| umbertray_nbd_gateway::RelaySource {
-        state: Some(state.clone()),
+        state_folder: Some(state.clone()),
         ..relay_source("trusting", upstreams, 1)
     };
     drop(start_gateway(quorum_one_source(vec![upstream_of("h1", &top_relays[0])])).await);
     wait_until_unlocked(&state).await;
     let honest = folder_contents(&writer.folder);
-    let forged = segment::body(&change(honest.head.version, vec![add_volume_edit("forged")]));
+    let forged = segment::encode_body(&change(honest.head.version, vec![add_volume_edit("forged")]));
     let forged_head = honest.head.after_change(&forged);
     let (address, _serving) = start_fake_relay(
         "liar-again",
@@ -214,7 +215,7 @@
         let peer = connection.stream.local_addr().expect("bound").to_string();
         connection.stream.write_all(bytes).await.expect("the connection is open");
         // The connection must be closed at once, and not when the follower's lease expires after ten seconds.
-        let ended = tokio::time::timeout(LEASE / 2, connection.wait_until_closed()).await;
+        let ended = tokio::time::timeout(LEASE_DURATION / 2, connection.wait_until_closed()).await;
         assert!(ended.is_ok(), "{reason}");
         wait_for_log(&[("peer", &peer), ("reason", reason)]).await;
     }
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -15,7 +15,9 @@
 use umbertray_config::Upstream;
 use umbertray_config_log::Update;
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Action, DisconnectReason, Event, HEARTBEAT, RelayNode, TICK};
+use umbertray_control_plane::relay::{
+    Action, DisconnectReason, Event, HEARTBEAT_INTERVAL, RelayNode, TICK_INTERVAL,
+};
 use umbertray_socket::Socket;
 use umbertray_store_protocol::changes::{FromUpstream, Status, ToUpstream};
 
@@ -108,7 +110,7 @@
 
     /// Runs until its owner drops the receiver of updates.
     pub(crate) async fn run(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let update_sender = self.update_sender.clone();
         let mut events = Vec::with_capacity(MAX_EVENTS_PER_STEP);
@@ -191,7 +193,9 @@
             Action::Close { connection, reason } => self.close(connection, reason),
             Action::SendUpstream { connection, frame } => self.send_upstream(connection, frame),
             Action::SendFollower { connection, frame } => self.send_follower(connection, frame),
-            Action::LoadCheckpoint { at, checkpoint } => self.updates.add_checkpoint(at, &checkpoint),
+            Action::LoadCheckpoint { position, checkpoint } => {
+                self.updates.add_checkpoint(position, &checkpoint);
+            }
             Action::AppendEntry(entry) => self.updates.add_entry(&entry),
             Action::Commit(_) => self.updates.commit(),
             Action::Log(event) => log_events::log(event),
@@ -264,7 +268,7 @@
     }
 
     /// Closes a connection: its task first sends the queued frames, and is aborted if that takes longer than
-    /// [`HEARTBEAT`].
+    /// [`HEARTBEAT_INTERVAL`].
     fn close(&mut self, connection: ConnectionId, reason: DisconnectReason) {
         let Some(Connection { address, sender, task }) = self.connections.remove(&connection) else { return };
         let connection_id = connection.0;
@@ -275,7 +279,7 @@
         }
         drop(sender);
         self.tasks.spawn(async move {
-            tokio::time::sleep(HEARTBEAT).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             task.abort();
         });
     }
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -37,17 +37,17 @@
     pub(super) fn on_list_message(&mut self, message: FromList) {
         match message {
             FromList::Welcome { .. } | FromList::Move { .. } | FromList::MoveStatus { .. } => {}
-            FromList::Full(stores) => self.on_endpoint_list(&stores, true),
+            FromList::Complete(stores) => self.on_endpoint_list(&stores, true),
             FromList::Changes(stores) => self.on_endpoint_list(&stores, false),
             FromList::Failed => self.on_list_failed(),
-            FromList::Location { token, place } => {
+            FromList::Location { token, location } => {
                 self.map_unavailable = false;
                 match self.locations.take_query(token) {
                     Some(DirectoryQuery::Lookup(extent, waiting, _)) => {
-                        self.on_lookup(extent, waiting, place);
+                        self.on_lookup(extent, waiting, location);
                     }
                     Some(DirectoryQuery::Claim(extent, shard, number)) => {
-                        self.on_claim(extent, shard, number, place);
+                        self.on_claim(extent, shard, number, location);
                     }
                     Some(DirectoryQuery::Shards(..)) | None => {}
                 }
@@ -73,17 +73,17 @@
         self.schedule_query_retry();
     }
 
-    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_full_list: bool) {
+    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_complete_list: bool) {
         let endpoints = self.apply_endpoints(stores);
-        if is_full_list {
+        if is_complete_list {
             self.stores.mark_unlisted_gone(self.now, &endpoints);
         }
         let forget_at = self.now + self.gone_store_retention() + self.settings.tick;
         self.timers.set(forget_at, Timer::ForgetStores);
         let pending = self.pending_restore.as_mut();
         let restored = pending.and_then(|pending| pending.on_list(self.now, stores, &endpoints));
-        let update = if is_full_list {
-            EndpointListUpdate::Whole(endpoints)
+        let update = if is_complete_list {
+            EndpointListUpdate::Complete(endpoints)
         } else {
             EndpointListUpdate::Changes(endpoints)
         };
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -82,14 +82,14 @@
     Rules {
         capacity: None,
         drain_grace: ms(500),
-        slow_start_from: 0.5,
+        slow_start_fraction: 0.5,
         slow_start_duration: ms(2000),
         slow_start_multiple: 2.0,
         slow_start_window: ms(500),
         slow_start_units: 50.0,
-        order_pause: ms(100),
+        key_pause: ms(100),
         retry_budget: None,
-        poll_within: ms(1000),
+        poll_retry_interval: ms(1000),
     }
 }
 
@@ -190,8 +190,8 @@
                 }
             }
             Output::ConnectStore { store, .. } => {
-                let lasting = lasting_id(store.0);
-                inputs.push(Input::StoreConnected { store, lasting, shard: store.0, clock: 5 });
+                let lasting_id = lasting_id(store.0);
+                inputs.push(Input::StoreConnected { store, lasting_id, shard: store.0, clock: 5 });
             }
             Output::DisconnectStore { .. } | Output::Log(_) => {}
             Output::ToStore { store, message: ToStore::Attempt(attempt), .. } => {
@@ -221,14 +221,14 @@
     fn answer_queries(&mut self, gateway: usize) {
         for query in std::mem::take(&mut self.gateways[gateway].directory_queries) {
             let response = match query {
-                ToList::Watch | ToList::Fetch => FromList::Full((0..3).map(listed_store).collect()),
+                ToList::Watch | ToList::Fetch => FromList::Complete((0..3).map(listed_store).collect()),
                 ToList::Lookup { token, extent, .. } => FromList::Location {
                     token,
-                    place: self.extent_shards.get(&extent).map(|shard| location_at(*shard)),
+                    location: self.extent_shards.get(&extent).map(|shard| location_at(*shard)),
                 },
                 ToList::Claim { token, extent, shard, .. } => {
                     let shard = *self.extent_shards.entry(extent).or_insert(shard);
-                    FromList::Location { token, place: Some(location_at(shard)) }
+                    FromList::Location { token, location: Some(location_at(shard)) }
                 }
                 ToList::Shards { token, .. } => {
                     let mut shards: Vec<u32> = self.extent_shards.values().copied().collect();
@@ -259,8 +259,9 @@
             is_session_closed: false,
         };
         self.gateways[gateway].requests.insert(id, request);
-        let (data, hold, started_at) = (Bytes::from(data), Arc::new(()), self.now);
-        let request = Request { id, volume: 0, kind, offset, length, durable: false, data, started_at, hold };
+        let (data, buffer_guard, started_at) = (Bytes::from(data), Arc::new(()), self.now);
+        let request =
+            Request { id, volume: 0, kind, offset, length, durable: false, data, started_at, buffer_guard };
         self.deliver(gateway, vec![Input::Request(request)]);
     }
 
@@ -275,7 +276,7 @@
         let at = self.now;
         let data = |offset, length: u32| {
             let data = Bytes::from(vec![1; length as usize]);
-            Input::FromStore { store, message: FromStore::Data { number, offset, data }, at }
+            Input::FromStore { store, message: FromStore::Data { number, offset, data }, received_at: at }
         };
         let result = |code| {
             let result = AttemptResult {
@@ -288,7 +289,7 @@
                 load_report: Vec::new(),
                 data_ranges: Vec::new(),
             };
-            Input::FromStore { store, message: FromStore::AttemptResult(result), at }
+            Input::FromStore { store, message: FromStore::AttemptResult(result), received_at: at }
         };
         let mut inputs = Vec::new();
         if attempt.kind == OperationKind::Read && fault < 12 {
@@ -298,7 +299,7 @@
                 inputs.push(Input::FromStore {
                     store,
                     message: FromStore::Hole { number, offset: offset + half, length },
-                    at,
+                    received_at: at,
                 });
             }
         }
@@ -449,7 +450,7 @@
     world.deliver(0, vec![Input::StoreDisconnected { store: StoreId(world.extent_shards[&0]) }]);
     let gone =
         (0..3).map(|shard| ListedStore { state: EndpointState::Gone, ..listed_store(shard) }).collect();
-    world.deliver(0, vec![Input::FromList(FromList::Full(gone))]);
+    world.deliver(0, vec![Input::FromList(FromList::Complete(gone))]);
     let result =
         |world: &World| world.gateways[0].requests.values().next().and_then(|request| request.result);
     world.advance(ms(600));
@@ -497,7 +498,7 @@
     let mut world = World::new();
     world.deliver(0, vec![Input::TakeSnapshot { promise_duration: ms(2000) }]);
     let snapshot = world.gateways[0].saved_snapshot.take().expect("a snapshot at once");
-    assert_eq!(snapshot.stores.iter().filter(|store| store.learned.is_some()).count(), 3);
+    assert_eq!(snapshot.stores.iter().filter(|store| store.learned_values.is_some()).count(), 3);
     let mut restarted = Core::new(Arc::new(settings()), 1, world.now + ms(500));
     restarted.handle(world.now + ms(500), vec![Input::Restore { snapshot, age: Some(ms(500)) }]);
     let outputs = restarted.handle(world.now + ms(501), vec![Input::ListDisconnected]);
--- a/crates/scale/src/hollow/counters.rs
+++ b/crates/scale/src/hollow/counters.rs
@@ -25,42 +25,47 @@
 
 /// A snapshot of one hollow gateway's counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct CounterSnapshot {
     /// Number of the gateway in the run.
     pub gateway: u32,
     /// Calls of its core by its event loop, including those before its restarts.
-    pub turns: u64,
-    /// Stores in the last full list, without those marked as gone.
+    #[serde(rename = "turns")]
+    pub core_calls: u64,
+    /// Stores in the last complete list, without those marked as gone.
     pub listed: u64,
-    /// Full lists received since its start.
-    pub whole_lists: u64,
+    /// Complete lists received since its start.
+    #[serde(rename = "whole_lists")]
+    pub complete_lists: u64,
     /// Entries received in changes of the list since its start.
     pub deltas: u64,
     /// Connections to stores that were made.
-    pub linked: u64,
+    #[serde(rename = "linked")]
+    pub connected: u64,
     /// Connections to stores that could not be made.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub failed_connections: u64,
     /// Last applied version of the configuration.
     pub version: u64,
     /// Whether the gateway has ended.
-    pub over: bool,
+    #[serde(rename = "over")]
+    pub is_finished: bool,
 }
 
 /// Counters of the inputs and calls of a gateway's core since the gateway's start, except for `turns`.
 #[derive(Default)]
 pub(crate) struct Counters {
     /// Calls of the core by the gateway's event loop, including those before the gateway's restarts.
-    pub(super) turns: AtomicU64,
-    /// Stores in the last full list, without those marked as gone.
+    pub(super) core_calls: AtomicU64,
+    /// Stores in the last complete list, without those marked as gone.
     pub(super) listed: AtomicU64,
-    /// Full lists received.
-    pub(super) whole_lists: AtomicU64,
+    /// Complete lists received.
+    pub(super) complete_lists: AtomicU64,
     /// Entries received in changes of the list.
     pub(super) deltas: AtomicU64,
     /// Connections to stores that were made.
-    pub(super) linked: AtomicU64,
+    pub(super) connected: AtomicU64,
     /// Connections to stores that could not be made.
-    pub(super) refused: AtomicU64,
+    pub(super) failed_connections: AtomicU64,
     /// Last applied version of the configuration.
     pub(super) version: AtomicU64,
 }
@@ -69,14 +74,14 @@
     /// Counts one input of the core.
     pub(super) fn count_input(&self, input: &Input) {
         match input {
-            Input::FromList(FromList::Full(entries)) => {
+            Input::FromList(FromList::Complete(entries)) => {
                 let present = entries.iter().filter(|entry| entry.state != EndpointState::Gone).count();
                 self.listed.store(present as u64, Ordering::Relaxed);
-                increase(&self.whole_lists, 1);
+                increase(&self.complete_lists, 1);
             }
             Input::FromList(FromList::Changes(entries)) => increase(&self.deltas, entries.len()),
-            Input::StoreConnected { .. } => increase(&self.linked, 1),
-            Input::StoreUnreachable { .. } => increase(&self.refused, 1),
+            Input::StoreConnected { .. } => increase(&self.connected, 1),
+            Input::StoreUnreachable { .. } => increase(&self.failed_connections, 1),
             _ => {}
         }
     }
--- a/crates/scale/src/measurement/in_force.rs
+++ b/crates/scale/src/measurement/applied_versions.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use super::Stage;
-use super::stage::{POLL_INTERVAL, STEADY_TIMEOUT};
+use super::Testbed;
+use super::testbed::{POLL_INTERVAL, STEADY_TIMEOUT};
 use crate::ScaleError;
 use crate::fit::Quantiles;
 use crate::hollow::AppliedVersion;
@@ -12,14 +12,14 @@
 /// Microseconds in a second.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-impl Stage {
+impl Testbed {
     /// Waits until all hollow gateways have applied the last change; returns those that have not after
     /// [`STEADY_TIMEOUT`].
-    pub(crate) async fn wait_until_in_force(&mut self) -> Result<Vec<u32>, ScaleError> {
+    pub(crate) async fn wait_until_applied(&mut self) -> Result<Vec<u32>, ScaleError> {
         let started_at = Instant::now();
         let version = self.writer.version();
         loop {
-            let (seen, _) = self.look().await?;
+            let (seen, _) = self.observe().await?;
             let behind = seen.iter().filter(|seen| seen.version < version).map(|seen| seen.gateway);
             let behind: Vec<u32> = behind.collect();
             if behind.is_empty() || started_at.elapsed() > STEADY_TIMEOUT {
@@ -37,14 +37,14 @@
             let applied = text.lines().filter_map(|line| parse_applied_version(gateway, line));
             applied.collect::<Vec<_>>()
         };
-        (0..self.plan.real).flat_map(applied_by).collect()
+        (0..self.plan.real_gateways).flat_map(applied_by).collect()
     }
 }
 
 /// The applied version that a line of a real gateway's log reports; `None` for other lines.
 fn parse_applied_version(gateway: u32, line: &str) -> Option<AppliedVersion> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
-    let fields = line.get("fields").filter(|fields| fields["message"] == "changes acted on")?;
+    let fields = line.get("fields").filter(|fields| fields["message"] == "changes applied")?;
     let at = humantime::parse_rfc3339(line["timestamp"].as_str()?).ok()?;
     let at = at.duration_since(std::time::UNIX_EPOCH).ok()?.as_micros() as u64;
     Some(AppliedVersion { gateway, version: fields["version"].as_u64()?, at })
--- a/crates/scale/src/measurement/line.rs
+++ b/crates/scale/src/measurement/line.rs
@@ -11,7 +11,8 @@
     /// The real gateways: each is `umbertray serve` in its own process.
     Gateway,
     /// The coordinator.
-    Keeper,
+    #[serde(rename = "keeper")]
+    Coordinator,
     /// All relays together.
     Relay,
     /// The endpoint list.
@@ -49,8 +50,8 @@
     pub changes_per_second: f64,
     /// Restarts of hollow gateways per hour in the plan, over the whole fleet.
     pub restarts_per_hour: f64,
-    /// Seconds from the first gateway's start until all gateways held the full list and had made or failed to
-    /// make all their connections.
+    /// Seconds from the first gateway's start until all gateways held the complete list and had made or
+    /// failed to make all their connections.
     pub start_seconds: f64,
     /// Bytes on list and store connections during the start, per gateway.
     pub start_bytes: f64,
@@ -65,16 +66,19 @@
     /// The part of `control_bytes_per_second` on list connections.
     pub list_bytes_per_second: f64,
     /// The part of `control_bytes_per_second` on store connections.
-    pub link_bytes_per_second: f64,
+    #[serde(rename = "link_bytes_per_second")]
+    pub store_bytes_per_second: f64,
     /// Calls of a gateway's core by its event loop, per second; 0 for other roles than the hollow gateways.
-    pub turns_per_second: f64,
+    #[serde(rename = "turns_per_second")]
+    pub core_calls_per_second: f64,
     /// Changes of the configuration that were committed.
     pub changes: u32,
     /// Hollow gateways that were restarted.
     pub restarts: u32,
     /// Seconds from the commit of a change until a gateway applied it, over all changes and gateways.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub in_force_seconds: Option<Quantiles>,
+    #[serde(rename = "in_force_seconds")]
+    pub apply_delay_seconds: Option<Quantiles>,
     /// The machine's load average over the last minute, at the end of the measurement.
     pub load: f64,
     /// Messages about properties that did not hold.
--- a/crates/scale/src/measurement/mod.rs
+++ b/crates/scale/src/measurement/mod.rs
@@ -1,21 +1,21 @@
 //! A fleet of one size: its start, its measurement from outside while it is idle or its configuration changes
 //! or gateways restart, and its end.
 
-mod in_force;
+mod applied_versions;
 mod line;
 mod line_builder;
 mod measure;
 mod processes;
 mod sample;
 mod schedule;
-mod stage;
 mod startup;
+mod testbed;
 mod usage;
 
-pub use in_force::apply_delays;
+pub use applied_versions::apply_delays;
 pub use line::{Line, Role};
 pub(crate) use processes::{start_coordinator, start_list, start_worker};
-pub use stage::Stage;
+pub use testbed::Testbed;
 pub(crate) use usage::{MIB, load_average};
 
 use std::path::PathBuf;
--- a/crates/scale/src/plan/mod.rs
+++ b/crates/scale/src/plan/mod.rs
@@ -4,7 +4,7 @@
 mod demand;
 mod rejected;
 
-pub use demand::{Demand, demand};
+pub use demand::{Demand, check_demand};
 pub use rejected::PlanRejected;
 
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,8 @@
     /// All gateways, real and hollow.
     pub gateways: u32,
     /// Real gateways, each in its own process.
-    pub real: u32,
+    #[serde(rename = "real")]
+    pub real_gateways: u32,
     /// Stores that the list names.
     pub stores: u32,
     /// Stores that accept connections; no process listens at the addresses of the others. `None` for as many
@@ -51,7 +52,7 @@
 impl Plan {
     /// Number of hollow gateways, which share processes.
     pub(crate) fn hollow_gateways(&self) -> u32 {
-        self.gateways.saturating_sub(self.real)
+        self.gateways.saturating_sub(self.real_gateways)
     }
 }
 
@@ -68,7 +69,7 @@
 
 impl Limits {
     /// The limits of a run on this machine, with the system's soft limit of file descriptors for a process.
-    pub fn here() -> Limits {
+    pub fn of_this_machine() -> Limits {
         let descriptor_limit = nix::sys::resource::getrlimit(nix::sys::resource::Resource::RLIMIT_NOFILE);
         Limits {
             descriptors: descriptor_limit.map_or(1024, |(soft, _)| soft),
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -57,7 +57,7 @@
         documented_size("head of a list, store wire"),
         documented_size("entry of the list, store wire, cold store"),
     );
-    let list = |count| FromList::Full((0..count).map(|store| entry(store, None)).collect()).frame().len();
+    let list = |count| FromList::Complete((0..count).map(|store| entry(store, None)).collect()).frame().len();
     assert_eq!([list(0), list(1), list(4000)], [head, head + warm, head + 4000 * warm]);
     assert_eq!(list(4000), documented_size("whole list of 4,000 stores, store wire"));
     assert_eq!(FromList::Changes(vec![entry(7, Some(5))]).frame().len(), head + cold);
@@ -66,13 +66,13 @@
 #[test]
 fn map_requests_have_sizes_of_the_page() {
     let (token, volume, extent) = (1, 2, 3);
-    let place = Some(Location { shard: 4, epoch: 5 });
+    let location = Some(Location { shard: 4, epoch: 5 });
     assert_eq!(
         ToList::Lookup { token, volume, extent, min_epoch: 0 }.frame().len(),
         documented_size("lookup")
     );
     assert_eq!(ToList::Claim { token, volume, extent, shard: 4 }.frame().len(), documented_size("claim"));
-    assert_eq!(FromList::Location { token, place }.frame().len(), documented_size("place"));
+    assert_eq!(FromList::Location { token, location }.frame().len(), documented_size("place"));
     assert_eq!(ToList::Hello { run: 1 }.frame().len(), documented_size("hello"));
     assert_eq!(
         FromList::Welcome { term: 1 }.frame().len(),
