--- a/crates/adapter/src/codec/mod.rs
+++ b/crates/adapter/src/codec/mod.rs
@@ -1,7 +1,8 @@
 //! Binary frames: little-endian records of fixed size, followed by a tail of variable size.
 //!
-//! Records, actions and fields keep the names of the wire protocol's page rather than the scheduler's; `host`
-//! translates between them. Numbers in the code are offsets and codes from that page.
+//! Records, actions and fields keep the names given in the page that describes the simulator's wire protocol,
+//! rather than the scheduler's; `host` translates between them. Numbers in the code are offsets and codes
+//! from that page.
 
 mod read;
 mod reply;
--- a/crates/cli/src/config/error.rs
+++ b/crates/cli/src/config/error.rs
@@ -41,7 +41,7 @@
     UnknownVersion { version: u64, newest: u64 },
     #[error("{text:?} is neither a version number nor a time: {source}")]
     InvalidTime { text: String, source: humantime::TimestampError },
-    #[error("no version had been committed by {text}")]
+    #[error("no version had been committed before {text}")]
     NoVersionBefore { text: String },
     #[error("version {version} cannot be reverted; versions 2 to {newest} can")]
     NotRevertible { version: u64, newest: u64 },
--- a/crates/cli/src/fault_test.rs
+++ b/crates/cli/src/fault_test.rs
@@ -97,7 +97,7 @@
     ));
     for finding in &verdict.findings {
         output::print_line(&format!(
-            "  {:32} looked {:6}  broken {:4}  {:.3} {}",
+            "  {:32} checked {:6}  broken {:4}  {:.3} {}",
             finding.rule, finding.cases_checked, finding.breach_count, finding.value, finding.unit
         ));
         for breach in &finding.breaches {
@@ -116,7 +116,7 @@
     print_after_return("other gateways at that time", &service.others_then);
     print_recovery(service);
     for (name, count) in service.by_op_type.iter().chain(&service.by_plan) {
-        output::print_line(&format!("  {name:32} asked {:6}  {}", count.requests, utility_served(count)));
+        output::print_line(&format!("  {name:32} requests {:6}  {}", count.requests, utility_served(count)));
     }
 }
 
@@ -125,7 +125,7 @@
     let Count { requests, throttled, .. } = count;
     if *requests > 0 {
         let served = utility_served(count);
-        output::print_line(&format!("  {label:32} asked {requests:6}  throttled {throttled:6}  {served}"));
+        output::print_line(&format!("  {label:32} requests {requests:6}  throttled {throttled:6}  {served}"));
     }
 }
 
--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// Measures how long it takes to save the largest state and to open it at a start, and how large it is.
+/// Measures how long a core takes for the largest snapshot, how long it takes to save a change of a hundredth
+/// of it and to open it at a start, and how many bytes both saves write.
 pub(super) fn measure_largest(folder: &Path) -> Result<(), MeasureError> {
     let io_error = |source| MeasureError::FolderIo { folder: folder.into(), source };
     let TakenSnapshot { duration: snapshot_duration, snapshot } = take_snapshot(&largest_snapshot())?;
--- a/crates/cli/src/scale/arguments.rs
+++ b/crates/cli/src/scale/arguments.rs
@@ -18,8 +18,8 @@
     /// Number of stores in the endpoint list; in a sweep, the largest number.
     #[arg(long, default_value_t = 400)]
     pub(super) stores: u32,
-    /// Number of stores that respond; nothing listens at the addresses of the others. By default, as many as
-    /// this machine has capacity for.
+    /// Number of stores that accept connections; no process listens at the addresses of the others. By
+    /// default, as many as 20,000 connections from gateways to stores allow, but at least one.
     #[arg(long)]
     pub(super) answering: Option<u32>,
     #[arg(long, default_value_t = 100)]
@@ -39,15 +39,15 @@
     /// gateways read the folder.
     #[arg(long, default_value_t = 0)]
     pub(super) relays: u32,
-    /// Fault of one relay in each zone after a third of the measured time: killed, or stopped for another
-    /// third.
+    /// Fault of one relay in each zone after a third of the measured time: killed, or stopped (paused with
+    /// SIGSTOP) for another third.
     #[arg(long, requires = "relays", value_name = "killed|stopped")]
     pub(super) relay_fault: Option<Fault>,
     /// Factors to sweep one after another: stores, gateways, changes, restarts, volumes.
     #[arg(long, value_delimiter = ',')]
     pub(super) factors: Vec<Factor>,
-    /// Measures load spikes: all gateways started at once, a zone lost and restored, endpoint list and
-    /// coordinator stopped or killed.
+    /// Measures disruptions: all gateways started at once, a zone lost and restored, the endpoint list paused
+    /// and killed, the coordinator killed, all hollow gateways restarted.
     #[arg(long, conflicts_with = "factors")]
     pub(super) moments: bool,
     /// Number of measurements of each size in a sweep.
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -64,7 +64,7 @@
 fn print_findings(seed: u64, plan: &Plan, record: &Record, findings: &[Finding]) {
     output::print_line(&format!(
         "seed {seed}: {} requests, {} later than 0.7 s after SIGTERM, {} process exits, {} attempts, \
-         {} stopped clients, {} faults, {} stalls of the test itself; {} findings",
+         {} stopped clients, {} faults, {} pauses of the test process; {} findings",
         record.requests.len(),
         soak::oracle::late_requests(record),
         record.exits.len(),
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -1,4 +1,4 @@
-//! Wrong wall clocks. The operators require: a machine's wall clock may be stepped, by seconds or by an hour,
+//! Wrong wall clocks. The operators' terms: a machine's wall clock may be stepped, by seconds or by an hour,
 //! and a store in slow start has the same budget whatever the clock shows. In these tests the gateway's clock
 //! is right and the clock of discovery's timestamps is wrong, which is equivalent for the gateway.
 
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -1,4 +1,4 @@
-//! Responses that are pending when a client's connection ends, or when the gateway process terminates.
+//! What happens to pending responses when a client's connection ends, or when the gateway process terminates.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/platform/failing_calls.rs
+++ b/crates/cli/tests/platform/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in ways that Linux documents: interrupted, with short counts, transiently. The
-//! operators require that all rules hold.
+//! System calls that fail in ways that Linux documents: interrupted, with short counts, transiently. By the
+//! operators' terms, all rules hold nevertheless.
 
 use std::path::PathBuf;
 use std::sync::OnceLock;
--- a/crates/cli/tests/platform/signals.rs
+++ b/crates/cli/tests/platform/signals.rs
@@ -139,8 +139,9 @@
     assert!(node.wait_for_exit().await.success());
 }
 
-/// Guards against ops that are not served after SIGTERM: since their deadlines were cut to the exit of the
-/// process, the module assumed that their clients had already waited through earlier attempts.
+/// Guards against ops that are not served after SIGTERM: their deadlines were cut short to the time of the
+/// process's exit, and the core took the shorter time left as a sign that their clients had already waited
+/// through earlier attempts.
 #[tokio::test(flavor = "multi_thread")]
 async fn op_after_sigterm_with_deadline_past_exit_is_served() {
     let store = |_| StoreAction::WriteAfter(Duration::from_millis(100), ok("served"));
--- a/crates/cli/tests/platform/stopped_clients.rs
+++ b/crates/cli/tests/platform/stopped_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stop in the middle of a request and stay connected. The standing page requires that they get
-//! an error or a close within 3 s, whatever the settings are ("More than these days").
+//! Clients that stop in the middle of a request and stay connected. The operators' standing page, "More than
+//! these days", requires that they get an error or a close within 3 s, with any settings.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 use crate::common::{ClientConnection, Node, config, config_with_long_deadlines, op, within};
 
-/// The standing page: misbehaving clients get an error or a close within this time.
+/// Time within which misbehaving clients get an error or a close, from the operators' standing page.
 const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
 
 /// A client that stops in the middle of a request: it sends these pieces, with a pause before each but the
@@ -133,8 +133,8 @@
     config_with_deadline(60.0, discovery)
 }
 
-/// Guards against a reload that changes the settings of the module but not the front end's own
-/// timeouts.
+/// Guards against a reload that changes the settings of the core but not the timeouts with which the gateway
+/// reads requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_clients_after_reload_are_answered_within_limit() {
     let (node, _store, discovery) =
--- a/crates/cli/tests/platform/store_endings.rs
+++ b/crates/cli/tests/platform/store_endings.rs
@@ -1,5 +1,5 @@
-//! Responses that are pending when a connection to a store ends in different ways. The store is a script over
-//! the bytes of each connection.
+//! What clients receive when a connection to a store ends in the middle of a request or response. The store
+//! is a script over the bytes of each connection.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -35,8 +35,8 @@
 /// Ranges move back and forth while coordinator, stores and gateways are killed, stalled and restarted.
 ///
 /// This test failed on rule 1, with replies 0.4 to 3.6 s late, on a machine with slow syncs: the scenario
-/// waited for a coordinator that took long to start, and only then resumed the gateway that it had stopped,
-/// while the record had the planned time (recorded end of the stop at 7.58 s, no reply until 8.21 s). After
+/// waited for a coordinator that took long to start, and only then resumed the gateway that it had stalled,
+/// while the record had the planned time (recorded end of the stall at 7.58 s, no reply until 8.21 s). After
 /// that, the coordinator lost its lease under steady load ("lease over before a message", renewal overdue by
 /// 2.2 s) and no range moved.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -34,7 +34,7 @@
     matches!(&entry.seen, StoreEvent::Answered { code, .. } if code == "Fenced")
 }
 
-/// 1. A store dies in the middle of a read of which the client has received the first chunk.
+/// 1. A store crashes in the middle of a read of which the client has received the first chunk.
 #[tokio::test(flavor = "multi_thread")]
 async fn read_of_store_that_dies_midway_continues_at_successor() {
     let mut fleet = start_fleet(1).await;
@@ -43,8 +43,7 @@
     expect_acked(&within(5, "write", client.write(0, block_contents(7, 0, 64))).await);
     fleet.get(1).expect("the store runs").exit_after_chunks(1);
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
-    within(5, "the death of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down))
-        .await;
+    within(5, "the end of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down)).await;
     let identity = fleet.kill(1).await.expect("it was running");
     fleet.restart(identity).await.expect("it starts again");
     let reply = within(5, "read", read).await.ok().flatten();
@@ -59,7 +58,7 @@
     assert_eq!(client.unmatched_replies(), [""; 0]);
 }
 
-/// 1, without a successor: there is still exactly one final reply, in time.
+/// 1, if the store is not restarted: there is still exactly one final reply, in time.
 #[tokio::test(flavor = "multi_thread")]
 async fn read_of_store_that_dies_for_good_ends_in_one_error() {
     let mut fleet = start_fleet(1).await;
@@ -69,8 +68,7 @@
     fleet.get(1).expect("the store runs").exit_after_chunks(1);
     let sent_at = Instant::now();
     let read = client.send(Command::Read, 0, 0, 256 * KIB, Bytes::new());
-    within(5, "the death of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down))
-        .await;
+    within(5, "the end of the store", fleet.event_log.until(1, |entry| entry.seen == StoreEvent::Down)).await;
     fleet.list.set_state(1, EndpointState::Gone);
     fleet.kill(1).await;
     let reply = within(4, "a reply", read).await.ok().flatten();
@@ -121,7 +119,7 @@
 }
 
 /// 3. Stores reply at the time at which the gateway sends the final reply: there is exactly one reply, and it
-/// is true.
+/// agrees with the stored data.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_replies_racing_the_final_reply_yield_one_true_reply() {
     let fleet = start_fleet(1).await;
@@ -169,7 +167,8 @@
     assert_eq!(client.unmatched_replies(), [""; 0]);
 }
 
-/// 4. A store dies while the outcome of a write is unknown; the reply to the client is true at the successor.
+/// 4. A store crashes while the outcome of a write is unknown; the reply to the client agrees with the data
+/// after the store's restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn write_of_store_that_dies_ends_once_and_truthfully() {
     let mut fleet = start_fleet(1).await;
@@ -210,7 +209,7 @@
     }
 }
 
-/// 5. A gateway is stopped for 2 s with full sockets, then resumed.
+/// 5. A gateway is stalled with SIGSTOP for 2 s with full sockets, then resumed.
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_gateway_after_resume_answers_each_request_once() {
     let fleet = start_fleet(2).await;
--- a/crates/cli/tests/sockets/sessions.rs
+++ b/crates/cli/tests/sockets/sessions.rs
@@ -272,7 +272,7 @@
 /// client that had stopped in the middle of a negotiation or of a request.
 #[tokio::test(flavor = "multi_thread")]
 async fn sessions_stopped_within_a_message_end_within_limit_at_any_timeout() {
-    /// The standing page: misbehaving clients get an error or a close within this time.
+    /// Time within which misbehaving clients get an error or a close, from the operators' standing page.
     const MISBEHAVING_CLIENT_LIMIT: Duration = Duration::from_secs(3);
     let fleet = start_fleet(1).await;
     let slow_op_type = r#"op_type("slow", target_latency = 2.0, op_timeout = 20.0, utility = 2)"#;
--- a/crates/config-log/src/applied_version.rs
+++ b/crates/config-log/src/applied_version.rs
@@ -1,4 +1,4 @@
-//! Stores the version that a process applied last in the process's own folder, so that it applies no older
+//! Stores, in a process's own folder, the version that the process applied last, so that it applies no older
 //! version after a restart.
 
 use std::io;
@@ -12,7 +12,7 @@
 const FILE: &str = "acted";
 const TEMPORARY_FILE: &str = "acted.new";
 
-/// Limit on what is read of the file, bytes. The file is always smaller.
+/// Limit on the bytes read from the file. The file is always smaller.
 const MAX_FILE_BYTES: usize = 4096;
 
 #[derive(Serialize, Deserialize)]
@@ -38,9 +38,9 @@
 
 /// Writes the version that is being applied. It is synced when this returns.
 ///
-/// If the process crashes before that, the next run may apply an older log that has replaced the newest one
-/// in the meantime. Even so, the caller must not wait for this write before it applies the version: a lowered
-/// limit would remain unenforced until the disk has finished.
+/// If the process crashes before this returns, the next run may apply an older log that has replaced the
+/// newest one in the meantime. Even so, the caller must not wait for this write before it applies the
+/// version: a lowered limit would remain unenforced until the disk has finished.
 ///
 /// # Errors
 /// Those of the file system.
--- a/crates/config-log/src/chain/writer.rs
+++ b/crates/config-log/src/chain/writer.rs
@@ -26,7 +26,7 @@
 /// Whether the end of the newest segment is known to be synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TailState {
-    /// The log was opened but not recovered yet. A marker states that it is synced up to this version.
+    /// The log was opened but not recovered yet. Its markers state that it is synced up to this version.
     Unrecovered { synced_version: u64 },
     /// Everything that was written is synced.
     Clean,
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the log, from its folder or from updates. Only safely committed entries are applied, in order, and
-//! a follower never returns to an older version.
+//! Follows the change log, from its folder or from updates. Only safely committed entries are applied, in
+//! order, and a follower never returns to an older version.
 //!
 //! [`FolderReader`] reads a folder without interpreting the entries. [`Replica`] applies updates from any
 //! source. [`Follower`] combines the two.
@@ -70,7 +70,7 @@
         }
     }
 
-    /// That version's hash.
+    /// The hash of the version that the update leads to.
     pub fn hash(&self) -> Hash {
         match self {
             Update::Entry(entry) => entry.hash,
@@ -81,7 +81,7 @@
 
 /// Follows the log of a folder for a gateway.
 pub struct Follower {
-    /// The version that it has reached.
+    /// The version that the follower has reached.
     pub replica: Replica,
     reader: FolderReader,
     /// Updates that were read but not applied yet. An update that failed to apply stays first, and nothing
--- a/crates/config-log/src/follow/replica.rs
+++ b/crates/config-log/src/follow/replica.rs
@@ -11,7 +11,8 @@
 
 /// A version of the configuration and its position in the chain.
 ///
-/// Invariant: it only moves to the next version whose hash matches the current one, or to a later checkpoint.
+/// Invariant: it only moves to the next version, whose hash must follow from the current hash, or to a later
+/// checkpoint.
 #[derive(Clone, Debug)]
 pub struct Replica {
     /// The version.
@@ -64,7 +65,8 @@
         replay(&self.version, &CommittedChange::from_entry(entry.clone())?)
     }
 
-    /// Advances to a checkpoint any number of changes ahead. The indices of plans and volumes do not change.
+    /// Computes the step to a checkpoint any number of changes ahead. The indices of plans and volumes do not
+    /// change.
     fn advance_to(&self, header: &SegmentHeader) -> Result<AppliedVersion, Corruption> {
         let edits = self.version.configuration.diff(&checkpoint(header)?.configuration);
         let next = self.version.next(&edits);
--- a/crates/config-log/src/guard.rs
+++ b/crates/config-log/src/guard.rs
@@ -18,8 +18,8 @@
     Cut,
     /// A volume is removed.
     Removal,
-    /// A volume with a limit is served by fewer gateways. The remaining gateways use larger parts of the
-    /// limit while the others may still use theirs (rule 7).
+    /// A volume with a limit is served by fewer gateways. The equal parts of the remaining gateways grow
+    /// while the others may still use theirs (rule 7).
     Parts,
 }
 
@@ -27,7 +27,7 @@
 pub const GUARDS: [(&str, Guard); 4] =
     [("reserve", Guard::Reserve), ("cut", Guard::Cut), ("removal", Guard::Removal), ("parts", Guard::Parts)];
 
-/// A value of a plan may fall to this fraction of itself without being guarded.
+/// A value of a plan may fall to this fraction of its former value without being guarded.
 const MIN_UNGUARDED_RATIO: f64 = 0.5;
 
 /// An effect of a change that its author did not allow.
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -1,5 +1,5 @@
 //! Versioned configuration: plans, volumes, op types and rules that change while gateways run. Every change
-//! is recorded in a log.
+//! is recorded in the change log.
 //!
 //! [`model`] is the configuration as data and the paths into it. [`change`] is a transaction on a version and
 //! detects conflicts. [`guard`] finds the effects that a change's author must explicitly allow. [`version`]
@@ -9,7 +9,8 @@
 //! [`log`] the log that changes are committed to. [`follow`] follows the log, from its folder or from
 //! updates. [`log_copy`] keeps a copy of the log, and [`applied_version`] stores the version applied last.
 //!
-//! docs/versions.md discusses the design and its alternatives; docs/changing.md is the page for operators.
+//! docs/versions.md discusses the design and its alternatives; docs/changing.md documents changes for
+//! operators.
 
 pub mod applied_version;
 pub mod chain;
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -1,4 +1,5 @@
-//! The log that changes are committed to, one at a time. A change is committed once its record is synced.
+//! The change log, to which changes are committed one at a time. A change is committed once its record is
+//! synced.
 
 mod history;
 
@@ -17,8 +18,8 @@
 pub(crate) use history::invalid_change;
 pub use history::{Segment, checkpoint, history, read_segment, replay, segments, verify, version};
 
-/// Size that a segment reaches before the next one is begun, bytes. If twice the size of its preamble and
-/// header is more, that applies instead.
+/// Size that a segment reaches before the next one is begun, bytes, or twice the size of its preamble and
+/// header if that is more.
 pub const SEGMENT_BYTES: usize = 1 << 20;
 
 /// How many committed changes are remembered by id, to recognise changes that are sent again.
@@ -35,14 +36,14 @@
     pub settings_changes: Vec<SettingsChange>,
 }
 
-/// The data remembered of a committed change under its id.
+/// The data kept for a committed change, by which it is recognised when it is sent again.
 #[derive(Clone, Copy)]
 struct CompletedId {
     version: u64,
     fingerprint: u64,
 }
 
-/// The only writer of the log.
+/// The only writer of the change log.
 ///
 /// Invariant: `head`, `completed` and `completed_by_id` equal the result of replaying the chain's entries.
 pub struct Log {
@@ -66,7 +67,8 @@
 
 impl Log {
     /// Opens the log of a folder that no other writer uses. The log of an empty folder is at version 0.
-    /// Segments grow to `max_segment_bytes`.
+    /// Segments grow to `max_segment_bytes`, or to twice the size of their preamble and header if that is
+    /// more.
     ///
     /// # Errors
     /// [`LogError`] if the log is damaged or the file system fails.
--- a/crates/config-log/src/log/history.rs
+++ b/crates/config-log/src/log/history.rs
@@ -11,7 +11,7 @@
 use crate::segment::{CHANGES, CommittedChange, Corruption, Hash, SegmentHeader, file_name};
 use crate::version::{SettingsChange, Version};
 
-/// A completely read segment of the log of changes.
+/// A completely read segment of the change log.
 pub type Segment = chain::Segment<CommittedChange>;
 
 /// Lists the segments of a folder in ascending order, each by the version that it begins after.
--- a/crates/config-log/src/model/edit.rs
+++ b/crates/config-log/src/model/edit.rs
@@ -44,13 +44,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidEditReason {
     /// The text has no value.
-    #[error("no = in it")]
+    #[error("the = and the value are missing")]
     NoValue,
     /// The text before `=` is not a path.
     #[error(transparent)]
     Path(#[from] InvalidPath),
     /// The path refers to an entity and not to a field.
-    #[error("it names no field")]
+    #[error("the path names no field")]
     NoField,
 }
 
--- a/crates/config-log/src/segment.rs
+++ b/crates/config-log/src/segment.rs
@@ -1,11 +1,10 @@
-//! The stored form of the log of changes: its file names, and the encoding of a change as the body of an
-//! entry.
+//! The stored form of the change log: its file names, and the encoding of a change as the body of an entry.
 
 pub use crate::chain::{CompletedChange, Corruption, Hash, SegmentHeader, SegmentReader};
 use crate::chain::{Entry, FromEntry, LogFormat, chain_hash};
 use crate::change::Change;
 
-/// The magic and the file names of the log of changes.
+/// The magic and the file names of the change log.
 pub const CHANGES: LogFormat =
     LogFormat { magic: b"UMBCHG", prefix: "changes-", suffix: ".log", temporary_name: "changes.new" };
 
--- a/crates/config-log/src/version.rs
+++ b/crates/config-log/src/version.rs
@@ -1,7 +1,7 @@
 //! A validated version of the configuration, as applied by gateways.
 //!
 //! Invariant: the index of a plan or volume never changes from one version to the next, even if other plans
-//! and volumes are added or removed, so that the indices that a gateway holds for what it has open stay
+//! and volumes are added or removed, so that the indices in a gateway's open sessions and requests stay
 //! valid. Versions share unchanged data, so the cost of a step depends only on the entities that it touches.
 
 mod step;
@@ -127,7 +127,7 @@
         self.plan_indices.get(plan).map_or(0, |index| self.volumes_of_plan(*index))
     }
 
-    /// The number of all volumes.
+    /// The number of volumes, without removed ones.
     pub fn total_volumes(&self) -> usize {
         self.volume_indices.len()
     }
--- a/crates/config-log/src/version/step.rs
+++ b/crates/config-log/src/version/step.rs
@@ -257,8 +257,8 @@
 
 /// Whether two definitions of an op type have the same rules for retries and ordering.
 ///
-/// Hazard: rule 2. Ops that were accepted under the former rules may be in flight. Whether their effects may
-/// happen twice must not change.
+/// Hazard: rule 2. Ops that were accepted under the former definition may be in flight. Whether they may be
+/// executed twice must not change.
 fn has_same_retry_rules(current: &OpType, new: &OpType) -> bool {
     current.idempotency == new.idempotency && current.ordered_by_key == new.ordered_by_key
 }
--- a/crates/config-log/tests/log/commits.rs
+++ b/crates/config-log/tests/log/commits.rs
@@ -1,4 +1,4 @@
-//! Commits of changes that are rejected, sent again or concurrent.
+//! Tests of changes that are rejected, sent again or committed concurrently.
 
 use serde_json::json;
 use std::time::Duration;
@@ -117,8 +117,8 @@
         writers.into_iter().map(|writer| writer.join().expect("the writer does not panic")).collect()
     });
     let committed = results.iter().filter(|(_, is_committed)| *is_committed).count();
-    // 40 changes edit one of six fields (three plans, two fields each): one per field is committed, and all
-    // others.
+    // 40 of the changes edit one of six fields (three plans, two fields each), and only one of them per field
+    // is committed. All other changes are committed.
     assert_eq!(committed, 160 + 6);
     let disk = Disk::read_only(&folder);
     assert_eq!(log::verify(&disk).expect("an intact log"), 1 + committed as u64);
--- a/crates/config-log/tests/log/crashes.rs
+++ b/crates/config-log/tests/log/crashes.rs
@@ -1,4 +1,4 @@
-//! The log of changes on a disk that crashes or fails at every step.
+//! Tests of the change log on a disk that crashes or fails at every step.
 
 use serde_json::json;
 use umbertray_config_log::follow::Follower;
--- a/crates/config-log/tests/log/damage.rs
+++ b/crates/config-log/tests/log/damage.rs
@@ -1,4 +1,4 @@
-//! Opens logs that are damaged or edited.
+//! Tests of opening change logs that are damaged or edited.
 
 use umbertray_config_log::follow::{FollowError, Follower};
 use umbertray_config_log::log::{self, Log, LogError};
--- a/crates/config-log/tests/log/following.rs
+++ b/crates/config-log/tests/log/following.rs
@@ -1,4 +1,4 @@
-//! Follows a log that grows, is replaced by an older one, or is damaged.
+//! Tests of following a change log that grows, is replaced by an older one, or is damaged.
 
 use serde_json::json;
 use umbertray_config_log::follow::{FollowError, Follower};
--- a/crates/config-log/tests/log/main.rs
+++ b/crates/config-log/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the log of changes: commits, crashes, damage and following.
+//! Tests of the change log: commits, crashes, damage and following.
 
 mod commits;
 mod crashes;
--- a/crates/config-log/tests/log/model.rs
+++ b/crates/config-log/tests/log/model.rs
@@ -1,4 +1,4 @@
-//! Compares the log with a simple, slow reference model on generated changes.
+//! Compares the change log with a simple, slow reference model on generated changes.
 
 use quickcheck::{Arbitrary, Gen};
 use serde_json::{Value, json};
--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -13,7 +13,7 @@
     json!(duration.as_secs_f64())
 }
 
-/// The value of `changes` for a source of the log of changes: a folder, or a list of relays.
+/// The value of `changes` for a source of the change log: a folder, or a list of relays.
 fn change_source(changes: &ChangeSource) -> Value {
     match changes {
         ChangeSource::Folder(folder) => json!(folder),
@@ -23,7 +23,7 @@
     }
 }
 
-/// The value of `vouch`, which only a list of relays has.
+/// The value of `vouch`, the quorum of relays; `None` if the source is a folder.
 fn quorum(changes: &ChangeSource) -> Option<usize> {
     match changes {
         ChangeSource::Folder(_) => None,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,15 +15,14 @@
     pub listen: Vec<SocketAddr>,
     /// Address of the list service, which serves the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// Address of the coordinator, which serves the map of extents. If `None`, the list service also serves
-    /// the map.
+    /// Address of the coordinator, which serves the extent map. If `None`, the list service also serves the
+    /// extent map.
     pub coordinator: Option<SocketAddr>,
     /// Seed of the gateway's random choices. It also identifies the gateway.
     pub seed: u64,
     /// The folder in which the gateway saves state across restarts.
     pub state: Option<String>,
-    /// Source of the log of changes. The log's plans, volumes, op types and rules replace those of the
-    /// script.
+    /// Source of the change log. The log's plans, volumes, op types and rules replace those of the script.
     pub changes: Option<ChangeSource>,
     /// The gateway's name at relays. It must be unique among all followers of the relays.
     pub name: String,
@@ -33,16 +32,16 @@
     pub settings: Settings,
 }
 
-/// Source of a log of changes.
+/// Source of a change log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// The folder in which the log's writer keeps it.
+    /// The folder in which the writer of the change log keeps it.
     Folder(String),
-    /// Relays that distribute the log.
+    /// Relays that distribute the change log.
     Relays {
         /// The relays to follow, without duplicates.
         upstreams: Vec<Upstream>,
-        /// How many of the relays must agree on a version before it is applied.
+        /// Number of relays that must confirm a version before it is applied.
         quorum: usize,
     },
 }
@@ -71,7 +70,7 @@
     pub listen: SocketAddr,
     /// Address of the list service, which serves the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// The folder of the coordinator's log.
+    /// The folder of the coordinator's own log.
     pub folder: String,
 }
 
@@ -84,9 +83,9 @@
     pub name: String,
     /// The zone that the relay is in.
     pub zone: String,
-    /// Source of the log that the relay distributes.
+    /// Source of the change log that the relay distributes.
     pub changes: ChangeSource,
-    /// The folder in which the relay keeps its copy of the log across restarts.
+    /// The folder in which the relay keeps its copy of the change log across restarts.
     pub folder: Option<String>,
 }
 
@@ -96,12 +95,12 @@
         as_script(&self.calls())
     }
 
-    /// The part of that script that defines the settings of the gateway itself.
+    /// The part of [`as_script`](SettingsDocument::as_script) that defines the gateway's own settings.
     pub fn local_script(&self) -> String {
         as_script(&[canonical::gateway(self), canonical::bounds(&self.settings.bounds)])
     }
 
-    /// The calls of that script.
+    /// The calls of the script that [`as_script`](SettingsDocument::as_script) returns.
     pub fn calls(&self) -> Vec<FunctionCall> {
         let settings = &self.settings;
         let plans = settings.plans.iter().filter(|plan| !plan.is_removed);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A script is written in Starlark. It calls the functions `gateway`, `op_type`, `request`, `plan`, `volume`,
 //! `rules` and `bounds`, and may compute their arguments with the language's loops and functions.
-//! [`evaluate`] runs a script with limits on time and memory and records its calls ([`FunctionCall`]).
+//! [`evaluate`] runs a script with limits on steps and memory and records its calls ([`FunctionCall`]).
 //! [`parse`] reads the [`Arguments`] of the calls and reports every problem with its line and column.
 //! [`canonical`] converts validated settings back into calls. docs/settings.md documents the settings for
 //! operators.
@@ -66,7 +66,7 @@
     document(file, calls)
 }
 
-/// Parses the script of a gateway that reads the shared settings from a log of changes.
+/// Parses the script of a gateway that reads the shared settings from a change log.
 ///
 /// The script may define only the settings of the gateway itself. The shared settings are not known yet, so
 /// the returned document holds placeholders for them.
@@ -77,7 +77,7 @@
     check_functions(
         calls,
         &LOCAL_FUNCTIONS,
-        "must be set in the log of changes, which gateway(changes = ...) refers to",
+        "must be set in the change log, which gateway(changes = ...) refers to",
     )?;
     document(file, &[calls, &placeholder_settings()].concat())
 }
--- a/crates/config/src/parse/source.rs
+++ b/crates/config/src/parse/source.rs
@@ -1,4 +1,4 @@
-//! Parses addresses, the identity of a process and the source of the log of changes.
+//! Parses addresses, the identity of a process and the source of the change log.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use super::MAX_NUMBER;
 use crate::{Arguments, ChangeSource, Upstream};
 
-/// The default quorum: one more than the single relay that may report false data.
+/// The default quorum. Two relays must agree, so that a single relay that reports false data is harmless.
 const DEFAULT_QUORUM: u64 = 2;
 
 /// The zone of a process whose script does not set one.
--- a/crates/config/src/script.rs
+++ b/crates/config/src/script.rs
@@ -1,4 +1,4 @@
-//! Evaluates a script with limits on time and memory.
+//! Evaluates a script with limits on its size, steps, call depth and memory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -180,8 +180,8 @@
     builder.build()
 }
 
-/// Evaluates a script with limits on time and memory and returns its calls in order. `file` is the name that
-/// problems refer to.
+/// Evaluates a script with limits on its size, steps, call depth and memory, and returns its calls in order.
+/// `file` is the name that problems refer to.
 ///
 /// # Errors
 /// The first problem: a syntax error, a runtime error or an exceeded limit.
--- a/crates/control-plane/src/coordinator/interface.rs
+++ b/crates/control-plane/src/coordinator/interface.rs
@@ -64,7 +64,7 @@
         /// The order.
         order: Order,
     },
-    /// Send [`Input::TimerExpired`] at this time, which replaces an earlier timer.
+    /// Pass [`Input::TimerExpired`] in at this time. This timer replaces an earlier one.
     SetTimer(Duration),
     /// A later run of the coordinator is active: this run has to terminate, and returns no further outputs.
     Superseded {
--- a/crates/control-plane/src/coordinator/requests.rs
+++ b/crates/control-plane/src/coordinator/requests.rs
@@ -40,7 +40,7 @@
     pub(super) fn on_request(&mut self, connection: ConnectionId, message: &ToList) {
         let response = match *message {
             ToList::Hello { .. } => FromList::Welcome { term: self.state.term },
-            // The list of stores is served by the list service, not by the coordinator.
+            // The endpoint list is served by the list service, not by the coordinator.
             ToList::Watch | ToList::Fetch => FromList::Failed,
             ToList::Lookup { token, volume, extent, min_epoch } => {
                 let lookup = DeferredLookup { connection, token, volume, extent, min_epoch };
@@ -71,8 +71,8 @@
         self.send(connection, response);
     }
 
-    /// Answers a lookup at once if the map is as new as it requires, and defers it otherwise. If too many
-    /// lookups are deferred it fails, and the peer retries later.
+    /// Answers a lookup at once if the map is as new as the lookup requires, and defers it otherwise. If
+    /// [`MAX_DEFERRED_LOOKUPS`] are deferred already, the lookup fails, and the peer retries later.
     fn on_lookup(&mut self, lookup: DeferredLookup) {
         let location = self.state.map.location(lookup.volume, lookup.extent);
         if location.map_or(0, |location| location.epoch) >= lookup.min_epoch {
--- a/crates/control-plane/src/coordinator/running_moves.rs
+++ b/crates/control-plane/src/coordinator/running_moves.rs
@@ -24,8 +24,8 @@
 }
 
 impl Coordinator {
-    /// Logs that a move enters a phase; its orders are sent afterwards. A late reply to an order of the
-    /// previous phase is ignored.
+    /// Logs that a move enters a phase; the orders of the phase are sent afterwards. A late reply to an order
+    /// of the previous phase is ignored.
     pub(super) fn enter_phase(&mut self, number: u64, phase: Phase) {
         self.log(Record::Entered { number, phase });
         self.running.remove(&number);
--- a/crates/control-plane/src/fence.rs
+++ b/crates/control-plane/src/fence.rs
@@ -105,7 +105,7 @@
         Ok(if is_changed { OrderCheck::Apply } else { OrderCheck::Repeated })
     }
 
-    /// Whether no extent of a range is served here, or will be by the present move.
+    /// Whether this store serves no extent of a range, and the present move will not make it serve one.
     pub fn is_closed(&self, range: &ExtentRange) -> bool {
         self.fences_within(range).iter().all(|(_, fence)| fence.state == FenceState::Closed)
     }
@@ -204,8 +204,8 @@
 
     fn after_clear(self, number: u64, epoch: u64) -> Option<Fence> {
         if self.move_number != number {
-            // The range was never prepared for this move. Recording the move's number prevents it from now
-            // on.
+            // The range was never prepared for this move. With the move's number recorded, a delayed prepare
+            // order of the move is rejected from now on.
             return Some(Fence { move_number: number, ..self });
         }
         if self.state == FenceState::Incoming && self.epoch == epoch {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`state`] is the coordinator's durable state and the records that change it.
 //! - [`Coordinator::handle`] combines them. Each step decides, logs, syncs and then acts, and the outputs are
 //!   returned in that order.
-//! - [`relay`] replicates the log of changes.
+//! - [`relay`] replicates the change log.
 
 mod coordinator;
 pub mod fence;
--- a/crates/control-plane/src/relay/downstreams/checkpoint_slots.rs
+++ b/crates/control-plane/src/relay/downstreams/checkpoint_slots.rs
@@ -21,8 +21,8 @@
 
 /// The checkpoint transfers in progress.
 ///
-/// Invariant: at most [`MAX_CHECKPOINT_TRANSFERS`] are in progress. Each further follower is given a time to
-/// retry, which is after the turns of the followers that were rejected before it.
+/// Invariant: at most [`MAX_CHECKPOINT_TRANSFERS`] are in progress. Each further follower is rejected with a
+/// time to retry. Rejected followers get successive turns, and none retries before its turn.
 pub(super) struct CheckpointSlots {
     transfers: BTreeMap<ConnectionId, Transfer>,
     /// Exponentially weighted mean of the durations of recent transfers.
--- a/crates/control-plane/src/relay/downstreams/mod.rs
+++ b/crates/control-plane/src/relay/downstreams/mod.rs
@@ -305,7 +305,7 @@
         self.path = path;
     }
 
-    /// Announces to a follower what this node can serve, unless it was the last announcement already.
+    /// Announces to a follower what this node can serve, unless its last announcement said the same.
     fn announce(&mut self, connection: ConnectionId, context: &mut Context<'_>) {
         let Some(follower) = self.followers.get_mut(&connection) else { return };
         let announcement = Announcement::of(context.suffix);
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -58,7 +58,7 @@
     /// An upstream or follower sent bytes that are not a valid frame in that direction. The node returns
     /// [`Action::Close`].
     Malformed(ConnectionId),
-    /// All changes up to this version, which [`Action::Commit`] named, are in force.
+    /// All changes up to this version are in force; [`Action::Commit`] has been returned for it before.
     Applied(u64),
     /// Sent every [`TICK_INTERVAL`](super::TICK_INTERVAL).
     Tick,
@@ -99,8 +99,8 @@
         frame: FromUpstream,
     },
     /// Replace the state by this one, which is not in force until it is committed. Returned at the start, and
-    /// when the entries that would follow the present state are no longer held by the upstreams. A node that
-    /// reads the folder returns neither this action nor the next two.
+    /// when the upstreams no longer hold the entries after the present state, or too few of them hold these
+    /// entries for a quorum. A node that reads the folder returns neither this action nor the next two.
     LoadCheckpoint {
         /// The position of the checkpoint.
         position: Position,
@@ -109,7 +109,7 @@
     },
     /// Append the next change to the state; it is not in force until it is committed.
     AppendEntry(Entry),
-    /// Put the state in force as it is at this position.
+    /// Put the state in force with all changes up to this position.
     ///
     /// Hazard: a gateway has to make the position durable before it acts on it, and has to pass it to
     /// [`RelayNode::new`](super::RelayNode::new) after a restart.
--- a/crates/control-plane/src/relay/log_suffix.rs
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -20,7 +20,7 @@
     Trimmed,
     /// The position is after the head.
     Ahead,
-    /// The hash at this version is a different one.
+    /// This history has a different hash at the version of the position.
     Fork,
 }
 
@@ -93,7 +93,7 @@
         self.hash_at(position.version).is_some_and(|hash| hash != position.hash)
     }
 
-    /// The entry that comes next after a version.
+    /// The first entry after a version, if it is held.
     pub(super) fn entry_after(&self, version: u64) -> Option<&Entry> {
         let index = version.checked_sub(self.base?.version)?;
         self.entries.get(usize::try_from(index).ok()?)
--- a/crates/control-plane/src/relay/mod.rs
+++ b/crates/control-plane/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Replication of the log of changes from the writer's folder to every gateway, over a tree of relays. A node
+//! Replication of the change log from the writer's folder to every gateway, over a tree of relays. A node
 //! of the tree is a state machine without I/O, clock or unseeded randomness. Relays and gateways are nodes of
 //! the same kind; a gateway has no followers.
 //!
@@ -35,7 +35,7 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// An upstream from which nothing was received for this long, three heartbeats, is disconnected.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A replication source is replaced if it has lacked entries that other upstreams have for this long.
+/// A replication source is replaced if, for this long, it has not sent entries that another upstream has.
 pub const MAX_LAG: Duration = Duration::from_secs(3);
 /// A connection attempt that takes longer than this has failed.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -63,6 +63,6 @@
 /// Maximum number of checkpoints that a node sends at the same time; other followers are told when to retry.
 pub const MAX_CHECKPOINT_TRANSFERS: usize = 8;
 
-/// Bytes of the window that each frame of an entry uses in addition to its part, so that empty frames are
-/// limited too.
+/// Bytes that each entry frame counts against the window in addition to its part, so that the number of empty
+/// frames is limited too.
 const ENTRY_FRAME_OVERHEAD: u32 = 64;
--- a/crates/control-plane/src/relay/progress.rs
+++ b/crates/control-plane/src/relay/progress.rs
@@ -13,13 +13,13 @@
     if has_future_version || summary.lagging.iter().any(|member| member.version > head) {
         Some("a version that is not written yet")
     } else if !is_descending || summary.version_counts.iter().any(|count| count.members == 0) {
-        Some("version counts out of order or zero")
+        Some("version counts out of order, or a count of zero")
     } else if members > u64::from(MAX_MEMBERS) {
-        Some("more members than the maximum of a fleet")
+        Some("more members than a fleet may have")
     } else if role == Role::Gateway && (members > 1 || !summary.lagging.is_empty()) {
         Some("a gateway with members below it")
     } else if summary.lagging.len() as u64 > members {
-        Some("more lagging members than members")
+        Some("more lagging members than members in total")
     } else {
         None
     }
@@ -27,8 +27,8 @@
 
 /// Adds `other` to `sum`.
 ///
-/// Invariant: a sum never overstates how many members have applied a version. Where there are more version
-/// counts than the maximum, the lowest ones are merged under the lowest version.
+/// Invariant: a sum never overstates how many members have applied a version. If there are more than
+/// [`MAX_VERSION_COUNTS`] version counts, the lowest ones are merged under the lowest version.
 pub(super) fn add(sum: &mut ProgressSummary, other: &ProgressSummary) {
     for count in &other.version_counts {
         match sum.version_counts.binary_search_by(|known| count.version.cmp(&known.version)) {
--- a/crates/control-plane/src/relay/relay_node.rs
+++ b/crates/control-plane/src/relay/relay_node.rs
@@ -1,4 +1,4 @@
-//! The node: events in, actions out.
+//! The relay node, a state machine that handles events and returns actions.
 
 use std::time::Duration;
 
@@ -237,7 +237,8 @@
             .is_some_and(|committed| committed.version == position.version && committed.hash != position.hash)
     }
 
-    /// Logs that new followers have to wait for the next checkpoint, once until that checkpoint is held.
+    /// Logs, once for each checkpoint that the log suffix has outgrown, that new followers have to wait for
+    /// the next checkpoint.
     fn log_outgrown_suffix(&mut self, actions: &mut Vec<Action>) {
         let is_outgrown = self.suffix.has_outgrown_checkpoint();
         if is_outgrown && !self.is_suffix_outgrown {
--- a/crates/control-plane/src/relay/upstreams/agreement.rs
+++ b/crates/control-plane/src/relay/upstreams/agreement.rs
@@ -145,8 +145,8 @@
         }
         self.checkpoint_transfer.restart_ahead_wait(context.now);
         self.commit_head(context);
-        // Heads that were reported for versions that were pending until now are compared with the committed
-        // history.
+        // Heads that upstreams reported at versions that were pending until now are compared again, with the
+        // history that is now committed.
         self.compare_heads(context);
     }
 
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -169,9 +169,9 @@
         self.source.is_none() && states.any(|state| state.oldest_version > head.version)
     }
 
-    /// The checkpoint to continue from. It is loaded if no upstream can send the entries after the head
-    /// (`is_needed`), or if no entry has had a quorum for [`MAX_CHECKPOINT_LAG`], since too few of the
-    /// upstreams that report the checkpoint still have the entries.
+    /// The checkpoint ahead of the head to continue from. It is returned only if no upstream can send the
+    /// entries after the head (`is_needed`), or if no entry has had a quorum for [`MAX_CHECKPOINT_LAG`]. That
+    /// happens if too few of the upstreams that report the checkpoint still have the entries.
     fn checkpoint_ahead(
         &mut self,
         head: Option<Position>,
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Starts to fetch a checkpoint if one is needed, or a newer one than the one held is available.
+    /// Starts to fetch a checkpoint if one is needed, or if one newer than the checkpoint held is available.
     pub(super) fn choose_checkpoint(&mut self, context: &mut Context<'_>) {
         if self.checkpoint_transfer.download.is_some() || context.now < self.halted_until {
             return;
--- a/crates/control-plane/src/relay/upstreams/peer.rs
+++ b/crates/control-plane/src/relay/upstreams/peer.rs
@@ -122,7 +122,7 @@
     /// Neither entries nor checkpoints are requested from it before this time while other upstreams have
     /// them.
     pub(super) avoid_until: Duration,
-    /// No checkpoint is requested from it before this time, which it reported itself.
+    /// No checkpoint is requested from it before this time, at which it allowed a retry.
     pub(super) retry_checkpoint_at: Duration,
 }
 
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Disconnects a source that lags behind other upstreams or that they contradict. If its entries only
-    /// lack a quorum, the node connects to all upstreams.
+    /// Disconnects a source that lags behind other upstreams, that they contradict, or that can no longer
+    /// send the next entry. If its entries only lack a quorum, the node connects to all upstreams.
     pub(super) fn review_source(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         let (Some(source), Some(head)) = (&self.source, context.suffix.head()) else { return };
@@ -235,7 +235,8 @@
         others.filter(|session| session.disagrees_at.is_some()).count()
     }
 
-    /// Whether another upstream has been ahead of the entries that the source sent for [`MAX_LAG`].
+    /// Whether another upstream, which is not avoided, has been ahead of the last entry from the source for
+    /// [`MAX_LAG`] without the source making progress.
     fn is_source_behind(&self, source: &ReplicationSource, now: Duration) -> bool {
         self.peers.iter().enumerate().any(|(index, peer)| {
             let ahead_since = peer.state().and_then(|state| state.ahead_since);
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -99,7 +99,7 @@
     #[error("move {0} of a part of the range is not finished: wait for it, or give it up")]
     InProgress(u64),
     /// This shard has no store.
-    #[error("no store serves shard {0}: see the list of stores")]
+    #[error("no store serves shard {0}: check the endpoint list")]
     NoStore(u32),
     /// The maximum number of unfinished moves is reached; the value is their current number.
     #[error("{0} moves are unfinished, which is the maximum: retry when one has finished")]
--- a/crates/control-plane/tests/explore/world/mod.rs
+++ b/crates/control-plane/tests/explore/world/mod.rs
@@ -48,7 +48,7 @@
     pub known_by_gateway: [Location; 2],
     pub ops: [Op; 3],
     pub late_ops: Vec<(usize, Location)>,
-    /// Every location that the map has had, and that a gateway may therefore use.
+    /// Every location that the map has had: a gateway may still use any of them.
     pub known_locations: BTreeSet<Location>,
     /// The location at which the last write was applied.
     pub last_write: Option<Location>,
@@ -239,7 +239,7 @@
 
     pub(crate) fn lookup(&mut self, op: usize) -> Input {
         let Stage::Answered { stale: Some(min_epoch) } = self.ops[op].stage else {
-            unreachable!("only what is stale is looked up");
+            unreachable!("only an op that was rejected as stale leads to a lookup");
         };
         self.ops[op].stage = Stage::LookingUp { min_epoch };
         let message = ToList::Lookup { token: op as u64, volume: VOLUME, extent: EXTENT, min_epoch };
@@ -335,7 +335,7 @@
             Event::Coordinator(event, crash) => outputs = self.on_coordinator_event(*event, *crash),
             Event::CoordinatorCrash => self.crash_coordinator(),
             Event::DeliverOrder { duplicated } => {
-                let sent = self.order.take().expect("an order is on its way");
+                let sent = self.order.take().expect("an order is in transit");
                 let reply = self.deliver(&sent)?;
                 self.replies.push((sent.token, reply));
                 if *duplicated {
--- a/crates/control-plane/tests/relay/lies.rs
+++ b/crates/control-plane/tests/relay/lies.rs
@@ -21,7 +21,7 @@
     Runaway,
     /// Edits the bodies of entries and sends them with their original hashes.
     Edited,
-    /// Edits hashes.
+    /// Edits the hashes of entries and of responses to hash queries.
     Hashes,
     /// Sends heartbeats but no entries.
     Withheld,
--- a/crates/control-plane/tests/relay/main.rs
+++ b/crates/control-plane/tests/relay/main.rs
@@ -169,7 +169,7 @@
         let lies = if seed % 3 == 0 { &[][..] } else { &lies[..] };
         longest = longest.max(run(seed, 2, lies).unwrap_or_else(|trace| panic!("{trace}")));
     }
-    println!("applied at the latest {longest:?} after all but the lying relay was repaired");
+    println!("applied at the latest {longest:?} after all members but the lying relay were repaired");
 }
 
 #[test]
@@ -189,7 +189,7 @@
                 longest.max(run(1000 + seed, 2, &[(liar, lie)]).unwrap_or_else(|trace| panic!("{trace}")));
         }
     }
-    println!("applied at the latest {longest:?} after all but the lying relay was repaired");
+    println!("applied at the latest {longest:?} after all members but the lying relay were repaired");
 }
 
 /// Verifies the checker itself: if the quorum is not larger than the number of lying relays, it finds
--- a/crates/control-plane/tests/relay/network/links.rs
+++ b/crates/control-plane/tests/relay/network/links.rs
@@ -78,8 +78,8 @@
         self.link_ends.insert((id, up_connection), (link_id, Direction::Up));
         self.link_ends.insert((upstream, down_connection), (link_id, Direction::Down));
         self.links.insert(link_id, link);
-        // If the region is cut off, the attempt gets no response. A process that is not running rejects it at
-        // once.
+        // If the region is cut off, the attempt gets no response. If the upstream's process is not running,
+        // the attempt fails after the network delay.
         if !self.is_cut(id, upstream) {
             let ok = self.members[upstream].node.is_some();
             self.push(self.now + self.delay(id, upstream), NetworkEvent::Connect { link_id, ok });
@@ -113,8 +113,8 @@
         let receiver = link.receiver(direction);
         let event = link.frame_event(direction, bytes);
         if self.is_cut(follower, upstream) {
-            // A frame is lost, so that the stream cannot continue; both members detect it by their idle
-            // timeouts.
+            // This frame is lost, and the byte stream cannot continue after a gap. Both members detect the
+            // broken connection by their idle timeouts.
             self.links.remove(&link_id);
             return;
         }
--- a/crates/control-plane/tests/relay/network/members.rs
+++ b/crates/control-plane/tests/relay/network/members.rs
@@ -160,7 +160,7 @@
         (0..self.members.len()).for_each(|id| self.read_folder(id));
     }
 
-    /// Delivers the new content of the folder to a member that reads it.
+    /// Delivers the new content of the folder to a member, if the member reads a folder.
     pub(super) fn read_folder(&mut self, id: Id) {
         let member = &mut self.members[id];
         let Some(folder_cursor) = &mut member.folder_cursor else { return };
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -24,7 +24,7 @@
 
 pub(crate) type Id = usize;
 
-/// The location that a member runs at.
+/// The zone and the region that a member runs in.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub zone: String,
--- a/crates/control-plane/tests/sizes.rs
+++ b/crates/control-plane/tests/sizes.rs
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// The figure in the second cell of the row of the page with this name.
+/// The number in the second cell of the row with this name in docs/CAPACITY.md.
 fn documented_size(name: &str) -> f64 {
     let row = PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
@@ -31,7 +31,7 @@
     state.encode().len() as f64 / extents as f64
 }
 
-/// Postcard encodes numbers with variable length, so the figures are means over many records or ranges.
+/// Postcard encodes numbers with variable length, so the sizes are means over many records or ranges.
 #[test]
 fn claim_and_checkpoint_sizes_match_documentation() {
     let log = postcard::to_stdvec(&claims(10_000)).expect("numbers").len() as f64 / 10_000.0;
--- a/crates/coordinator/src/endpoint_list.rs
+++ b/crates/coordinator/src/endpoint_list.rs
@@ -1,5 +1,4 @@
-//! The endpoint list, which says which store serves which shard. It is watched for as long as the coordinator
-//! runs.
+//! Watches the endpoint list, which says which store serves which shard, for as long as the coordinator runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -24,7 +24,7 @@
     PeerConnected { connection: ConnectionId, messages: mpsc::Sender<FromList> },
     /// A peer's connection has ended.
     PeerDisconnected(ConnectionId),
-    /// A peer has sent a message; its hello is one too.
+    /// A peer has sent a message; this event is also sent for its hello.
     RequestReceived { connection: ConnectionId, message: ToList },
     /// The list service has sent stores: the complete list if `is_complete`, otherwise the changed entries.
     StoresListed { stores: Vec<ListedStore>, is_complete: bool },
--- a/crates/coordinator/src/lease.rs
+++ b/crates/coordinator/src/lease.rs
@@ -27,10 +27,11 @@
 /// Whether a coordinator may take a folder over from another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Takeover {
-    /// It accepts only a folder that no process has locked.
+    /// The coordinator uses only a folder that no process has locked.
     #[default]
     Never,
-    /// It also takes over a folder whose lease has expired, even if a stopped process still holds the lock.
+    /// The coordinator also takes over a folder whose lease has expired, even if a stopped process still
+    /// holds the lock.
     FromStalled,
 }
 
@@ -51,7 +52,7 @@
 /// Writes a lease that begins now, and returns its expiry time, since boot.
 ///
 /// The file is not synced: only processes of this machine read it, within the same boot. After a reboot the
-/// lease counts as expired, whatever the file contains.
+/// lease counts as expired, and the content of the file does not matter.
 fn write_lease(files: &mut Disk) -> io::Result<Duration> {
     let timestamp = current_stamp();
     let expires_at = Duration::from_micros(timestamp.since_boot) + LEASE_DURATION;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The coordinator process: it holds the map of extents and executes moves. This package does the I/O
+//! The coordinator process: it holds the extent map and carries out moves. This package does the I/O
 //! (sockets, log, clock); [`umbertray_control_plane::Coordinator`] decides which responses and orders are
 //! sent.
 //!
-//! One task owns the core (`event_loop`), one task serves each peer's connection (`peers`), one follows the
+//! One task owns the core (`event_loop`), one task serves each peer's connection (`peers`), one watches the
 //! endpoint list (`endpoint_list`), and one runs each connection to a store (`store_connection`).
 //!
 //! Invariant: log records are durable before any message that depends on them is sent (`log`), and nothing is
@@ -49,7 +49,7 @@
     /// The term of this run.
     pub term: u64,
     event_loop: JoinHandle<Result<(), CoordinatorError>>,
-    /// The tasks that accept peers and follow the endpoint list.
+    /// The tasks that accept peers and watch the endpoint list.
     _background_tasks: JoinSet<()>,
 }
 
--- a/crates/coordinator/src/log.rs
+++ b/crates/coordinator/src/log.rs
@@ -1,4 +1,4 @@
-//! The coordinator's log: records of the map in a hash chain, as the configuration's log uses one.
+//! The coordinator's log: records of the extent map in a hash chain, a form that the change log uses too.
 
 use std::collections::VecDeque;
 use std::io;
@@ -46,8 +46,8 @@
         let recovered = chain.recover(|| (state.encode(), VecDeque::new()));
         recovered.map_err(|error| log_error(ChainError::Disk(error)))?;
         renew_lease()?;
-        // Each run begins a separate segment: a previous coordinator that was taken over from and still
-        // writes, writes to the segment before it.
+        // Each run begins a separate segment. If the previous coordinator still writes after the takeover, it
+        // writes to an earlier segment.
         let new_segment = chain.roll(state.encode(), VecDeque::new());
         new_segment.map_err(|error| log_error(ChainError::Disk(error)))?;
         renew_lease()?;
--- a/crates/coordinator/src/store_connection.rs
+++ b/crates/coordinator/src/store_connection.rs
@@ -13,8 +13,8 @@
 use crate::framed_socket::FramedSocket;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// An order without a reply within this time has failed. Its connection is closed, because bytes that are
-/// still in transit on it must not be waited for.
+/// An order without a reply within this time has failed. Its connection is closed, so that the next order
+/// does not wait for bytes that are still in transit on it.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An order to a store, with the fields of its frame.
--- a/crates/fakes/shim/faults.c
+++ b/crates/fakes/shim/faults.c
@@ -47,7 +47,7 @@
     return x ^ (x >> 31);
 }
 
-/* True at random for so many calls in a thousand. */
+/* Returns true at random, at a rate of `permille` per thousand calls. */
 static int occurs(unsigned permille) { return permille && next_random() % 1000 < permille; }
 
 static int is_tcp(int fd) {
--- a/crates/fakes/src/client/mod.rs
+++ b/crates/fakes/src/client/mod.rs
@@ -63,7 +63,7 @@
 /// Lists the names of a server's exports.
 ///
 /// # Errors
-/// Fails when the connection fails, the negotiation is malformed, or the server does not list its exports.
+/// The connection fails, the negotiation is malformed, or the server does not list its exports.
 pub async fn export_names(address: SocketAddr) -> io::Result<Vec<String>> {
     match negotiate(address, Negotiation::List).await?.3 {
         ClientEvent::Names(names) => Ok(names),
@@ -76,8 +76,7 @@
     /// `structured_replies` is set.
     ///
     /// # Errors
-    /// Fails when the connection fails, the negotiation is malformed, or the server does not offer the
-    /// export.
+    /// The connection fails, the negotiation is malformed, or the server does not offer the export.
     pub async fn open(address: SocketAddr, name: &str, structured_replies: bool) -> io::Result<Connection> {
         let negotiation = Negotiation::Export { name: name.into(), structured_replies };
         let (stream, client, input, event) = negotiate(address, negotiation).await?;
--- a/crates/fakes/src/disk/mod.rs
+++ b/crates/fakes/src/disk/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// The outcome of an attempt whose epoch is not the current one of its range; `None` if the attempt may
-    /// run. A flush addresses no range.
+    /// run. A flush addresses no range, so it always may.
     fn check_epoch(&self, attempt: &Attempt) -> Option<Applied> {
         if attempt.kind == OperationKind::Flush {
             return None;
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A cluster of scripted stores with their list service, which a test can start, kill, replace and list.
+//! A cluster of scripted stores and their list service. A test can start, kill, replace and list the stores.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -37,7 +37,7 @@
     /// Starts `count` warm stores, each with its own shard, and lists them.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     pub async fn start(count: u32, performance: StorePerformance, seed: u64) -> io::Result<Fleet> {
         let mut fleet = Fleet {
             list: list::start(any_port()).await?,
@@ -58,7 +58,7 @@
     /// Starts and lists a new store of a shard, and returns its id.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     ///
     /// # Panics
     /// If the fleet was started without this shard.
@@ -120,7 +120,7 @@
     /// Restarts a killed store, cold and if possible at its previous address, and updates the list.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     pub async fn restart(&mut self, identity: Identity) -> io::Result<()> {
         let id = identity.store;
         let address = self.addresses.get(&id).copied().unwrap_or_else(any_port);
--- a/crates/fakes/src/list/mod.rs
+++ b/crates/fakes/src/list/mod.rs
@@ -56,7 +56,7 @@
 /// Starts the service on `address`.
 ///
 /// # Errors
-/// Fails when the address cannot be bound.
+/// The address cannot be bound.
 pub async fn start(address: SocketAddr) -> io::Result<Running> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
--- a/crates/fakes/src/model/settings.rs
+++ b/crates/fakes/src/model/settings.rs
@@ -20,10 +20,10 @@
     /// Seconds until a cold store has reached its full speed.
     #[serde(rename = "cold_s")]
     pub warm_up_seconds: f64,
-    /// A cold store crashes when more work arrives than this multiple of its current speed.
+    /// A cold store crashes when work arrives faster than this multiple of its current speed.
     #[serde(rename = "fall_multiple")]
     pub crash_multiple: f64,
-    /// Time over which the arriving work is summed for that, in seconds.
+    /// Time over which arriving work is summed to decide on such a crash, in seconds.
     #[serde(rename = "fall_s")]
     pub crash_window_seconds: f64,
     /// Fraction of its work that an attempt saves if its extent is among the most recent ones.
--- a/crates/fakes/src/platform/discovery.rs
+++ b/crates/fakes/src/platform/discovery.rs
@@ -57,7 +57,7 @@
     /// Starts a discovery service without entries on a loopback port.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     pub async fn start() -> io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -75,7 +75,7 @@
     /// connections, and the request.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     pub async fn start(
         script: impl Fn(usize, &Request) -> StoreAction + Send + Sync + 'static,
     ) -> io::Result<Store> {
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/proxy.rs
@@ -70,7 +70,7 @@
     /// reset.
     ///
     /// # Errors
-    /// Fails when no port can be bound.
+    /// No port can be bound.
     pub async fn start(upstream: Option<SocketAddr>, tap: Option<Tap>) -> io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/crates/fakes/src/shim.rs
+++ b/crates/fakes/src/shim.rs
@@ -22,7 +22,7 @@
     pub transient: u32,
     /// Delay that is added to `fsync` and `fdatasync`, in milliseconds.
     pub sync_delay_ms: u32,
-    /// Every how many calls of `fsync` and `fdatasync` the delay is added; 0 for never.
+    /// The delay is added to one in this many calls of `fsync` and `fdatasync`; 0 for none.
     pub sync_every: u32,
 }
 
@@ -42,7 +42,7 @@
 /// Compiles the library into a folder and returns its path.
 ///
 /// # Errors
-/// Fails when the source cannot be written, or the compiler is missing or fails.
+/// The source cannot be written, or the compiler is missing or fails.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let (source, library) = (folder.join("faults.c"), folder.join("libfaults.so"));
     std::fs::write(&source, SOURCE)?;
--- a/crates/fakes/src/store/mod.rs
+++ b/crates/fakes/src/store/mod.rs
@@ -106,7 +106,7 @@
 /// Starts a store at `address`; with port 0 the system chooses the port.
 ///
 /// # Errors
-/// Fails when the address cannot be bound.
+/// The address cannot be bound.
 pub async fn start(identity: Identity, address: SocketAddr, cold: bool) -> io::Result<Running> {
     let listener = bind(address).await?;
     let address = listener.local_addr()?;
--- a/crates/fakes/src/test_folder.rs
+++ b/crates/fakes/src/test_folder.rs
@@ -13,7 +13,7 @@
     /// Creates an empty folder in `parent`, whose name ends with this process's id.
     ///
     /// # Errors
-    /// Fails when the folder cannot be created.
+    /// The folder cannot be created.
     pub fn create(parent: &str, name: &str) -> io::Result<TestFolder> {
         let folder = Path::new(parent).join(format!("{name}-{}", std::process::id()));
         // An earlier process with the same id may have left its folder behind.
--- a/crates/fault-tests/src/coordinator.rs
+++ b/crates/fault-tests/src/coordinator.rs
@@ -35,7 +35,7 @@
     /// Starts a coordinator with `program`; its log and script are in `folder`.
     ///
     /// # Errors
-    /// Fails when the process cannot be started, or does not report its address in time.
+    /// The process cannot be started, or does not report its address in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -55,7 +55,7 @@
     /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// Fails when the process cannot be killed.
+    /// The process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.process.kill().await
     }
@@ -75,7 +75,7 @@
     /// process, which the caller can resume.
     ///
     /// # Errors
-    /// Fails when no second coordinator could take over in time.
+    /// No second coordinator could take over in time.
     pub async fn take_over(&mut self) -> io::Result<Process> {
         self.process.signal(Signal::SIGSTOP)?;
         let deadline = tokio::time::Instant::now() + TAKEOVER_TIMEOUT;
@@ -98,7 +98,7 @@
     /// Sends a signal.
     ///
     /// # Errors
-    /// Fails when the process has ended.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         self.process.signal(signal)
     }
@@ -106,7 +106,7 @@
     /// Requests a move of a range to a shard. Returns the move's number, or the reason why it was rejected.
     ///
     /// # Errors
-    /// Fails when the coordinator does not respond.
+    /// The coordinator does not respond.
     pub async fn request_move(&self, range: ExtentRange, shard: u32) -> io::Result<Result<u64, String>> {
         match client::request_move(self.address, range, shard).await {
             Ok(number) => Ok(Ok(number)),
@@ -119,7 +119,7 @@
     /// it still can be.
     ///
     /// # Errors
-    /// Fails when the coordinator does not respond.
+    /// The coordinator does not respond.
     pub async fn move_status(&self, number: u64, give_up: bool) -> io::Result<(String, bool)> {
         client::move_status(self.address, number, give_up).await.map_err(io::Error::other)
     }
@@ -127,7 +127,7 @@
     /// Waits until a move has finished, for `timeout` at most; returns its final status.
     ///
     /// # Errors
-    /// Fails when the move has not finished at the deadline, or the coordinator does not respond by then.
+    /// The move has not finished at the deadline, or the coordinator does not respond by then.
     pub async fn await_move(&self, number: u64, timeout: Duration) -> io::Result<String> {
         await_move(self.address, number, timeout).await
     }
--- a/crates/fault-tests/src/judge/mod.rs
+++ b/crates/fault-tests/src/judge/mod.rs
@@ -62,8 +62,7 @@
     pub service: Service,
     /// Steps of faults that began later than planned by more than the scenario's slack.
     pub late_steps: Vec<LateStep>,
-    /// Periods in which the test itself was held up. Findings of timed rules in these periods are less
-    /// certain.
+    /// Pauses of the test process. Findings of timed rules during a pause are less certain.
     pub held_up: Vec<HeldUp>,
 }
 
--- a/crates/fault-tests/src/judge/rules.rs
+++ b/crates/fault-tests/src/judge/rules.rs
@@ -1,5 +1,5 @@
-//! The seven rules, each checked against the complete record. Rule names and findings call an attempt a
-//! dispatch.
+//! The seven rules, each checked against the complete record. The name of rule 6 and the units of the verdict
+//! call an attempt a dispatch.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -44,7 +44,7 @@
     pub gateways_by_run: HashMap<u64, usize>,
 }
 
-/// A breach of a plan's limit lists the events of this time before it, in microseconds.
+/// Time before a breach of a plan's limit whose events the breach's text lists, in microseconds.
 const LIMIT_CONTEXT_MICROS: u64 = 1_000_000;
 
 pub(crate) fn micros(duration: std::time::Duration) -> u64 {
@@ -161,7 +161,7 @@
             finding.breach(|| {
                 let Attempt { number, at, .. } = attempt;
                 format!(
-                    "dispatch {number} reached its store at {at} us, after the final response: {request:?}"
+                    "attempt {number} reached its store at {at} us, after the final response: {request:?}"
                 )
             });
         }
@@ -195,7 +195,7 @@
         };
         let unproven = dispatches.iter().filter(|attempt| !proven(attempt)).count();
         if unproven > 1 {
-            finding.breach(|| format!("once-only write {mark}: {unproven} dispatches may have run"));
+            finding.breach(|| format!("once-only write {mark}: {unproven} attempts may have run"));
         }
         if request.outcome == Outcome::Throttled && unproven > 0 {
             finding.breach(|| format!("once-only write {mark} may have run and was throttled"));
@@ -236,7 +236,7 @@
                         gateway.map(|gateway| concurrent_events(indexed.record, gateway, from, attempt.at));
                     let events = events.unwrap_or_default();
                     format!(
-                        "dispatch {} reached store {store} {} ms after its drain was announced; {events}",
+                        "attempt {} reached store {store} {} ms after its drain was announced; {events}",
                         attempt.number,
                         after / 1000
                     )
@@ -312,8 +312,8 @@
         for other in earlier.iter().filter(|other| other.op != attempt.op) {
             finding.cases_checked += 1;
             // A store records its response before sending it, so an attempt with a recorded response was no
-            // longer pending, unless the response was lost on the way; in that case the pause has passed as
-            // well.
+            // longer pending, unless the response was lost on the way; in that case the order pause has
+            // passed as well.
             if other.response.as_ref().is_some_and(|(at, _)| *at <= attempt.at) {
                 continue;
             }
@@ -323,7 +323,7 @@
                 let (a, b) = (attempt.number, other.number);
                 finding.breach(|| {
                     format!(
-                        "dispatch {a} of run {} arrived while {b} of the same key was pending",
+                        "attempt {a} of run {} arrived while {b} of the same key was pending",
                         attempt.run
                     )
                 });
@@ -356,8 +356,8 @@
             finding.cases_checked += 1;
             let from = at.saturating_sub(window);
             let made = times[..=i].iter().filter(|time| **time >= from).count() as f64;
-            // The operations that a gateway received within the window were sent by its clients in that time.
-            // The slack can only add requests, so the allowed number is never too low.
+            // A gateway received the ops of a window from its clients within that window. The slack before
+            // it can only add requests, so the allowed number is never too low.
             let received = indexed.record.client_requests.iter().filter(|request| {
                 request.gateway == *gateway
                     && (from.saturating_sub(indexed.slack)..=*at).contains(&request.sent)
@@ -366,9 +366,8 @@
             let allowed = rule.reserve + rule.ratio * received as f64;
             finding.record_max(made / allowed.max(f64::MIN_POSITIVE));
             if made > allowed {
-                finding.breach(|| {
-                    format!("run {run}: {made} further dispatches where {allowed:.1} are allowed")
-                });
+                finding
+                    .breach(|| format!("run {run}: {made} further attempts where {allowed:.1} are allowed"));
             }
         }
     }
--- a/crates/fault-tests/src/judge/service.rs
+++ b/crates/fault-tests/src/judge/service.rs
@@ -44,8 +44,8 @@
     /// Requests in those seconds to gateways that had not been killed recently.
     pub others_then: Count,
     /// For each return of a gateway, the time in microseconds until its service, counted in steps of half a
-    /// second, first matched that of the other gateways, or its own before the kill where there are no
-    /// others. Absent where that did not happen within the ten seconds.
+    /// second, first matched that of the other gateways, or its own before the kill if there are no others.
+    /// `None` if that did not happen within the ten seconds.
     pub recovered: Vec<Option<u64>>,
     /// Requests by second of the scenario.
     pub by_second: BTreeMap<u64, Count>,
--- a/crates/fault-tests/src/load.rs
+++ b/crates/fault-tests/src/load.rs
@@ -97,8 +97,8 @@
     bytes
 }
 
-/// Mark of the write that left this content in a block, 0 for zeros. Absent where no single write can have
-/// left it.
+/// Mark of the write that left this content in a block, 0 for zeros. `None` if no single write can have left
+/// it.
 pub fn block_mark(bytes: &[u8], block: u64) -> Option<u64> {
     let mark = u64::from_be_bytes(*bytes.first_chunk()?);
     let is_complete =
@@ -279,7 +279,7 @@
     if kind != RequestKind::Read || outcome != Outcome::Acked {
         return (outcome, Vec::new());
     }
-    // Nothing is found in a reply that does not cover the requested range: its blocks count as torn.
+    // If the reply does not cover the requested range, all its blocks count as torn.
     let bytes: Bytes =
         reply.bytes(block * u64::from(BLOCK_BYTES), blocks * BLOCK_BYTES).unwrap_or_default().into();
     let found = (0..blocks).map(|i| {
--- a/crates/fault-tests/src/process.rs
+++ b/crates/fault-tests/src/process.rs
@@ -25,7 +25,7 @@
     /// Returns the process and its startup line, a JSON object.
     ///
     /// # Errors
-    /// Fails when the process cannot be started, or does not print its startup line in time.
+    /// The process cannot be started, or does not print its startup line in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -75,13 +75,13 @@
     /// Sends a signal.
     ///
     /// # Errors
-    /// Fails when the process has ended.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         let id = self.child.id().ok_or(io::ErrorKind::NotFound)?;
         kill(Pid::from_raw(id as i32), signal).map_err(io::Error::from)
     }
 
-    /// Process id; absent once the process has ended.
+    /// Process id; `None` once the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
@@ -89,7 +89,7 @@
     /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// Fails when the process cannot be killed.
+    /// The process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
@@ -98,7 +98,7 @@
     /// success.
     ///
     /// # Errors
-    /// Fails when the process does not exit within `timeout`.
+    /// The process does not exit within `timeout`.
     pub async fn stop(mut self, timeout: Duration) -> io::Result<(Duration, bool)> {
         let began = std::time::Instant::now();
         self.signal(Signal::SIGTERM)?;
@@ -115,7 +115,7 @@
     /// Waits for the exit. Returns whether the exit status was success.
     ///
     /// # Errors
-    /// Fails when the process does not exit within `timeout`.
+    /// The process does not exit within `timeout`.
     pub async fn await_exit(&mut self, timeout: Duration) -> io::Result<bool> {
         Ok(tokio::time::timeout(timeout, self.child.wait()).await??.success())
     }
@@ -160,12 +160,12 @@
     /// Sends a signal.
     ///
     /// # Errors
-    /// Fails when the process has ended.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         self.process.signal(signal)
     }
 
-    /// Process id; absent once the process has ended.
+    /// Process id; `None` once the process has ended.
     pub fn id(&self) -> Option<u32> {
         self.process.id()
     }
@@ -173,7 +173,7 @@
     /// Kills it with SIGKILL, as a crash would end it.
     ///
     /// # Errors
-    /// Fails when the process cannot be killed.
+    /// The process cannot be killed.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.process.kill().await
     }
@@ -182,7 +182,7 @@
     /// success.
     ///
     /// # Errors
-    /// Fails when the process does not exit within `timeout`.
+    /// The process does not exit within `timeout`.
     pub async fn stop(self, timeout: Duration) -> io::Result<(Duration, bool)> {
         self.process.stop(timeout).await
     }
--- a/crates/fault-tests/src/record.rs
+++ b/crates/fault-tests/src/record.rs
@@ -133,7 +133,7 @@
     },
 }
 
-/// A period in which the test process itself was held up: actions and measurements of that period are late.
+/// A pause of the test process, in which the system did not run it: its actions and measurements are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldUp {
     /// Start, in microseconds since the record began.
@@ -167,7 +167,7 @@
     /// Replies that matched no pending request, and bytes that were not valid replies.
     #[serde(rename = "strays")]
     pub unmatched_replies: Vec<String>,
-    /// Periods in which the test process itself was held up.
+    /// Pauses of the test process.
     pub held_up: Vec<HeldUp>,
     /// Steps of faults that began late.
     pub late_steps: Vec<LateStep>,
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -29,7 +29,8 @@
 const AGEING_STEPS: u32 = 4;
 /// Waves in which preempted stores are replaced, spread evenly over the fault's duration.
 const PREEMPT_STEPS: u32 = 4;
-/// Values that vary the seed of a restarted gateway that keeps no state.
+/// Range from which a number is drawn that changes the seed of a restarted gateway if it keeps no state. 0 is
+/// the number of the first start.
 const START_SEEDS: std::ops::Range<u64> = 1..256;
 
 /// The task of one fault, with its random number generator.
@@ -409,7 +410,7 @@
     }
 }
 
-/// Fault of the store model that implements a scripted fault.
+/// The fault of the store model by which a scripted fault of stores is injected; none for other kinds.
 fn store_fault(fault: &ScriptedFault) -> model::Fault {
     let share = fault.magnitude.clamp(0.0, 1.0);
     let none = model::Fault::default();
--- a/crates/fault-tests/src/scenario/mod.rs
+++ b/crates/fault-tests/src/scenario/mod.rs
@@ -34,7 +34,7 @@
 /// Runs a scenario with gateways of `program`; their settings and logs are in `folder`.
 ///
 /// # Errors
-/// Fails when a process does not start or exits with an error, or when a move does not finish.
+/// A process does not start or exits with an error, or a move does not finish.
 pub async fn run_scenario(
     scenario: &Scenario,
     seed: u64,
--- a/crates/fault-tests/src/scenario/pause_detector.rs
+++ b/crates/fault-tests/src/scenario/pause_detector.rs
@@ -1,5 +1,5 @@
-//! Detects periods in which this process itself was held up; its measurements of such a period are late by as
-//! much.
+//! Detects pauses of this process, in which the system did not run it: its measurements are late by the
+//! length of the pause.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Lateness of a timer, in microseconds, beyond which it is recorded.
 const MIN_LATENESS_MICROS: u64 = 20_000;
 
-/// Records the periods by which a timer of this process fired late. Never returns.
+/// Records a pause whenever a timer of this process fires late. Never returns.
 pub(super) async fn record_pauses(context: Arc<ClientContext>) {
     let interval = TIMER_INTERVAL.as_micros() as u64;
     let mut last = context.store_record.now();
--- a/crates/fault-tests/src/script.rs
+++ b/crates/fault-tests/src/script.rs
@@ -177,7 +177,7 @@
     /// Reads a script; `file` names it in error messages.
     ///
     /// # Errors
-    /// Returns all problems found in the script.
+    /// All problems with the script.
     pub fn read(file: &str, text: String) -> Result<Scenario, Vec<Problem>> {
         let calls = umbertray_config::evaluate(file, text.clone()).map_err(|problem| vec![problem])?;
         let mut document = umbertray_config::document(file, &calls)?;
--- a/crates/fault-tests/src/soak/client.rs
+++ b/crates/fault-tests/src/soak/client.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// The next complete response; absent when the connection has ended or the response is malformed.
+/// The next complete response; `None` if the connection has ended or the response is malformed.
 async fn read_response(kept: &mut KeptConnection) -> Option<Response> {
     loop {
         if let Some(response) = kept.responses.response().ok()? {
--- a/crates/fault-tests/src/soak/oracle.rs
+++ b/crates/fault-tests/src/soak/oracle.rs
@@ -1,5 +1,5 @@
 //! Finds the rules that a soak broke, using the record alone. Counted rules hold however slow the machine is.
-//! Timed rules are not checked for periods in which this test itself was held up.
+//! Timed rules are not checked during pauses of the test process.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -13,25 +13,26 @@
     Duration::from_millis(ms)
 }
 
-/// Time within which a client that stopped in the middle of a request must get an error or a close, from the
-/// standing page.
+/// Time within which a client that stopped in the middle of a request must get an error or a close. From the
+/// operators' standing page, "More than these days".
 const BAD_CLIENT_LIMIT: Duration = ms(3000);
 /// No attempt may begin later than this after its client has closed the connection, from the operators'
 /// terms.
 const CANCEL_LIMIT: Duration = ms(100);
 /// Slack of the time left that an attempt sends to its store, from the operators' terms.
 const TIME_LEFT_SLACK: Duration = ms(150);
-/// Slack of the final response, from the standing page: a request with a later response is lost.
+/// Slack of the final response: a request with a later response counts as lost. From the operators' standing
+/// page, "Hundreds of gateways".
 const RESPONSE_SLACK: Duration = ms(500);
-/// Slack added to every limit, from the protocol page.
+/// Slack added to every limit, from the operators' protocol page.
 const LIMIT_SLACK: Duration = ms(50);
 /// The drain grace in the soak's settings.
 pub const DRAIN_GRACE: Duration = ms(1000);
 /// A gateway counts as notified of a change this long after discovery had it, even if it was cut off from
 /// discovery.
 const MAX_NOTIFICATION_DELAY: Duration = ms(6000);
-/// From the protocol page: a request that arrives later than this after SIGTERM is lost if SIGKILL finds it
-/// without a response.
+/// A request that arrives later than this after SIGTERM is lost if it has no response at SIGKILL. From the
+/// operators' protocol page.
 const LATE_AFTER_TERM: Duration = ms(700);
 /// A connection that ended less than this before SIGKILL counts as ended by it.
 const KILL_SLACK: Duration = ms(5);
@@ -60,7 +61,8 @@
     ToldTime,
     /// A client that stopped in the middle of a request had no error and no close in time. Timed.
     BadClient,
-    /// A process exited unexpectedly, did not start, or panicked.
+    /// A process exited unexpectedly, did not start, was not ready in time after a restart, or logged a
+    /// panic, or a close or exit with a response pending.
     Crash,
     /// A process did not exit in time after SIGTERM, or exited with an error.
     Exit,
@@ -69,7 +71,7 @@
 }
 
 impl Rule {
-    /// Whether the verdict depends on times, and so on a machine that keeps up with the load.
+    /// Whether the rule depends on times, so that its findings count only on a machine that keeps up.
     pub fn is_timed(self) -> bool {
         matches!(self, Rule::Late | Rule::Drain | Rule::AfterCancel | Rule::ToldTime | Rule::BadClient)
     }
@@ -149,7 +151,7 @@
         })
     }
 
-    /// Whether this test itself was held up between two times, for longer than half of its slack.
+    /// Whether the test process paused between two times for longer than half of its slack.
     fn test_was_held_up(&self, from: Duration, to: Duration) -> bool {
         self.record
             .held_up
@@ -262,8 +264,7 @@
         let cut_off = |from, to| {
             self.was_disturbed(attempt.gateway, &[Disturbance::Discovery, Disturbance::Clients], from, to)
         };
-        // A gateway that is cut off cannot be notified; the change counts as notified after the longest
-        // delay.
+        // A gateway that is cut off cannot be notified; it counts as notified after the longest delay.
         let notified = if cut_off(drained.from.saturating_sub(MAX_NOTIFICATION_DELAY), attempt.at) {
             drained.from + MAX_NOTIFICATION_DELAY
         } else {
@@ -304,9 +305,9 @@
                 Some(_) if exit.success => {}
                 None if was_disturbed => {}
                 // A gateway responds by 0.49 s after the longest deadline, and closes the remaining
-                // connections within another 0.105 s and D/3. Held up for 0.15 s, it may still be doing that
-                // at SIGKILL. Requests that SIGKILL finds without a response are judged by the rules for
-                // requests.
+                // connections within another 0.105 s and a third of that deadline. After a stall of 0.15 s it
+                // may still be doing that at SIGKILL. Requests without a response at SIGKILL are judged by
+                // the rules for requests.
                 None if exit.held_up => {}
                 None => {
                     let description =
--- a/crates/fault-tests/src/soak/plan.rs
+++ b/crates/fault-tests/src/soak/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a soak. It is drawn from the seed alone, so that the seed, the number of gateways and the
-//! duration replay it.
+//! The plan of a soak. Its only random source is the seed, so that the seed, the number of gateways and the
+//! duration are enough to replay it.
 
 use std::fmt;
 use std::time::Duration;
--- a/crates/fault-tests/src/soak/process.rs
+++ b/crates/fault-tests/src/soak/process.rs
@@ -89,7 +89,7 @@
     /// Starts a process with the configuration of this number.
     ///
     /// # Errors
-    /// Fails when the process cannot be started, or does not report its address in time.
+    /// The process cannot be started, or does not report its address in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -126,7 +126,7 @@
     /// Replaces the configuration file. The process reads it at the next SIGHUP.
     ///
     /// # Errors
-    /// Fails when the file cannot be written.
+    /// The file cannot be written.
     pub fn configure(&self, text: &str) -> io::Result<()> {
         std::fs::write(&self.config, text)
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Waits for the exit. Returns whether the exit status was success, or nothing after the timeout.
+    /// Waits for the exit. Returns whether the exit status was success, or `None` after the timeout.
     pub async fn await_exit(&mut self, timeout: Duration) -> Option<bool> {
         let status = tokio::time::timeout(timeout, self.child.wait()).await.ok()?;
         Some(status.is_ok_and(|status| status.success()))
@@ -154,8 +154,8 @@
         self.child.try_wait().ok().flatten().map(|status| status.to_string())
     }
 
-    /// The first few log lines that report a panic or a violated rule of order: a connection closed, or the
-    /// process exited, with a response pending.
+    /// The first few log lines that report a panic, or that a connection was closed or the process exited
+    /// while a response was pending.
     pub fn error_lines(&self) -> Vec<String> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let is_error = |line: &&str| line.contains("panicked at") || line.contains("owing_response");
--- a/crates/fault-tests/src/soak/record.rs
+++ b/crates/fault-tests/src/soak/record.rs
@@ -144,7 +144,7 @@
     pub kill_after: Duration,
     /// Whether it was stalled around SIGTERM, for no longer than a gateway must tolerate.
     pub held_up: bool,
-    /// When it exited; absent if it had not by the time of SIGKILL.
+    /// When it exited; `None` if it had not by the time of SIGKILL.
     pub ended_at: Option<Duration>,
     /// Whether the exit status was success.
     pub success: bool,
@@ -167,11 +167,12 @@
     pub windows: Vec<DisturbanceWindow>,
     /// Exits of processes after SIGTERM.
     pub exits: Vec<Exit>,
-    /// Processes that failed to start or exited unexpectedly, and error lines in their logs.
+    /// Processes that failed to start or to become ready, or exited unexpectedly, and error lines in their
+    /// logs.
     pub crashes: Vec<String>,
     /// Gateways that served no request after the last fault.
     pub unresponsive: Vec<u32>,
-    /// Times at which this test itself had been held up, and for how long.
+    /// Pauses of the test process: when each was detected, and how long it was.
     pub held_up: Vec<(Duration, Duration)>,
 }
 
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -41,7 +41,7 @@
 const MAX_TOLERATED_STALL: Duration = Duration::from_millis(150);
 /// Time after a longer stall, or after a crowd, in which a gateway may still disturb its clients.
 const RECOVERY_TIME: Duration = Duration::from_millis(300);
-/// Interval of the timer that detects when this test itself is held up.
+/// Interval of the timer that detects pauses of the test process.
 const TIMER_INTERVAL: Duration = Duration::from_millis(5);
 /// Time that a store works on a request.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
@@ -108,7 +108,7 @@
 /// Runs a plan with this program; configurations and logs are written to the folder.
 ///
 /// # Errors
-/// Fails when a process does not start or is not ready in time, or when the shim cannot be built.
+/// A process does not start or is not ready in time, or the shim cannot be built.
 pub async fn run(plan: &Plan, program: &Path, folder: &Path) -> io::Result<Record> {
     let record = Arc::new(SharedRecord::start());
     let testbed = Arc::new(Testbed::start(plan, program, folder, record.clone()).await?);
@@ -148,7 +148,7 @@
     .await;
 }
 
-/// Records when this test itself was held up, until the soak has finished.
+/// Records pauses of the test process, until the soak has finished.
 async fn record_pauses(record: Arc<SharedRecord>, finished: watch::Receiver<bool>) {
     let mut last = record.now();
     while !*finished.borrow() {
@@ -353,8 +353,8 @@
         sleep(duration).await;
         process.signal(Signal::SIGCONT);
         let stalled = self.record.now().saturating_sub(from);
-        // Keeps the process locked: two stalls in close succession are one that is longer than a gateway must
-        // tolerate.
+        // Keeps the process locked, since two stalls in close succession have the effect of a single one that
+        // is longer than a gateway must tolerate.
         sleep(RECOVERY_TIME).await;
         drop(process);
         if stalled > MAX_TOLERATED_STALL {
--- a/crates/fault-tests/src/soak/testbed/terminations.rs
+++ b/crates/fault-tests/src/soak/testbed/terminations.rs
@@ -13,8 +13,8 @@
 use crate::soak::process::{Process, is_valid, longest_deadline, reconfiguration};
 use crate::soak::record::{Disturbance, Exit};
 
-/// Time from SIGTERM to SIGKILL beyond the longest deadline, from the protocol page. The deadline counts as
-/// [`MAX_COUNTED_DEADLINE`] at most.
+/// SIGKILL follows SIGTERM no sooner than the longest deadline, which counts as [`MAX_COUNTED_DEADLINE`] at
+/// most, plus this margin. From the operators' protocol page, "Figures".
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Longest deadline that SIGKILL waits for.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
--- a/crates/http-api/src/active_settings.rs
+++ b/crates/http-api/src/active_settings.rs
@@ -28,7 +28,7 @@
 #[error("settings: {0}")]
 pub struct StartError(#[from] SettingsError);
 
-/// Parsed settings that the scheduler accepts.
+/// The settings in force. The scheduler has accepted them.
 ///
 /// Invariant: each operation type and plan in `settings` has the position that earlier settings assigned to
 /// its name.
@@ -61,7 +61,7 @@
         ActiveSettings::new(&stable_positions::with_stable_positions(&self.settings, settings))
     }
 
-    /// The settings for the scheduler, whose drain grace is reduced to the part in which attempts may begin.
+    /// The settings for the scheduler. Their drain grace is reduced to the part in which attempts may begin.
     ///
     /// Hazard: an attempt that the scheduler decides on after the usable grace is denied at its first byte,
     /// and the scheduler would decide on it again and again.
--- a/crates/http-api/src/core.rs
+++ b/crates/http-api/src/core.rs
@@ -100,7 +100,7 @@
         self.pending.open()
     }
 
-    /// Latest time at which [`Input::TimerExpired`] is due.
+    /// When the earliest timer expires; [`Input::TimerExpired`] is due then. `None` if no timer is set.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.first().map(|(at, _)| *at)
     }
--- a/crates/http-api/src/endpoint_list.rs
+++ b/crates/http-api/src/endpoint_list.rs
@@ -179,7 +179,7 @@
 /// One event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// No changes.
+    /// A blank line: the watch is alive, and there are no changes.
     Heartbeat,
     /// A complete list, or changes to it.
     List(EndpointList),
--- a/crates/http-api/src/messages.rs
+++ b/crates/http-api/src/messages.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Something that happened. Times are since the Unix epoch, on the gateway's clock.
+/// An input of the core. Times are since the Unix epoch, on the gateway's clock.
 #[derive(Debug)]
 pub enum Input {
     /// A client's request was read completely and validated.
--- a/crates/http-api/src/outcomes.rs
+++ b/crates/http-api/src/outcomes.rs
@@ -34,7 +34,7 @@
     !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected | Outcome::NotSent)
 }
 
-/// The reason that a retry after this attempt would have; `None` if the attempt succeeded.
+/// The reason for retrying after an attempt with this outcome; `None` if the attempt succeeded.
 pub(crate) fn retry_reason(outcome: &AttemptOutcome) -> Option<RetryReason> {
     match outcome {
         AttemptOutcome::Response(response) => match response_outcome(response) {
--- a/crates/http-api/src/pending.rs
+++ b/crates/http-api/src/pending.rs
@@ -11,7 +11,7 @@
 
 /// An attempt that has not ended.
 pub(crate) struct InFlightAttempt {
-    /// Number of the operation's attempts before this one.
+    /// Number of earlier attempts of the operation.
     pub(crate) number: u32,
     /// The store that the attempt is sent to.
     pub(crate) store: StoreId,
@@ -35,7 +35,8 @@
     pub(crate) attempts: u32,
     /// When the first attempt that may have been executed was started.
     pub(crate) may_have_run_since: Option<Duration>,
-    /// Reason that the next attempt would have as a retry, from the attempt that ended last.
+    /// The retry reason of a further attempt, derived from the outcome of the attempt that ended last; `None`
+    /// if no attempt has ended or the last one succeeded.
     pub(crate) last_outcome: Option<RetryReason>,
     /// Whether the operation has its final response, or its client has disconnected.
     pub(crate) has_ended: bool,
--- a/crates/http-api/src/protocol.rs
+++ b/crates/http-api/src/protocol.rs
@@ -12,14 +12,13 @@
 pub const TIME_LEFT: &str = "X-Time-Left-Ms";
 /// Header field: location of the data and cost of the operation.
 pub const PLACEMENT: &str = "X-Placement";
-/// Header field of a response: percentage of its plan's rate that the volume used, over all gateways and
-/// stores.
+/// Header field of a response: percentage of its plan's rate that the volume used through all gateways.
 pub const PLAN_RATE_USED: &str = "X-Iops-Used";
 /// Header field of a response: units that the shard served for the volume through other gateways.
 pub const UNITS_ELSEWHERE: &str = "X-Rho";
 /// Header field of a response: the store's load report.
 pub const LOAD_REPORT: &str = "X-Backend-Load";
-/// Header field of a response: `1` where the request was not executed.
+/// Header field of a response: `1` if the request was not executed.
 pub const NOT_EXECUTED: &str = "X-Unprocessed";
 /// Header field of a rejection: seconds after which a retry is worthwhile.
 pub const RETRY_AFTER: &str = "Retry-After";
--- a/crates/http-api/src/stable_positions.rs
+++ b/crates/http-api/src/stable_positions.rs
@@ -39,7 +39,7 @@
     result.insert(format!("{list}.count"), (current_names.len() + added.len()).to_string());
 }
 
-/// The rest of a path after its first step, if that is `step`.
+/// The rest of a path after its first segment, if that is `step`.
 fn strip_step<'a>(path: &'a str, step: &str) -> Option<&'a str> {
     path.strip_prefix(step)?.strip_prefix('.')
 }
--- a/crates/http-api/src/stores.rs
+++ b/crates/http-api/src/stores.rs
@@ -13,7 +13,7 @@
 /// When a store started.
 #[derive(Clone, Copy)]
 struct StoreStart {
-    /// The timestamp sent by discovery.
+    /// The boot timestamp sent by discovery.
     timestamp: BootTimestamp,
     /// The start time passed to the scheduler. It does not change while the timestamp stays the same.
     at: Duration,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The id of a store, by its unique name.
+    /// The id of a store, by its permanent name.
     fn id(&mut self, uid: &str) -> StoreId {
         if let Some(id) = self.ids.get(uid) {
             return *id;
--- a/crates/http-api/tests/boot_timestamp.rs
+++ b/crates/http-api/tests/boot_timestamp.rs
@@ -4,7 +4,7 @@
 
 use umbertray_http_api::boot_timestamp::{BootTimestamp, BootTimestampClock};
 
-/// A moment of true time, in seconds since 1970.
+/// A point in true time, in seconds since 1970.
 const TRUTH: u64 = 1_800_000_000;
 
 fn stamp(seconds: u64) -> BootTimestamp {
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -379,7 +379,7 @@
     assert_eq!(responses(&effects), []);
     let (second, sent_on) = harness.submit(&look(2));
     effects.extend(sent_on);
-    // The scheduler checks every sixteenth of the target latency.
+    // The scheduler checks its operations at intervals of a sixteenth of the target latency.
     effects.extend(harness.advance(ms(213)));
     let mut answered: Vec<ClientId> = responses(&effects).into_iter().map(|(client, _)| client).collect();
     answered.sort();
@@ -497,8 +497,8 @@
     );
 }
 
-/// Open operations and the scheduler refer to types and plans by position. If a reordered file changed the
-/// positions of open operations, an operation that must not run twice would be sent again.
+/// Open operations and the scheduler refer to types and plans by position. If a reordered file changed these
+/// positions, an open operation that must not run twice could get another type and be sent again.
 #[test]
 fn changed_settings_keep_positions_of_op_types_and_plans() {
     let read =
@@ -748,8 +748,8 @@
     assert!(broken.next_event().is_err(), "an unclosed string at the end of a line ends the event");
 }
 
-/// A change that discovery had before a process started takes effect from the first moment of the process.
-/// An earlier process may already have been notified of it, so a drain has no grace left.
+/// A change in the first list of a process counts as notified one drain grace earlier, because an earlier
+/// process may already have been notified of it. A drain in that list therefore has no grace left.
 #[test]
 fn drain_in_first_list_of_process_has_no_grace() {
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
--- a/crates/http-gateway/src/attempt.rs
+++ b/crates/http-gateway/src/attempt.rs
@@ -110,7 +110,7 @@
 }
 
 /// Counts and logs a propagated deadline that no longer held when the request was written, because this
-/// process was held up or the store reads slowly.
+/// process was paused or the store reads slowly.
 fn check_propagated_deadline(event_loop: &EventLoop, attempt: AttemptId, write_duration: Duration) {
     record_violation(&event_loop.counters, propagated_deadline_holds(write_duration), |violation| {
         let id = event_loop.request_id(attempt).unwrap_or_default();
@@ -121,7 +121,7 @@
     });
 }
 
-/// Writes a request; `None` if it was not written completely. A store executes a request only after it
+/// Writes a request; `None` if it was not written completely. A store executes a request only after it has
 /// received the last byte.
 async fn write(connection: &mut PooledConnection<'_>, bytes: &Bytes, written: &Cell<bool>) -> Option<()> {
     connection.stream.as_mut()?.write_all(bytes).await.ok()?;
--- a/crates/http-gateway/src/backoff.rs
+++ b/crates/http-gateway/src/backoff.rs
@@ -34,8 +34,8 @@
 use umbertray_http_api::protocol::WATCH_HEARTBEAT_INTERVAL;
 
 /// Time within which an open watch has to deliver a complete line. Below 1 every heartbeat would be late. The
-/// extra quarter tolerates a network path or gateway that is late by 0.5 s; the bound of 6 s leaves no room
-/// for more.
+/// extra quarter tolerates a network path or gateway that is late by 0.5 s; the bound of 6 s does not allow
+/// more.
 const WATCH_IDLE: f64 = 1.25;
 /// Timeout from the connect to the first complete response. The agent on the gateway's own machine responds
 /// at once or not at all.
@@ -52,13 +52,14 @@
 const MAX_TRANSFER: f64 = 12.8;
 /// Backoff after the first failure.
 const MIN_BACKOFF: f64 = 0.05;
-/// Maximum backoff where each query has a cost for the other side.
+/// Maximum backoff if lists are polled, where each query has a cost for discovery, and after an unusable
+/// response.
 const MAX_BACKOFF: f64 = 0.5;
-/// Maximum backoff where a query costs nothing. A pushed list counts from the moment the agent returns, and
-/// so does its drain grace, so the backoff must be short; a shorter one would mean more than 10 queries a
-/// second.
+/// Maximum backoff if a query costs nothing because the local agent pushes lists. A pushed list counts as
+/// notified as soon as the agent returns, and its drain grace starts then, so the backoff must be short. A
+/// shorter one would mean more than 10 queries a second.
 const MAX_BACKOFF_LOCAL: f64 = 0.1;
-/// Further consecutive failures change nothing.
+/// Consecutive failures beyond this number do not change the timeout or the backoff.
 const MAX_COUNTED: u32 = 8;
 
 /// Number of consecutive failed attempts. A complete list or line resets it.
@@ -68,7 +69,7 @@
 /// The way in which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// No response before the timeout.
+    /// No complete response, or no complete line of an open watch, before the timeout.
     TimedOut,
     /// The agent on the gateway's own machine, which pushes lists, refused or closed the connection. A query
     /// costs nothing.
@@ -121,7 +122,7 @@
     heartbeats(MAX_RESPONSE)
 }
 
-/// Timeout of the complete response of such an attempt.
+/// Timeout of the complete response of an attempt that continues alongside the next one.
 pub(crate) fn transfer_timeout() -> Duration {
     heartbeats(MAX_TRANSFER)
 }
--- a/crates/http-gateway/src/client/mod.rs
+++ b/crates/http-gateway/src/client/mod.rs
@@ -60,7 +60,8 @@
 
 /// The response prepared for the request that was read.
 enum PreparedResponse {
-    /// The response is unknown: the operation may have been executed.
+    /// No response is prepared. The operation may have been executed, so the client gets
+    /// [`FinalResponse::Failed`].
     Unknown,
     /// The response to a health check, with this status.
     Health(u16),
--- a/crates/http-gateway/src/client/responding.rs
+++ b/crates/http-gateway/src/client/responding.rs
@@ -38,7 +38,7 @@
             return Event::PeerClosed;
         };
         let elapsed = self.event_loop.clock.now().saturating_sub(self.request_started_at);
-        // Hazard: without a response from the core, the operation may have been executed.
+        // Hazard: if the channel is closed without a response, the operation may have been executed.
         let response = response.unwrap_or(FinalResponse::Failed);
         tracing::debug!(
             connection_id = self.id, request_id = %op.id, client = ?op.client, ?elapsed, %response,
--- a/crates/http-gateway/src/client_connections.rs
+++ b/crates/http-gateway/src/client_connections.rs
@@ -25,8 +25,8 @@
 }
 
 impl ConnectionEntry {
-    /// Key for the eviction order, lowest first: connections without a request, then the least recently used,
-    /// whether idle or shut down. `None` if the connection must not be evicted.
+    /// Key of the eviction order, lowest first: connections without a complete request, then all others by
+    /// last use, whether idle or with sending shut down. `None` if the connection must not be evicted.
     fn eviction_order(&self) -> Option<(bool, Instant)> {
         connection::may_evict(self.obligation, self.demand == CloseDemand::ForCapacity)
             .then_some((self.served_before || self.obligation == Obligation::LingeringClose, self.since))
--- a/crates/http-gateway/src/event_loop.rs
+++ b/crates/http-gateway/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: owns the core, passes all inputs up to a moment to it in one turn, and applies the
-//! resulting effects.
+//! The event loop: owns the core, passes all pending inputs to it in one turn, and applies the resulting
+//! effects.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -76,7 +76,8 @@
     /// The gateway's clock.
     pub(crate) clock: Clock,
     limits: Rc<watch::Sender<ResourceLimits>>,
-    /// Limits on the timeouts of a drain, regardless of the settings in force when it begins.
+    /// Timeouts that a drain must not exceed, regardless of the settings in force when it begins. `None` if
+    /// there is no such limit.
     drain_bound: Cell<Option<Timeouts>>,
     /// Connections to stores.
     pub(crate) pools: StorePools,
@@ -127,7 +128,8 @@
         self.drain_bound.get().map_or(timeouts, |bound| timeouts.with_earlier_drain(&bound))
     }
 
-    /// Limits a later drain: it ends by the limits in force now, or by later limits if those end it earlier.
+    /// Sets an upper limit for a later drain: it ends by the timeouts in force now, or by those of later
+    /// settings if they end it earlier.
     pub(crate) fn bound_drain(&self) {
         self.drain_bound.set(Some(self.drain_timeouts()));
     }
@@ -149,7 +151,7 @@
         Ok(())
     }
 
-    /// Queues an input for the next turn of the core, together with all other inputs of this moment.
+    /// Queues an input for the next turn of the core, which processes all queued inputs together.
     pub(crate) fn post(&self, input: Input) {
         self.inputs.borrow_mut().push(input);
         self.wake.notify_one();
--- a/crates/http-gateway/src/lib.rs
+++ b/crates/http-gateway/src/lib.rs
@@ -191,7 +191,7 @@
 ) -> Result<(), GatewayError> {
     let new = read_config(file)?;
     if (new.listen, &new.name, new.seed) != (config.listen, &config.name, config.seed) {
-        tracing::warn!(listen = %new.listen, name = new.name, "new listen, name or seed needs a restart");
+        tracing::warn!(listen = %new.listen, name = new.name, "changed listen, name or seed needs a restart");
     }
     if (&new.settings, new.limits) != (&config.settings, config.limits) {
         event_loop.reconfigure(&new)?;
--- a/crates/http-gateway/src/listener.rs
+++ b/crates/http-gateway/src/listener.rs
@@ -11,7 +11,7 @@
 use crate::client::{ClientConnection, if_ready};
 use crate::event_loop::{EventLoop, Phase};
 
-/// Delay before the next accept after a failure of the system.
+/// Delay before the next accept after one that failed because the system lacks resources.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections until the gateway is closing.
--- a/crates/http-gateway/src/shutdown.rs
+++ b/crates/http-gateway/src/shutdown.rs
@@ -36,8 +36,8 @@
 /// Handles connections that remain after the drain deadline: rejects those without a complete request, waits
 /// for the pending responses and for the clients to read them, and logs what is left.
 ///
-/// Hazard: an accepted request without its complete response is lost, and this process may have read the
-/// request late.
+/// Hazard: an accepted request without its complete response is lost. This process may have read the request
+/// late, so that its response is still pending here.
 ///
 /// Hazard: unread bytes on a connection reset it when the process exits, and the reset can destroy responses.
 async fn close_remaining(event_loop: &EventLoop, response_write: Duration, drain_close: Duration) {
--- a/crates/http-gateway/src/store_pool.rs
+++ b/crates/http-gateway/src/store_pool.rs
@@ -195,7 +195,8 @@
         closed
     }
 
-    /// Closes connections that have been idle for too long or that the store has closed.
+    /// Closes idle connections that must not be reused: those idle for too long, and those on which the end
+    /// of the connection or unexpected data can be read.
     fn sweep(&self) {
         let addresses: Vec<SocketAddr> = self.pools.borrow().keys().copied().collect();
         for address in addresses {
@@ -216,8 +217,8 @@
 
     /// Returns an idle or new connection to an address, or `None` if connecting failed. Waits for capacity.
     ///
-    /// Hazard: this process may have been held up during the wait. Other tasks run before this returns, so
-    /// that they process events that arrived meanwhile, such as the disconnect of a client.
+    /// Hazard: this process may have been paused during the wait. Other tasks therefore run before this
+    /// returns, so that they process events that arrived meanwhile, such as the disconnect of a client.
     ///
     /// Cancel safe: a connection that is being established is closed.
     pub(crate) async fn acquire(&self, address: SocketAddr) -> Option<PooledConnection<'_>> {
--- a/crates/http-gateway/src/watch/attempt.rs
+++ b/crates/http-gateway/src/watch/attempt.rs
@@ -25,7 +25,7 @@
 pub(super) struct AttemptProgress {
     /// When the next response has to be complete. `None` once the watch is open, which has its own timeouts.
     deadline: Cell<Option<Instant>>,
-    /// Whether part of that response has been received.
+    /// Whether part of the next response has been received.
     is_receiving: Cell<bool>,
     /// Notified when a list or a watch event has been received completely.
     completed: Notify,
--- a/crates/http-gateway/src/watch/mod.rs
+++ b/crates/http-gateway/src/watch/mod.rs
@@ -21,12 +21,12 @@
 use crate::backoff::ConsecutiveFailures;
 use crate::event_loop::EventLoop;
 
-/// Consecutive failures.
+/// Numbers of consecutive failed attempts.
 #[derive(Clone, Copy, Default)]
 struct FailureCounts {
-    /// Of attempts that received nothing.
+    /// Consecutive attempts that received nothing. Determines the timeout of a response.
     connection: ConsecutiveFailures,
-    /// Of attempts whose watch received nothing.
+    /// Consecutive attempts whose watch received nothing. Determines the backoff.
     ///
     /// Hazard: without a separate count, the list would be fetched in an endless loop if it can be fetched
     /// but the watch cannot be opened.
@@ -65,7 +65,8 @@
     let mut counts = FailureCounts::default();
     let mut draws = 0;
     let mut is_requested = !source.borrow().is_polled;
-    // `slow` continues alongside the current attempt; `next` has received something and replaces it.
+    // `slow` is an attempt that continues alongside the current one. `next` is a slow attempt that has
+    // received something, and becomes the current one.
     let mut slow = None;
     let mut next = None;
     loop {
@@ -74,8 +75,8 @@
         if !std::mem::replace(&mut is_requested, true) && next.is_none() {
             tokio::select! {
                 () = wait_or_promote_slow(&mut slow, &mut next, event_loop.watch_requested.notified()) => {}
-                // Hazard: a change announced at the new address counts soon, however long the scheduler waits
-                // before it polls the old one.
+                // Hazard: a change that the new address has counts as notified soon, however long the
+                // scheduler waits before it polls again. So the wait ends when the address changes.
                 _ = source.changed() => (counts, slow) = (FailureCounts::default(), None),
             }
         }
@@ -89,8 +90,8 @@
                 if changed.is_err() {
                     return;
                 }
-                // Hazard: the new address may send the latest changes of the old address again, as if they
-                // were new.
+                // Hazard: the latest changes of the old address may arrive only from the new one, where they
+                // would look new. The watch is reported as failed, so that they count as notified earlier.
                 event_loop.post(Input::EndpointListFailed);
                 state.reset_on_success(counts);
                 (counts, slow) = (FailureCounts::default(), None);
--- a/crates/http-gateway/src/watch/tests.rs
+++ b/crates/http-gateway/src/watch/tests.rs
@@ -12,12 +12,13 @@
 use self::scripted_discovery::{Behavior, Delivery, MINUTE, NEXT_ADDRESS, TRICKLE_INTERVAL, TestWatch};
 use crate::backoff::{self, last_attempt_begins_within};
 
-/// Maximum time from a watch falling silent until changes are known.
+/// Maximum time from the start of a watch's silence until the changes that it missed are known.
 const MAX_STALENESS: Duration = Duration::from_secs(6);
-/// The same after discovery has moved to another address.
+/// Maximum time from a change of discovery's address until the changes at the new address are known.
 const MAX_STALENESS_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// Checks that version 2 is received once the last of the attempts starts, and before it counts as notified.
+/// Checks that version 2 is received as soon as the attempt with the last of `behaviors` starts, and before
+/// this version counts as notified.
 async fn assert_updates_in_time(behaviors: &[Behavior]) {
     for delivery in [Delivery::Pushed, Delivery::Polled] {
         let test_watch = TestWatch::new(delivery, behaviors);
@@ -166,7 +167,8 @@
     .await;
 }
 
-/// Also while the scheduler waits before it polls again, the first connection continues.
+/// A slow list continues on its connection even while the scheduler waits before it polls again. There is no
+/// second connection.
 #[tokio::test]
 async fn slow_list_while_scheduler_waits_continues() {
     in_paused_time(async {
@@ -333,8 +335,8 @@
     .await;
 }
 
-/// The latest changes of the old address may only be received from the new one; they must not be treated as
-/// new.
+/// The latest changes of the old address may arrive only from the new one. They must not be treated as newly
+/// notified.
 #[tokio::test]
 async fn moved_watch_is_reported_broken() {
     in_paused_time(async {
@@ -371,7 +373,8 @@
     .await;
 }
 
-/// A watch that was open for long has reset the failure count, even if it ends because a fetch was requested.
+/// A watch that was open for a long time resets the failure count, even if it ends because a fetch was
+/// requested.
 #[tokio::test]
 async fn list_fetched_on_request_resets_backoff() {
     in_paused_time(async {
--- a/crates/http-gateway/src/watch/transfer.rs
+++ b/crates/http-gateway/src/watch/transfer.rs
@@ -29,7 +29,7 @@
     known_version: Cell<Option<u64>>,
     /// Whether anything was received since the last failure.
     has_received: Cell<bool>,
-    /// Whether a watch received it.
+    /// Whether anything was received on a watch since the last failure.
     watch_has_received: Cell<bool>,
 }
 
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -47,8 +47,8 @@
         /// Whether this is the last response on this connection.
         is_last: bool,
     },
-    /// Sending is shut down. The client is owed time to read what was written, until it closes the connection
-    /// or the time limit expires. Further input is discarded.
+    /// Sending is shut down. The client must be given time to read what was written, until it closes the
+    /// connection or the time limit expires. Further input is discarded.
     LingeringClose,
     /// The connection is closed, or about to be closed.
     Closed,
@@ -148,8 +148,8 @@
 }
 
 impl ConnectionState {
-    /// The reason why the connection ends, if `step`, taken on `event` in the state `before`, is the first
-    /// step of closing it. `None` if the connection stays open, and for the later steps of closing.
+    /// Why the connection is closing. `step` was returned for `event` in the state `before`. `None` unless it
+    /// is the first step of closing the connection.
     pub fn close_reason(&self, before: State, event: Event, step: NextStep) -> Option<CloseReason> {
         let demanded = || match self.demand {
             _ if self.rejecting => Some(CloseReason::NoCapacity),
@@ -253,8 +253,8 @@
             (State::Idle, Event::NothingRead) => self.shut_down(),
             (State::AwaitingFirstRequest, Event::TimedOut) if !self.rejecting => self.shut_down(),
             (State::ReadingRequest { .. }, Event::TimedOut) => self.write(ResponseKind::RequestTimeout, true),
-            // Hazard: the rest of the request may be in flight; with a response, the client does not send it
-            // for nothing.
+            // Hazard: the rest of the request may be in flight. The client gets a response, so that it does
+            // not send the rest in vain.
             (_, Event::TimedOut | Event::NothingRead) => self.write(ResponseKind::Rejection, true),
             _ => self.next_read(),
         }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -56,7 +56,7 @@
                 (true, false) => Err(Malformed::Coding),
             };
         };
-        // Hazard: a reader that prefers the other one of the two fields would see a different next request
+        // Hazard: a reader that uses the other of the two fields would see a different next request
         // (section 11.2).
         if has_coding {
             return Err(Malformed::ConflictingFraming);
--- a/crates/http/tests/connection.rs
+++ b/crates/http/tests/connection.rs
@@ -40,7 +40,8 @@
     ResponseNotReset,
     /// A client that sent part of a request gets a response before its connection ends.
     PartialRequestAnswered,
-    /// The process exits before its deadline only if no response is pending.
+    /// The process exits before its deadline only if no response is pending and no client still has to read
+    /// one.
     ExitsWithoutPendingResponses,
     /// Once the process is exiting, an idle client cannot keep a connection open.
     Terminates,
@@ -76,8 +77,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Model {
     bug: InjectedBug,
-    /// Whether the client's requests allow further ones on the connection; `is_op` says whether they are
-    /// operations.
+    /// Whether the client's requests keep the connection open for further requests; `is_op` says whether they
+    /// are operations.
     persists: bool,
     is_op: bool,
     connection: ConnectionState,
@@ -163,7 +164,7 @@
             CloseDemand::Graceful => Some(Step::Phase(CloseDemand::Immediate)),
             _ => None,
         });
-        // The process waits for connections to close; with this injected bug, only for responses.
+        // The process waits for all connections to close. With this injected bug it only waits for responses.
         if self.bug == InjectedBug::ExitsDuringLingeringClose
             && self.phase == CloseDemand::Immediate
             && self.connection.obligation() == Obligation::LingeringClose
@@ -432,7 +433,7 @@
     violation: Option<(Property, Vec<Step>)>,
 }
 
-/// Breadth-first search, so that a shortest trace is exploration.
+/// Breadth-first search, so that the trace to a violation is a shortest one.
 fn explore(start: Model) -> Exploration {
     let mut seen = HashSet::from([start.clone()]);
     let mut queue = VecDeque::from([(start, Vec::new())]);
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -210,8 +210,8 @@
     assert!(matches!(malformed_response("noise noise noise\r\n"), Malformed::Head(_) | Malformed::Version));
 }
 
-/// A response without a length ends when its connection is closed. Such responses were rejected, even
-/// complete ones, so their operations were lost. Before a regular close the response is not complete.
+/// Regression test: complete responses without a length were rejected, so their operations were lost. Such a
+/// response is complete once its connection is closed regularly, and not before.
 #[test]
 fn response_without_length_ends_at_close_only() {
     for (text, complete) in [
--- a/crates/lifecycle/src/attempt.rs
+++ b/crates/lifecycle/src/attempt.rs
@@ -11,7 +11,7 @@
 pub enum RequestStatus {
     /// Its client waits for the final response.
     Open,
-    /// Its final response was sent.
+    /// It already has its final response.
     Ended,
     /// Its client has closed its connection.
     ClientGone,
@@ -100,8 +100,8 @@
     grace.saturating_sub(MAX_PROCESS_PAUSE)
 }
 
-/// Whether the deadline that was propagated to a store was still correct when the last byte of the request
-/// was written. `written_after` is the time from computing the deadline until that write.
+/// Whether the time left that was sent to a store was still correct when the last byte of the request was
+/// written. `written_after` is the time from computing the time left until that write.
 ///
 /// Invariant: the time left that is sent to a store exceeds what its client has left by at most the slack of
 /// the operators' terms, [`TIME_LEFT_SLACK`].
--- a/crates/lifecycle/src/check.rs
+++ b/crates/lifecycle/src/check.rs
@@ -6,7 +6,7 @@
 /// Counts a violation of an ordering rule, if the decision is one, and passes it to `log`.
 ///
 /// # Panics
-/// In debug builds, on a violation. It is a bug of this program, whatever the peers and the system do.
+/// In debug builds, on a violation, since it is a bug of this program, regardless of peers and system.
 pub fn assert_rule(counters: &Counters, decision: Decision<Violation>, log: impl FnOnce(Violation)) {
     record_violation(counters, decision, log);
     debug_assert!(decision.is_ok(), "lifecycle rule violated: {decision:?}");
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -10,7 +10,7 @@
 /// What this side still has to do on a connection before it may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Obligation {
-    /// Nothing.
+    /// No obligation: the connection may be closed.
     None,
     /// A complete request was read, and its final response is pending.
     Response,
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -1,5 +1,5 @@
-//! Limits that the operators' pages state in seconds. Each is a duration of real time with its page as
-//! source. Settings cannot extend them.
+//! Limits that the operators' pages (protocol page, standing page, operators' terms) state in seconds. Each
+//! is a duration of real time, and its comment names the page. No setting can extend a limit.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 /// operators' terms.
 pub const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
 
-/// A final response that is late by up to this much earns nothing; one that is later counts as lost. Standing
-/// page, "Hundreds of gateways".
+/// A final response that is late by up to this much is worthless, but does not count as lost; a later one
+/// counts as lost. Standing page, "Hundreds of gateways".
 pub const RESPONSE_SLACK: Duration = Duration::from_millis(500);
 
 /// SIGKILL follows SIGTERM no sooner than the longest deadline, capped at this value, plus [`KILL_MARGIN`].
--- a/crates/lifecycle/src/reason.rs
+++ b/crates/lifecycle/src/reason.rs
@@ -10,7 +10,7 @@
     Refusal,
     /// A further attempt of a request was made.
     Retry,
-    /// An attempt was decided on, and denied at its first byte.
+    /// An attempt was decided on, but denied before its first byte was written.
     Denial,
     /// A connection to a store was closed.
     StoreClose,
@@ -93,13 +93,13 @@
 reasons! {
     /// Why an attempt that was decided on must not begin.
     DenialReason in Denial {
-        /// The final response of the request was sent.
+        /// The request already has its final response.
         RequestEnded = "request_ended",
         /// The request's client has closed its connection.
         ClientGone = "client_gone",
         /// The attempt's deadline has passed.
         DeadlineExpired = "deadline_over",
-        /// The endpoint list no longer contains the store.
+        /// The endpoint list marks the store as gone, or no longer contains it.
         StoreGone = "store_gone",
         /// The store is draining, and the drain grace since this gateway was notified has expired.
         DrainGraceExpired = "drain_grace_over",
@@ -124,7 +124,7 @@
         TimedOut = "timed_out",
         /// It was cancelled after its last byte was written: it may have run.
         Cancelled = "cancelled",
-        /// It was denied at its first byte.
+        /// It was denied before its first byte was written.
         Denied = "denied",
         /// It is still outstanding: the further attempt is a hedged attempt.
         Hedged = "hedged",
--- a/crates/lifecycle/src/request.rs
+++ b/crates/lifecycle/src/request.rs
@@ -10,7 +10,7 @@
 /// "Figures"), and the client waits for `left`.
 ///
 /// Invariant: a request gets one final response before its client's deadline. A response up to
-/// [`RESPONSE_SLACK`] later is not a violation, but earns nothing.
+/// [`RESPONSE_SLACK`] later is not a violation, but is worthless.
 ///
 /// # Errors
 /// [`Violation::AnsweredLate`].
--- a/crates/lifecycle/src/timeouts.rs
+++ b/crates/lifecycle/src/timeouts.rs
@@ -1,10 +1,10 @@
-//! All timeouts of the HTTP gateway, derived from the settings in force and the limits that the pages state
-//! in seconds.
+//! All timeouts of the HTTP gateway, derived from the settings in force and from the limits that the
+//! operators' pages state in seconds ([`limits`](crate::limits)).
 //!
-//! A timeout is a ratio of a setting, and never exceeds what the limit of a page allows. Such a limit is the
-//! time from an action of a peer until the peer sees the response. The process may be paused once before it
-//! reads the clock that starts the timeout, and once before it writes, so that two [`MAX_PROCESS_PAUSE`]s are
-//! subtracted from each limit.
+//! A timeout is a fraction of a setting, and never exceeds what the limit that a page states leaves for it.
+//! Such a limit is the time from an action of a peer until the peer sees the response. The process may be
+//! paused once before it reads the clock that starts the timeout, and once before it writes; therefore two
+//! [`MAX_PROCESS_PAUSE`]s are subtracted from each limit.
 
 use std::time::Duration;
 
@@ -122,8 +122,8 @@
         }
     }
 
-    /// These timeouts, but with the earlier of each drain time and the shorter response write timeout of the
-    /// two.
+    /// These timeouts for a drain that has to satisfy both `self` and `other`: each drain time and the
+    /// response write timeout is the smaller one of the two.
     pub fn with_earlier_drain(self, other: &Timeouts) -> Timeouts {
         Timeouts {
             accept_until: self.accept_until.min(other.accept_until),
--- a/crates/lifecycle/tests/timeouts.rs
+++ b/crates/lifecycle/tests/timeouts.rs
@@ -1,4 +1,4 @@
-//! Checks the timeouts over generated settings: none exceeds what the limit of a page allows, and none is
+//! Checks the timeouts over generated settings: none exceeds what the operators' limits allow, and none is
 //! rounded down to zero.
 
 use std::time::Duration;
--- a/crates/nbd-gateway/src/buffer_queue.rs
+++ b/crates/nbd-gateway/src/buffer_queue.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-/// Most buffers passed to one system call.
+/// Maximum number of buffers passed to one system call.
 const MAX_SLICES: usize = 64;
 
 /// Returns the front of a queue, to be written in one call.
--- a/crates/nbd-gateway/src/changes/log_writer.rs
+++ b/crates/nbd-gateway/src/changes/log_writer.rs
@@ -6,8 +6,8 @@
 
 use super::log_copy::DurableLog;
 
-/// Most batches that may wait for the disk. When the queue is full, the next batch is not applied until there
-/// is capacity, so that memory stays bounded if the disk is stalled.
+/// Maximum number of batches that may wait for the disk. When the queue is full, the next batch is not
+/// applied until there is capacity, so that memory stays bounded if the disk is stalled.
 const MAX_WAITING_BATCHES: usize = 64;
 
 /// An applied update, and the state before it.
--- a/crates/nbd-gateway/src/changes/publisher.rs
+++ b/crates/nbd-gateway/src/changes/publisher.rs
@@ -8,7 +8,7 @@
 use umbertray_config_log::follow::AppliedVersion;
 use umbertray_routing::{Input, Settings, SettingsChange};
 
-/// Most volumes in one part of a change, so that the event loop can process requests between parts.
+/// Maximum number of volumes in one part of a change; the event loop processes requests between the parts.
 const MAX_VOLUMES_PER_PART: usize = 256;
 
 /// The event loop has ended, so changes cannot be applied any more.
--- a/crates/nbd-gateway/src/event_loop.rs
+++ b/crates/nbd-gateway/src/event_loop.rs
@@ -20,7 +20,7 @@
 use crate::snapshot_writer::{OpenedSnapshots, SnapshotWriter};
 use crate::store_connection::{StoreConnection, StoreMessage};
 
-/// Most events taken from the queue at once. The scheduler sees them as simultaneous.
+/// Maximum number of events taken from the queue at once. The scheduler sees them as simultaneous.
 const MAX_EVENTS_PER_STEP: usize = 128;
 
 /// A part of a reply, sent to its session.
@@ -59,7 +59,7 @@
 /// The services that the loop connects to.
 #[derive(Clone, Copy)]
 pub(crate) struct ServiceAddresses {
-    /// The endpoint list.
+    /// The list service, which has the endpoint list.
     pub(crate) endpoint_list: SocketAddr,
     /// The coordinator, if it serves the extent map.
     pub(crate) coordinator: Option<SocketAddr>,
@@ -81,7 +81,7 @@
     run_id: u64,
     events: mpsc::UnboundedSender<LoopEvent>,
     endpoint_list: mpsc::UnboundedSender<ToList>,
-    /// Present if the extent map is served by the coordinator instead of the endpoint list's service.
+    /// Present if the extent map is served by the coordinator instead of the list service.
     coordinator: Option<mpsc::UnboundedSender<ToList>>,
     sessions: HashMap<SessionId, mpsc::UnboundedSender<SessionReply>>,
     store_connections: HashMap<StoreId, StoreConnectionHandle>,
@@ -283,7 +283,7 @@
     }
 
     /// Sends a message to the coordinator if it concerns the extent map and there is a coordinator, otherwise
-    /// to the endpoint list.
+    /// to the list service.
     fn send_service(&self, message: ToList) {
         let coordinator = self.coordinator.as_ref().filter(|_| message.concerns_map());
         _ = coordinator.unwrap_or(&self.endpoint_list).send(message);
--- a/crates/nbd-gateway/src/lib.rs
+++ b/crates/nbd-gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! bytes; all decisions are made by the core.
 //!
 //! Tasks: one owns the core (`event_loop`), one runs each session (`session`), one each store connection
-//! (`store_connection`), one each connection to the endpoint list and to the coordinator
+//! (`store_connection`), one each connection to the list service and to the coordinator
 //! (`service_connection`), and one follows the change log (`changes`). A thread writes snapshots
 //! (`snapshot_writer`). They communicate through channels. Invariant: the contents of the channels are
 //! bounded by the bytes that sessions were granted before their requests were read. docs/hosting.md is the
--- a/crates/nbd-gateway/src/replies.rs
+++ b/crates/nbd-gateway/src/replies.rs
@@ -1,5 +1,5 @@
 //! Converts the core's reply parts to NBD reply messages, without I/O. Source: "Simple reply message" and
-//! "Structured reply chunk message" of the protocol text; docs/errors.md for the error numbers.
+//! "Structured reply chunk message" of the NBD protocol specification; docs/errors.md for the error numbers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -58,7 +58,7 @@
 }
 
 impl GatheredRead {
-    /// Returns one buffer of the full range. Parts that were not added are holes and read as zeros.
+    /// Returns one buffer of the full range. What no part covers is a hole and reads as zeros.
     fn into_buffer(self) -> Bytes {
         if let Some(data) = self.parts.get(&self.offset)
             && data.len() == self.length as usize
@@ -97,8 +97,8 @@
         self.forms.insert(request.cookie, form);
     }
 
-    /// Writes a part of a reply to the session's output. Returned bytes must be sent right after the output,
-    /// without copying them.
+    /// Writes a part of a reply to the session's output. Payload bytes are returned instead of copied to the
+    /// output; the caller must send them right after it.
     pub(crate) fn write_part(
         &mut self,
         session: &mut Session,
--- a/crates/nbd-gateway/src/running.rs
+++ b/crates/nbd-gateway/src/running.rs
@@ -23,10 +23,10 @@
 pub struct GatewayOptions {
     /// Addresses for NBD clients; with port 0 the system chooses the port.
     pub listen: Vec<SocketAddr>,
-    /// Address of the service that has the endpoint list of the stores.
+    /// Address of the list service, which has the endpoint list of the stores.
     pub endpoint_list: SocketAddr,
-    /// Address of the coordinator that serves the extent map. If absent, the endpoint list's service also has
-    /// the directory of extents.
+    /// Address of the coordinator that serves the extent map. If absent, the list service has the extent map
+    /// too.
     pub coordinator: Option<SocketAddr>,
     /// Seed of the scheduler's randomness, and identity of the gateway as owner of its state folder. No two
     /// gateways may have the same seed.
@@ -105,7 +105,7 @@
 /// Starts a gateway on the current runtime.
 ///
 /// # Errors
-/// An address cannot be listened at.
+/// Binding one of the listen addresses failed.
 pub async fn start(settings: Arc<Settings>, options: GatewayOptions) -> io::Result<RunningGateway> {
     let clock = Clock::start();
     let core = Core::new(settings.clone(), options.seed, clock.now());
@@ -115,7 +115,7 @@
 /// Starts a gateway whose event loop hosts another handler than [`Core`], used as a baseline in measurements.
 ///
 /// # Errors
-/// An address cannot be listened at.
+/// Binding one of the listen addresses failed.
 pub async fn start_with_handler(
     core: Box<dyn RequestHandler>,
     clock: Clock,
--- a/crates/nbd-gateway/src/service_connection.rs
+++ b/crates/nbd-gateway/src/service_connection.rs
@@ -1,5 +1,5 @@
-//! Connections to the endpoint list and to the coordinator of the extent map. A connection is established
-//! when there is a message to send.
+//! Connections to the list service and to the coordinator of the extent map. A connection is established when
+//! there is a message to send.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 /// The service at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Service {
-    /// The endpoint list, which also serves the directory of extents if there is no coordinator.
+    /// The list service: it has the endpoint list, and also the extent map if there is no coordinator.
     EndpointList,
     /// The coordinator of the extent map.
     Coordinator,
--- a/crates/nbd-gateway/src/session/input.rs
+++ b/crates/nbd-gateway/src/session/input.rs
@@ -15,7 +15,7 @@
 use crate::event_loop::LoopEvent;
 use crate::replies;
 
-/// Most bytes read at a time, apart from a payload of known length.
+/// Maximum number of bytes read at a time, apart from a payload of known length.
 const READ_BYTES: usize = 16 * 1024;
 
 type PendingAdmission = Pin<Box<dyn Future<Output = Option<BufferAdmission>> + Send>>;
@@ -130,8 +130,8 @@
                 if self.session.reject(Errno::NoMem, text) {
                     self.start_next_message();
                 } else {
-                    // The message is a disconnect, or the client violates the protocol. It needs no bytes of
-                    // the budget, only its record.
+                    // The message is a disconnect, or the client violates the protocol. Such a message holds
+                    // no memory beyond its record, so it is not charged to the budget.
                     self.read_state = ReadState::BufferGranted(Arc::new(()));
                 }
             }
--- a/crates/nbd-gateway/src/session/mod.rs
+++ b/crates/nbd-gateway/src/session/mod.rs
@@ -27,7 +27,7 @@
 use crate::event_loop::{LoopEvent, SessionReply};
 use crate::replies::OpenReplies;
 
-/// Most reply parts taken from the queue at once.
+/// Maximum number of reply parts taken from the queue at once.
 const MAX_PARTS_PER_STEP: usize = 64;
 
 static NEXT_SESSION: AtomicU64 = AtomicU64::new(0);
@@ -139,7 +139,7 @@
 
     /// Processes the available input and output, then waits for one event. An error ends the session.
     async fn step(&mut self, parts: &mut Vec<SessionReply>) -> Result<(), CloseReason> {
-        // Open requests to a removed volume still get their replies, but no new ones are accepted.
+        // Open requests to a removed volume still get their replies, but no new requests are accepted.
         let is_ending = self.is_stopping || self.is_volume_removed();
         if is_ending {
             self.session.shut_down();
--- a/crates/nbd-gateway/src/snapshot_writer/mod.rs
+++ b/crates/nbd-gateway/src/snapshot_writer/mod.rs
@@ -35,7 +35,7 @@
     pub(crate) loaded: Option<LoadResult>,
 }
 
-/// The event loop's handle of the writer thread. Invariant: the thread has at most one snapshot at a time.
+/// The event loop's handle to the writer thread. Invariant: the thread has at most one snapshot at a time.
 pub(crate) struct SnapshotWriter {
     requests: Option<blocking::SyncSender<SnapshotRequest>>,
     thread: Option<JoinHandle<()>>,
--- a/crates/nbd-gateway/src/store_connection.rs
+++ b/crates/nbd-gateway/src/store_connection.rs
@@ -26,7 +26,7 @@
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 /// Minimum buffer space for a read, bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// Most messages taken from the queue at once.
+/// Maximum number of messages taken from the queue at once.
 const MAX_MESSAGES_PER_STEP: usize = 64;
 
 /// A message to send to a store.
--- a/crates/nbd/src/client.rs
+++ b/crates/nbd/src/client.rs
@@ -79,8 +79,8 @@
     output: BytesMut,
 }
 
-/// Maximum size of an option reply or a chunk, bytes; servers send at most a payload of the maximum size and
-/// the fixed fields.
+/// Maximum size of an option reply or a chunk, bytes. Servers stay below it: they send at most a payload of
+/// the maximum block size and the fixed fields.
 const MAX_REPLY_BYTES: u32 = 64 << 20;
 /// Size of the greeting, bytes.
 const GREETING_BYTES: usize = 18;
--- a/crates/nbd/src/proto/messages.rs
+++ b/crates/nbd/src/proto/messages.rs
@@ -73,7 +73,8 @@
             length,
         })
         .parse_next(&mut input);
-    // Invariant: the fields have 28 bytes in total, and parsing numbers of fixed size cannot fail otherwise.
+    // Invariant: the fields have 28 bytes in total, and numbers of fixed size fail to parse only if bytes are
+    // missing.
     parsed.expect("28 bytes hold a request header")
 }
 
--- a/crates/nbd/src/server/transmission.rs
+++ b/crates/nbd/src/server/transmission.rs
@@ -47,8 +47,8 @@
         true
     }
 
-    /// Reads a request in two steps: first its header; then, in the next call, for which the caller has a
-    /// buffer, its payload.
+    /// Reads a request in two steps: first its header; then, in the next calls, which the caller makes once
+    /// it has a buffer, its payload.
     pub(super) fn receive_request(&mut self, input: &mut BytesMut) -> Result<SessionEvent, ProtocolError> {
         self.discard_payload(input);
         match self.pending_header {
@@ -73,8 +73,8 @@
             return Err(ProtocolError::WrongMagic { message: "a request", found: header.magic.into() });
         }
         let limit = export.block_sizes.maximum;
-        // A payload over the limit is not discarded, which could take arbitrarily long: the specification
-        // permits the server to disconnect.
+        // A payload over the limit is not discarded, since receiving it could take arbitrarily long. The
+        // specification permits the server to disconnect.
         if header.is_write() && header.length > limit {
             return Err(ProtocolError::PayloadTooLong { length: header.length, limit });
         }
--- a/crates/nbd/tests/session.rs
+++ b/crates/nbd/tests/session.rs
@@ -306,8 +306,8 @@
         .quickcheck(receives_without_panic as fn(Vec<u8>, bool) -> bool);
 }
 
-/// A request that is rejected for lack of a buffer is replied to immediately, and its payload is discarded in
-/// pieces of any size. The requests after it are still read correctly. A disconnect is never rejected.
+/// A request that is rejected for lack of a buffer gets its reply immediately, and its payload is discarded
+/// in pieces of any size. The requests after it are still read correctly. A disconnect is never rejected.
 #[test]
 fn rejected_request_is_answered_and_its_payload_discarded() {
     for piece_length in [1, 7, 64, 8192] {
--- a/crates/relay/src/commit_recorder.rs
+++ b/crates/relay/src/commit_recorder.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Records the committed updates of upstreams batch by batch, until the event loop ends.
+/// Records batches of committed updates from upstreams, until the event loop ends.
 pub(crate) async fn record_commits(
     recorder: CommitRecorder,
     mut updates: mpsc::Receiver<Vec<Update>>,
--- a/crates/relay/src/connection.rs
+++ b/crates/relay/src/connection.rs
@@ -19,7 +19,7 @@
 
 /// Maximum number of frames queued for a peer, independent of their size.
 const MAX_UNSENT_FRAMES: usize = 8192;
-/// Maximum number of frames received from the queue in one step.
+/// Maximum number of frames taken from the send queue in one step.
 const MAX_FRAMES_PER_TAKE: usize = 64;
 /// Bytes counted for each frame in addition to its payload.
 const FRAME_OVERHEAD: usize = 128;
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -45,9 +45,9 @@
 pub(crate) struct LoopHandles {
     /// Committed updates for the owner to apply, in order.
     pub(crate) updates: mpsc::Receiver<Vec<Update>>,
-    /// Over this the owner reports the version that it has applied.
+    /// The owner sends the version that it has applied over this channel.
     pub(crate) applied: mpsc::Sender<u64>,
-    /// Over this the reader of the writer's folder sends its events.
+    /// The reader of the writer's folder sends its events over this channel.
     pub(crate) folder_events: mpsc::Sender<LoopEvent>,
 }
 
@@ -108,7 +108,7 @@
         (event_loop, handles)
     }
 
-    /// Runs until its owner drops the receiver of updates.
+    /// Runs until the owner drops the receiver of updates.
     pub(crate) async fn run(mut self) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/relay/src/event_loop/update_buffer.rs
+++ b/crates/relay/src/event_loop/update_buffer.rs
@@ -11,9 +11,9 @@
 /// Bytes of buffered updates at which the event loop stops receiving events.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// Updates that the node has released.
+/// Updates that the node has returned as actions and that were not delivered to the owner yet.
 ///
-/// Invariant: only committed updates are delivered to the owner, in the order in which the node released
+/// Invariant: only committed updates are delivered to the owner, in the order in which the node returned
 /// them.
 #[derive(Default)]
 pub(super) struct UpdateBuffer {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -46,8 +46,8 @@
     pub zone: String,
     /// Where the change log comes from: the writer's folder, or other relays.
     pub changes: ChangeSource,
-    /// The folder in which the relay persists its committed position across restarts; `None`: it is not
-    /// persisted.
+    /// The folder in which the relay persists its committed position across restarts. If it is `None`, the
+    /// position is not persisted.
     pub folder: Option<PathBuf>,
     /// Seed of the random jitter.
     pub seed: u64,
@@ -145,7 +145,7 @@
 pub struct ReplicationSource {
     /// Batches of updates. The channel holds one batch: the next is sent once the previous one was received.
     pub updates: mpsc::Receiver<Vec<Update>>,
-    /// Receives from the gateway the version up to which it has applied the updates.
+    /// The gateway sends the version up to which it has applied the updates over this channel.
     pub applied: mpsc::Sender<u64>,
     event_loop: JoinHandle<()>,
 }
--- a/crates/relay/src/log_events.rs
+++ b/crates/relay/src/log_events.rs
@@ -13,7 +13,7 @@
             tracing::warn!(upstream, %reason, backoff_seconds, "upstream disconnected");
         }
         RelayEvent::LoopDetected { upstream, path } => {
-            tracing::error!(upstream, ?path, "relay loop detected; upstream rejected");
+            tracing::error!(upstream, ?path, "relay loop detected; peer rejected");
         }
         RelayEvent::Disagreement { upstream, version } => {
             tracing::error!(upstream, version, "upstreams reported different histories");
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -1,5 +1,5 @@
-//! Handles messages of the directory: the endpoint list of stores, and responses to queries of the extent
-//! map.
+//! Handles the endpoint list of stores, and the directory's responses to queries of the extent map. The
+//! directory is the service that has this map: the coordinator, or the list service where there is none.
 
 use std::time::Duration;
 
@@ -151,8 +151,8 @@
         self.complete(id, FinalResult::Succeeded);
     }
 
-    /// Handles the response to a claim: the extent is located at the shard of this gateway's first write, or
-    /// at the shard of an earlier claim.
+    /// Handles the response to a claim: the extent is located at the shard that this gateway claimed it for,
+    /// or at the shard of an earlier claim.
     fn on_claim(&mut self, extent: ExtentId, claimed_shard: u32, number: u64, location: Option<Location>) {
         let Some(location) = location else {
             return self.finish_attempt(number, Outcome::ConnectFailed, StoreReply::default());
--- a/crates/routing/src/core/relocation.rs
+++ b/crates/routing/src/core/relocation.rs
@@ -13,8 +13,9 @@
 
 impl Core {
     /// Handles a rejection due to a stale epoch: the range has moved since this gateway read the map. The
-    /// rejected fragment and the queued fragments of the same extent are looked up again and continue within
-    /// their remaining time. This does not count as a retry, because the store did not attempt the operation.
+    /// locations of the rejected fragment and of the queued fragments of the same extent are looked up again,
+    /// and the fragments continue within their remaining time. This does not count as a retry, because the
+    /// store did not attempt the operation.
     pub(super) fn on_stale_epoch(&mut self, store: StoreId, number: u64, epoch: u64) {
         let Some(attempt) = self.attempts.get(&number).filter(|attempt| attempt.store == store) else {
             return;
--- a/crates/routing/src/core/requests.rs
+++ b/crates/routing/src/core/requests.rs
@@ -168,7 +168,7 @@
                 waiting.is_empty()
             }
             DirectoryQuery::Shards(_, id) => !fragments.contains_key(id),
-            // The claim may have succeeded, and its response tells the extent's location.
+            // Kept: the claim may have succeeded, and its response contains the extent's location.
             DirectoryQuery::Claim(..) => false,
         });
     }
--- a/crates/routing/src/core/results.rs
+++ b/crates/routing/src/core/results.rs
@@ -11,8 +11,8 @@
 use crate::{Output, ReplyPart, RequestId};
 
 impl Core {
-    /// Sets a fragment's final result, and delivers it once no attempt of the fragment can take effect any
-    /// more.
+    /// Sets a fragment's final result and delivers it, for a write that did not succeed only once no attempt
+    /// of the fragment can take effect any more.
     ///
     /// Hazard: an attempt of an abandoned write may still be executed. If the client were notified at once,
     /// it could write again, perhaps through another gateway, and the late attempt would overwrite that newer
--- a/crates/routing/src/core/stores.rs
+++ b/crates/routing/src/core/stores.rs
@@ -69,7 +69,7 @@
             FromStore::AttemptResult(result) => self.on_attempt_result(store, result, received_at),
             // Sent to coordinators only; a gateway sends no orders.
             FromStore::OrderReply { .. } => {}
-            // Response to the connection's own heartbeat, which only serves to read the store's clock.
+            // Response to the connection's own heartbeat; the core uses it only to read the store's clock.
             FromStore::Healthy { token: 0, clock, .. } => self.read_clock(store, clock),
             FromStore::Healthy { clock, load_report: report, .. } => {
                 self.read_clock(store, clock);
--- a/crates/routing/src/fragment.rs
+++ b/crates/routing/src/fragment.rs
@@ -18,7 +18,7 @@
     pub(crate) kind: OperationKind,
     pub(crate) op_type: usize,
     pub(crate) durable: bool,
-    /// The request's deadline.
+    /// When the client's operation timeout expires; the final reply must be sent before.
     pub(crate) deadline: Duration,
     pub(crate) buffer_guard: BufferGuard,
     pub(crate) open_fragments: usize,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -81,7 +81,7 @@
     SessionClosed(SessionId),
     /// A connection to a store was established, and the store has identified itself.
     StoreConnected {
-        /// The store that the core asked to connect to.
+        /// The store, as given in [`Output::ConnectStore`].
         store: StoreId,
         /// The lasting id that the store reported.
         lasting_id: u64,
@@ -110,7 +110,7 @@
         /// store's latency.
         received_at: Duration,
     },
-    /// A message from the list and directory service.
+    /// A message from the list service, or from the coordinator about the extent map.
     FromList(FromList),
     /// The connection to the list service broke or could not be established.
     ListDisconnected,
@@ -206,7 +206,8 @@
         /// To be kept until the message is sent.
         buffer_guard: Option<BufferGuard>,
     },
-    /// Send a message to the list and directory service.
+    /// Send a message to the list service, or to the coordinator if it serves the extent map and the message
+    /// concerns the map.
     ToList(ToList),
     /// Save a snapshot.
     SaveSnapshot(Snapshot),
--- a/crates/routing/src/locations.rs
+++ b/crates/routing/src/locations.rs
@@ -1,4 +1,5 @@
-//! Locations of extents: a cache of those that the directory has returned, and the open queries.
+//! Locations of extents: a cache of those that the directory (the service that has the extent map) has
+//! returned, and the open queries.
 //!
 //! Known locations are cached, up to a bound, and may be outdated; a store detects that by the epoch that is
 //! sent with each attempt. The absence of a location holds only for the moment and is never cached: otherwise
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -10,7 +10,7 @@
 pub enum Idempotency {
     /// Repeated executions have the same effect as one.
     Idempotent,
-    /// Stores recognise and discard a retry within this window after the first execution.
+    /// Stores recognize and discard a retry within this window after the first execution.
     Deduplicated(Duration),
     /// A repeated execution has a second effect.
     NotIdempotent,
@@ -49,7 +49,7 @@
 pub struct Limit {
     /// Units per second.
     pub rate: f64,
-    /// Most tokens, units.
+    /// Maximum number of tokens, units.
     pub burst: f64,
     /// Units by which all gateways together may exceed the limit.
     pub slack: f64,
@@ -87,7 +87,7 @@
     pub is_removed: bool,
 }
 
-/// Parameters of the operators' rules.
+/// Parameters of the operators' rules; docs/design.md explains the numbered ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// How long attempts may still be sent to a draining store.
@@ -106,7 +106,7 @@
     pub key_pause: Duration,
     /// The retry budget, if one is configured.
     pub retry_budget: Option<RetryBudget>,
-    /// Time within which a failed poll of the endpoint list is repeated.
+    /// Time within which a failed subscription to the endpoint list is retried.
     pub poll_retry_interval: Duration,
     /// Units per second of all stores together, if known. Reservations must not exceed it.
     pub capacity: Option<f64>,
@@ -126,17 +126,17 @@
 /// Bounds on a gateway's memory use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Most open sessions.
+    /// Maximum number of open sessions.
     pub sessions: usize,
-    /// Most open requests of one session.
+    /// Maximum number of open requests of one session.
     pub requests_per_session: usize,
-    /// Most bytes buffered for open requests and unsent replies.
+    /// Maximum number of bytes buffered for open requests and unsent replies.
     pub bytes: usize,
-    /// Most bytes buffered for one session.
+    /// Maximum number of bytes buffered for one session.
     pub bytes_per_session: usize,
-    /// Most data of one request, bytes.
+    /// Maximum data length of one request, bytes.
     pub request_bytes: u32,
-    /// Most extents whose location is cached.
+    /// Maximum number of extents whose location is cached.
     pub locations: usize,
 }
 
@@ -159,11 +159,11 @@
     pub extent_bytes: u32,
     /// Bytes per unit of work.
     pub unit_bytes: u32,
-    /// Most units that one operation costs.
+    /// Maximum cost of one operation, in units of work.
     pub max_units: u32,
     /// Units of work of an average operation.
     pub mean_units: f64,
-    /// Most attempts for one operation.
+    /// Maximum number of attempts for one operation.
     pub max_attempts: u32,
     /// Longest wait before a retry that is suggested to a rejected client.
     pub max_retry_after: Duration,
--- a/crates/routing/src/snapshot_records.rs
+++ b/crates/routing/src/snapshot_records.rs
@@ -50,7 +50,7 @@
     /// Units per second of all gateways together, as reported by the stores.
     #[serde(rename = "told")]
     pub reported_rate: f64,
-    /// Units of the volume's rate limit that stay reserved while the promise lasts.
+    /// Units of this gateway's part of the volume's rate limit that stay reserved while the promise lasts.
     #[serde(rename = "floor")]
     pub reserved_tokens: f64,
 }
--- a/crates/routing/src/stale_epoch.rs
+++ b/crates/routing/src/stale_epoch.rs
@@ -8,7 +8,7 @@
 /// Until when the operation may resume at the range's new location; `None` if it must not resume.
 ///
 /// Hazard: an earlier attempt may have been executed at the old location. Its sequence number moves with the
-/// range and makes a retry harmless, but only while the stores still recognise retries.
+/// range and makes a retry harmless, but only while the stores still recognize retries.
 pub(crate) fn may_resume_until(
     idempotency: Idempotency,
     may_have_run_since: Option<Duration>,
--- a/crates/routing/src/store_membership.rs
+++ b/crates/routing/src/store_membership.rs
@@ -103,7 +103,7 @@
         self.stores.values().map(|member| member.shard).collect()
     }
 
-    /// Marks the stores that are missing from a complete list as gone.
+    /// Marks the stores that a complete list does not name as gone.
     pub(crate) fn mark_unlisted_gone(&mut self, now: Duration, listed: &[Endpoint]) {
         let listed: BTreeSet<StoreId> = listed.iter().map(|endpoint| endpoint.store).collect();
         for (id, member) in &mut self.stores {
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -1,4 +1,4 @@
-//! Randomised test of two routing cores with three stores and one directory in virtual time. Results, broken
+//! Randomized test of two routing cores with three stores and one directory in virtual time. Results, broken
 //! connections and lost messages are drawn at random. Checks that each request gets exactly one final result
 //! in time, and that each extent has one location.
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -3,7 +3,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Largest relative error of the prediction for a held-out size with which a slope counts as understood.
+/// Largest relative error of the prediction for the size that was held out. With a larger error the slope
+/// counts as not understood.
 pub const MAX_PREDICTION_ERROR: f64 = 0.25;
 
 /// A least-squares line: `value = intercept + slope * count`.
--- a/crates/scale/src/measurement/applied_versions.rs
+++ b/crates/scale/src/measurement/applied_versions.rs
@@ -1,4 +1,4 @@
-//! Delays until changes of the configuration are in force, that is applied by the gateways.
+//! Delays until changes of the configuration are in force. A change is in force once the gateways apply it.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/scale/src/measurement/schedule.rs
+++ b/crates/scale/src/measurement/schedule.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Ends a fault. A killed relay stays ended.
+    /// Resumes relays that are paused. Relays that were killed are not restarted.
     fn end_fault(&mut self, fault: Option<Fault>) -> Result<(), ScaleError> {
         self.relays.as_mut().zip(fault).map_or(Ok(()), |(relays, fault)| relays.end_fault(fault))
     }
--- a/crates/scale/src/measurement/testbed.rs
+++ b/crates/scale/src/measurement/testbed.rs
@@ -26,7 +26,7 @@
 /// Interval at which the workers' observations are polled.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time limit for a gateway or coordinator process to exit after it was told to stop.
+/// Time limit for a gateway or coordinator process to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running fleet. Dropping it ends all its processes.
--- a/crates/scale/src/plan/demand.rs
+++ b/crates/scale/src/plan/demand.rs
@@ -25,10 +25,10 @@
 
 /// Memory of a process without gateways, in bytes.
 ///
-/// This estimate and the four below are upper bounds by which plans are rejected. They are memory usages of
-/// `umbertray scale` on a busy machine of 8 cores, rounded up: 20 hollow gateways with 8 answering stores
-/// held 42, 93 and 302 MB with 250, 1,000 and 4,000 listed stores. With 4,000 answering stores, 3 hollow
-/// gateways held 149 MB, and the stores' processes, with 16,000 connections, held 204 MB.
+/// This estimate and the four below are upper bounds by which plans are rejected. They are rounded up from
+/// trials of `umbertray scale` on a busy machine of 8 cores: 20 hollow gateways with 8 answering stores held
+/// 42, 93 and 302 MB with 250, 1,000 and 4,000 listed stores. With 4,000 answering stores, 3 hollow gateways
+/// held 149 MB, and the stores' processes, with 16,000 connections, held 204 MB.
 const PROCESS_BYTES: u64 = 12 << 20;
 
 /// Memory of a hollow gateway without stores, volumes and connections, in bytes.
@@ -61,7 +61,7 @@
 }
 
 /// Rejects a plan in which a process needs more file descriptors than the system allows. `needs` has the
-/// number of each role, without [`BASE_DESCRIPTORS`].
+/// number of descriptors for each role, without [`BASE_DESCRIPTORS`].
 fn check_descriptors(needs: &[(&'static str, u64)], limits: &Limits) -> Result<(), PlanRejected> {
     let available = limits.descriptors.saturating_sub(BASE_DESCRIPTORS);
     match needs.iter().find(|(_, need)| *need > available) {
--- a/crates/scale/src/plan/rejected.rs
+++ b/crates/scale/src/plan/rejected.rs
@@ -1,4 +1,4 @@
-//! Reasons to reject a plan before any process starts, and the checks of a plan by itself.
+//! Reasons to reject a plan before any process starts, and the checks that need only the plan.
 
 use super::Plan;
 use super::demand::MAX_RELAYS;
--- a/crates/scale/src/relays.rs
+++ b/crates/scale/src/relays.rs
@@ -21,7 +21,7 @@
 pub enum Fault {
     /// The relay is killed and not restarted.
     Killed,
-    /// The relay is paused for the second third of the measured time.
+    /// The relay is paused with SIGSTOP for the second third of the measured time.
     Stopped,
 }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Ends a fault. A killed relay stays ended.
+    /// Resumes relays that are paused. Relays that were killed are not restarted.
     pub(crate) fn end_fault(&mut self, fault: Fault) -> Result<(), ScaleError> {
         match fault {
             Fault::Stopped => self.signal(Signal::SIGCONT),
--- a/crates/scale/src/worker/mod.rs
+++ b/crates/scale/src/worker/mod.rs
@@ -58,8 +58,8 @@
     list: Option<(list::Running, Vec<StoreEntry>)>,
 }
 
-/// Executes commands until standard input ends. It also ends when the process that started this one exits or
-/// is killed.
+/// Executes commands until standard input ends. Standard input also ends when the process that started this
+/// one exits or is killed.
 ///
 /// # Errors
 /// A message if a command cannot be read or its reply cannot be written.
--- a/crates/scale/src/worker_process.rs
+++ b/crates/scale/src/worker_process.rs
@@ -27,7 +27,7 @@
     log: PathBuf,
     /// The child process.
     child: Child,
-    /// Its standard input; `None` once the process has been asked to exit.
+    /// Its standard input; `None` once it has been closed, which makes the process exit.
     stdin: Option<ChildStdin>,
     /// Its standard output, read by lines.
     stdout: Lines<BufReader<ChildStdout>>,
--- a/crates/snapshot/src/delta.rs
+++ b/crates/snapshot/src/delta.rs
@@ -1,5 +1,5 @@
 //! Selects the part of the state that is written: the complete state once per file, then deltas with the
-//! items that a reader of the file would otherwise have wrong.
+//! items that a reader of the file would otherwise get wrong.
 //!
 //! A delta also renews the items that it does not contain: the reserved tokens of all other volumes are
 //! promised again from the time of the delta on.
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -36,8 +36,8 @@
 /// A saved state and the time at which it was taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedSnapshot {
-    /// The time before the scheduler returned the state. The state is therefore never older than this stamp
-    /// indicates.
+    /// Taken before the scheduler was requested to return the state. The state is therefore never older than
+    /// this timestamp indicates.
     #[serde(rename = "at")]
     pub taken_at: Stamp,
     /// The state.
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,5 +1,5 @@
-//! Saves a gateway's learned state across restarts, in versioned, checksummed files. A file is never used
-//! half written.
+//! Saves a gateway's learned state across restarts, in versioned, checksummed files. A new file is put in
+//! place only once it is complete, and an incomplete record at the end of a file is ignored.
 //!
 //! These modules are free of I/O and of clocks: [`stamp`] (the age of a saved state), [`selection`] (which
 //! file of a folder is used), [`write_policy`] (when to append, begin a new file or back off) and [`delta`]
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -1,4 +1,4 @@
-//! Checksummed records, shared by state files and the configuration log.
+//! Checksummed records, shared by state files and hash-chained logs such as the change log.
 //!
 //! A record consists of the payload's length (u32, little-endian), a CRC-32C of the length's bytes and the
 //! payload (u32, little-endian), and the payload (postcard).
--- a/crates/store-protocol/src/changes/from_upstream.rs
+++ b/crates/store-protocol/src/changes/from_upstream.rs
@@ -89,7 +89,7 @@
         /// The bytes of the part.
         part: Bytes,
     },
-    /// The relay cannot serve the checkpoint now, because it already serves the maximum number of
+    /// The relay rejects a request for a checkpoint, because it is already sending the maximum number of
     /// checkpoints.
     RetryAfter {
         /// Delay before the follower may request the checkpoint again.
--- a/crates/store-protocol/src/changes/mod.rs
+++ b/crates/store-protocol/src/changes/mod.rs
@@ -21,8 +21,8 @@
 
 /// Maximum number of bytes of a change or a checkpoint in one frame.
 pub const MAX_PART: usize = 64 << 10;
-/// Maximum size of a change, bytes. A longer change is not sent; followers receive it with the next
-/// checkpoint.
+/// Maximum size of a change, bytes. A longer change is not sent as an entry; followers receive it as part of
+/// the next checkpoint.
 pub const MAX_BODY: u32 = 32 << 20;
 /// Maximum size of a checkpoint, bytes: the maximum size of a record in the log's files.
 pub const MAX_CHECKPOINT: u32 = 64 << 20;
@@ -90,7 +90,7 @@
     Gateway,
 }
 
-/// Number of members that have a given applied version.
+/// Number of members (gateways) that have a given applied version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionCount {
     /// The applied version.
@@ -110,9 +110,9 @@
     pub lag_seconds: u32,
 }
 
-/// The versions that a follower and its direct and indirect followers have applied. If there are more
-/// distinct versions than a frame holds, the members of the two lowest versions are counted together under
-/// the lower one.
+/// The versions that a gateway, or all gateways that follow a relay directly or indirectly, have applied. If
+/// there are more distinct versions than a frame holds, the members of the two lowest versions are counted
+/// together under the lower one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ProgressSummary {
     /// Number of members by applied version, newest version first.
@@ -134,6 +134,6 @@
     pub followers: u32,
     /// Size of the checkpoint and the entries that it holds, bytes.
     pub held_bytes: u64,
-    /// The versions that it and its direct and indirect followers have applied.
+    /// The versions that the gateways below it, which follow it directly or indirectly, have applied.
     pub progress: ProgressSummary,
 }
--- a/crates/store-protocol/src/changes/to_upstream.rs
+++ b/crates/store-protocol/src/changes/to_upstream.rs
@@ -42,8 +42,8 @@
         /// Bytes of entries received since the last update; the relay may send that many more.
         bytes: u32,
     },
-    /// The versions that the follower and its direct and indirect followers have applied; sent to the
-    /// upstream that it follows.
+    /// The versions that the follower, if it is a gateway, or the gateways below it have applied; sent to
+    /// the upstream that it follows.
     Progress(ProgressSummary),
     /// Keeps the connection alive when there is nothing else to send.
     Heartbeat,
--- a/crates/store-protocol/src/fields.rs
+++ b/crates/store-protocol/src/fields.rs
@@ -1,5 +1,5 @@
-//! Reading and writing of a frame's fields. Numbers are big-endian; docs/store-protocol.md describes the
-//! field types.
+//! Reads and writes the fields of frames. Numbers are big-endian; docs/store-protocol.md describes the field
+//! types.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use winnow::ModalResult;
@@ -53,7 +53,7 @@
         self.parse(|input| be_u64(input))
     }
 
-    /// Reads a floating-point number, which must be finite and not negative.
+    /// Reads a floating-point number, which must be finite and at least 0.
     pub(crate) fn non_negative_f64(&mut self, field: &'static str) -> Result<f64, FrameError> {
         let value = self.parse(|input| be_f64(input))?;
         if value.is_finite() && value >= 0.0 { Ok(value) } else { Err(self.invalid(field, value.to_bits())) }
--- a/crates/store-protocol/src/lib.rs
+++ b/crates/store-protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Encoding and decoding of the store protocol, without I/O. Gateways speak it with stores, with the list
-//! service and with the coordinator; relays carry the change log in the same frames. docs/store-protocol.md
-//! is the specification.
+//! Encoding and decoding of the store protocol, without I/O. Gateways use it with stores, the list service
+//! and the coordinator, and the coordinator uses it with stores and the list service. Relays carry the change
+//! log in frames of the same form. docs/store-protocol.md is the specification.
 //!
 //! A frame is a length (u32: the number of bytes that follow it), a kind (u8) and the kind's fields; numbers
 //! are big-endian. [`next_frame`] removes a frame from a buffer, [`Message::put`] writes one.
--- a/crates/store-protocol/src/list/to_list.rs
+++ b/crates/store-protocol/src/list/to_list.rs
@@ -26,8 +26,8 @@
         volume: u64,
         /// The extent's index in the volume.
         extent: u64,
-        /// The response is delayed until the map has at least this epoch for the extent: a store has
-        /// responded that the extent's range has this epoch.
+        /// The response is delayed until the map has at least this epoch for the extent. It is the epoch of
+        /// the extent's range that a store has reported to the gateway.
         min_epoch: u64,
     },
     /// Claims the extent for a shard, unless it already has a location: the first claim wins permanently.
--- a/crates/store-protocol/tests/sizes.rs
+++ b/crates/store-protocol/tests/sizes.rs
@@ -10,7 +10,7 @@
 
 const CAPACITY_PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 
-/// The number in the second cell of the row with this name.
+/// The number in the second cell of the row with this name in docs/CAPACITY.md.
 fn documented_size(name: &str) -> usize {
     let row = CAPACITY_PAGE.lines().find_map(|line| line.strip_prefix(&format!("| {name} | ")));
     let cell = row.and_then(|rest| rest.split(" | ").next()).unwrap_or_else(|| panic!("no row {name:?}"));
--- a/days/down.star
+++ b/days/down.star
@@ -33,7 +33,8 @@
 # All stores are replaced under new ids while two gateways are down.
 trouble("gateway_down", at = 4, lasts = 1.6, part = 0.5)
 trouble("deploy", at = 4.2, lasts = 0.6, part = 1)
-# Half of the gateways are killed together while the stores are cold, then again, and then all go down.
+# Half of the gateways, drawn at random, are killed together while the stores are cold, then another random
+# half, and then all are down for a while.
 trouble("preempt", at = 7, lasts = 0.3, part = 1)
 trouble("gateway_crash", at = 7.4, part = 0.5)
 trouble("gateway_crash", at = 7.8, part = 0.5)
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -75,7 +75,7 @@
                 Action::SetTimer { at, .. } => timer = at,
                 Action::Reject { op: ended, .. } | Action::Fail { op: ended } => {
                     panic!(
-                        "{ended:?} was rejected or failed: the measured load must not overload the scheduler"
+                        "{ended:?} was rejected or failed: the measurement is valid only if all ops succeed"
                     )
                 }
                 _ => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -36,7 +36,7 @@
     /// The store accepts ops.
     Ready,
     /// The store is shutting down gracefully: it still responds, but may be sent ops only during the drain
-    /// grace (rule 3).
+    /// grace (rule 3 of docs/design.md).
     Draining,
     /// The store is not in service.
     #[default]
@@ -80,7 +80,7 @@
     pub units: f64,
     /// The volume that the op accesses.
     pub volume: VolumeId,
-    /// The volume's permanent name, the same at every gateway.
+    /// The volume's lasting id, the same at every gateway.
     pub volume_name: u64,
     /// The piece of data that the op accesses; absent: none.
     pub key: Option<u64>,
@@ -147,7 +147,7 @@
     pub report: LoadReport,
 }
 
-/// What a gateway has learned about a store, as far as it is worth keeping beyond the gateway's run.
+/// What a gateway has learned about a store and may keep across a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSnapshot {
     /// Which store.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -127,8 +127,8 @@
     }
 
     /// Whether sending the op leaves capacity for others. Departure from Argon: an op may use only a fraction
-    /// of the concurrency limit, which is its priority weight relative to the greatest, times its volume's
-    /// guaranteed rate relative to its known rate (at most 1).
+    /// of the concurrency limit. The fraction is the op's priority weight relative to the greatest weight,
+    /// times the ratio of its volume's guaranteed rate to the volume's known rate (at most 1).
     pub(super) fn leaves_capacity_for_others(&self, store: &Store, pending: &PendingOp) -> bool {
         let guaranteed_rate = self.settings.plans[pending.op.plan].guaranteed_rate;
         let entitlement = (guaranteed_rate / self.quotas.volume(pending.op.volume).known_rate()).min(1.0);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -8,7 +8,8 @@
 use super::store::Store;
 use crate::interface::{Action, OpId, StoreId, VolumeId};
 
-/// Duration of a quantum, in shortest latency objectives (docs/design.md, "Kept on the ordinary path").
+/// Duration of a quantum, as a fraction of the shortest latency objective (docs/design.md, "Kept on the
+/// ordinary path").
 const QUANTUM_PER_OBJECTIVE: f64 = 0.25;
 
 /// State of a store that decides which of its queued ops may be sent; the same for all ops of a volume.
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -77,6 +77,8 @@
 }
 
 /// The queues of all volumes at one store.
+///
+/// Invariant: `queued_count` is the sum of the queues' lengths.
 #[derive(Default)]
 pub(super) struct FairQueue {
     volumes: BTreeMap<VolumeId, VolumeQueue>,
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -74,7 +74,8 @@
         std::mem::take(&mut state.actions)
     }
 
-    /// Number of stores that have had work since the last sweep; the next sweep examines at most these.
+    /// Number of active stores: those that are gone, or had work or an endpoint list update since the last
+    /// sweep. The next sweep examines at most these.
     pub fn active_store_count(&self) -> usize {
         self.state.as_ref().map_or(0, |state| state.stores.active_count())
     }
@@ -101,7 +102,8 @@
     retry_budget: RetryBudget,
     endpoint_watch: EndpointWatch,
     next_sweep_at: Duration,
-    /// Whether the latest event arrived later than the sweep timer was due: this gateway was stalled.
+    /// Whether the clock last advanced to more than a sweep interval past the time at which the sweep timer
+    /// was due, which means that this gateway was stalled.
     is_stalled: bool,
     shutdown_at: Option<Duration>,
     actions: Vec<Action>,
--- a/src/scheduler/outlier.rs
+++ b/src/scheduler/outlier.rs
@@ -1,14 +1,15 @@
-//! Outlier detection: stores suspected of not responding, and responses lost with their connections.
+//! Outlier detection: stores suspected of not responding, and responses that are overdue because their
+//! connection may have lost them.
 
 use std::time::Duration;
 
 use super::fair_queue::IDLE_TIMEOUT;
 use crate::interface::Outcome;
 
-/// Silence after which a store is suspected, in shortest latency objectives.
+/// Silence after which a store is suspected, as a multiple of the shortest latency objective.
 const SILENCE_PER_OBJECTIVE: f64 = 0.5;
-/// Silence after which a store is suspected, in the store's average latencies; the longer of the two timeouts
-/// applies.
+/// Silence after which a store is suspected, as a multiple of the store's average latency; the longer of the
+/// two timeouts applies.
 const SILENCE_PER_LATENCY: f64 = 4.0;
 
 /// How long a response may be overdue before its store is suspected; `average_latency` is in seconds.
@@ -94,8 +95,8 @@
         self.newest_responded_start <= started_at
     }
 
-    /// Time between the starts of this attempt and of the newest one with a response, in shortest latency
-    /// objectives.
+    /// Time between the starts of this attempt and of the newest one with a response, as a multiple of the
+    /// shortest latency objective.
     pub(super) fn objectives_since_last_response(&self, started_at: Duration) -> f64 {
         let gap = started_at.saturating_sub(self.newest_responded_start);
         gap.as_secs_f64() / self.shortest_objective.as_secs_f64()
--- a/src/scheduler/pending_op.rs
+++ b/src/scheduler/pending_op.rs
@@ -14,7 +14,7 @@
     MaybeExecuted,
 }
 
-/// One dispatch of an op to a store.
+/// One attempt of an op at a store.
 pub(super) struct Attempt {
     pub(super) store: StoreId,
     pub(super) started_at: Duration,
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -9,14 +9,14 @@
 
 /// Step in which the loads of fully loaded stores are compared, as a fraction of the concurrency limit.
 const LOAD_STEP: f64 = 0.25;
-/// Load from which a store counts as fully loaded, in concurrency limits.
+/// Load from which a store counts as fully loaded, as a multiple of its concurrency limit.
 const FULL_LOAD: f64 = 1.0;
 /// Fraction of the drain grace that is left unused as a safety margin for rule 3.
 const DRAIN_GRACE_MARGIN: f64 = SWEEP_INTERVAL_PER_OBJECTIVE;
 
 impl SchedulerState {
-    /// The first store in rank that is not fully loaded. Stores rank by age within a shard, and by a hash of
-    /// volume and shard for a new object.
+    /// The first store in rank that is not fully loaded, or else the least loaded one. Stores rank by age
+    /// within a shard, the oldest first, and by a hash of volume and shard for a new object.
     ///
     /// An op on existing data stays with the newest store of its shard while no store of the shard is
     /// eligible.
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -12,7 +12,7 @@
 /// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SettingsError {
-    /// The named setting is required but missing, or is unreadable.
+    /// The named setting is required but missing, or its value is invalid.
     Invalid(String),
     /// The new settings define fewer op types or plans than the current ones.
     FewerEntries,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -11,8 +11,8 @@
 use super::store::Store;
 use crate::interface::{Endpoint, Op};
 
-/// Fraction of the rule's multiple that paced ops may use; the rest absorbs random variation and other stores
-/// in slow start.
+/// Fraction of rule 4's multiple of the plan's rate (the setting `rules.fall_multiple`) that paced ops may
+/// use; the rest absorbs random variation and other stores in slow start.
 const PACED_SHARE: f64 = 0.375;
 
 /// Units sent to a store, with the times of sending.
@@ -64,8 +64,8 @@
         let initial_progress = rules.initial_progress.max(f64::MIN_POSITIVE);
         let capacity = rules.initial_units.unwrap_or(self.mean_units) * progress / initial_progress;
         let gateway_units = capacity / self.settings.gateways;
-        // Hazard: paced ops share one budget with the equal part and with one another. In addition to the
-        // equal part, or counted for each volume alone, they would exceed the rule in sum.
+        // Hazard: paced ops share one budget with the equal part and with one another. If they were allowed
+        // in addition to the equal part, or counted for each volume alone, the total would exceed rule 4.
         let paced_units =
             if self.is_paced_send_due(store, op, progress) { self.mean_units.max(op.units) } else { 0.0 };
         self.now >= self.started_at + rules.window && op.units + sent <= gateway_units.max(paced_units)
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -16,11 +16,12 @@
 /// Upper bound of the factor by which a response weighs more if its attempt started long after that of the
 /// previous response.
 const MAX_SMOOTHING_FACTOR: f64 = 2.0;
-/// Initial value of a latency average, in latency objectives.
+/// Initial value of a latency average, as a fraction of the latency objective.
 pub(super) const INITIAL_LATENCY_PER_OBJECTIVE: f64 = 0.125;
-/// Latency that the concurrency limit aims for, in shortest latency objectives.
+/// Latency that the concurrency limit aims for, as a fraction of the shortest latency objective.
 const TARGET_LATENCY_PER_OBJECTIVE: f64 = 0.35;
-/// Average latency above which the store is treated as overloaded, in shortest latency objectives.
+/// Average latency above which the store is treated as overloaded, as a fraction of the shortest latency
+/// objective.
 const OVERLOAD_LATENCY_PER_OBJECTIVE: f64 = 0.6;
 
 /// Settings that all stores share and that stay constant from the gateway's start to its shutdown.
@@ -130,8 +131,8 @@
         silence_timeout(self.baseline.shortest_objective, self.latency)
     }
 
-    /// Whether the attempt's response is overdue because its connection lost it rather than because the store
-    /// is slow.
+    /// Whether the attempt's response is overdue and presumably lost with its connection, rather than delayed
+    /// by a slow store.
     fn is_stuck(&self, attempt: &InFlightAttempt, now: Duration) -> bool {
         let started_at = attempt.started_at;
         self.outlier.may_be_lost(started_at, now) && started_at + self.silence_timeout() < now
--- a/src/scheduler/sweep.rs
+++ b/src/scheduler/sweep.rs
@@ -6,7 +6,7 @@
 use super::pending_op::PendingOp;
 use crate::interface::{Action, OpId, StoreId};
 
-/// Interval between sweeps, in shortest latency objectives.
+/// Interval between sweeps, as a fraction of the shortest latency objective.
 pub(super) const SWEEP_INTERVAL_PER_OBJECTIVE: f64 = 0.0625;
 /// Token of the sweep timer, the only timer that the scheduler sets.
 const SWEEP_TIMER: u64 = 0;
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! Gateways under test, and a simple, slow model of the rules that checks each of their actions.
+//! Gateways under test, and a simple, slow model of the numbered rules of docs/design.md that checks each of
+//! their actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -152,7 +153,8 @@
     units: f64,
 }
 
-/// All gateways, the endpoint list that they share, and the model's totals over them for the rules.
+/// All gateways, the endpoint list that they share, and what the model counts over all of them to check the
+/// rules.
 #[derive(Default)]
 pub(crate) struct TestFleet {
     pub(crate) now: Duration,
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -86,8 +86,8 @@
 }
 
 /// Numbers of gateways, each with the overcommitment that they must handle. A few gateways see most volumes
-/// each and can handle any. Many gateways rely on the plans' rates, and where each may send hardly one op,
-/// random variation needs the more headroom.
+/// each and can handle any overcommitment. Many gateways rely on the plans' rates, and where each may send
+/// hardly one op, random variation needs more headroom.
 const FLEETS: [(usize, f64); 6] = [(1, 6.0), (3, 6.0), (20, 3.0), (30, 3.0), (300, 2.0), (1700, 2.0)];
 const SEEDS: u64 = 3;
 /// Minimum fraction of the stores' capacity during slow start that must be used over all scenarios.
@@ -351,8 +351,8 @@
     }
 }
 
-/// Runs scenarios of all fleets and rules. The load in sum must keep to rule 4, but not by using too little
-/// capacity.
+/// Runs scenarios of all fleets and rules. The total load must keep to rule 4, and the gateways must still
+/// use at least `MIN_UTILIZATION` of the capacity.
 fn check_rule_and_utilization(max_notify_delay: f64, mean_restart_interval: f64) {
     let (mut sent, mut capacity) = (0.0, 0.0);
     for (gateways, overcommitment) in FLEETS {
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -123,8 +123,8 @@
     assert!(fleet.gateways[0].ops[&OpId(1)].has_ended);
 }
 
-/// 350 gateways that decide independently keep the load on a store in slow start and the plans' limits in
-/// sum, and their parts do not round down to nothing.
+/// 350 gateways, each deciding independently, together keep to what a store in slow start can carry and to
+/// the plans' limits, and their parts do not round down to nothing.
 #[test]
 fn hundreds_of_gateways_keep_rules_in_sum_and_serve() {
     const GATEWAYS_PER_VOLUME: u32 = 8;
@@ -205,7 +205,7 @@
     fleet.submit(0, Op { time_left: ms(40_000), ..op(60, 3, 0) });
     assert!(
         fleet.gateways[0].ops[&OpId(60)].has_ended,
-        "an op that no gateway would respond to is not queued"
+        "an op that arrives after the shutdown time must be ended at once"
     );
 }
 
