--- a/crates/cli/src/measure/state.rs
+++ b/crates/cli/src/measure/state.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 use umbertray_fakes::fleet::Fleet;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
 use umbertray_routing::settings::Volume;
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 use umbertray_routing::{Core, Input, Output, RequestHandler as _, Snapshot};
 use umbertray_snapshot::folder::{FILE_BYTES, current_stamp};
 use umbertray_snapshot::{Disk, LoadResult, SnapshotStore};
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// Measures how long it takes to save the largest state and to open it at a start, and how large it is.
+/// Measures how long a core takes for the largest snapshot, how long it takes to save a change of a hundredth
+/// of it and to open it at a start, and how many bytes both saves write.
 pub(super) fn measure_largest(folder: &Path) -> Result<(), MeasureError> {
     let io_error = |source| MeasureError::FolderIo { folder: folder.into(), source };
     let TakenSnapshot { duration: snapshot_duration, snapshot } = take_snapshot(&largest_snapshot())?;
@@ -141,7 +142,7 @@
         zone: 0,
         state: 1,
         incarnation: 1,
-        learned: Some(LearnedFigures {
+        learned_values: Some(LearnedValues {
             latency: 0.01,
             concurrency_limit: 8.0,
             virtual_times: (0..VOLUMES_PER_STORE).map(|volume| (volume, 1.5)).collect(),
@@ -158,7 +159,7 @@
         volume.reserved_tokens *= 0.5;
     }
     let stores = snapshot.stores.iter_mut().step_by(CHANGED_ONE_IN);
-    for learned in stores.filter_map(|store| store.learned.as_mut()) {
+    for learned in stores.filter_map(|store| store.learned_values.as_mut()) {
         learned.concurrency_limit *= 2.0;
     }
     snapshot
--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -12,7 +12,7 @@
 use umbertray_fakes::model::Fault;
 use umbertray_fakes::test_folder::TestFolder;
 use umbertray_fault_tests::process::Gateway;
-use umbertray_fault_tests::record::Deed;
+use umbertray_fault_tests::record::TestEvent;
 
 use crate::common::{
     assert_mostly_acked, block_contents, empty_folder, expect_acked, is_throttled, program_path,
@@ -85,7 +85,7 @@
         folder.join(format!("state-{number}")),
         changes
     );
-    Gateway::start_in(program_path(), folder, &format!("g{number}"), &script, environment).await
+    Gateway::start_with_environment(program_path(), folder, &format!("g{number}"), &script, environment).await
 }
 
 /// Waits until a gateway's log reports that it has applied a version.
@@ -95,7 +95,7 @@
         let text = std::fs::read_to_string(&file).unwrap_or_default();
         let versions = text.lines().filter_map(|line| {
             let line: serde_json::Value = serde_json::from_str(line).ok()?;
-            line["fields"]["version"].as_u64().filter(|_| line["fields"]["message"] == "changes acted on")
+            line["fields"]["version"].as_u64().filter(|_| line["fields"]["message"] == "changes applied")
         });
         versions.max().is_some_and(|newest| newest >= version)
     };
@@ -136,7 +136,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
-    load.unexpected_replies.fetch_add(connection.strays().len() as u32, Ordering::Relaxed);
+    load.unexpected_replies.fetch_add(connection.unmatched_replies().len() as u32, Ordering::Relaxed);
 }
 
 fn spawn_writers(
@@ -263,7 +263,7 @@
     let rejected = start_follower(&fleet, &folder, &copy, 1).await;
     assert!(rejected.is_err());
     let log = std::fs::read_to_string(folder.join("g1.log")).expect("a log");
-    assert!(log.contains("ends at version 1, this gateway has acted on version 2"), "{log}");
+    assert!(log.contains("ends at version 1, this gateway has applied version 2"), "{log}");
     // It accepts the current log.
     start_follower(&fleet, &folder, &changes, 1).await.expect("it starts");
 }
@@ -381,7 +381,7 @@
 async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
     let (record, verdict) = run_fault_scenario("changes.star", text, 1).await;
-    let limits = record.deeds.iter().filter(|(_, deed)| matches!(deed, Deed::Limit { .. }));
+    let limits = record.events.iter().filter(|(_, event)| matches!(event, TestEvent::Limit { .. }));
     assert_eq!(limits.count(), 4, "the first, and three others");
     assert_mostly_acked(&verdict);
 }
@@ -396,7 +396,10 @@
     wait_until_applied(&folder, 1, 2).await;
     let client = Connection::open(gateway.address, "vol", true).await.expect("a session opens");
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
-    fleet.ids().into_iter().for_each(|id| fleet.fault(id, Fault { lost: 1.0, ..Fault::default() }));
+    fleet
+        .ids()
+        .into_iter()
+        .for_each(|id| fleet.set_fault(id, Fault { lost_fraction: 1.0, ..Fault::default() }));
     let (reply, ()) = tokio::join!(client.write(0, block_contents(2, 0, 1)), async {
         // The write is in flight before the signal: this client sends nothing else.
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use umbertray_fakes::book::Seen;
 use umbertray_fakes::client::Connection;
+use umbertray_fakes::event_log::StoreEvent;
 use umbertray_fakes::fleet::Fleet;
 use umbertray_fakes::model::Fault;
 use umbertray_fault_tests::coordinator::CoordinatorProcess;
@@ -45,8 +45,8 @@
 /// The shards whose stores hold data of the first extent.
 fn shards_with_data(fleet: &Fleet) -> Vec<u32> {
     let holds = |shard: &u32| {
-        let store = fleet.get(fleet.of_shard(*shard).expect("a store")).expect("it runs");
-        store.identity().medium.lock().expect("not poisoned").holds(&extents(0, 1)) > 0
+        let store = fleet.get(fleet.store_of_shard(*shard).expect("a store")).expect("it runs");
+        store.identity().disk.lock().expect("not poisoned").held_bytes(&extents(0, 1)) > 0
     };
     (0..2).filter(holds).collect()
 }
@@ -55,7 +55,7 @@
     let accepted = async {
         loop {
             // A coordinator that has just started may not know the stores yet.
-            match coordinator.wish(extents(0, 1), shard).await.expect("a response") {
+            match coordinator.request_move(extents(0, 1), shard).await.expect("a response") {
                 Ok(number) => return number,
                 Err(reason) => assert!(reason.starts_with("no store serves"), "{reason}"),
             }
@@ -63,17 +63,17 @@
         }
     };
     let number = within(5, "an accepted move", accepted).await;
-    let outcome = coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+    let outcome = coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
     assert_eq!(outcome, "moved, the source is cleared");
 }
 
 fn executed_count(fleet: &Fleet) -> usize {
-    fleet.book.entries().iter().filter(|entry| matches!(entry.seen, Seen::Ran { .. })).count()
+    fleet.event_log.entries().iter().filter(|entry| matches!(entry.seen, StoreEvent::Ran { .. })).count()
 }
 
 fn stale_count(fleet: &Fleet) -> usize {
-    let is_stale = |seen: &Seen| matches!(seen, Seen::Answered { code, .. } if code == "Stale");
-    fleet.book.entries().iter().filter(|entry| is_stale(&entry.seen)).count()
+    let is_stale = |seen: &StoreEvent| matches!(seen, StoreEvent::Answered { code, .. } if code == "Stale");
+    fleet.event_log.entries().iter().filter(|entry| is_stale(&entry.seen)).count()
 }
 
 /// A gateway that was not notified of a move learns of it from its next op, which is sent on to the target;
@@ -120,21 +120,21 @@
     let client = connect(&gateway).await;
     expect_acked(&retry_throttled(async || client.write(0, block_contents(1, 0, 1)).await).await);
     let source = shards_with_data(&fleet)[0];
-    let store = fleet.of_shard(source).expect("a store");
-    fleet.fault(store, Fault { lost: 1.0, ..Fault::default() });
+    let store = fleet.store_of_shard(source).expect("a store");
+    fleet.set_fault(store, Fault { lost_fraction: 1.0, ..Fault::default() });
     let before = executed_count(&fleet);
     let write = client.send(umbertray_nbd::Command::Write, 0, 0, 4096, block_contents(2, 0, 1));
     let count = before + 1;
     within(
         3,
         "the execution of the op",
-        fleet.book.until(count, |entry| matches!(entry.seen, Seen::Ran { .. })),
+        fleet.event_log.until(count, |entry| matches!(entry.seen, StoreEvent::Ran { .. })),
     )
     .await;
     move_first_extent(&coordinator, 1 - source).await;
     // The connection breaks: the gateway retries at the source, and is redirected to the target.
-    fleet.fault(store, Fault::default());
-    fleet.get(store).expect("it runs").cut_links();
+    fleet.set_fault(store, Fault::default());
+    fleet.get(store).expect("it runs").close_connections();
     let outcome = within(9, "a reply", write).await.ok().flatten();
     expect_acked(&outcome);
     assert_eq!(executed_count(&fleet), before + 1, "the record of the executed op was moved with its extent");
@@ -161,7 +161,7 @@
     let new =
         within(3, "a final reply", client.write(u64::from(4 * 256 * KIB), block_contents(3, 256, 1))).await;
     assert!(is_throttled(&new), "{new:?}");
-    coordinator.again().await.expect("it starts again");
+    coordinator.restart().await.expect("it starts again");
     assert_eq!(coordinator.term, 2, "each run has its own term");
     expect_acked(
         &retry_throttled(async || client.write(u64::from(4 * 256 * KIB), block_contents(4, 256, 1)).await)
@@ -169,7 +169,7 @@
     );
     // A claimed extent is durable before the gateway is notified of it.
     coordinator.kill().await.expect("it was running");
-    coordinator.again().await.expect("it starts again");
+    coordinator.restart().await.expect("it starts again");
     move_first_extent(&coordinator, 1 - shards_with_data(&fleet)[0]).await;
 }
 
@@ -181,18 +181,22 @@
     let (fleet, mut coordinator, _gateway, client) = start_with_data(&folder, 64).await;
     for round in 0..12u64 {
         let source = shards_with_data(&fleet)[0];
-        let number =
-            coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("it can be moved");
+        let number = coordinator
+            .request_move(extents(0, 1), 1 - source)
+            .await
+            .expect("a response")
+            .expect("it can be moved");
         // In each round, a different order of the move is the last one before the kill.
-        let orders = fleet.book.entries().iter().filter(|e| matches!(e.seen, Seen::Ordered { .. })).count();
+        let orders =
+            fleet.event_log.entries().iter().filter(|e| matches!(e.seen, StoreEvent::Ordered { .. })).count();
         let last = orders + 1 + round as usize % 9;
-        let ordered = fleet.book.until(last, |entry| matches!(entry.seen, Seen::Ordered { .. }));
+        let ordered = fleet.event_log.until(last, |entry| matches!(entry.seen, StoreEvent::Ordered { .. }));
         let write = retry_throttled(async || client.write(0, block_contents(10 + round, 0, 2)).await);
         let (_, outcome) = tokio::join!(tokio::time::timeout(Duration::from_millis(300), ordered), write);
         expect_acked(&outcome);
         coordinator.kill().await.expect("it was running");
-        coordinator.again().await.expect("it starts again");
-        coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+        coordinator.restart().await.expect("it starts again");
+        coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
         let read = retry_throttled(async || client.read(0, 64 * 4096).await).await;
         let mut expected = vec![Some(1); 64];
         expected[..2].fill(Some(10 + round));
@@ -209,12 +213,12 @@
     let source = shards_with_data(&fleet)[0];
     let rejected = CoordinatorProcess::start(program_path(), &folder, fleet.list.address).await;
     assert!(rejected.is_err(), "two coordinators on one folder");
-    let mut former = coordinator.second().await.expect("a second takes over");
+    let mut former = coordinator.take_over().await.expect("a second takes over");
     assert_eq!(coordinator.term, 2);
     move_first_extent(&coordinator, 1 - source).await;
     former.signal(Signal::SIGCONT).expect("it is running");
     assert!(
-        !former.ended(Duration::from_secs(5)).await.expect("it ends"),
+        !former.await_exit(Duration::from_secs(5)).await.expect("it ends"),
         "it exits with an error, since another coordinator took over"
     );
     assert_eq!(shards_with_data(&fleet), [1 - source]);
@@ -239,18 +243,19 @@
         (Connection::open(stalled.address, "vol", true).await.expect("a session"), connect(&other).await);
     expect_acked(&retry_throttled(async || first.write(0, block_contents(1, 0, 8)).await).await);
     let source = shards_with_data(&fleet)[0];
-    // The store has received all writes when their gateway is stopped: none is still in the client's socket.
-    let (store, delay) = (fleet.of_shard(source).expect("a store"), Duration::from_millis(400));
-    fleet.fault(store, Fault { sits: delay, ..Fault::default() });
+    // The store has received all writes when their gateway is stalled: none is still in the client's socket.
+    let (store, delay) = (fleet.store_of_shard(source).expect("a store"), Duration::from_millis(400));
+    fleet.set_fault(store, Fault { write_delay: delay, ..Fault::default() });
     let stalled_writes: Vec<_> = (0..4)
         .map(|block| {
             first.send(umbertray_nbd::Command::Write, 0, block * 4096, 4096, block_contents(2, block, 1))
         })
         .collect();
-    let is_received = |entry: &umbertray_fakes::Entry| matches!(entry.seen, Seen::Received { mark: 2, .. });
-    within(3, "all writes at the store", fleet.book.until(4, is_received)).await;
+    let is_received =
+        |entry: &umbertray_fakes::Entry| matches!(entry.seen, StoreEvent::Received { mark: 2, .. });
+    within(3, "all writes at the store", fleet.event_log.until(4, is_received)).await;
     stalled.signal(Signal::SIGSTOP).expect("it is running");
-    fleet.fault(store, Fault::default());
+    fleet.set_fault(store, Fault::default());
     move_first_extent(&coordinator, 1 - source).await;
     // Past the op timeout of the writes in flight.
     tokio::time::sleep(Duration::from_millis(1300)).await;
@@ -274,16 +279,20 @@
     let folder = empty_folder("moves-unreached");
     let (mut fleet, coordinator, _gateway, client) = start_with_data(&folder, 4).await;
     let source = shards_with_data(&fleet)[0];
-    let identity = fleet.kill(fleet.of_shard(source).expect("a store")).await.expect("it ran");
-    let number =
-        coordinator.wish(extents(0, 1), 1 - source).await.expect("a response").expect("the move is accepted");
-    let prepared =
-        fleet.book.until(1, |entry| matches!(&entry.seen, Seen::Ordered { order, .. } if order == "prepare"));
+    let identity = fleet.kill(fleet.store_of_shard(source).expect("a store")).await.expect("it ran");
+    let number = coordinator
+        .request_move(extents(0, 1), 1 - source)
+        .await
+        .expect("a response")
+        .expect("the move is accepted");
+    let prepared = fleet
+        .event_log
+        .until(1, |entry| matches!(&entry.seen, StoreEvent::Ordered { order, .. } if order == "prepare"));
     within(5, "the target is prepared", prepared).await;
-    let (state, is_finished) = coordinator.how_far(number, true).await.expect("a response");
+    let (state, is_finished) = coordinator.move_status(number, true).await.expect("a response");
     assert!(!is_finished, "{state}: the source may still have received the order");
     fleet.restart(identity).await.expect("it starts again");
-    let outcome = coordinator.ended(number, Duration::from_secs(10)).await.expect("it ends");
+    let outcome = coordinator.await_move(number, Duration::from_secs(10)).await.expect("it ends");
     assert_eq!(outcome, "given up, the source serves");
     assert_eq!(shards_with_data(&fleet), [source]);
     assert_eq!(
--- a/crates/cli/tests/sockets/restarts.rs
+++ b/crates/cli/tests/sockets/restarts.rs
@@ -54,7 +54,7 @@
         let found = files(&Disk::read_only(&folder.join("state"))).ok()?;
         let newest = found.into_iter().filter_map(|(_, generation, read)| Some((generation, read.ok()?)));
         let read = newest.max_by_key(|(generation, _)| *generation)?.1;
-        read.entry.saved.volumes.first().map(|volume| volume.reserved_tokens)
+        read.snapshot.state.volumes.first().map(|volume| volume.reserved_tokens)
     };
     let waiting = async {
         while reserved().is_none_or(|reserved| reserved < tokens) {
@@ -165,6 +165,6 @@
     let text = include_str!("../../../../days/down.star");
     let (_, verdict) = run_fault_scenario("down.star", text, 1).await;
     let cold = verdict.findings.iter().find(|finding| finding.rule.starts_with('4'));
-    assert!(cold.is_some_and(|finding| finding.looked >= 12), "{cold:?}");
+    assert!(cold.is_some_and(|finding| finding.cases_checked >= 12), "{cold:?}");
     assert_mostly_acked(&verdict);
 }
--- a/crates/config-log/src/chain/writer.rs
+++ b/crates/config-log/src/chain/writer.rs
@@ -26,7 +26,7 @@
 /// Whether the end of the newest segment is known to be synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TailState {
-    /// The log was opened but not recovered yet. A marker states that it is synced up to this version.
+    /// The log was opened but not recovered yet. Its markers state that it is synced up to this version.
     Unrecovered { synced_version: u64 },
     /// Everything that was written is synced.
     Clean,
@@ -240,7 +240,7 @@
     fn begin_segment(&mut self, header: SegmentHeader) -> io::Result<()> {
         let start = header.version;
         let bytes = self.format.encode_empty_segment(header).ok_or(io::ErrorKind::FileTooLarge)?;
-        self.storage.put(self.format.temporary, &self.format.file_name(start), &bytes)?;
+        self.storage.put(self.format.temporary_name, &self.format.file_name(start), &bytes)?;
         self.segment_start = start;
         self.segment_bytes = bytes.len();
         self.base_bytes = bytes.len();
--- a/crates/config-log/src/follow.rs
+++ b/crates/config-log/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the log, from its folder or from updates. Only safely committed entries are applied, in order, and
-//! a follower never returns to an older version.
+//! Follows the change log, from its folder or from updates. Only safely committed entries are applied, in
+//! order, and a follower never returns to an older version.
 //!
 //! [`FolderReader`] reads a folder without interpreting the entries. [`Replica`] applies updates from any
 //! source. [`Follower`] combines the two.
@@ -28,7 +28,7 @@
     ///
     /// Hazard: an older log may hold a higher limit that was lowered since.
     #[error(
-        "the log ends at version {found}, this gateway has acted on version {applied}: \
+        "the log ends at version {found}, this gateway has applied version {applied}: \
          it is the log of another deployment or an older copy"
     )]
     LogOlder {
@@ -39,7 +39,7 @@
     },
     /// The log has a different change at the version that this gateway applied. It is the log of another
     /// deployment or a restored one.
-    #[error("version {0} of the log differs from the version {0} that this gateway has acted on")]
+    #[error("version {0} of the log differs from the version {0} that this gateway has applied")]
     DivergentHistory(u64),
     /// The log is damaged or cannot be read.
     #[error(transparent)]
@@ -70,7 +70,7 @@
         }
     }
 
-    /// That version's hash.
+    /// The hash of the version that the update leads to.
     pub fn hash(&self) -> Hash {
         match self {
             Update::Entry(entry) => entry.hash,
@@ -81,7 +81,7 @@
 
 /// Follows the log of a folder for a gateway.
 pub struct Follower {
-    /// The version that it has reached.
+    /// The version that the follower has reached.
     pub replica: Replica,
     reader: FolderReader,
     /// Updates that were read but not applied yet. An update that failed to apply stays first, and nothing
--- a/crates/config-log/src/log.rs
+++ b/crates/config-log/src/log.rs
@@ -1,4 +1,5 @@
-//! The log that changes are committed to, one at a time. A change is committed once its record is synced.
+//! The change log, to which changes are committed one at a time. A change is committed once its record is
+//! synced.
 
 mod history;
 
@@ -17,8 +18,8 @@
 pub(crate) use history::invalid_change;
 pub use history::{Segment, checkpoint, history, read_segment, replay, segments, verify, version};
 
-/// Size that a segment reaches before the next one is begun, bytes. If twice the size of its preamble and
-/// header is more, that applies instead.
+/// Size that a segment reaches before the next one is begun, bytes, or twice the size of its preamble and
+/// header if that is more.
 pub const SEGMENT_BYTES: usize = 1 << 20;
 
 /// How many committed changes are remembered by id, to recognise changes that are sent again.
@@ -32,17 +33,17 @@
     /// Whether the change was sent again after it had been committed under the same id.
     pub was_committed_before: bool,
     /// The settings changes that a gateway must apply; empty if the change was committed before.
-    pub steps: Vec<SettingsChange>,
+    pub settings_changes: Vec<SettingsChange>,
 }
 
-/// The data remembered of a committed change under its id.
+/// The data kept for a committed change, by which it is recognised when it is sent again.
 #[derive(Clone, Copy)]
 struct CompletedId {
     version: u64,
     fingerprint: u64,
 }
 
-/// The only writer of the log.
+/// The only writer of the change log.
 ///
 /// Invariant: `head`, `completed` and `completed_by_id` equal the result of replaying the chain's entries.
 pub struct Log {
@@ -61,17 +62,18 @@
 
 /// The content of the header of a segment that begins after the version `head`.
 fn encode_checkpoint(head: &Version, completed: &VecDeque<CompletedChange>) -> Checkpoint {
-    (head.configuration.bytes(), completed.clone())
+    (head.configuration.to_bytes(), completed.clone())
 }
 
 impl Log {
     /// Opens the log of a folder that no other writer uses. The log of an empty folder is at version 0.
-    /// Segments grow to `max_segment_bytes`.
+    /// Segments grow to `max_segment_bytes`, or to twice the size of their preamble and header if that is
+    /// more.
     ///
     /// # Errors
     /// [`LogError`] if the log is damaged or the file system fails.
     pub fn open(storage: Box<dyn Storage>, max_segment_bytes: usize) -> Result<Log, LogError> {
-        let empty = || Version::empty().configuration.bytes();
+        let empty = || Version::empty().configuration.to_bytes();
         let opened = HashChain::open::<CommittedChange>(storage, &CHANGES, max_segment_bytes, empty)?;
         let (chain, found) = opened;
         let segment_start = found.header.version;
@@ -99,7 +101,7 @@
     }
 
     /// The storage of the log's folder, for reading.
-    pub fn layer(&self) -> &dyn Storage {
+    pub fn storage(&self) -> &dyn Storage {
         self.chain.storage()
     }
 
@@ -130,7 +132,7 @@
     ///
     /// # Errors
     /// [`ChangeRejected`] if the change could not be committed.
-    pub fn plan(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
+    pub fn preview(&self, change: &Change) -> Result<(Version, Vec<SettingsChange>), ChangeRejected> {
         validate(change)?;
         let head = self.head.number;
         if change.base > head {
@@ -157,7 +159,7 @@
     ///
     /// # Errors
     /// Those of the file system, and an error if the log is damaged.
-    pub fn base_of(&self, id: &str) -> io::Result<Option<u64>> {
+    pub fn committed_base(&self, id: &str) -> io::Result<Option<u64>> {
         let Some(completed) = self.completed_by_id.get(id) else { return Ok(None) };
         let since = self.history(completed.version - 1)?;
         let committed = since.into_iter().find(|committed| committed.version == completed.version);
@@ -175,24 +177,24 @@
         if let Some(completed) = self.completed_by_id.get(&change.id) {
             let version = completed.version;
             return if completed.fingerprint == segment::fingerprint(&change) {
-                Ok(Committed { version, was_committed_before: true, steps: Vec::new() })
+                Ok(Committed { version, was_committed_before: true, settings_changes: Vec::new() })
             } else {
                 Err(ChangeRejected::IdTaken { id: change.id, version })
             };
         }
-        let (next, steps) = self.plan(&change)?;
+        let (next, settings_changes) = self.preview(&change)?;
         let hash = self.append_to_chain(&change)?;
         let committed = CommittedChange { version: next.number, hash, change };
         self.record_completed(completed_change(&committed));
         self.newest_segment_changes.push(committed);
         self.head = next;
-        Ok(Committed { version: self.head.number, was_committed_before: false, steps })
+        Ok(Committed { version: self.head.number, was_committed_before: false, settings_changes })
     }
 
     fn append_to_chain(&mut self, change: &Change) -> io::Result<Hash> {
         let segment_start = self.chain.segment_start();
         let checkpoint = || encode_checkpoint(&self.head, &self.completed);
-        let written = self.chain.append(segment::body(change), checkpoint);
+        let written = self.chain.append(segment::encode_body(change), checkpoint);
         self.clear_changes_if_rolled(segment_start);
         written
     }
@@ -202,7 +204,7 @@
     /// # Errors
     /// Those of the file system, and an error if the log is damaged.
     pub fn history(&self, after: u64) -> io::Result<Vec<CommittedChange>> {
-        history(self.layer(), after).map_err(|error| match error {
+        history(self.storage(), after).map_err(|error| match error {
             LogError::Disk(error) => error,
             broken => io::Error::other(broken.to_string()),
         })
--- a/crates/config-log/src/log/history.rs
+++ b/crates/config-log/src/log/history.rs
@@ -11,7 +11,7 @@
 use crate::segment::{CHANGES, CommittedChange, Corruption, Hash, SegmentHeader, file_name};
 use crate::version::{SettingsChange, Version};
 
-/// A completely read segment of the log of changes.
+/// A completely read segment of the change log.
 pub type Segment = chain::Segment<CommittedChange>;
 
 /// Lists the segments of a folder in ascending order, each by the version that it begins after.
@@ -168,7 +168,7 @@
 
 fn verify_checkpoint(storage: &dyn Storage, start: u64, rebuilt: &Version) -> Result<(), LogError> {
     let segment = read_segment(storage, start)?;
-    if segment.header.checkpoint == rebuilt.configuration.bytes() {
+    if segment.header.checkpoint == rebuilt.configuration.to_bytes() {
         return Ok(());
     }
     let reason = "its checkpoint differs from the state rebuilt from the changes before it".into();
--- a/crates/config-log/src/model/edit.rs
+++ b/crates/config-log/src/model/edit.rs
@@ -44,13 +44,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidEditReason {
     /// The text has no value.
-    #[error("no = in it")]
+    #[error("the = and the value are missing")]
     NoValue,
     /// The text before `=` is not a path.
     #[error(transparent)]
     Path(#[from] InvalidPath),
     /// The path refers to an entity and not to a field.
-    #[error("it names no field")]
+    #[error("the path names no field")]
     NoField,
 }
 
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// [`InvalidEdit`] with the text and the reason.
-    pub fn set(text: &str) -> Result<Edit, InvalidEdit> {
+    pub fn parse_set_edit(text: &str) -> Result<Edit, InvalidEdit> {
         Edit::parse_set(text).map_err(|reason| InvalidEdit { text: text.into(), reason })
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The new value at the path, for display.
-    pub fn value(&self) -> String {
+    pub fn display_value(&self) -> String {
         match self {
             Edit::Set { value, .. } => value.to_string(),
             Edit::Put { fields, .. } => serde_json::to_string(fields).unwrap_or_default(),
--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -13,7 +13,7 @@
     json!(duration.as_secs_f64())
 }
 
-/// The value of `changes` for a source of the log of changes: a folder, or a list of relays.
+/// The value of `changes` for a source of the change log: a folder, or a list of relays.
 fn change_source(changes: &ChangeSource) -> Value {
     match changes {
         ChangeSource::Folder(folder) => json!(folder),
@@ -23,7 +23,7 @@
     }
 }
 
-/// The value of `vouch`, which only a list of relays has.
+/// The value of `vouch`, the quorum of relays; `None` if the source is a folder.
 fn quorum(changes: &ChangeSource) -> Option<usize> {
     match changes {
         ChangeSource::Folder(_) => None,
@@ -128,13 +128,13 @@
         Value::Null,
         [
             ("drain_grace", seconds(rules.drain_grace)),
-            ("cold_from", json!(rules.slow_start_from)),
+            ("cold_from", json!(rules.slow_start_fraction)),
             ("cold_time", seconds(rules.slow_start_duration)),
             ("cold_units", json!(rules.slow_start_units)),
             ("fall_multiple", json!(rules.slow_start_multiple)),
             ("fall_time", seconds(rules.slow_start_window)),
-            ("order_pause", seconds(rules.order_pause)),
-            ("ask_within", seconds(rules.poll_within)),
+            ("order_pause", seconds(rules.key_pause)),
+            ("ask_within", seconds(rules.poll_retry_interval)),
             ("further_free", json!(retry_budget.map(|budget| budget.reserve))),
             ("further_share", json!(retry_budget.map(|budget| budget.ratio))),
             ("further_span", json!(retry_budget.map(|budget| seconds(budget.window)))),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A script is written in Starlark. It calls the functions `gateway`, `op_type`, `request`, `plan`, `volume`,
 //! `rules` and `bounds`, and may compute their arguments with the language's loops and functions.
-//! [`evaluate`] runs a script with limits on time and memory and records its calls ([`FunctionCall`]).
+//! [`evaluate`] runs a script with limits on steps and memory and records its calls ([`FunctionCall`]).
 //! [`parse`] reads the [`Arguments`] of the calls and reports every problem with its line and column.
 //! [`canonical`] converts validated settings back into calls. docs/settings.md documents the settings for
 //! operators.
@@ -34,7 +34,7 @@
 /// # Errors
 /// All problems with the script or its settings.
 pub fn read(file: &str, text: String) -> Result<SettingsDocument, Vec<Problem>> {
-    parse_whole(file, &evaluate_script(file, text)?)
+    parse_settings(file, &evaluate_script(file, text)?)
 }
 
 /// Evaluates a coordinator's script and validates its settings.
@@ -61,23 +61,23 @@
 ///
 /// # Errors
 /// All problems with the calls, or all calls of other functions.
-pub fn parse_whole(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
+pub fn parse_settings(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check_functions(calls, &SETTINGS_FUNCTIONS, "does not belong in settings")?;
     document(file, calls)
 }
 
-/// Parses the script of a gateway that reads the shared settings from a log of changes.
+/// Parses the script of a gateway that reads the shared settings from a change log.
 ///
 /// The script may define only the settings of the gateway itself. The shared settings are not known yet, so
 /// the returned document holds placeholders for them.
 ///
 /// # Errors
 /// All problems with the calls, or all calls that define shared settings.
-pub fn own_part(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
+pub fn parse_local_settings(file: &str, calls: &[FunctionCall]) -> Result<SettingsDocument, Vec<Problem>> {
     check_functions(
         calls,
         &LOCAL_FUNCTIONS,
-        "must be set in the log of changes, which gateway(changes = ...) refers to",
+        "must be set in the change log, which gateway(changes = ...) refers to",
     )?;
     document(file, &[calls, &placeholder_settings()].concat())
 }
--- a/crates/control-plane/src/coordinator/requests.rs
+++ b/crates/control-plane/src/coordinator/requests.rs
@@ -40,7 +40,7 @@
     pub(super) fn on_request(&mut self, connection: ConnectionId, message: &ToList) {
         let response = match *message {
             ToList::Hello { .. } => FromList::Welcome { term: self.state.term },
-            // The list of stores is served by the list service, not by the coordinator.
+            // The endpoint list is served by the list service, not by the coordinator.
             ToList::Watch | ToList::Fetch => FromList::Failed,
             ToList::Lookup { token, volume, extent, min_epoch } => {
                 let lookup = DeferredLookup { connection, token, volume, extent, min_epoch };
@@ -51,12 +51,12 @@
                 if let Some(record) = claim.record {
                     self.log(record);
                 }
-                FromList::Location { token, place: Some(claim.location) }
+                FromList::Location { token, location: Some(claim.location) }
             }
             ToList::Shards { token, volume } => {
                 FromList::Shards { token, shards: self.state.map.shards(volume).into_iter().collect() }
             }
-            ToList::Move { token, span: range, shard } => {
+            ToList::Move { token, range, shard } => {
                 let number = self.plan_move(range, shard).map_err(|rejected| rejected.to_string());
                 FromList::Move { token, number }
             }
@@ -65,18 +65,18 @@
                     self.abandon_move(number);
                 }
                 let status = self.move_status(number);
-                FromList::MoveStatus { token, state: status.text, over: status.has_ended }
+                FromList::MoveStatus { token, state: status.text, is_finished: status.has_ended }
             }
         };
         self.send(connection, response);
     }
 
-    /// Answers a lookup at once if the map is as new as it requires, and defers it otherwise. If too many
-    /// lookups are deferred it fails, and the peer retries later.
+    /// Answers a lookup at once if the map is as new as the lookup requires, and defers it otherwise. If
+    /// [`MAX_DEFERRED_LOOKUPS`] are deferred already, the lookup fails, and the peer retries later.
     fn on_lookup(&mut self, lookup: DeferredLookup) {
         let location = self.state.map.location(lookup.volume, lookup.extent);
         if location.map_or(0, |location| location.epoch) >= lookup.min_epoch {
-            let response = FromList::Location { token: lookup.token, place: location };
+            let response = FromList::Location { token: lookup.token, location };
             return self.send(lookup.connection, response);
         }
         if self.deferred_lookups.len() >= MAX_DEFERRED_LOOKUPS {
@@ -98,7 +98,7 @@
             false
         });
         for LookupResponse { connection, token, location } in ready {
-            self.send(connection, FromList::Location { token, place: Some(location) });
+            self.send(connection, FromList::Location { token, location: Some(location) });
         }
     }
 
--- a/crates/control-plane/src/relay/events.rs
+++ b/crates/control-plane/src/relay/events.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use umbertray_store_protocol::changes::{FromUpstream, Position, ProgressSummary, RefusalReason, ToUpstream};
+use umbertray_store_protocol::changes::{
+    FromUpstream, Position, ProgressSummary, RejectionReason, ToUpstream,
+};
 
 use crate::ConnectionId;
 
@@ -11,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// The position after this change.
-    pub at: Position,
+    pub position: Position,
     /// The change, as the writer wrote it.
     pub body: Bytes,
 }
@@ -23,7 +25,7 @@
     /// segment, at the start and whenever a segment begins.
     FolderCheckpoint {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The state at that position.
         bytes: Bytes,
     },
@@ -56,9 +58,9 @@
     /// An upstream or follower sent bytes that are not a valid frame in that direction. The node returns
     /// [`Action::Close`].
     Malformed(ConnectionId),
-    /// All changes up to this version, which [`Action::Commit`] named, are in force.
+    /// All changes up to this version are in force; [`Action::Commit`] has been returned for it before.
     Applied(u64),
-    /// Sent every [`TICK`](super::TICK).
+    /// Sent every [`TICK_INTERVAL`](super::TICK_INTERVAL).
     Tick,
 }
 
@@ -73,8 +75,8 @@
         connection: ConnectionId,
     },
     /// Close a connection to an upstream or follower once all frames returned before are sent, but no later
-    /// than after [`HEARTBEAT`](super::HEARTBEAT). The owner must not report further events of this
-    /// connection.
+    /// than after [`HEARTBEAT_INTERVAL`](super::HEARTBEAT_INTERVAL). The owner must not report further events
+    /// of this connection.
     Close {
         /// The connection to close.
         connection: ConnectionId,
@@ -89,7 +91,7 @@
         frame: ToUpstream,
     },
     /// Send a frame to a follower. The owner closes the connection if its unsent bytes exceed
-    /// [`MAX_UNSENT`](super::MAX_UNSENT).
+    /// [`MAX_UNSENT_BYTES`](super::MAX_UNSENT_BYTES).
     SendFollower {
         /// The connection to it.
         connection: ConnectionId,
@@ -97,17 +99,17 @@
         frame: FromUpstream,
     },
     /// Replace the state by this one, which is not in force until it is committed. Returned at the start, and
-    /// when the entries that would follow the present state are no longer held by the upstreams. A node that
-    /// reads the folder returns neither this action nor the next two.
+    /// when the upstreams no longer hold the entries after the present state, or too few of them hold these
+    /// entries for a quorum. A node that reads the folder returns neither this action nor the next two.
     LoadCheckpoint {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The state at that position.
         checkpoint: Bytes,
     },
     /// Append the next change to the state; it is not in force until it is committed.
     AppendEntry(Entry),
-    /// Put the state in force as it is at this position.
+    /// Put the state in force with all changes up to this position.
     ///
     /// Hazard: a gateway has to make the position durable before it acts on it, and has to pass it to
     /// [`RelayNode::new`](super::RelayNode::new) after a restart.
@@ -122,8 +124,8 @@
     /// The peer closed it, or it could not be established.
     #[error("closed by the peer, or could not be established")]
     Closed,
-    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for [`LEASE`](super::LEASE) from a
-    /// follower.
+    /// Nothing was received for [`IDLE_TIMEOUT`](super::IDLE_TIMEOUT), or for
+    /// [`LEASE_DURATION`](super::LEASE_DURATION) from a follower.
     #[error("idle timeout")]
     IdleTimeout,
     /// The upstream did not send in time what it, or other upstreams, reported to have.
@@ -152,7 +154,7 @@
     Unrequested,
     /// The upstream rejected this node.
     #[error("refused: {0:?}")]
-    Refused(RefusalReason),
+    Rejected(RejectionReason),
     /// The node already has its maximum number of followers.
     #[error("too many followers")]
     TooManyFollowers,
@@ -172,7 +174,7 @@
                 | DisconnectReason::WrongName
                 | DisconnectReason::ProtocolViolation
                 | DisconnectReason::Unrequested
-                | DisconnectReason::Refused(RefusalReason::Fork | RefusalReason::Loop)
+                | DisconnectReason::Rejected(RejectionReason::Fork | RejectionReason::Loop)
         )
     }
 }
@@ -229,7 +231,7 @@
     /// A checkpoint was loaded.
     CheckpointLoaded {
         /// The position of the checkpoint.
-        at: Position,
+        position: Position,
         /// The upstream it came from.
         upstream: String,
     },
--- a/crates/control-plane/src/relay/log_suffix.rs
+++ b/crates/control-plane/src/relay/log_suffix.rs
@@ -20,7 +20,7 @@
     Trimmed,
     /// The position is after the head.
     Ahead,
-    /// The hash at this version is a different one.
+    /// This history has a different hash at the version of the position.
     Fork,
 }
 
@@ -51,7 +51,7 @@
     }
 
     pub(super) fn head(&self) -> Option<Position> {
-        self.entries.back().map(|entry| entry.at).or(self.base)
+        self.entries.back().map(|entry| entry.position).or(self.base)
     }
 
     /// The oldest version after which entries are held.
@@ -82,7 +82,7 @@
             0 => Some(base.hash),
             distance => {
                 let index = usize::try_from(distance - 1).ok()?;
-                self.entries.get(index).map(|entry| entry.at.hash)
+                self.entries.get(index).map(|entry| entry.position.hash)
             }
         }
     }
@@ -93,7 +93,7 @@
         self.hash_at(position.version).is_some_and(|hash| hash != position.hash)
     }
 
-    /// The entry that comes next after a version.
+    /// The first entry after a version, if it is held.
     pub(super) fn entry_after(&self, version: u64) -> Option<&Entry> {
         let index = version.checked_sub(self.base?.version)?;
         self.entries.get(usize::try_from(index).ok()?)
@@ -116,7 +116,7 @@
     /// Discards everything held and starts again from a checkpoint.
     pub(super) fn reset(&mut self, checkpoint: Checkpoint, bytes: Bytes) {
         self.clear();
-        self.base = Some(checkpoint.at);
+        self.base = Some(checkpoint.position);
         self.replace_checkpoint(checkpoint, bytes);
     }
 
@@ -143,7 +143,7 @@
             Retention::Hashes => Bytes::new(),
         };
         self.entry_bytes += ENTRY_OVERHEAD + body.len();
-        self.entries.push_back(Entry { at: entry.at, body });
+        self.entries.push_back(Entry { position: entry.position, body });
         self.trim();
     }
 
@@ -156,12 +156,12 @@
         while self.entries.len() > max_entries || self.entry_bytes > max_bytes && self.entries.len() > 1 {
             let Some(first) = self.entries.pop_front() else { return };
             self.entry_bytes -= ENTRY_OVERHEAD + first.body.len();
-            self.base = Some(first.at);
+            self.base = Some(first.position);
         }
     }
 
     /// Whether entries right after the checkpoint were trimmed, so that a new follower cannot start from it.
     pub(super) fn has_outgrown_checkpoint(&self) -> bool {
-        self.checkpoint().is_some_and(|checkpoint| checkpoint.at.version < self.oldest_version())
+        self.checkpoint().is_some_and(|checkpoint| checkpoint.position.version < self.oldest_version())
     }
 }
--- a/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
+++ b/crates/control-plane/src/relay/upstreams/checkpoint_transfer.rs
@@ -92,7 +92,8 @@
         let Some(download) = download else { return Err(DisconnectReason::Unrequested) };
         let length = download.checkpoint.length as usize;
         let expected_length = length.saturating_sub(offset as usize).min(MAX_PART);
-        let is_next = version == download.checkpoint.at.version && offset as usize == download.bytes.len();
+        let is_next =
+            version == download.checkpoint.position.version && offset as usize == download.bytes.len();
         if !is_next || part.len() != expected_length {
             return Err(DisconnectReason::ProtocolViolation);
         }
@@ -114,7 +115,7 @@
     fn request_part(&mut self, context: &mut Context<'_>) {
         let Some(download) = &self.checkpoint_transfer.download else { return };
         let Some(connection) = self.peers[download.peer].connection() else { return };
-        let version = download.checkpoint.at.version;
+        let version = download.checkpoint.position.version;
         let offset = download.bytes.len() as u32;
         context.send(connection, ToUpstream::Fetch { version, offset });
     }
@@ -128,8 +129,8 @@
         context: &mut Context<'_>,
     ) {
         let upstream = self.peers[peer].name.clone();
-        let at = checkpoint.at;
-        if context.suffix.head().is_some_and(|head| head.version >= at.version) {
+        let position = checkpoint.position;
+        if context.suffix.head().is_some_and(|head| head.version >= position.version) {
             return context.suffix.replace_checkpoint(checkpoint, bytes);
         }
         // The pending entries are chained to the log suffix that this checkpoint replaces.
@@ -137,8 +138,8 @@
             self.disconnect(source.peer, DisconnectReason::NotNeeded, context);
         }
         context.suffix.reset(checkpoint, bytes.clone());
-        context.log(RelayEvent::CheckpointLoaded { at, upstream });
-        context.actions.push(Action::LoadCheckpoint { at, checkpoint: bytes });
+        context.log(RelayEvent::CheckpointLoaded { position, upstream });
+        context.actions.push(Action::LoadCheckpoint { position, checkpoint: bytes });
         self.commit_head(context);
     }
 
@@ -158,7 +159,7 @@
     fn quorum_checkpoint(&self, is_wanted: impl Fn(&Checkpoint) -> bool) -> Option<Checkpoint> {
         let reported = || self.peers.iter().filter_map(Peer::checkpoint);
         let has_quorum = |one: &Checkpoint| reported().filter(|other| other == one).count() >= self.quorum;
-        reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.at.version)
+        reported().filter(|one| is_wanted(one) && has_quorum(one)).max_by_key(|one| one.position.version)
     }
 
     /// Whether no upstream can send the entries after the head, although at least one upstream has later
@@ -168,16 +169,17 @@
         self.source.is_none() && states.any(|state| state.oldest_version > head.version)
     }
 
-    /// The checkpoint to continue from. It is loaded if no upstream can send the entries after the head
-    /// (`is_needed`), or if no entry has had a quorum for [`MAX_CHECKPOINT_LAG`], since too few of the
-    /// upstreams that report the checkpoint still have the entries.
+    /// The checkpoint ahead of the head to continue from. It is returned only if no upstream can send the
+    /// entries after the head (`is_needed`), or if no entry has had a quorum for [`MAX_CHECKPOINT_LAG`]. That
+    /// happens if too few of the upstreams that report the checkpoint still have the entries.
     fn checkpoint_ahead(
         &mut self,
         head: Option<Position>,
         is_needed: bool,
         now: Duration,
     ) -> Option<Checkpoint> {
-        let newest = self.quorum_checkpoint(|one| head.is_none_or(|head| one.at.version > head.version));
+        let newest =
+            self.quorum_checkpoint(|one| head.is_none_or(|head| one.position.version > head.version));
         let transfer = &mut self.checkpoint_transfer;
         if newest.is_none() {
             transfer.ahead_since = None;
@@ -193,12 +195,13 @@
         let head = suffix.head()?;
         let held = suffix.checkpoint()?;
         self.quorum_checkpoint(|one| {
-            let is_newer = one.at.version > held.at.version && one.at.version <= head.version;
-            is_newer && !suffix.contradicts(one.at)
+            let is_newer =
+                one.position.version > held.position.version && one.position.version <= head.version;
+            is_newer && !suffix.contradicts(one.position)
         })
     }
 
-    /// Starts to fetch a checkpoint if one is needed, or a newer one than the one held is available.
+    /// Starts to fetch a checkpoint if one is needed, or if one newer than the checkpoint held is available.
     pub(super) fn choose_checkpoint(&mut self, context: &mut Context<'_>) {
         if self.checkpoint_transfer.download.is_some() || context.now < self.halted_until {
             return;
@@ -217,8 +220,8 @@
     }
 
     fn fetch(&mut self, checkpoint: Checkpoint, context: &mut Context<'_>) {
-        if self.contradicts_committed(checkpoint.at) {
-            return self.halt(checkpoint.at.version, context);
+        if self.contradicts_committed(checkpoint.position) {
+            return self.halt(checkpoint.position.version, context);
         }
         let Some(peer) = self.best_checkpoint_peer(checkpoint, context.now) else { return };
         let transfer_seconds = checkpoint.length / MIN_BYTES_PER_SECOND;
@@ -244,7 +247,7 @@
     /// connects to all upstreams.
     fn on_quorum_missing(&mut self, context: &mut Context<'_>) {
         let now = context.now;
-        let newest = self.peers.iter().filter_map(Peer::checkpoint).max_by_key(|one| one.at.version);
+        let newest = self.peers.iter().filter_map(Peer::checkpoint).max_by_key(|one| one.position.version);
         let transfer = &mut self.checkpoint_transfer;
         let missing_since = *transfer.no_quorum_since.get_or_insert(now);
         if now < missing_since + MAX_QUORUM_DELAY {
@@ -254,7 +257,7 @@
         let may_log = transfer.no_quorum_logged_at.is_none_or(|at| now >= at + NO_QUORUM_LOG_INTERVAL);
         if let Some(newest) = newest.filter(|_| may_log) {
             transfer.no_quorum_logged_at = Some(now);
-            context.log(RelayEvent::CheckpointQuorumMissing { version: newest.at.version });
+            context.log(RelayEvent::CheckpointQuorumMissing { version: newest.position.version });
         }
     }
 }
--- a/crates/control-plane/src/relay/upstreams/replication.rs
+++ b/crates/control-plane/src/relay/upstreams/replication.rs
@@ -12,7 +12,7 @@
 use crate::relay::log_suffix::ENTRY_OVERHEAD;
 use crate::relay::{
     AVOID_DURATION, DisconnectReason, ENTRY_FRAME_OVERHEAD, Entry, MAX_LAG, MAX_SUFFIX_BYTES, RelayEvent,
-    WINDOW,
+    WINDOW_BYTES,
 };
 
 /// A preferred upstream becomes the source again once it has been connected for this long.
@@ -22,7 +22,7 @@
 
 /// A part of an entry, as received in one frame.
 pub(super) struct EntryPart {
-    pub(super) at: Position,
+    pub(super) position: Position,
     /// Length of the complete entry in bytes.
     pub(super) length: u32,
     pub(super) offset: u32,
@@ -37,14 +37,16 @@
 
 /// An entry whose parts are still arriving.
 struct PartialEntry {
-    at: Position,
+    position: Position,
     length: u32,
     body: BytesMut,
 }
 
 impl PartialEntry {
     fn continues_with(&self, part: &EntryPart) -> bool {
-        self.at == part.at && self.length == part.length && self.body.len() == part.offset as usize
+        self.position == part.position
+            && self.length == part.length
+            && self.body.len() == part.offset as usize
     }
 }
 
@@ -79,7 +81,7 @@
 
     /// The position of the last pending entry, or `head` if there is none.
     pub(super) fn end(&self, head: Position) -> Position {
-        self.pending.back().map_or(head, |entry| entry.at)
+        self.pending.back().map_or(head, |entry| entry.position)
     }
 
     pub(super) fn pending_at(&self, index: usize) -> Option<&Entry> {
@@ -88,7 +90,7 @@
 
     /// Removes and returns the oldest pending entry, if its version is at most `max_version`.
     pub(super) fn take_pending(&mut self, max_version: u64) -> Option<Entry> {
-        let entry = self.pending.pop_front_if(|entry| entry.at.version <= max_version)?;
+        let entry = self.pending.pop_front_if(|entry| entry.position.version <= max_version)?;
         self.pending_bytes -= ENTRY_OVERHEAD + entry.body.len();
         Some(entry)
     }
@@ -118,12 +120,12 @@
     /// Handles a part of an entry; a complete entry becomes pending.
     fn on_part(&mut self, part: &EntryPart, head: Position, now: Duration) -> Result<(), DisconnectReason> {
         self.unacknowledged += ENTRY_FRAME_OVERHEAD + part.bytes.len() as u32;
-        if self.unacknowledged > WINDOW + ENTRY_FRAME_OVERHEAD + MAX_PART as u32 {
+        if self.unacknowledged > WINDOW_BYTES + ENTRY_FRAME_OVERHEAD + MAX_PART as u32 {
             return Err(DisconnectReason::Unrequested);
         }
         let end = self.end(head);
         let is_next = match &self.partial {
-            None => part.offset == 0 && part.at.version == end.version.saturating_add(1),
+            None => part.offset == 0 && part.position.version == end.version.saturating_add(1),
             Some(partial) => partial.continues_with(part),
         };
         if !is_next {
@@ -132,7 +134,8 @@
         if part.bytes.len() != part.expected_length() {
             return Err(DisconnectReason::ProtocolViolation);
         }
-        let new_partial = || PartialEntry { at: part.at, length: part.length, body: BytesMut::new() };
+        let new_partial =
+            || PartialEntry { position: part.position, length: part.length, body: BytesMut::new() };
         let partial = self.partial.get_or_insert_with(new_partial);
         partial.body.extend_from_slice(&part.bytes);
         let is_complete = partial.body.len() == part.length as usize;
@@ -153,13 +156,13 @@
         now: Duration,
     ) -> Result<(), DisconnectReason> {
         let body = complete.body.freeze();
-        if end.after_change(&body) != complete.at {
+        if end.after_change(&body) != complete.position {
             return Err(DisconnectReason::BrokenChain);
         }
         self.progress_at = now;
         self.pending_since.get_or_insert(now);
         self.pending_bytes += ENTRY_OVERHEAD + body.len();
-        self.pending.push_back(Entry { at: complete.at, body });
+        self.pending.push_back(Entry { position: complete.position, body });
         Ok(())
     }
 }
@@ -191,7 +194,7 @@
     /// upstream may hold hashes only from the start of its own suffix.
     pub(super) fn grant_window(&mut self, context: &mut Context<'_>) {
         let Some(source) = self.source.as_mut().filter(|source| !source.is_full()) else { return };
-        if source.unacknowledged < WINDOW / 4 {
+        if source.unacknowledged < WINDOW_BYTES / 4 {
             return;
         }
         if let Some(connection) = self.peers[source.peer].connection() {
@@ -200,8 +203,8 @@
         }
     }
 
-    /// Disconnects a source that lags behind other upstreams or that they contradict. If its entries only
-    /// lack a quorum, the node connects to all upstreams.
+    /// Disconnects a source that lags behind other upstreams, that they contradict, or that can no longer
+    /// send the next entry. If its entries only lack a quorum, the node connects to all upstreams.
     pub(super) fn review_source(&mut self, context: &mut Context<'_>) {
         let now = context.now;
         let (Some(source), Some(head)) = (&self.source, context.suffix.head()) else { return };
@@ -232,7 +235,8 @@
         others.filter(|session| session.disagrees_at.is_some()).count()
     }
 
-    /// Whether another upstream has been ahead of the entries that the source sent for [`MAX_LAG`].
+    /// Whether another upstream, which is not avoided, has been ahead of the last entry from the source for
+    /// [`MAX_LAG`] without the source making progress.
     fn is_source_behind(&self, source: &ReplicationSource, now: Duration) -> bool {
         self.peers.iter().enumerate().any(|(index, peer)| {
             let ahead_since = peer.state().and_then(|state| state.ahead_since);
--- a/crates/control-plane/tests/relay/network/mod.rs
+++ b/crates/control-plane/tests/relay/network/mod.rs
@@ -14,7 +14,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use umbertray_control_plane::ConnectionId;
-use umbertray_control_plane::relay::{Action, Event, RelayEvent, RelayNode, TICK};
+use umbertray_control_plane::relay::{Action, Event, RelayEvent, RelayNode, TICK_INTERVAL};
 use umbertray_store_protocol::Message;
 use umbertray_store_protocol::changes::{Position, Role};
 
@@ -24,7 +24,7 @@
 
 pub(crate) type Id = usize;
 
-/// The location that a member runs at.
+/// The zone and the region that a member runs in.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub zone: String,
@@ -170,7 +170,7 @@
                         self.deliver(id, Event::Tick);
                         self.check_bounds(id);
                     }
-                    self.push(self.now + TICK, NetworkEvent::Wake(id, start));
+                    self.push(self.now + TICK_INTERVAL, NetworkEvent::Wake(id, start));
                 }
             }
             NetworkEvent::Connect { link_id, ok } => self.on_connect(link_id, ok),
@@ -204,17 +204,17 @@
                     .into_iter()
                     .for_each(|frame| self.send(id, connection, frame));
             }
-            Action::LoadCheckpoint { at, checkpoint } => self.on_checkpoint(id, at, &checkpoint),
+            Action::LoadCheckpoint { position, checkpoint } => self.on_checkpoint(id, position, &checkpoint),
             Action::AppendEntry(entry) => {
-                let expected = self.log.entries.get(entry.at.version as usize - 1).cloned();
+                let expected = self.log.entries.get(entry.position.version as usize - 1).cloned();
                 let next = self.members[id].built.map(|built| built.version + 1);
-                self.check_rule(id, next == Some(entry.at.version), "appends entries in order");
+                self.check_rule(id, next == Some(entry.position.version), "appends entries in order");
                 self.check_rule(
                     id,
                     expected.as_ref() == Some(&entry),
                     "appends only entries that were written",
                 );
-                self.members[id].built = Some(entry.at);
+                self.members[id].built = Some(entry.position);
             }
             Action::Commit(at) => self.on_commit(id, at),
             Action::Log(event) => self.members[id].logged.push(event),
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,9 +1,11 @@
-//! Test doubles that work: scripted stores, the list service with its directory, discovery, clients and a proxy with
-//! faults. Gateways are tested against them. No product package uses them; they listen and connect on loopback only.
+//! Working test doubles for tests of gateways: scripted stores, the list service with its directory,
+//! discovery, clients, and a proxy that injects faults.
+//!
+//! No product package uses them. They listen and connect on loopback only.
 
-pub mod book;
 pub mod client;
 pub mod disk;
+pub mod event_log;
 pub mod fleet;
 pub mod list;
 pub mod model;
@@ -14,4 +16,4 @@
 pub mod test_folder;
 pub mod traffic;
 
-pub use book::{Book, Entry};
+pub use event_log::{Entry, EventLog};
--- a/crates/http-api/src/outcomes.rs
+++ b/crates/http-api/src/outcomes.rs
@@ -1,6 +1,6 @@
 //! Converts what an attempt returned: to outcomes for the scheduler, retry reasons and load reports.
 
-use umbertray::interface::{Outcome, Report};
+use umbertray::interface::{LoadReport, Outcome};
 use umbertray_http::{Headers, client};
 use umbertray_lifecycle::reason::RetryReason;
 
@@ -20,7 +20,7 @@
 }
 
 fn response_outcome(response: &client::Response) -> Outcome {
-    let not_executed = response.head.headers.one(protocol::NOT_EXECUTED);
+    let not_executed = response.head.headers.single(protocol::NOT_EXECUTED);
     let not_executed = not_executed.is_ok_and(|value| value.is_some_and(|value| value.trim_ascii() == b"1"));
     match response.head.status {
         200 => Outcome::Succeeded,
@@ -34,7 +34,7 @@
     !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected | Outcome::NotSent)
 }
 
-/// The reason that a retry after this attempt would have; `None` if the attempt succeeded.
+/// The reason for retrying after an attempt with this outcome; `None` if the attempt succeeded.
 pub(crate) fn retry_reason(outcome: &AttemptOutcome) -> Option<RetryReason> {
     match outcome {
         AttemptOutcome::Response(response) => match response_outcome(response) {
@@ -52,13 +52,13 @@
 
 /// A non-negative number in a header field; `None` if it is missing or cannot be parsed.
 pub(crate) fn header_number(headers: &Headers, name: &str) -> Option<f64> {
-    let text = std::str::from_utf8(headers.one(name).ok().flatten()?).ok()?;
+    let text = std::str::from_utf8(headers.single(name).ok().flatten()?).ok()?;
     parse_number(text.trim())
 }
 
 /// Parses a load report: `name=value` pairs separated by commas. Pairs with a name outside of `known_fields`
 /// or an invalid value are skipped.
-pub(crate) fn parse_load_report(text: &[u8], known_fields: &[String]) -> Report {
+pub(crate) fn parse_load_report(text: &[u8], known_fields: &[String]) -> LoadReport {
     let parts = std::str::from_utf8(text).unwrap_or_default().split(',');
     let pairs = parts.filter_map(|part| part.trim().split_once('='));
     let known = pairs.filter(|(name, _)| known_fields.iter().any(|known| known == name));
--- a/crates/http-api/tests/core.rs
+++ b/crates/http-api/tests/core.rs
@@ -291,8 +291,8 @@
     reader.bytes.extend_from_slice(&bytes);
     let Ok(RequestEvent::Request(sent)) = reader.next_event() else { panic!("our own request is read") };
     assert_eq!((&*sent.method, &*sent.target, &sent.body[..]), ("PUT", target, &b"data"[..]));
-    assert_eq!(sent.headers.one("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
-    let left = std::str::from_utf8(sent.headers.one("X-Time-Left-Ms").expect("once").expect("present"))
+    assert_eq!(sent.headers.single("X-Correlation-Id"), Ok(Some(&b"00000000000000AB"[..])));
+    let left = std::str::from_utf8(sent.headers.single("X-Time-Left-Ms").expect("once").expect("present"))
         .expect("text");
     assert!((500..=700).contains(&left.parse::<u64>().expect("a number")), "what is left: {left}");
     assert!(sent.headers.all("X-Repeat").next().is_none() && reader.bytes.is_empty());
@@ -379,7 +379,7 @@
     assert_eq!(responses(&effects), []);
     let (second, sent_on) = harness.submit(&look(2));
     effects.extend(sent_on);
-    // The scheduler checks every sixteenth of the target latency.
+    // The scheduler checks its operations at intervals of a sixteenth of the target latency.
     effects.extend(harness.advance(ms(213)));
     let mut answered: Vec<ClientId> = responses(&effects).into_iter().map(|(client, _)| client).collect();
     answered.sort();
@@ -424,7 +424,7 @@
     assert!(harness.core.start_attempt(first, harness.now + ms(500)).is_ok(), "rule 3: within the grace");
     assert_eq!(
         harness.core.start_attempt(first, harness.now + ms(1000)),
-        Err(DenialReason::DrainGraceOver),
+        Err(DenialReason::DrainGraceExpired),
         "rule 3: beyond the grace"
     );
     for dropped in [1, 0] {
@@ -497,8 +497,8 @@
     );
 }
 
-/// Open operations and the scheduler refer to types and plans by position. If a reordered file changed the
-/// positions of open operations, an operation that must not run twice would be sent again.
+/// Open operations and the scheduler refer to types and plans by position. If a reordered file changed these
+/// positions, an open operation that must not run twice could get another type and be sent again.
 #[test]
 fn changed_settings_keep_positions_of_op_types_and_plans() {
     let read =
@@ -748,8 +748,8 @@
     assert!(broken.next_event().is_err(), "an unclosed string at the end of a line ends the event");
 }
 
-/// A change that discovery had before a process started takes effect from the first moment of the process.
-/// An earlier process may already have been notified of it, so a drain has no grace left.
+/// A change in the first list of a process counts as notified one drain grace earlier, because an earlier
+/// process may already have been notified of it. A drain in that list therefore has no grace left.
 #[test]
 fn drain_in_first_list_of_process_has_no_grace() {
     let stores = |state| [entry("s0", 0, state, 0), entry("s1", 1, "ready", 0)];
@@ -766,7 +766,7 @@
         if let Some((attempt, _)) = started_attempts(&early).first() {
             assert_eq!(
                 harness.core.start_attempt(*attempt, harness.now),
-                Err(DenialReason::DrainGraceOver),
+                Err(DenialReason::DrainGraceExpired),
                 "rule 3: decided on the earlier list"
             );
         }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -82,7 +82,7 @@
         ("GET", "/g", b"", false),
     ];
     assert_eq!(parsed, expected);
-    assert_eq!(complete[0].headers.one("x-own"), Ok(Some(&b"1"[..])));
+    assert_eq!(complete[0].headers.single("x-own"), Ok(Some(&b"1"[..])));
 }
 
 #[test]
@@ -108,11 +108,11 @@
     assert_eq!(error_with_fields("Content-Length: 5\r\nContent-Length: 5"), Malformed::Length);
     assert_eq!(
         error_with_fields("Content-Length: 5\r\nTransfer-Encoding: chunked"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     assert_eq!(
         error_with_fields("Transfer-Encoding: chunked\r\ncontent-length: 5"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     for coding in ["gzip, chunked", "identity", "chunked, chunked", "xchunked", ""] {
         assert_eq!(
@@ -135,7 +135,7 @@
                   Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n\
                   GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n";
     reader.bytes.extend_from_slice(hidden.as_bytes());
-    assert_eq!(reader.next_event(), Err(Malformed::LengthAndCoding));
+    assert_eq!(reader.next_event(), Err(Malformed::ConflictingFraming));
 }
 
 #[test]
@@ -192,7 +192,7 @@
     );
     assert_eq!(
         malformed_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Malformed::LengthAndCoding
+        Malformed::ConflictingFraming
     );
     assert_eq!(
         malformed_response(&format!(
@@ -210,8 +210,8 @@
     assert!(matches!(malformed_response("noise noise noise\r\n"), Malformed::Head(_) | Malformed::Version));
 }
 
-/// A response without a length ends when its connection is closed. Such responses were rejected, even
-/// complete ones, so their operations were lost. Before a regular close the response is not complete.
+/// Regression test: complete responses without a length were rejected, so their operations were lost. Such a
+/// response is complete once its connection is closed regularly, and not before.
 #[test]
 fn response_without_length_ends_at_close_only() {
     for (text, complete) in [
@@ -266,5 +266,5 @@
     let bytes = server::response(429, &[("Retry-After", b"0.110")], b"", true);
     let read = read_responses(&[bytes.to_vec()]).expect("our own message");
     assert_eq!((read[0].head.status, read[0].head.persists), (429, false));
-    assert_eq!(read[0].head.headers.one("retry-after"), Ok(Some(&b"0.110"[..])));
+    assert_eq!(read[0].head.headers.single("retry-after"), Ok(Some(&b"0.110"[..])));
 }
--- a/crates/lifecycle/src/connection.rs
+++ b/crates/lifecycle/src/connection.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use crate::Decision;
-use crate::limits::BAD_CLIENT_LIMIT;
+use crate::limits::MISBEHAVING_CLIENT_LIMIT;
 use crate::reason::Violation;
 
 /// What this side still has to do on a connection before it may be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Obligation {
-    /// Nothing.
+    /// No obligation: the connection may be closed.
     None,
     /// A complete request was read, and its final response is pending.
     Response,
@@ -37,10 +37,10 @@
 /// as lost, on new connections too.
 ///
 /// # Errors
-/// [`Violation::ClosedOwingResponse`].
+/// [`Violation::ClosedWithPendingResponse`].
 pub fn may_close(obligation: Obligation, peer: Peer) -> Decision<Violation> {
     match (obligation, peer) {
-        (Obligation::Response, Peer::Open) => Err(Violation::ClosedOwingResponse),
+        (Obligation::Response, Peer::Open) => Err(Violation::ClosedWithPendingResponse),
         _ => Ok(()),
     }
 }
@@ -58,20 +58,20 @@
 /// Invariant: every request that was read is answered before the exit. Source: the protocol page, "Figures".
 ///
 /// # Errors
-/// [`Violation::ExitOwingResponse`].
+/// [`Violation::ExitWithPendingResponse`].
 pub fn may_exit(obligations: impl IntoIterator<Item = Obligation>) -> Decision<Violation> {
     let has_pending = obligations.into_iter().any(|obligation| obligation == Obligation::Response);
-    if has_pending { Err(Violation::ExitOwingResponse) } else { Ok(()) }
+    if has_pending { Err(Violation::ExitWithPendingResponse) } else { Ok(()) }
 }
 
 /// Whether a client that stopped within a request got its error or close in time, `waited` after the first
 /// byte.
 ///
-/// Invariant: the standing page's limit for misbehaving clients, [`BAD_CLIENT_LIMIT`]. If an earlier request
-/// of the connection is still open, the limit starts with its response.
+/// Invariant: the standing page's limit for misbehaving clients, [`MISBEHAVING_CLIENT_LIMIT`]. If an earlier
+/// request of the connection is still open, the limit starts with its response.
 ///
 /// # Errors
-/// [`Violation::BadClientKeptWaiting`].
-pub fn bad_client_wait_holds(waited: Duration) -> Decision<Violation> {
-    if waited <= BAD_CLIENT_LIMIT { Ok(()) } else { Err(Violation::BadClientKeptWaiting) }
+/// [`Violation::MisbehavingClientKeptWaiting`].
+pub fn misbehaving_client_wait_holds(waited: Duration) -> Decision<Violation> {
+    if waited <= MISBEHAVING_CLIENT_LIMIT { Ok(()) } else { Err(Violation::MisbehavingClientKeptWaiting) }
 }
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -65,7 +65,7 @@
         let log = Log::open(Box::new(disk), SEGMENT_BYTES).expect("a log");
         let mut writer = Writer { folder, log };
         let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
-        let wanted = Configuration::of_calls(&document.calls());
+        let wanted = Configuration::from_calls(&document.calls());
         writer.commit(Configuration::default().diff(&wanted));
         writer
     }
@@ -155,20 +155,20 @@
 
 pub(crate) fn relay_source(name: &str, upstreams: Vec<Upstream>, quorum: usize) -> RelaySource {
     let (name, zone, start_timeout) = (name.into(), "z".into(), Duration::from_secs(30));
-    RelaySource { name, zone, upstreams, quorum, seed: 1, start_timeout, state: None }
+    RelaySource { name, zone, upstreams, quorum, seed: 1, start_timeout, state_folder: None }
 }
 
 pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
-    let state = relays.state.clone();
+    let state = relays.state_folder.clone();
     let relayed = RelayedChanges::start(relays).await?;
     let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
-    let settings = relayed.at.version.settings(&document.settings);
+    let settings = relayed.replica.version.settings(&document.settings);
     let options = GatewayOptions {
         listen: vec![any_port()],
         endpoint_list: SocketAddr::from(([127, 0, 0, 1], 1)),
         coordinator: None,
         seed: 1,
-        state,
+        state_folder: state,
         changes: Some(ChangeSource::Relays(Box::new(relayed))),
     };
     Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("the gateway listens"))
@@ -207,7 +207,7 @@
     let at = |update: &Update| Position { version: update.version(), hash: update.hash() };
     let Some(Update::Checkpoint(head)) = updates.first() else { panic!("a checkpoint comes first") };
     let length = head.checkpoint.len() as u32;
-    let checkpoint = Checkpoint { at: at(&updates[0]), digest: digest(&head.checkpoint), length };
+    let checkpoint = Checkpoint { position: at(&updates[0]), digest: digest(&head.checkpoint), length };
     let bytes = Bytes::copy_from_slice(&head.checkpoint);
     let entries = updates.iter().filter_map(|update| match update {
         Update::Entry(entry) => Some((at(update), entry.body.clone())),
--- a/crates/relay/src/log_events.rs
+++ b/crates/relay/src/log_events.rs
@@ -1,22 +1,22 @@
-//! Log lines of the node's events.
+//! Logging of the node's events.
 
 use umbertray_control_plane::relay::RelayEvent;
 
-/// Writes a log line for an event that an operator would ask about.
+/// Logs an event of the node for operators.
 pub(crate) fn log(event: RelayEvent) {
     match event {
         RelayEvent::Following { upstream, after } => {
-            tracing::info!(upstream, after = after.version, "follows");
+            tracing::info!(upstream, after = after.version, "started following upstream");
         }
         RelayEvent::UpstreamDisconnected { upstream, reason, backoff } => {
             let backoff_seconds = backoff.as_secs_f64();
             tracing::warn!(upstream, %reason, backoff_seconds, "upstream disconnected");
         }
         RelayEvent::LoopDetected { upstream, path } => {
-            tracing::error!(upstream, ?path, "loop of relays: refused");
+            tracing::error!(upstream, ?path, "relay loop detected; peer rejected");
         }
         RelayEvent::Disagreement { upstream, version } => {
-            tracing::error!(upstream, version, "upstreams tell different histories");
+            tracing::error!(upstream, version, "upstreams reported different histories");
         }
         RelayEvent::DivergentHistory { version } => {
             tracing::error!(version, "committed history contradicted by quorum");
@@ -25,8 +25,8 @@
         RelayEvent::CheckpointQuorumMissing { version } => {
             tracing::warn!(version, "checkpoint quorum missing");
         }
-        RelayEvent::CheckpointLoaded { at, upstream } => {
-            tracing::info!(version = at.version, upstream, "checkpoint loaded");
+        RelayEvent::CheckpointLoaded { position, upstream } => {
+            tracing::info!(version = position.version, upstream, "checkpoint loaded");
         }
         RelayEvent::FollowerBehind { follower, after } => {
             tracing::info!(follower, after, "follower needs a checkpoint");
--- a/crates/routing/src/core/directory.rs
+++ b/crates/routing/src/core/directory.rs
@@ -1,5 +1,5 @@
-//! Handles messages of the directory: the endpoint list of stores, and responses to queries of the extent
-//! map.
+//! Handles the endpoint list of stores, and the directory's responses to queries of the extent map. The
+//! directory is the service that has this map: the coordinator, or the list service where there is none.
 
 use std::time::Duration;
 
@@ -37,17 +37,17 @@
     pub(super) fn on_list_message(&mut self, message: FromList) {
         match message {
             FromList::Welcome { .. } | FromList::Move { .. } | FromList::MoveStatus { .. } => {}
-            FromList::Full(stores) => self.on_endpoint_list(&stores, true),
+            FromList::Complete(stores) => self.on_endpoint_list(&stores, true),
             FromList::Changes(stores) => self.on_endpoint_list(&stores, false),
             FromList::Failed => self.on_list_failed(),
-            FromList::Location { token, place } => {
+            FromList::Location { token, location } => {
                 self.map_unavailable = false;
                 match self.locations.take_query(token) {
                     Some(DirectoryQuery::Lookup(extent, waiting, _)) => {
-                        self.on_lookup(extent, waiting, place);
+                        self.on_lookup(extent, waiting, location);
                     }
                     Some(DirectoryQuery::Claim(extent, shard, number)) => {
-                        self.on_claim(extent, shard, number, place);
+                        self.on_claim(extent, shard, number, location);
                     }
                     Some(DirectoryQuery::Shards(..)) | None => {}
                 }
@@ -73,17 +73,17 @@
         self.schedule_query_retry();
     }
 
-    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_full_list: bool) {
+    fn on_endpoint_list(&mut self, stores: &[ListedStore], is_complete_list: bool) {
         let endpoints = self.apply_endpoints(stores);
-        if is_full_list {
+        if is_complete_list {
             self.stores.mark_unlisted_gone(self.now, &endpoints);
         }
         let forget_at = self.now + self.gone_store_retention() + self.settings.tick;
         self.timers.set(forget_at, Timer::ForgetStores);
         let pending = self.pending_restore.as_mut();
         let restored = pending.and_then(|pending| pending.on_list(self.now, stores, &endpoints));
-        let update = if is_full_list {
-            EndpointListUpdate::Whole(endpoints)
+        let update = if is_complete_list {
+            EndpointListUpdate::Complete(endpoints)
         } else {
             EndpointListUpdate::Changes(endpoints)
         };
@@ -151,8 +151,8 @@
         self.complete(id, FinalResult::Succeeded);
     }
 
-    /// Handles the response to a claim: the extent is located at the shard of this gateway's first write, or
-    /// at the shard of an earlier claim.
+    /// Handles the response to a claim: the extent is located at the shard that this gateway claimed it for,
+    /// or at the shard of an earlier claim.
     fn on_claim(&mut self, extent: ExtentId, claimed_shard: u32, number: u64, location: Option<Location>) {
         let Some(location) = location else {
             return self.finish_attempt(number, Outcome::ConnectFailed, StoreReply::default());
--- a/crates/routing/src/core/requests.rs
+++ b/crates/routing/src/core/requests.rs
@@ -30,7 +30,7 @@
             op_type,
             durable: request.durable,
             deadline: request.started_at + self.settings.op_types[op_type].op_timeout,
-            buffer_guard: request.hold.clone(),
+            buffer_guard: request.buffer_guard.clone(),
             open_fragments: 0,
             fragments: Vec::new(),
             results: Vec::new(),
@@ -168,7 +168,7 @@
                 waiting.is_empty()
             }
             DirectoryQuery::Shards(_, id) => !fragments.contains_key(id),
-            // The claim may have succeeded, and its response tells the extent's location.
+            // Kept: the claim may have succeeded, and its response contains the extent's location.
             DirectoryQuery::Claim(..) => false,
         });
     }
--- a/crates/routing/src/core/results.rs
+++ b/crates/routing/src/core/results.rs
@@ -11,8 +11,8 @@
 use crate::{Output, ReplyPart, RequestId};
 
 impl Core {
-    /// Sets a fragment's final result, and delivers it once no attempt of the fragment can take effect any
-    /// more.
+    /// Sets a fragment's final result and delivers it, for a write that did not succeed only once no attempt
+    /// of the fragment can take effect any more.
     ///
     /// Hazard: an attempt of an abandoned write may still be executed. If the client were notified at once,
     /// it could write again, perhaps through another gateway, and the late attempt would overwrite that newer
@@ -28,7 +28,7 @@
         let sent = in_flight.filter(|attempt| attempt.status == AttemptStatus::Sent);
         let sent_until = sent.map(|attempt| attempt.deadline).max();
         let may_run_until = fragment.may_run_until().max(sent_until).filter(|at| *at > self.now);
-        let must_wait = fragment.kind.writes() && result != FinalResult::Succeeded;
+        let must_wait = fragment.kind.modifies_extent() && result != FinalResult::Succeeded;
         match may_run_until.filter(|_| must_wait) {
             Some(at) => self.timers.set(at, Timer::Fragment(id)),
             None => self.deliver_result(id),
@@ -58,11 +58,11 @@
         let result = combine(request.results.iter().copied(), idempotency);
         if result == FinalResult::Succeeded && request.kind == OperationKind::Status {
             let ranges = request.data_ranges.into_values().flatten().collect();
-            let hold = request.buffer_guard.clone();
-            self.outputs.push(Output::Reply { id, part: ReplyPart::DataRanges(ranges), hold });
+            let buffer_guard = request.buffer_guard.clone();
+            self.outputs.push(Output::Reply { id, part: ReplyPart::DataRanges(ranges), buffer_guard });
         }
-        let hold = request.buffer_guard;
-        self.outputs.push(Output::Reply { id, part: ReplyPart::Final(result), hold });
+        let buffer_guard = request.buffer_guard;
+        self.outputs.push(Output::Reply { id, part: ReplyPart::Final(result), buffer_guard });
     }
 
     pub(super) fn remove_if_finished(&mut self, id: u32) {
@@ -77,7 +77,7 @@
     /// Sends a part of a reply, if the request is open.
     pub(super) fn reply(&mut self, id: RequestId, part: ReplyPart) {
         if let Some(request) = self.requests.get(&id) {
-            self.outputs.push(Output::Reply { id, part, hold: request.buffer_guard.clone() });
+            self.outputs.push(Output::Reply { id, part, buffer_guard: request.buffer_guard.clone() });
         }
     }
 
--- a/crates/routing/src/core/stores.rs
+++ b/crates/routing/src/core/stores.rs
@@ -69,7 +69,7 @@
             FromStore::AttemptResult(result) => self.on_attempt_result(store, result, received_at),
             // Sent to coordinators only; a gateway sends no orders.
             FromStore::OrderReply { .. } => {}
-            // Response to the connection's own heartbeat, which only serves to read the store's clock.
+            // Response to the connection's own heartbeat; the core uses it only to read the store's clock.
             FromStore::Healthy { token: 0, clock, .. } => self.read_clock(store, clock),
             FromStore::Healthy { clock, load_report: report, .. } => {
                 self.read_clock(store, clock);
@@ -135,7 +135,7 @@
         let kind = fragment.kind;
         let volume = fragment.volume;
         let outcome = outcome(&result, fragment);
-        if result.code == Ok(ResultCode::NotHere) {
+        if result.code == Ok(ResultCode::ExtentNotHeld) {
             self.locations.forget((self.volumes[volume], range.extent));
         }
         if outcome == Outcome::Succeeded && kind == OperationKind::Status {
@@ -157,7 +157,7 @@
         Ok(ResultCode::Succeeded) if is_complete(result, fragment) => Outcome::Succeeded,
         Ok(ResultCode::Succeeded | ResultCode::Failed) => Outcome::Failed,
         Ok(ResultCode::Rejected) => Outcome::Rejected,
-        Ok(ResultCode::Fenced | ResultCode::StaleEpoch | ResultCode::NotHere) => Outcome::NotSent,
+        Ok(ResultCode::Fenced | ResultCode::StaleEpoch | ResultCode::ExtentNotHeld) => Outcome::NotSent,
         Ok(ResultCode::Cancelled) => Outcome::Cancelled,
         Err(_) => Outcome::Unknown,
     }
--- a/crates/snapshot/src/previous_formats.rs
+++ b/crates/snapshot/src/previous_formats.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use umbertray_routing::Snapshot;
-use umbertray_routing::saved::{LearnedFigures, StoreRecord, VolumeRecord};
+use umbertray_routing::snapshot_records::{LearnedValues, StoreRecord, VolumeRecord};
 
 use crate::format::StampedSnapshot;
 use crate::stamp::Stamp;
@@ -14,7 +14,7 @@
 /// started, which was never used.
 #[derive(Deserialize)]
 pub(crate) struct StampedSnapshotV1 {
-    at: Stamp,
+    taken_at: Stamp,
     stores: Vec<StoreRecordV1>,
     volumes: Vec<VolumeRecord>,
     promise_duration: Duration,
@@ -29,20 +29,20 @@
     state: u8,
     incarnation: u64,
     _age: Option<u64>,
-    learned: Option<LearnedFigures>,
+    learned_values: Option<LearnedValues>,
 }
 
 impl From<StoreRecordV1> for StoreRecord {
     fn from(store: StoreRecordV1) -> StoreRecord {
-        let StoreRecordV1 { store, address, shard, zone, state, incarnation, learned, .. } = store;
-        StoreRecord { store, address, shard, zone, state, incarnation, learned }
+        let StoreRecordV1 { store, address, shard, zone, state, incarnation, learned_values, .. } = store;
+        StoreRecord { store, address, shard, zone, state, incarnation, learned_values }
     }
 }
 
 impl From<StampedSnapshotV1> for StampedSnapshot {
     fn from(snapshot: StampedSnapshotV1) -> StampedSnapshot {
-        let StampedSnapshotV1 { at, stores, volumes, promise_duration } = snapshot;
+        let StampedSnapshotV1 { taken_at, stores, volumes, promise_duration } = snapshot;
         let stores = stores.into_iter().map(StoreRecord::from).collect();
-        StampedSnapshot { at, saved: Snapshot { stores, volumes, promise_duration } }
+        StampedSnapshot { taken_at, state: Snapshot { stores, volumes, promise_duration } }
     }
 }
