--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -37,8 +37,8 @@
 /// This test failed on rule 1, with replies 0.4 to 3.6 s late, on a machine with slow syncs: the scenario
 /// waited for a coordinator that took long to start, and only then resumed the gateway that it had stalled,
 /// while the record had the planned time (recorded end of the stall at 7.58 s, no reply until 8.21 s). After
-/// that, the coordinator lost its lease under steady load ("lease over before a message", renewal overdue by
-/// 2.2 s) and no range moved.
+/// that, the coordinator lost its lease under steady load ("lease expired before a message was sent", renewal
+/// overdue by 2.2 s) and no range moved.
 #[tokio::test(flavor = "multi_thread")]
 async fn ranges_migrated_under_load_lose_nothing() {
     let text = include_str!("../../../../days/fences.star");
