--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -7,7 +7,7 @@
 use nix::sys::signal::Signal;
 use umbertray_fakes::client::Connection;
 use umbertray_fakes::event_log::StoreEvent;
-use umbertray_fakes::fleet::Fleet;
+use umbertray_fakes::fleet::{Fleet, any_port};
 use umbertray_fakes::model::Fault;
 use umbertray_fault_tests::coordinator::CoordinatorProcess;
 use umbertray_fault_tests::process::Gateway;
@@ -235,7 +235,7 @@
     let mut settings = settings_document("");
     (settings.endpoint_list, settings.coordinator, settings.seed) =
         (fleet.list.address, Some(coordinator.address), 9);
-    settings.listen = vec![([127, 0, 0, 1], 0).into()];
+    settings.listen = vec![any_port()];
     let stalled = Gateway::start(program_path(), &folder, "still", &settings.as_script()).await;
     let stalled = stalled.expect("a gateway starts");
     let other = start_gateway_with(&fleet, 2, &settings_document(""), Some(coordinator.address)).await;
--- a/crates/fault-tests/src/coordinator.rs
+++ b/crates/fault-tests/src/coordinator.rs
@@ -8,6 +8,7 @@
 
 use nix::sys::signal::Signal;
 use umbertray_coordinator::client::{self, RequestError};
+use umbertray_fakes::fleet::any_port;
 use umbertray_store_protocol::orders::ExtentRange;
 
 use crate::process::Process;
@@ -150,10 +151,6 @@
     }
 }
 
-fn any_port() -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 0))
-}
-
 /// Starts a coordinator process; returns it with its address and its term.
 async fn start_process(
     program: &Path,
--- a/crates/fault-tests/src/scenario/gateways.rs
+++ b/crates/fault-tests/src/scenario/gateways.rs
@@ -1,13 +1,13 @@
 //! The gateways of a scenario: starting, killing, stalling, restarting and stopping them.
 
 use std::io;
-use std::net::SocketAddr;
 use std::sync::Arc;
 
 use nix::sys::signal::Signal;
 use tokio::sync::OwnedMutexGuard;
 use tokio::time::Instant;
 use umbertray_config::{ChangeSource, FunctionCall};
+use umbertray_fakes::fleet::any_port;
 
 use super::testbed::{Testbed, poisoned_lock};
 use crate::process::Gateway;
@@ -33,7 +33,7 @@
         document.seed = (self.seed << 16 ^ number as u64 ^ start << 8) & ((1 << 53) - 1);
         let folder = std::path::absolute(self.folder.join(format!("state-{number}")))?;
         document.state = self.scenario.keeps_state.then(|| folder.display().to_string());
-        document.listen = vec![SocketAddr::from(([127, 0, 0, 1], 0))];
+        document.listen = vec![any_port()];
         if self.scenario.uses_change_log {
             let folder = std::path::absolute(self.log_folder())?.display().to_string();
             document.changes = Some(ChangeSource::Folder(folder));
--- a/crates/fault-tests/src/soak/testbed.rs
+++ b/crates/fault-tests/src/soak/testbed.rs
@@ -14,6 +14,7 @@
 use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout};
+use umbertray_fakes::fleet::any_port;
 use umbertray_fakes::platform::{Discovery, Store, StoreAction, ok};
 use umbertray_fakes::proxy::{LinkFault, Proxy, Tap};
 use umbertray_fakes::shim::{self, CallFaults};
@@ -50,10 +51,6 @@
 /// Time for which discovery reports a drained store as gone.
 const GONE_DURATION: Duration = Duration::from_millis(500);
 
-fn any_port() -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 0))
-}
-
 /// What a store does with the requests that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StoreMode {
--- a/crates/fault-tests/src/soak/testbed/terminations.rs
+++ b/crates/fault-tests/src/soak/testbed/terminations.rs
@@ -7,8 +7,9 @@
 
 use nix::sys::signal::Signal;
 use tokio::time::sleep;
+use umbertray_fakes::fleet::any_port;
 
-use super::{GatewayUnderTest, MAX_TOLERATED_STALL, RECOVERY_TIME, TIMER_INTERVAL, Testbed, any_port};
+use super::{GatewayUnderTest, MAX_TOLERATED_STALL, RECOVERY_TIME, TIMER_INTERVAL, Testbed};
 use crate::soak::plan::Termination;
 use crate::soak::process::{Process, is_valid, longest_deadline, reconfiguration};
 use crate::soak::record::{Disturbance, Exit};
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -17,6 +17,7 @@
 use umbertray_config_log::log::{Log, SEGMENT_BYTES};
 use umbertray_config_log::model::{Configuration, Edit, Key, Kind};
 use umbertray_config_log::{FolderReader, Update};
+pub(crate) use umbertray_fakes::fleet::any_port;
 use umbertray_fakes::test_folder::TestFolder;
 use umbertray_nbd_gateway::{
     ChangeSource, GatewayError, GatewayOptions, RelaySource, RelayedChanges, RunningGateway,
@@ -36,10 +37,6 @@
 volume("vol", size = 16 * MiB, plan = "p", gateways = 2)
 "#;
 
-pub(crate) fn any_port() -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 0))
-}
-
 /// Waits with a timeout. On failure, the panic message names what was waited for and includes the log.
 pub(crate) async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     let ended = tokio::time::timeout(Duration::from_secs(40), future).await;
