--- a/crates/store-protocol/tests/frames.rs
+++ b/crates/store-protocol/tests/frames.rs
@@ -8,14 +8,16 @@
     RejectionReason, Role, Status, ToUpstream, VersionCount,
 };
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
-use umbertray_store_protocol::orders::{
-    ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES,
-};
+use umbertray_store_protocol::orders::{ExtentContent, ExtentRange, OrderReply, PAGE_BYTES};
 use umbertray_store_protocol::store::{
     Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
 use umbertray_store_protocol::{FrameError, MAX_FRAME, Message, next_frame};
 
+use common::{EXECUTED_OP, orders};
+
+mod common;
+
 fn attempt() -> Attempt {
     Attempt {
         number: 1,
@@ -34,31 +36,10 @@
     }
 }
 
-const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remaining_micros: 4 };
-
 fn content() -> ExtentContent {
     ExtentContent { extent: 3, change_count: 4, pages: vec![(7, Bytes::from(vec![1; PAGE_BYTES]))] }
 }
 
-fn orders() -> [Order; 12] {
-    let (range, epoch) = (RANGE, 6);
-    [
-        Order::Prepare { range, epoch },
-        Order::TrackChanges { range },
-        Order::FetchNext { range, copied: Some((3, 4)) },
-        Order::Put { range, epoch, content: ExtentContent { pages: vec![], ..content() } },
-        Order::Fence { range, epoch },
-        Order::FetchExecuted { range },
-        Order::RecordExecuted { range, epoch, executed_ops: vec![EXECUTED_OP] },
-        Order::Sync { range, epoch },
-        Order::Activate { range, epoch },
-        Order::Reactivate { range, epoch },
-        Order::Clear { range, epoch },
-        Order::StopTracking { range },
-    ]
-}
-
 fn assert_round_trip<M: Message + PartialEq + std::fmt::Debug>(messages: &[M]) {
     let frames: Vec<u8> = messages.iter().flat_map(|message| message.frame().to_vec()).collect();
     let mut input = BytesMut::from(&frames[..]);
@@ -96,7 +77,8 @@
         ToStore::Cancel { number: 8 },
         ToStore::HealthCheck { token: 7 },
     ]);
-    assert_round_trip(&orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
+    let empty = ExtentContent { pages: vec![], ..content() };
+    assert_round_trip(&orders(empty).map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
     assert_eq!(ToStore::read_back(&ToStore::Attempt(attempt())), ToStore::Attempt(attempt()));
 }
 
--- a/crates/store-protocol/tests/golden.rs
+++ b/crates/store-protocol/tests/golden.rs
@@ -9,17 +9,17 @@
     ToUpstream, VersionCount,
 };
 use umbertray_store_protocol::list::{EndpointState, FromList, ListedStore, Location, ToList};
-use umbertray_store_protocol::orders::{
-    ExecutedOp, ExtentContent, ExtentRange, Order, OrderReply, PAGE_BYTES,
-};
+use umbertray_store_protocol::orders::{ExtentContent, ExtentRange, OrderReply, PAGE_BYTES};
 use umbertray_store_protocol::store::{
     Attempt, AttemptResult, DataRange, FromStore, OperationKind, ResultCode, ToStore,
 };
 use umbertray_store_protocol::{Message, next_frame, volume_id};
 
+use common::{EXECUTED_OP, orders};
+
+mod common;
+
 const RECORDED: &str = include_str!("golden/frames.txt");
-const RANGE: ExtentRange = ExtentRange { volume: 1, start: 2, end: 9 };
-const EXECUTED_OP: ExecutedOp = ExecutedOp { gateway_run: 1, op: 2, extent: 3, remaining_micros: 4 };
 const RESULT_CODES: [ResultCode; 7] = [
     ResultCode::Succeeded,
     ResultCode::Failed,
@@ -78,24 +78,6 @@
     ExtentContent { extent: 3, change_count: 4, pages }
 }
 
-fn orders() -> [Order; 12] {
-    let (range, epoch) = (RANGE, 6);
-    [
-        Order::Prepare { range, epoch },
-        Order::TrackChanges { range },
-        Order::FetchNext { range, copied: Some((3, 4)) },
-        Order::Put { range, epoch, content: content(vec![(7, Bytes::from(vec![1; PAGE_BYTES]))]) },
-        Order::Fence { range, epoch },
-        Order::FetchExecuted { range },
-        Order::RecordExecuted { range, epoch, executed_ops: vec![EXECUTED_OP] },
-        Order::Sync { range, epoch },
-        Order::Activate { range, epoch },
-        Order::Reactivate { range, epoch },
-        Order::Clear { range, epoch },
-        Order::StopTracking { range },
-    ]
-}
-
 fn store_frames(transcript: &mut Transcript) {
     let kinds_without_data = [
         OperationKind::Read,
@@ -107,7 +89,8 @@
     let mut to_store = vec![ToStore::Hello { run: 9 }, attempt(OperationKind::Write, b"abc")];
     to_store.extend(kinds_without_data.map(|kind| attempt(kind, b"")));
     to_store.extend([ToStore::Cancel { number: 8 }, ToStore::HealthCheck { token: 7 }]);
-    to_store.extend(orders().map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
+    let put_content = content(vec![(7, Bytes::from(vec![1; PAGE_BYTES]))]);
+    to_store.extend(orders(put_content).map(|order| ToStore::Order { token: 1, term: 2, number: 3, order }));
     transcript.frames("to store", &to_store);
 
     let load_report = vec![("queue".to_string(), 2.5)];
