--- a/crates/cli/src/measure/testbed.rs
+++ b/crates/cli/src/measure/testbed.rs
@@ -49,11 +49,11 @@
     pub(super) async fn start(
         kind: HandlerKind,
         fleet: &Fleet,
-        state: Option<PathBuf>,
+        state_folder: Option<PathBuf>,
     ) -> Result<MeasuredGateway, MeasureError> {
         let document = settings_document()?;
         let settings = Arc::new(document.settings.clone());
-        let options = options(document, fleet, state, None);
+        let options = options(document, fleet, state_folder, None);
         MeasuredGateway::start_with_handler(kind, settings, options).await
     }
 
@@ -142,7 +142,7 @@
 fn options(
     document: SettingsDocument,
     fleet: &Fleet,
-    state: Option<PathBuf>,
+    state_folder: Option<PathBuf>,
     changes: Option<ChangeSource>,
 ) -> GatewayOptions {
     GatewayOptions {
@@ -150,7 +150,7 @@
         endpoint_list: fleet.list.address,
         coordinator: None,
         seed: SEED,
-        state_folder: state,
+        state_folder,
         changes,
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -166,13 +166,14 @@
 }
 
 async fn open_changes(own: SettingsDocument) -> Result<Option<ChangeSource>, CommandError> {
-    let state: Option<PathBuf> = own.state.map(PathBuf::from);
+    let state_folder: Option<PathBuf> = own.state.map(PathBuf::from);
     let source = match own.changes {
         Some(umbertray_config::ChangeSource::Folder(folder)) => {
-            let applied = state.as_deref().map(umbertray_nbd_gateway::read_applied_version).transpose();
+            let applied =
+                state_folder.as_deref().map(umbertray_nbd_gateway::read_applied_version).transpose();
             let applied = applied.map_err(CommandError::io("cannot read the applied version"))?.flatten();
             let follower = Box::new(open_follower(Path::new(&folder), applied)?);
-            ChangeSource::Folder { folder: folder.into(), follower, state_folder: state }
+            ChangeSource::Folder { folder: folder.into(), follower, state_folder }
         }
         Some(umbertray_config::ChangeSource::Relays { upstreams, quorum }) => {
             let relays = RelaySource {
@@ -182,7 +183,7 @@
                 quorum,
                 seed: own.seed,
                 start_timeout: RELAY_START_TIMEOUT,
-                state_folder: state,
+                state_folder,
             };
             ChangeSource::Relays(Box::new(RelayedChanges::start(relays).await?))
         }
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -130,8 +130,8 @@
     for round in 0..8u32 {
         // The final reply to a write is due after 1.0 s less the gateway's margin: the race is around that
         // time.
-        let delay = Duration::from_millis(948 + 4 * u64::from(round));
-        fleet.set_fault(1, Fault { write_delay: delay, ..Fault::default() });
+        let write_delay = Duration::from_millis(948 + 4 * u64::from(round));
+        fleet.set_fault(1, Fault { write_delay, ..Fault::default() });
         let writes: Vec<_> = (0..6u64)
             .map(|block| {
                 let mark = u64::from(round) * 10 + block + 10;
--- a/crates/cli/tests/sockets/moves.rs
+++ b/crates/cli/tests/sockets/moves.rs
@@ -244,8 +244,8 @@
     expect_acked(&retry_throttled(async || first.write(0, block_contents(1, 0, 8)).await).await);
     let source = shards_with_data(&fleet)[0];
     // The store has received all writes when their gateway is stalled: none is still in the client's socket.
-    let (store, delay) = (fleet.store_of_shard(source).expect("a store"), Duration::from_millis(400));
-    fleet.set_fault(store, Fault { write_delay: delay, ..Fault::default() });
+    let (store, write_delay) = (fleet.store_of_shard(source).expect("a store"), Duration::from_millis(400));
+    fleet.set_fault(store, Fault { write_delay, ..Fault::default() });
     let stalled_writes: Vec<_> = (0..4)
         .map(|block| {
             first.send(umbertray_nbd::Command::Write, 0, block * 4096, 4096, block_contents(2, block, 1))
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -74,14 +74,14 @@
             seed: self.seed,
         };
         let running = store::start(identity, any_port(), cold).await?;
-        let started = cold.then(std::time::Instant::now);
+        let started_at = cold.then(std::time::Instant::now);
         let listed = ListEntry {
             address: running.address,
             shard,
             zone: 0,
             state: EndpointState::Ready,
             incarnation: 1,
-            started_at: started,
+            started_at,
         };
         self.addresses.insert(id, running.address);
         self.stores.insert(id, running);
--- a/crates/fault-tests/src/scenario/faults.rs
+++ b/crates/fault-tests/src/scenario/faults.rs
@@ -211,8 +211,8 @@
             if !self.await_step(self.spec.at + self.spec.duration * step / (AGEING_STEPS + 1)).await {
                 return Ok(());
             }
-            let slow = self.spec.magnitude.powf(f64::from(step + 1) / f64::from(AGEING_STEPS));
-            self.set_store_fault(&stores, model::Fault { slowdown: slow, ..model::Fault::default() }).await;
+            let slowdown = self.spec.magnitude.powf(f64::from(step + 1) / f64::from(AGEING_STEPS));
+            self.set_store_fault(&stores, model::Fault { slowdown, ..model::Fault::default() }).await;
         }
         let replacements = stores.into_iter().map(|id| (self.end_offset(), id)).collect();
         self.replace_stores(replacements).await
--- a/crates/nbd-gateway/tests/relays/common.rs
+++ b/crates/nbd-gateway/tests/relays/common.rs
@@ -156,7 +156,7 @@
 }
 
 pub(crate) async fn try_start_gateway(relays: RelaySource) -> Result<RunningGateway, GatewayError> {
-    let state = relays.state_folder.clone();
+    let state_folder = relays.state_folder.clone();
     let relayed = RelayedChanges::start(relays).await?;
     let document = umbertray_config::read("shared.star", SHARED_SETTINGS.into()).expect("valid settings");
     let settings = relayed.replica.version.settings(&document.settings);
@@ -165,7 +165,7 @@
         endpoint_list: SocketAddr::from(([127, 0, 0, 1], 1)),
         coordinator: None,
         seed: 1,
-        state_folder: state,
+        state_folder,
         changes: Some(ChangeSource::Relays(Box::new(relayed))),
     };
     Ok(umbertray_nbd_gateway::start(Arc::new(settings), options).await.expect("the gateway listens"))
--- a/crates/nbd/tests/session.rs
+++ b/crates/nbd/tests/session.rs
@@ -236,7 +236,7 @@
 
 #[test]
 fn client_and_server_exchange_requests_and_replies() {
-    let negotiation = |structured| Negotiation::Export { name: "vol".into(), structured_replies: structured };
+    let negotiation = |structured_replies| Negotiation::Export { name: "vol".into(), structured_replies };
     let mut session = Session::new(Limits::default());
     assert_eq!(
         exchange(&mut Client::new(Negotiation::List), &mut session),
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -273,10 +273,10 @@
         let index = choice % self.gateways[gateway].sent_attempts.len();
         let (store, attempt) = self.gateways[gateway].sent_attempts.remove(index);
         let (number, offset, half) = (attempt.number, attempt.offset, attempt.length / 2);
-        let at = self.now;
+        let received_at = self.now;
         let data = |offset, length: u32| {
             let data = Bytes::from(vec![1; length as usize]);
-            Input::FromStore { store, message: FromStore::Data { number, offset, data }, received_at: at }
+            Input::FromStore { store, message: FromStore::Data { number, offset, data }, received_at }
         };
         let result = |code| {
             let result = AttemptResult {
@@ -289,7 +289,7 @@
                 load_report: Vec::new(),
                 data_ranges: Vec::new(),
             };
-            Input::FromStore { store, message: FromStore::AttemptResult(result), received_at: at }
+            Input::FromStore { store, message: FromStore::AttemptResult(result), received_at }
         };
         let mut inputs = Vec::new();
         if attempt.kind == OperationKind::Read && fault < 12 {
@@ -299,7 +299,7 @@
                 inputs.push(Input::FromStore {
                     store,
                     message: FromStore::Hole { number, offset: offset + half, length },
-                    received_at: at,
+                    received_at,
                 });
             }
         }
--- a/crates/scale/src/measurement/startup.rs
+++ b/crates/scale/src/measurement/startup.rs
@@ -41,7 +41,7 @@
         };
         create(&folder)?;
         create(&folder.join("changes"))?;
-        let (stores, addresses) = start_stores(setup, &folder, plan, &demand).await?;
+        let (store_processes, addresses) = start_stores(setup, &folder, plan, &demand).await?;
         let listed_stores = list_entries(plan.stores, addresses);
         let mut list = start_worker(setup, &folder, "list")?;
         let list_address = start_list(&mut list, any_port(), &listed_stores).await?;
@@ -59,7 +59,7 @@
             list_address,
             listed_stores,
             coordinator_address,
-            store_processes: stores,
+            store_processes,
             workers: Vec::new(),
             gateways_of_workers: Vec::new(),
             real: Vec::new(),
--- a/crates/scale/src/plan/rejected.rs
+++ b/crates/scale/src/plan/rejected.rs
@@ -26,10 +26,10 @@
         volumes: u32,
     },
     /// The plan has more real gateways than gateways in all.
-    #[error("{real} real gateways of {gateways} in all")]
+    #[error("{real_gateways} real gateways of {gateways} in all")]
     TooManyReal {
         /// Real gateways of the plan.
-        real: u32,
+        real_gateways: u32,
         /// All gateways of the plan.
         gateways: u32,
     },
@@ -122,7 +122,7 @@
         return Err(PlanRejected::Empty { gateways, stores, volumes });
     }
     if real_gateways > gateways {
-        return Err(PlanRejected::TooManyReal { real: real_gateways, gateways });
+        return Err(PlanRejected::TooManyReal { real_gateways, gateways });
     }
     if let Some(answering) = plan.answering.filter(|answering| *answering > stores) {
         return Err(PlanRejected::TooManyAnswering { answering, stores });
