--- a/crates/cli/tests/sockets/changes.rs
+++ b/crates/cli/tests/sockets/changes.rs
@@ -373,10 +373,9 @@
 
 /// Plans, weights and limits change at the peak of a burst and while gateways are down.
 ///
-/// This test failed on rule 7, by 12 to 13 units, on a machine with slow syncs (400 ms): a gateway wrote a
-/// change to its own disk, with two syncs and a rename, before it applied the change and before it read the
-/// next one. The breach named the lowered limit and no fault at that time; a gateway whose syncs took 1 s
-/// applied a change 3.0 s after its commit. See `slow_disks`.
+/// Guards against a lowered limit that stays open for as long as the gateway's own disk takes (rule 7): a
+/// gateway wrote a change to its disk before it applied the change and before it read the next one. See
+/// `slow_disks` and docs/incidents/limit-behind-disk.md.
 #[tokio::test(flavor = "multi_thread")]
 async fn scenario_with_changes_breaks_no_rule() {
     let text = include_str!("../../../../days/changes.star");
--- a/crates/cli/tests/sockets/days.rs
+++ b/crates/cli/tests/sockets/days.rs
@@ -34,11 +34,10 @@
 
 /// Ranges move back and forth while coordinator, stores and gateways are killed, stalled and restarted.
 ///
-/// This test failed on rule 1, with replies 0.4 to 3.6 s late, on a machine with slow syncs: the scenario
-/// waited for a coordinator that took long to start, and only then resumed the gateway that it had stalled,
-/// while the record had the planned time (recorded end of the stall at 7.58 s, no reply until 8.21 s). After
-/// that, the coordinator lost its lease under steady load ("lease expired before a message was sent", renewal
-/// overdue by 2.2 s) and no range moved.
+/// Guards against two failures on machines with slow syncs. The scenario waited for a slow step before it
+/// resumed a stalled gateway, and recorded the planned time, so that replies seemed late (rule 1,
+/// docs/incidents/late-steps.md). The coordinator lost its lease under steady load, and no range moved
+/// (docs/incidents/lease-syncs.md).
 #[tokio::test(flavor = "multi_thread")]
 async fn ranges_migrated_under_load_lose_nothing() {
     let text = include_str!("../../../../days/fences.star");
--- a/crates/cli/tests/sockets/hard_cases.rs
+++ b/crates/cli/tests/sockets/hard_cases.rs
@@ -80,12 +80,9 @@
 /// 2. A client disconnects in the middle of a reply, with a hundred writes in flight; their capacity is
 /// released each time.
 ///
-/// This test failed sporadically on a machine with far more runnable threads than cores ("some are out: not
-/// within 5 s"). After it had sent its own writes, it counted the writes that stores had received, and waited
-/// for one more. If its thread was not scheduled between the sends and the count, the stores had already
-/// received all writes of the round that the gateway would send. In 13 failures of 800 runs the sends had
-/// taken 0.14 to 0.44 s; 12 to 38 writes of the round had been received before the count, and none after it.
-/// The test now waits for any write of the round.
+/// The test waits for any write of the round, and does not count the received writes after its sends and wait
+/// for one more: if its thread is not scheduled in between, the stores have already received all writes of
+/// the round by then (docs/incidents/count-after-send.md).
 #[tokio::test(flavor = "multi_thread")]
 async fn disconnecting_clients_with_requests_in_flight_release_their_capacity() {
     let fleet = start_fleet(2).await;
--- a/crates/routing/tests/world.rs
+++ b/crates/routing/tests/world.rs
@@ -472,9 +472,9 @@
     assert!(second.not_after <= 5 + 1_000_000, "by the store's clock, at most the request's timeout");
 }
 
-/// Guards against a query storm seen in a rehearsal: with the endpoint list down for 0.8 s, each failed query
-/// resent all the others, and after the list returned the gateway learned of a drain 1.4 s late, because its
-/// notification was queued behind the queries.
+/// Guards against a query storm: with the endpoint list down for 0.8 s, each failed query resent all the
+/// others, and after the list returned the gateway learned of a drain 1.4 s late, because its notification
+/// was queued behind the queries.
 #[test]
 fn failing_directory_gets_no_growing_number_of_queries() {
     let mut world = World::new();
